--- a/crates/admit/src/bucket.rs
+++ b/crates/admit/src/bucket.rs
@@ -27,7 +27,7 @@
 
 impl Bucket {
     /// A bucket with `level` operations in it.
-    pub fn open(level: f64, now: Instant) -> Self {
+    pub fn new(level: f64, now: Instant) -> Self {
         Self { level, at: now }
     }
 
@@ -49,7 +49,7 @@
     /// let at = Instant::from_millis;
     /// let limit = Limit { rate: 10.0, burst: 2.0 };
     /// let patience = Duration::from_millis(150);
-    /// let mut bucket = Bucket::open(1.0, at(0));
+    /// let mut bucket = Bucket::new(1.0, at(0));
     /// assert_eq!(bucket.take(limit, at(0), patience), Ok(Duration::ZERO));
     /// assert_eq!(bucket.take(limit, at(0), patience), Ok(Duration::from_millis(100)));
     /// assert_eq!(bucket.take(limit, at(0), patience), Err(Duration::from_millis(200)));
@@ -96,7 +96,7 @@
 
 impl Demand {
     /// Nothing was asked for yet.
-    pub fn open(now: Instant) -> Self {
+    pub fn new(now: Instant) -> Self {
         Self { rate: 0.0, at: now }
     }
 
@@ -113,7 +113,7 @@
     /// use clock::Instant;
     ///
     /// let at = Instant::from_millis;
-    /// let mut demand = Demand::open(at(0));
+    /// let mut demand = Demand::new(at(0));
     /// (0..100).for_each(|ten| demand.count(at(ten * 100)));
     /// assert!((9.0..11.0).contains(&demand.rate(at(9_950))));
     /// ```
--- a/crates/admit/src/budget.rs
+++ b/crates/admit/src/budget.rs
@@ -55,13 +55,13 @@
 
 /// Whether a connection may be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum Decision {
     /// Now.
     Now,
     /// Not before this moment.
     Wait(Instant),
     /// Not before one that is being opened is there, or one is closed.
-    Enough,
+    Blocked,
 }
 
 /// The connections of one instance to one upstream, as far as opening them goes.
@@ -76,41 +76,41 @@
 impl Budget {
     /// Whether one more connection may be opened, when `open` are open or being opened,
     /// `opening` of them being opened, and the instance may have `limit`.
-    pub fn ask(&self, now: Instant, open: usize, opening: usize, limit: usize) -> Answer {
+    pub fn check(&self, now: Instant, open: usize, opening: usize, limit: usize) -> Decision {
         if open >= limit.max(1) {
-            return Answer::Enough;
+            return Decision::Blocked;
         }
         let lately = self.last.is_some_and(|at| at + MEMORY > now);
         if lately && opening > 0 {
-            return Answer::Enough;
+            return Decision::Blocked;
         }
         match now < self.until {
-            true => Answer::Wait(self.until),
-            false => Answer::Now,
+            true => Decision::Wait(self.until),
+            false => Decision::Now,
         }
     }
 
     /// Takes in that the upstream takes no more, when `open` are open here. `chance`,
     /// between zero and one, spreads the next tries of many instances.
-    pub fn refused(&mut self, now: Instant, open: usize, chance: f64) {
+    pub fn record_refusal(&mut self, now: Instant, open: usize, chance: f64) {
         let pause = (PAUSE.0 * 2_u32.saturating_pow(self.refused)).min(PAUSE.1);
         self.refused = (self.refused + 1).min(8);
         self.last = Some(now);
         self.until = now + pause.mul_f64(1.0 + chance);
         if open == 0 {
-            let since = self.starved_since(now).unwrap_or(now);
+            let since = self.locked_out_since(now).unwrap_or(now);
             self.starved = Some((since, now));
         }
     }
 
     /// Takes in that a connection was opened.
-    pub fn opened(&mut self) {
+    pub fn record_success(&mut self) {
         self.refused = 0;
         self.starved = None;
     }
 
     /// Since when the instance has been refused its first connection, again and again.
-    pub fn starved_since(&self, now: Instant) -> Option<Instant> {
+    pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
         let (since, last) = self.starved?;
         (last + STARVED > now).then_some(since)
     }
--- a/crates/admit/src/holders.rs
+++ b/crates/admit/src/holders.rs
@@ -106,11 +106,11 @@
 /// them needs connections of its own for it, and of 84 accounts few find one that is open.
 ///
 /// ```
-/// use admit::holders::homes;
-/// let order = homes("bookings", "north", &["a-1", "b-1", "c-1"]);
-/// assert_eq!(order, homes("bookings", "north", &["c-1", "b-1", "a-1"]));
+/// use admit::holders::account_holders;
+/// let order = account_holders("bookings", "north", &["a-1", "b-1", "c-1"]);
+/// assert_eq!(order, account_holders("bookings", "north", &["c-1", "b-1", "a-1"]));
 /// ```
-pub fn homes<'a>(service: &str, account: &str, holders: &[&'a str]) -> Vec<&'a str> {
+pub fn account_holders<'a>(service: &str, account: &str, holders: &[&'a str]) -> Vec<&'a str> {
     let mut order = holders.to_vec();
     order.sort_by_cached_key(|name| {
         let mut hash = Xxh3::new();
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -3,10 +3,10 @@
 //! Nothing here reads a clock, a socket or a source of randomness: moments and chances
 //! are passed in. `proxy` carries out what is decided here.
 
-pub mod board;
 pub mod bucket;
 pub mod budget;
 pub mod holders;
+pub mod placement;
 pub mod queue;
 pub mod relays;
 pub mod shares;
--- a/crates/admit/src/board.rs
+++ b/crates/admit/src/placement.rs
@@ -122,17 +122,17 @@
 /// The holders of many services.
 ///
 /// ```
-/// use admit::{board::Board, holders::{Candidate, choose}};
+/// use admit::{placement::Placement, holders::{Candidate, choose}};
 ///
 /// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
 /// let all = [one("a-1", "a"), one("a-2", "a"), one("b-1", "b")];
-/// let mut board = Board::default();
+/// let mut board = Placement::default();
 /// all.iter().for_each(|candidate| board.put(candidate));
 /// let holders: Vec<_> = board.holders("bookings", 2).iter().map(|name| &**name).collect();
 /// assert_eq!(holders, choose("bookings", &all, 2));
 /// ```
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Placement {
     members: HashMap<Rc<str>, Member>,
     zones: BTreeSet<Rc<str>>,
     able: usize,
@@ -141,7 +141,7 @@
     draws: u64,
 }
 
-impl Board {
+impl Placement {
     /// Takes in a candidate that came, or that changed.
     pub fn put(&mut self, candidate: &Candidate<'_>) {
         let old = self.members.get(candidate.name);
@@ -198,13 +198,13 @@
     }
 
     /// Whether anybody but the candidate `name` can serve.
-    pub fn is_any_able_but(&self, name: &str) -> bool {
+    pub fn has_other_able(&self, name: &str) -> bool {
         let own = self.members.get(name).is_some_and(|member| member.able);
         self.able > usize::from(own)
     }
 
     /// How often a candidate's place for a service was drawn.
-    pub fn draws(&self) -> u64 {
+    pub fn score_count(&self) -> u64 {
         self.draws
     }
 
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -24,7 +24,7 @@
     /// Since when it waits.
     pub since: Instant,
     /// When an answer is late.
-    pub aim: Instant,
+    pub due: Instant,
     /// How to reach it.
     pub reply: T,
 }
@@ -80,19 +80,19 @@
     /// let mut queue = Queue::default();
     /// for (since, name) in [(0, "first"), (10, "second"), (90, "third")] {
     ///     let aim = at(since + 100);
-    ///     queue.push(Waiter { priority: 1, since: at(since), aim, reply: name });
+    ///     queue.push(Waiter { priority: 1, since: at(since), due: aim, reply: name });
     /// }
     /// let service = Duration::from_millis(5);
-    /// assert_eq!(queue.next(at(98), service).unwrap().reply, "third");
-    /// assert_eq!(queue.next(at(98), service).unwrap().reply, "second");
+    /// assert_eq!(queue.pop(at(98), service).unwrap().reply, "third");
+    /// assert_eq!(queue.pop(at(98), service).unwrap().reply, "second");
     /// ```
-    pub fn next(&mut self, now: Instant, service: Duration) -> Option<Waiter<T>> {
+    pub fn pop(&mut self, now: Instant, service: Duration) -> Option<Waiter<T>> {
         let at = self.first(now, service, |_| true)?;
         Some(self.waiters.remove(at))
     }
 
     /// Takes out who is served next of those whom `fits` names.
-    pub fn next_of(
+    pub fn pop_where(
         &mut self,
         now: Instant,
         service: Duration,
@@ -103,7 +103,7 @@
     }
 
     /// Who is served next of those whom `fits` names; it goes on waiting.
-    pub fn peek_of(
+    pub fn peek_where(
         &self,
         now: Instant,
         service: Duration,
@@ -119,7 +119,7 @@
     }
 
     fn first(&self, now: Instant, service: Duration, fits: impl Fn(&T) -> bool) -> Option<usize> {
-        let is_late = |waiter: &Waiter<T>| waiter.aim < now + service;
+        let is_late = |waiter: &Waiter<T>| waiter.due < now + service;
         let stands = |waiter: &Waiter<T>| waiter.since + STANDING < now;
         let rank = |waiter: &Waiter<T>| (is_late(waiter), waiter.priority);
         let fitting = self.waiters.iter().filter(|waiter| fits(&waiter.reply));
--- a/crates/admit/src/relays.rs
+++ b/crates/admit/src/relays.rs
@@ -12,21 +12,21 @@
 use crate::holders::{self, Candidate};
 
 /// How many instances of a zone ask the store: one may be lost.
-pub const EACH: usize = 2;
+pub const COUNT: usize = 2;
 
 /// How often somebody who is needed tells that it lives.
-pub const PROMPT: Duration = Duration::from_millis(300);
+pub const FREQUENT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How much time there is for each beat of an instance that nobody waits for: thirty a
 /// second, as many as nine instances send that all are needed.
 const PER_BEAT: Duration = Duration::from_millis(33);
 
-/// The longest pause between two beats: callers of an instance that nobody needed a
+/// The longest interval between two beats: callers of an instance that nobody needed a
 /// moment ago and that is chosen then wait 0.2 s if it is gone, not longer.
 const LONGEST: Duration = Duration::from_secs(5);
 
 /// What names the duty of a relay, beside the names of services.
-pub const DUTY: &str = "relay";
+pub const ROLE: &str = "relay";
 
 /// The relays among `candidates`, which are all of one zone, the first one first: those
 /// who don't hear the store only if nobody does.
@@ -41,7 +41,7 @@
 /// assert_eq!(chosen, ["a-1", "a-3"]);
 /// ```
 pub fn choose<'a>(candidates: &[Candidate<'a>]) -> Vec<&'a str> {
-    holders::choose(DUTY, &weighed(candidates), EACH)
+    holders::choose(ROLE, &weighed(candidates), COUNT)
 }
 
 /// The weight of a candidate for a relay's duty, which grows with the whole zone: a relay
@@ -69,32 +69,34 @@
 /// meanwhile. Where a third of all instances read it at once, callers lost their answers,
 /// upstreams and holders seemed dead: of 370 requests 80 were answered in time.
 pub fn readers<'a>(relays: &[Candidate<'a>]) -> Vec<&'a str> {
-    holders::choose(READER, &weighed(relays), EACH)
+    holders::choose(READER, &weighed(relays), COUNT)
 }
 
 /// Whether an instance waits for another's beats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum Frequency {
     /// It does: it would use what the other holds, or judges beside it.
-    Prompt,
+    Frequent,
     /// It only wants to know who there is.
-    Rare,
+    Infrequent,
 }
 
 /// How long one of `others` instances waits between two beats to another.
 ///
 /// ```
 /// use std::time::Duration;
-/// use admit::relays::{Need, pause};
+/// use admit::relays::{Frequency, interval};
 ///
-/// assert_eq!(pause(Need::Prompt, 194), Duration::from_millis(300));
-/// assert_eq!(pause(Need::Rare, 8), Duration::from_millis(300));
-/// assert_eq!(pause(Need::Rare, 60), Duration::from_millis(1_980));
+/// assert_eq!(interval(Frequency::Frequent, 194), Duration::from_millis(300));
+/// assert_eq!(interval(Frequency::Infrequent, 8), Duration::from_millis(300));
+/// assert_eq!(interval(Frequency::Infrequent, 60), Duration::from_millis(1_980));
 /// ```
-pub fn pause(need: Need, others: usize) -> Duration {
+pub fn interval(need: Frequency, others: usize) -> Duration {
     let others = u32::try_from(others).unwrap_or(u32::MAX);
     match need {
-        Need::Prompt => PROMPT,
-        Need::Rare => PER_BEAT.saturating_mul(others).clamp(PROMPT, LONGEST),
+        Frequency::Frequent => FREQUENT_INTERVAL,
+        Frequency::Infrequent => PER_BEAT
+            .saturating_mul(others)
+            .clamp(FREQUENT_INTERVAL, LONGEST),
     }
 }
--- a/crates/admit/src/shares.rs
+++ b/crates/admit/src/shares.rs
@@ -26,7 +26,7 @@
 use crate::holders::{self, Candidate};
 
 /// The whole of a quota.
-pub const WHOLE: u16 = 1_000;
+pub const TOTAL_PARTS: u16 = 1_000;
 
 /// How many keepers an account has: with one of them lost, three quarters of its quota are
 /// left, more than accounts usually ask for.
@@ -78,7 +78,7 @@
     }
 
     /// The keepers of `account` that have a share.
-    pub fn keepers(&self, account: &str) -> impl Iterator<Item = &str> {
+    pub fn limiters(&self, account: &str) -> impl Iterator<Item = &str> {
         let row = self.rows.get(account).into_iter().flatten();
         let keepers = row.filter(|(_, share)| share.parts > 0);
         keepers.map(|(name, _)| name.as_str())
@@ -87,7 +87,7 @@
 
 /// What whoever changes the table knows beside it.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct Planner {
     /// How long a share may be used by a keeper that has not heard that it changed.
     span: Duration,
     /// When each instance was there last.
@@ -97,10 +97,10 @@
     shrunk: HashMap<(String, String), (Share, Instant)>,
 }
 
-impl Ledger {
+impl Planner {
     /// Begins to look after the table, where a share may be used for `span` by a keeper that
     /// has not heard that it changed.
-    pub fn open(span: Duration, now: Instant) -> Self {
+    pub fn new(span: Duration, now: Instant) -> Self {
         Self {
             span: span + span / DRIFT,
             seen: HashMap::new(),
@@ -115,14 +115,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use admit::{holders::Candidate, shares::{Ledger, Table}};
+    /// use admit::{holders::Candidate, shares::{Planner, Table}};
     /// use clock::Instant;
     ///
     /// let at = Instant::from_millis;
     /// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
     /// let all = [one("a-1", "a"), one("b-1", "b")];
     /// let heard = ["a-1", "b-1"];
-    /// let mut ledger = Ledger::open(Duration::from_secs(5), at(0));
+    /// let mut ledger = Planner::new(Duration::from_secs(5), at(0));
     /// let table = ledger.plan(&Table::default(), &["north"], &heard, &all, at(2_000)).unwrap();
     /// assert_eq!(table.parts("north", "a-1"), 500);
     /// assert_eq!(ledger.plan(&table, &["north"], &heard, &all, at(2_000)), None);
@@ -211,14 +211,14 @@
         if count == 0 {
             return changed;
         }
-        changed | level(row, &keepers, WHOLE / count)
+        changed | level(row, &keepers, TOTAL_PARTS / count)
     }
 }
 
 /// What of the quota nobody may use.
 fn free(row: &Row) -> u16 {
     let used: u16 = row.values().map(|share| share.reserved).sum();
-    WHOLE.saturating_sub(used)
+    TOTAL_PARTS.saturating_sub(used)
 }
 
 /// Brings the shares of `keepers` to `even` each, as far as is free, and takes back what is
--- a/crates/admit/tests/board.rs
+++ b/crates/admit/tests/board.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use admit::{
-    board::Board,
     holders::{Candidate, choose},
+    placement::Placement,
 };
 use proptest::prelude::*;
 
@@ -52,7 +52,7 @@
     #[test]
     fn a_board_chooses_as_a_new_draw_does(steps in prop::collection::vec(step(), 1..200)) {
         let mut fleet = BTreeMap::new();
-        let mut board = Board::default();
+        let mut board = Placement::default();
         for step in steps {
             match step {
                 Step::Put(name, (zone, weight, able)) => {
@@ -80,8 +80,8 @@
 /// The draws that `changes` instances which come and go cost in a fleet of `fleet`, where
 /// `services` are in use.
 fn draws(fleet: usize, services: usize, changes: usize) -> u64 {
-    let mut board = Board::default();
-    let put = |board: &mut Board, at: usize| {
+    let mut board = Placement::default();
+    let put = |board: &mut Placement, at: usize| {
         let (name, zone) = (format!("i-{at}"), format!("z-{}", at % 6));
         board.put(&Candidate {
             name: &name,
@@ -91,20 +91,20 @@
         });
     };
     (0..fleet).for_each(|at| put(&mut board, at));
-    let ask = |board: &mut Board| {
+    let ask = |board: &mut Placement| {
         for service in 0..services {
             assert_eq!(board.holders(&format!("s-{service}"), 4).len(), 4);
         }
     };
     ask(&mut board);
-    let before = board.draws();
+    let before = board.score_count();
     for change in 0..changes {
         board.remove(&format!("i-{change}"));
         ask(&mut board);
         put(&mut board, fleet + change);
         ask(&mut board);
     }
-    board.draws() - before
+    board.score_count() - before
 }
 
 /// An instance that draws among all others for each of its services at each change has no
@@ -124,8 +124,8 @@
 /// each change costs a draw for each of them.
 #[test]
 fn a_service_that_nobody_asks_for_costs_no_draws_after_a_while() {
-    let mut board = Board::default();
-    let put = |board: &mut Board, at: usize| {
+    let mut board = Placement::default();
+    let put = |board: &mut Placement, at: usize| {
         let name = format!("i-{at}");
         board.put(&Candidate {
             name: &name,
@@ -139,7 +139,7 @@
         board.holders(&format!("s-{service}"), 2);
     }
     (8..520).for_each(|at| put(&mut board, at));
-    let before = board.draws();
+    let before = board.score_count();
     put(&mut board, 520);
-    assert_eq!(board.draws(), before);
+    assert_eq!(board.score_count(), before);
 }
--- a/crates/admit/tests/budget.rs
+++ b/crates/admit/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use admit::{Budget, budget::Answer};
+use admit::{Budget, budget::Decision};
 use clock::Instant;
 
 /// Tries for `span` to open a first connection at an upstream that refuses; how often.
@@ -12,13 +12,13 @@
     let end = now + span;
     let mut refused = 0;
     while now < end {
-        match budget.ask(now, 0, 0, 11) {
-            Answer::Now => {
+        match budget.check(now, 0, 0, 11) {
+            Decision::Now => {
                 refused += 1;
-                budget.refused(now, 0, 0.0);
+                budget.record_refusal(now, 0, 0.0);
             }
-            Answer::Wait(until) => now = until,
-            Answer::Enough => panic!("there is none"),
+            Decision::Wait(until) => now = until,
+            Decision::Blocked => panic!("there is none"),
         }
     }
     refused
@@ -37,14 +37,14 @@
     let mut budget = Budget::default();
     let now = Instant::from_millis(1_000);
     for _ in 0..100 {
-        budget.refused(now, 0, 1.0);
+        budget.record_refusal(now, 0, 1.0);
     }
     let most = now + Duration::from_millis(120);
-    assert_eq!(budget.ask(now, 0, 0, 11), Answer::Wait(most));
-    budget.opened();
-    budget.refused(now, 1, 0.0);
+    assert_eq!(budget.check(now, 0, 0, 11), Decision::Wait(most));
+    budget.record_success();
+    budget.record_refusal(now, 1, 0.0);
     let first = now + Duration::from_millis(15);
-    assert_eq!(budget.ask(now, 1, 0, 11), Answer::Wait(first));
+    assert_eq!(budget.check(now, 1, 0, 11), Decision::Wait(first));
 }
 
 /// Symptom: 68 connections of one instance meet an upstream that takes 22 from all.
@@ -54,7 +54,7 @@
     let budget = Budget::default();
     let now = Instant::from_millis(1_000);
     let mut open = 0;
-    while budget.ask(now, open, open, 11) == Answer::Now {
+    while budget.check(now, open, open, 11) == Decision::Now {
         open += 1;
     }
     assert_eq!(open, 11);
@@ -64,14 +64,14 @@
 fn an_instance_is_starved_only_while_it_is_refused_its_first_connection() {
     let mut budget = Budget::default();
     let at = Instant::from_millis;
-    budget.refused(at(1_000), 1, 0.0);
-    assert_eq!(budget.starved_since(at(1_000)), None);
-    budget.refused(at(1_100), 0, 0.0);
-    budget.refused(at(1_500), 0, 0.0);
-    assert_eq!(budget.starved_since(at(1_600)), Some(at(1_100)));
-    assert_eq!(budget.starved_since(at(2_200)), None);
-    budget.refused(at(2_300), 0, 0.0);
-    assert_eq!(budget.starved_since(at(2_300)), Some(at(2_300)));
-    budget.opened();
-    assert_eq!(budget.starved_since(at(2_300)), None);
+    budget.record_refusal(at(1_000), 1, 0.0);
+    assert_eq!(budget.locked_out_since(at(1_000)), None);
+    budget.record_refusal(at(1_100), 0, 0.0);
+    budget.record_refusal(at(1_500), 0, 0.0);
+    assert_eq!(budget.locked_out_since(at(1_600)), Some(at(1_100)));
+    assert_eq!(budget.locked_out_since(at(2_200)), None);
+    budget.record_refusal(at(2_300), 0, 0.0);
+    assert_eq!(budget.locked_out_since(at(2_300)), Some(at(2_300)));
+    budget.record_success();
+    assert_eq!(budget.locked_out_since(at(2_300)), None);
 }
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -54,13 +54,13 @@
             queue.push(Waiter {
                 priority: 1,
                 since,
-                aim,
+                due: aim,
                 reply: arrivals[next],
             });
             next += 1;
         }
         queue.retain(|since| *since + HOLD > now);
-        let Some(waiter) = queue.next(now, SERVICE) else {
+        let Some(waiter) = queue.pop(now, SERVICE) else {
             continue;
         };
         let span = SERVICE.mul_f64(0.5 + rng.random::<f64>());
@@ -98,16 +98,16 @@
 fn who_is_late_goes_behind_who_is_not_and_is_served_all_the_same() {
     let at = Instant::from_millis;
     let mut queue = Queue::default();
-    for (priority, aim, reply) in [(0, 50, "late"), (2, 500, "low"), (1, 500, "high")] {
+    for (priority, due, reply) in [(0, 50, "late"), (2, 500, "low"), (1, 500, "high")] {
         queue.push(Waiter {
             priority,
             since: at(90),
-            aim: at(aim),
+            due: at(due),
             reply,
         });
     }
     let mut order = Vec::new();
-    while let Some(waiter) = queue.next(at(100), Duration::from_millis(10)) {
+    while let Some(waiter) = queue.pop(at(100), Duration::from_millis(10)) {
         order.push(waiter.reply);
     }
     assert_eq!(order, ["high", "low", "late"]);
--- a/crates/admit/tests/relays.rs
+++ b/crates/admit/tests/relays.rs
@@ -4,7 +4,7 @@
 
 use admit::{
     holders::Candidate,
-    relays::{EACH, Need, choose, pause, readers},
+    relays::{COUNT, Frequency, choose, interval, readers},
 };
 
 fn names(count: usize) -> Vec<String> {
@@ -35,11 +35,11 @@
     for lost in &names {
         let left: Vec<_> = all.iter().copied().filter(|c| c.name != lost).collect();
         let after = readers(&left);
-        assert_eq!(after.len(), EACH);
+        assert_eq!(after.len(), COUNT);
         let kept = before.iter().filter(|name| after.contains(name)).count();
         let was = before.contains(&lost.as_str());
         assert!(
-            kept + usize::from(was) >= EACH - 1,
+            kept + usize::from(was) >= COUNT - 1,
             "{lost}: {before:?} {after:?}"
         );
     }
@@ -56,7 +56,7 @@
     for one in &mut all {
         one.able = false;
     }
-    assert_eq!(choose(&all).len(), EACH);
+    assert_eq!(choose(&all).len(), COUNT);
 }
 
 #[test]
@@ -72,10 +72,10 @@
 #[test]
 fn beats_that_nobody_waits_for_are_bounded() {
     for others in 1..600_u32 {
-        let pause = pause(Need::Rare, others as usize);
-        assert!(pause >= Duration::from_millis(300));
-        assert!(pause <= Duration::from_secs(5));
-        let each_second = f64::from(others) / pause.as_secs_f64();
+        let interval = interval(Frequency::Infrequent, others as usize);
+        assert!(interval >= Duration::from_millis(300));
+        assert!(interval <= Duration::from_secs(5));
+        let each_second = f64::from(others) / interval.as_secs_f64();
         assert!(
             each_second <= 31.0 || others > 150,
             "{others}: {each_second}"
--- a/crates/admit/tests/shares.rs
+++ b/crates/admit/tests/shares.rs
@@ -7,7 +7,7 @@
 use admit::{
     bucket::{Bucket, Limit},
     holders::Candidate,
-    shares::{Ledger, Table, WHOLE},
+    shares::{Planner, TOTAL_PARTS, Table},
 };
 use clock::Instant;
 use rand::{Rng, SeedableRng};
@@ -62,7 +62,7 @@
 fn play(seed: u64, reserve: Reserve) -> Vec<u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut stored = (Table::default(), 0_u64);
-    let mut ledgers = [(); 2].map(|()| Ledger::open(SPAN, at(0)));
+    let mut ledgers = [(); 2].map(|()| Planner::new(SPAN, at(0)));
     let mut keepers: Vec<_> = NAMES
         .iter()
         .map(|_| Keeper {
@@ -134,12 +134,12 @@
             if keeper.away > now || !proved || parts == 0 {
                 continue;
             }
-            let part = f64::from(parts) / f64::from(WHOLE);
+            let part = f64::from(parts) / f64::from(TOTAL_PARTS);
             let limit = Limit {
                 rate: RATE * part,
                 burst: (BURST + 0.3 * SLACK) * part,
             };
-            let new = || Bucket::open(START * part, at(now));
+            let new = || Bucket::new(START * part, at(now));
             let bucket = keeper.bucket.get_or_insert_with(new);
             while bucket.take(limit, at(now), Duration::ZERO).is_ok() {
                 given.push(now);
@@ -194,11 +194,11 @@
         able: true,
     };
     let all: Vec<_> = (0..NAMES.len()).map(one).collect();
-    let mut ledger = Ledger::open(SPAN, at(0));
+    let mut ledger = Planner::new(SPAN, at(0));
     let table = ledger
         .plan(&Table::default(), &[ACCOUNT], &NAMES, &all, at(0))
         .unwrap();
-    let keepers: Vec<_> = table.keepers(ACCOUNT).map(str::to_owned).collect();
+    let keepers: Vec<_> = table.limiters(ACCOUNT).map(str::to_owned).collect();
     assert_eq!(keepers.len(), 4);
     let rest: Vec<_> = all
         .iter()
@@ -212,7 +212,7 @@
         let last = tables.last().unwrap();
         if let Some(next) = ledger.plan(last, &[ACCOUNT], &names, &rest, at(now)) {
             let parts = names.iter().map(|name| next.parts(ACCOUNT, name));
-            if parts.sum::<u16>() == WHOLE {
+            if parts.sum::<u16>() == TOTAL_PARTS {
                 free_at.get_or_insert(now);
             }
             tables.push(next);
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -46,15 +46,15 @@
         })?;
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
-    let read = explain::read(texts.iter().map(String::as_str));
-    let story = explain::tell(&read, &args.id, args.at);
+    let read = explain::parse(texts.iter().map(String::as_str));
+    let story = explain::diagnose(&read, &args.id, args.at);
     let mut text = String::new();
     for line in &story.lines {
         text += &format!("{line}\n");
     }
     text += &format!("{}\n", story.cause);
-    if read.unread > 0 {
-        text += &format!("{} lines could not be read\n", read.unread);
+    if read.unparsed > 0 {
+        text += &format!("{} lines could not be read\n", read.unparsed);
     }
     util::print(&text)?;
     Ok(match story.found {
--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -10,7 +10,7 @@
 /// seconds: a probe finds it a little later.
 const NEAR_S: f64 = 2.0;
 
-/// Why the statement of `own` ended as it did, by what `all` instances wrote.
+/// Reason the statement of `own` ended as it did, by what `all` instances wrote.
 pub(crate) fn sentence(own: &Line, all: &[Line]) -> String {
     match stood_still(own, all) {
         Some(line) => format!(
@@ -45,7 +45,7 @@
             own.text("error")
         );
     }
-    match own.some("cause") {
+    match own.optional("cause") {
         Some("NoProof") => no_proof(own, all),
         Some("NoConnection") => no_connection(own, all),
         Some("Broken") => format!(
@@ -64,7 +64,7 @@
         Some("Upstream") => format!(
             "an upstream of {} refused it itself, as {}",
             own.text("service"),
-            own.some("code").unwrap_or("nothing known")
+            own.optional("code").unwrap_or("nothing known")
         ),
         Some("Undone") => "its transaction had been undone before".to_owned(),
         Some("NoKey") => format!(
@@ -109,7 +109,7 @@
     let Some(start) = replacement(own, all) else {
         return String::new();
     };
-    let reason = start.some("reason").unwrap_or(start.text("reason"));
+    let reason = start.optional("reason").unwrap_or(start.text("reason"));
     format!(
         ": {} was replacing it since {:.3}, for it was found {}",
         start.instance,
@@ -181,7 +181,7 @@
         let why = replaced(own, all);
         return format!("nobody could be proved to lead {service}{why}");
     }
-    if own.some("phase") == Some("Changing") {
+    if own.optional("phase") == Some("Changing") {
         return format!("nobody could be proved to lead {service}: its primary was being replaced");
     }
     if own.text("upstream").is_empty() {
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/diagnosis.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     cause::sentence,
-    gap::{Gap, gaps},
-    line::{Line, Read},
+    line::{Line, Log},
+    outage::{Outage, gaps},
 };
 
 /// How long before a statement what was decided about its service belongs to its
@@ -19,10 +19,10 @@
 
 /// What the instances tell of a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Story {
+pub struct Diagnosis {
     /// Its own lines and those that belong to it, the earliest first.
     pub lines: Vec<Line>,
-    /// Why it ended as it did, in a sentence.
+    /// Reason it ended as it did, in a sentence.
     pub cause: String,
     /// Whether any instance tells of it.
     pub found: bool,
@@ -30,7 +30,7 @@
 
 /// Tells what became of the request `id`, which its caller sent at `at` as far as
 /// that is known.
-pub fn tell(read: &Read, id: &str, at: Option<f64>) -> Story {
+pub fn diagnose(read: &Log, id: &str, at: Option<f64>) -> Diagnosis {
     let own = || read.lines.iter().filter(|it| is_of(it, id)).rev();
     // That the answer was lost as well says less than how it came about.
     let decided = own().find(|it| it.message == "statement");
@@ -46,7 +46,7 @@
     line.text("request") == id || line.text("transaction").split(' ').any(|it| it == id)
 }
 
-fn found(read: &Read, own: &Line, id: &str) -> Story {
+fn found(read: &Log, own: &Line, id: &str) -> Diagnosis {
     let took = own.number("ms").unwrap_or_default() as f64 / 1_000.0;
     let from = own.at - took - BEFORE_S;
     let belongs = |line: &&Line| {
@@ -60,7 +60,7 @@
     };
     let mut lines: Vec<Line> = read.lines.iter().filter(belongs).cloned().collect();
     once(&mut lines);
-    let code = own.some("code").unwrap_or("done");
+    let code = own.optional("code").unwrap_or("done");
     let later = match own.text("request") == id {
         true => String::new(),
         false => format!(
@@ -70,7 +70,7 @@
         ),
     };
     let cause = format!("{id}: {later}{code}: {}", sentence(own, &read.lines));
-    Story {
+    Diagnosis {
         lines,
         cause,
         found: true,
@@ -88,11 +88,11 @@
 
 /// No instance tells of the request: it was done within its aim, or it was with
 /// an instance that could not write then.
-fn missing(read: &Read, at: Option<f64>) -> Story {
+fn missing(read: &Log, at: Option<f64>) -> Diagnosis {
     let mut gaps = gaps(&read.lines);
     if let Some(at) = at {
         gaps.retain(|gap| gap.from - GAP_S <= at && at <= gap.to + GAP_S);
-        let far = |gap: &Gap| (gap.from - at).abs();
+        let far = |gap: &Outage| (gap.from - at).abs();
         gaps.sort_by(|a, b| far(a).total_cmp(&far(b)));
     }
     let mut cause = match gaps.is_empty() {
@@ -100,17 +100,17 @@
                  instances"
             .to_owned(),
         false => {
-            let told: Vec<_> = gaps.iter().map(Gap::to_string).collect();
+            let told: Vec<_> = gaps.iter().map(Outage::to_string).collect();
             format!(
                 "no line tells of it; it may have been with an instance that could not answer: {}",
                 told.join("; ")
             )
         }
     };
-    if read.left_out > 0 {
-        cause += &format!("; {} lines were left out", read.left_out);
+    if read.dropped > 0 {
+        cause += &format!("; {} lines were left out", read.dropped);
     }
-    Story {
+    Diagnosis {
         lines: gaps.into_iter().map(|gap| gap.line).collect(),
         cause,
         found: false,
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -4,9 +4,9 @@
 //! in any order, cut short, and behind whatever a collector puts before them.
 
 mod cause;
-mod gap;
+mod diagnosis;
 mod line;
-mod story;
+mod outage;
 
-pub use line::{Line, Read, read};
-pub use story::{Story, tell};
+pub use diagnosis::{Diagnosis, diagnose};
+pub use line::{Line, Log, parse};
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -31,7 +31,7 @@
     }
 
     /// The name inside `Some(...)`, as optional fields are written.
-    pub fn some(&self, field: &str) -> Option<&str> {
+    pub fn optional(&self, field: &str) -> Option<&str> {
         self.text(field).strip_prefix("Some(")?.strip_suffix(')')
     }
 
@@ -74,33 +74,33 @@
 
 /// What was read.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Read {
+pub struct Log {
     /// The lines, the earliest first.
     pub lines: Vec<Line>,
     /// How many lines could not be read, for they were cut or are no log lines.
-    pub unread: usize,
+    pub unparsed: usize,
     /// How many lines the instances left out themselves.
-    pub left_out: u64,
+    pub dropped: u64,
 }
 
 /// Reads the lines of any number of files.
 ///
 /// ```
-/// let read = explain::read(["x 1 {\"at\":2.5,\"message\":\"stopped\"}\n{\"at\":3"]);
-/// assert_eq!((read.lines.len(), read.unread), (1, 1));
+/// let read = explain::parse(["x 1 {\"at\":2.5,\"message\":\"stopped\"}\n{\"at\":3"]);
+/// assert_eq!((read.lines.len(), read.unparsed), (1, 1));
 /// ```
-pub fn read<'a>(texts: impl IntoIterator<Item = &'a str>) -> Read {
-    let mut read = Read::default();
+pub fn parse<'a>(texts: impl IntoIterator<Item = &'a str>) -> Log {
+    let mut read = Log::default();
     for text in texts.into_iter().flat_map(str::lines) {
         if text.trim().is_empty() {
             continue;
         }
         match Line::parse(text) {
             Some(line) => {
-                read.left_out += line.number("left_out").unwrap_or_default();
+                read.dropped += line.number("left_out").unwrap_or_default();
                 read.lines.push(line);
             }
-            None => read.unread += 1,
+            None => read.unparsed += 1,
         }
     }
     read.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/explain/src/gap.rs
+++ b/crates/explain/src/outage.rs
@@ -18,45 +18,49 @@
 /// Over how long broken connections are counted for one line, in seconds.
 const COUNTED_S: f64 = 0.3;
 
-/// Why an instance could not answer.
+/// Reason an instance could not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum Reason {
     /// It ended without a word: killed, or its machine is gone.
-    Ended,
+    Exited,
     /// It stood still.
-    Still,
+    Stalled,
     /// It was stopping and closed sessions at rest.
     Stopping,
     /// It was not heard by so many others.
-    Unheard(usize),
+    Unreachable(usize),
     /// Connections of its callers broke.
-    Broken,
+    Disconnected,
 }
 
 /// A time in which an instance could not answer.
 #[derive(Debug, Clone)]
-pub(crate) struct Gap {
+pub(crate) struct Outage {
     /// When it began at the earliest, in seconds since the Unix epoch.
     pub(crate) from: f64,
     /// When it was over.
     pub(crate) to: f64,
-    why: Why,
+    why: Reason,
     /// The line that shows it.
     pub(crate) line: Line,
 }
 
-impl fmt::Display for Gap {
+impl fmt::Display for Outage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (name, from, to) = (&self.line.instance, self.from, self.to);
         match self.why {
-            Why::Ended => write!(
+            Reason::Exited => write!(
                 f,
                 "{name} ended without a word between {from:.3} and {to:.3}"
             ),
-            Why::Still => write!(f, "{name} stood still from {from:.3} to {to:.3}"),
-            Why::Unheard(by) => write!(f, "{name} was not heard by {by} others from {from:.3} on"),
-            Why::Broken => write!(f, "connections of {name}'s callers broke before {to:.3}"),
-            Why::Stopping => write!(
+            Reason::Stalled => write!(f, "{name} stood still from {from:.3} to {to:.3}"),
+            Reason::Unreachable(by) => {
+                write!(f, "{name} was not heard by {by} others from {from:.3} on")
+            }
+            Reason::Disconnected => {
+                write!(f, "connections of {name}'s callers broke before {to:.3}")
+            }
+            Reason::Stopping => write!(
                 f,
                 "{name} was stopping from {from:.3} on and closed sessions at rest"
             ),
@@ -65,7 +69,7 @@
 }
 
 /// The gaps of all instances.
-pub(crate) fn gaps(lines: &[Line]) -> Vec<Gap> {
+pub(crate) fn gaps(lines: &[Line]) -> Vec<Outage> {
     let mut last: HashMap<&str, &Line> = HashMap::new();
     let mut found = Vec::new();
     for line in lines {
@@ -78,47 +82,47 @@
 
 /// Instances that several others ceased to hear at about the same time. One that
 /// hears nobody is itself the one that is cut off, and says nothing of the others.
-fn unheard(lines: &[Line]) -> Vec<Gap> {
-    let mut found: Vec<Gap> = Vec::new();
+fn unheard(lines: &[Line]) -> Vec<Outage> {
+    let mut found: Vec<Outage> = Vec::new();
     for line in lines.iter().filter(|it| it.message == "peers silent") {
         let from = line.at - HEARD_S;
         for name in line.text("names").split(' ') {
-            let same = |it: &&mut Gap| it.line.instance == name && from - it.from < UNHEARD_S;
+            let same = |it: &&mut Outage| it.line.instance == name && from - it.from < UNHEARD_S;
             if let Some(known) = found.iter_mut().find(same) {
-                if let Why::Unheard(by) = &mut known.why {
+                if let Reason::Unreachable(by) = &mut known.why {
                     *by += 1;
                 }
                 continue;
             }
             let mut line = line.clone();
             line.instance = name.to_owned();
-            found.push(Gap {
+            found.push(Outage {
                 from,
                 to: line.at + UNHEARD_S,
-                why: Why::Unheard(1),
+                why: Reason::Unreachable(1),
                 line,
             });
         }
     }
-    found.retain(|gap| matches!(gap.why, Why::Unheard(by) if by > 1));
+    found.retain(|gap| matches!(gap.why, Reason::Unreachable(by) if by > 1));
     found
 }
 
 /// The gap that `line` shows, where `before` is its instance's line before it.
-fn gap(line: &Line, before: Option<&Line>) -> Option<Gap> {
+fn gap(line: &Line, before: Option<&Line>) -> Option<Outage> {
     let (why, from, to) = match line.message.as_str() {
         "started" if before.is_some_and(|it| it.message != "stopped") => {
-            (Why::Ended, before.map_or(line.at, |it| it.at), line.at)
+            (Reason::Exited, before.map_or(line.at, |it| it.at), line.at)
         }
         "stood still" => {
             let span = line.number("ms").unwrap_or_default() as f64 / 1_000.0;
-            (Why::Still, line.at - span, line.at)
+            (Reason::Stalled, line.at - span, line.at)
         }
-        "callers lost" => (Why::Broken, line.at - COUNTED_S, line.at),
-        "stopping" => (Why::Stopping, line.at, line.at + NOTICED_S),
+        "callers lost" => (Reason::Disconnected, line.at - COUNTED_S, line.at),
+        "stopping" => (Reason::Stopping, line.at, line.at + NOTICED_S),
         _ => return None,
     };
-    Some(Gap {
+    Some(Outage {
         from,
         to,
         why,
--- a/crates/explain/tests/story.rs
+++ b/crates/explain/tests/story.rs
@@ -1,6 +1,6 @@
 //! What is told of requests, from lines as instances write them.
 
-use explain::{read, tell};
+use explain::{diagnose, parse};
 
 /// Lines of two instances: one stops and starts, the other stands still.
 const LINES: &str = r#"
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_replacement_that_is_under_way_is_the_cause_and_one_that_is_over_is_not() {
-    let read = read([LINES]);
-    let story = tell(&read, "w1", None);
+    let read = parse([LINES]);
+    let story = diagnose(&read, "w1", None);
     assert!(story.found);
     assert!(
         story
@@ -45,7 +45,7 @@
             "answer lost"
         ]
     );
-    let later = tell(&read, "w9", None).cause;
+    let later = diagnose(&read, "w9", None).cause;
     assert!(
         later.contains("b had no answer from the store for 1700 ms"),
         "{later}"
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_answered_statement_leads_to_the_commit_that_failed() {
-    let story = tell(&read([LINES]), "w0", None);
+    let story = diagnose(&parse([LINES]), "w0", None);
     assert!(story.found);
     assert!(
         story
@@ -69,8 +69,8 @@
 /// still. The time at which it was sent tells which.
 #[test]
 fn a_request_without_a_line_is_sought_where_nobody_could_answer() {
-    let read = read([LINES]);
-    let cause = |at| tell(&read, "none", at).cause;
+    let read = parse([LINES]);
+    let cause = |at| diagnose(&read, "none", at).cause;
     assert!(cause(Some(20.5)).contains("a was stopping from 20.000"));
     assert!(cause(Some(29.0)).contains("b stood still from 28.000 to 31.000"));
     assert!(cause(Some(43.0)).contains("b ended without a word between 41.200 and 50.000"));
@@ -84,23 +84,27 @@
     assert!(cause(Some(15.0)).contains("done within its aim"));
     assert!(cause(None).contains("stood still"));
     assert!(cause(None).contains("4 lines were left out"));
-    assert!(!tell(&read, "none", None).found);
+    assert!(!diagnose(&read, "none", None).found);
 }
 
 #[test]
 fn a_statement_whose_instance_stood_still_says_so() {
-    let still = tell(&read([LINES]), "s1", None).cause;
+    let still = diagnose(&parse([LINES]), "s1", None).cause;
     assert!(
         still.contains("b stood still for 3000 ms meanwhile"),
         "{still}"
     );
-    assert!(!tell(&read([LINES]), "w1", None).cause.contains("still for"));
+    assert!(
+        !diagnose(&parse([LINES]), "w1", None)
+            .cause
+            .contains("still for")
+    );
 }
 
 /// What was done late says what it met before.
 #[test]
 fn a_slow_statement_names_its_tries() {
-    let slow = tell(&read([LINES]), "r4", None).cause;
+    let slow = diagnose(&parse([LINES]), "r4", None).cause;
     let expected =
         "later than its aim: an upstream refused it 6 times before, a connection broke 1";
     assert!(slow.contains(expected), "{slow}");
@@ -109,13 +113,13 @@
 /// That the answer was lost is said where nothing else is known.
 #[test]
 fn a_lost_answer_is_the_cause_only_of_what_was_done_well() {
-    let read = read([LINES]);
-    let lost = tell(&read, "r3", None).cause;
+    let read = parse([LINES]);
+    let lost = diagnose(&read, "r3", None).cause;
     assert!(
         lost.contains("a answered, but the caller's connection broke"),
         "{lost}"
     );
-    assert!(tell(&read, "w1", None).cause.contains("replacing"));
+    assert!(diagnose(&read, "w1", None).cause.contains("replacing"));
 }
 
 /// Cut lines, words of a collector and lines of others take nothing from the rest.
@@ -132,11 +136,11 @@
             .collect::<String>()
     };
     let (one, two) = (text(one), text(two));
-    let mixed = read([&*two, &*one]);
+    let mixed = parse([&*two, &*one]);
     // The empty lines have become a collector's words.
-    assert_eq!(mixed.lines, read([LINES]).lines);
-    assert_eq!(mixed.unread, 3 + 1);
-    assert!(tell(&mixed, "w1", None).found);
+    assert_eq!(mixed.lines, parse([LINES]).lines);
+    assert_eq!(mixed.unparsed, 3 + 1);
+    assert!(diagnose(&mixed, "w1", None).found);
 }
 
 /// Lines of an instance whose upstream is full, and whose session's holder is lost.
@@ -148,7 +152,7 @@
 
 #[test]
 fn a_full_upstream_is_named_with_what_this_instance_had_there() {
-    let cause = tell(&read([FULL]), "f1", None).cause;
+    let cause = diagnose(&parse([FULL]), "f1", None).cause;
     assert!(
         cause.contains("u1 took no more at 10.000, with 0 of this instance's connections open"),
         "{cause}"
@@ -158,7 +162,7 @@
 
 #[test]
 fn a_lost_holder_is_named() {
-    let cause = tell(&read([FULL]), "h1", None).cause;
+    let cause = diagnose(&parse([FULL]), "h1", None).cause;
     assert!(
         cause.contains("the instance that served the session for a was lost"),
         "{cause}"
--- a/crates/lead/src/choose.rs
+++ b/crates/lead/src/choose.rs
@@ -32,12 +32,12 @@
 /// by the primary alone, nobody can be sure, and whoever answers must do.
 ///
 /// ```
-/// use lead::choose::enough;
-/// assert!(enough(1, 2, 0));
-/// assert!(!enough(1, 2, 1));
-/// assert!(enough(2, 2, 1));
+/// use lead::choose::holds_all_commits;
+/// assert!(holds_all_commits(1, 2, 0));
+/// assert!(!holds_all_commits(1, 2, 1));
+/// assert!(holds_all_commits(2, 2, 1));
 /// ```
-pub fn enough(answered: usize, replicas: usize, sync: usize) -> bool {
+pub fn holds_all_commits(answered: usize, replicas: usize, sync: usize) -> bool {
     match sync {
         0 => answered > 0,
         _ => answered + sync > replicas,
--- a/crates/lead/src/floor.rs
+++ b/crates/lead/src/floor.rs
@@ -24,7 +24,7 @@
     ///
     /// A position of a new term voids the older ones: beyond the fork they are
     /// part of no log any more, and a read that waited for one would wait forever.
-    pub fn learn(&mut self, term: Term, sent: Instant, position: Position, keep: Duration) {
+    pub fn record(&mut self, term: Term, sent: Instant, position: Position, keep: Duration) {
         if term < self.term {
             return;
         }
--- a/crates/lead/src/freshness.rs
+++ b/crates/lead/src/freshness.rs
@@ -20,14 +20,14 @@
 
 /// How far the store, or an instance, is with what the operators and all instances agreed on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Watermark {
     /// The catalogue's version.
     pub catalog: u64,
     /// The revision of the accounts' shares.
     pub shares: u64,
 }
 
-impl Mark {
+impl Watermark {
     /// Whether it is as far as `other` in everything.
     pub fn reaches(self, other: Self) -> bool {
         self.catalog >= other.catalog && self.shares >= other.shares
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
     since: Option<Instant>,
-    ahead: Option<(Mark, Instant)>,
+    ahead: Option<(Watermark, Instant)>,
 }
 
 impl Freshness {
@@ -48,23 +48,23 @@
     /// ```
     /// use std::time::Duration;
     /// use clock::Instant;
-    /// use lead::freshness::{Freshness, Mark};
+    /// use lead::freshness::{Freshness, Watermark};
     ///
     /// let at = Instant::from_millis;
-    /// let mark = |catalog| Mark { catalog, shares: 0 };
+    /// let mark = |catalog| Watermark { catalog, shares: 0 };
     /// let span = Duration::from_millis(5_000);
     /// let mut freshness = Freshness::default();
-    /// freshness.learn(mark(7), at(100), mark(7));
+    /// freshness.update(mark(7), at(100), mark(7));
     /// assert!(freshness.covers(at(4_900), span));
     /// assert!(!freshness.covers(at(5_100), span));
     ///
     /// // What is not in force here proves nothing until it is.
-    /// freshness.learn(mark(8), at(2_000), mark(7));
+    /// freshness.update(mark(8), at(2_000), mark(7));
     /// assert!(!freshness.covers(at(5_100), span));
-    /// freshness.reach(mark(8));
+    /// freshness.advance(mark(8));
     /// assert!(freshness.covers(at(5_100), span));
     /// ```
-    pub fn learn(&mut self, newest: Mark, since: Instant, have: Mark) {
+    pub fn update(&mut self, newest: Watermark, since: Instant, have: Watermark) {
         if have.reaches(newest) {
             self.since = self.since.max(Some(since));
         } else if self.ahead.is_none_or(|(_, then)| then < since) {
@@ -73,7 +73,7 @@
     }
 
     /// Takes in that this instance has `have` from now on.
-    pub fn reach(&mut self, have: Mark) {
+    pub fn advance(&mut self, have: Watermark) {
         if let Some((newest, since)) = self.ahead
             && have.reaches(newest)
         {
@@ -83,7 +83,7 @@
     }
 
     /// What it waits for: something that the store has and this instance has not.
-    pub fn ahead(&self) -> Option<Mark> {
+    pub fn pending(&self) -> Option<Watermark> {
         self.ahead.map(|(newest, _)| newest)
     }
 
@@ -102,6 +102,6 @@
 
 /// From when on a proof counts that was told for a question sent at `asked`, and was `age`
 /// old when it was told.
-pub fn counted(asked: Instant, age: Duration) -> Instant {
+pub fn valid_from(asked: Instant, age: Duration) -> Instant {
     asked - age
 }
--- a/crates/lead/src/proof.rs
+++ b/crates/lead/src/proof.rs
@@ -24,7 +24,7 @@
 impl Proof {
     /// Takes in an answer to a question that was sent at `sent` and that showed
     /// no replacement. A late answer counts from its question all the same.
-    pub fn learn(&mut self, sent: Instant, span: Duration) {
+    pub fn extend(&mut self, sent: Instant, span: Duration) {
         self.until = self.until.max(sent + span);
     }
 
@@ -34,7 +34,7 @@
     /// use std::time::Duration;
     /// use clock::Instant;
     /// let mut proof = lead::Proof::default();
-    /// proof.learn(Instant::from_millis(100), Duration::from_millis(50));
+    /// proof.extend(Instant::from_millis(100), Duration::from_millis(50));
     /// assert!(proof.covers(Instant::from_millis(149)));
     /// assert!(!proof.covers(Instant::from_millis(150)));
     /// ```
@@ -48,7 +48,7 @@
     }
 
     /// Forgets everything, because a replacement was heard of.
-    pub fn void(&mut self) {
+    pub fn invalidate(&mut self) {
         *self = Self::default();
     }
 }
@@ -56,6 +56,6 @@
 /// When every proof that was given before `announced` has run out.
 ///
 /// `announced` must be a moment after the store acknowledged the announcement.
-pub fn all_lapsed(announced: Instant, span: Duration) -> Instant {
+pub fn all_expired_at(announced: Instant, span: Duration) -> Instant {
     announced + span + span / DRIFT
 }
--- a/crates/lead/src/quorum.rs
+++ b/crates/lead/src/quorum.rs
@@ -18,11 +18,11 @@
 /// still counts for a while, and it can't be told.
 ///
 /// ```
-/// use lead::quorum::excludes;
-/// assert!(excludes(2, 2));
-/// assert!(excludes(2, 3));
-/// assert!(!excludes(1, 2));
+/// use lead::quorum::prevents_majority;
+/// assert!(prevents_majority(2, 2));
+/// assert!(prevents_majority(2, 3));
+/// assert!(!prevents_majority(1, 2));
 /// ```
-pub fn excludes(told: usize, replicas: usize) -> bool {
+pub fn prevents_majority(told: usize, replicas: usize) -> bool {
     replicas.saturating_sub(told) < needed(replicas)
 }
--- a/crates/lead/src/vote.rs
+++ b/crates/lead/src/vote.rs
@@ -27,14 +27,14 @@
 ///
 /// ```
 /// use clock::Instant;
-/// use lead::vote::is_sighted;
+/// use lead::vote::is_eligible;
 ///
 /// let at = Instant::from_millis;
-/// assert!(is_sighted(at(9_000), at(8_900), at(1_000)));
-/// assert!(!is_sighted(at(9_000), at(8_200), at(1_000)), "cut off");
-/// assert!(!is_sighted(at(9_000), at(8_900), at(8_800)), "back a moment ago");
+/// assert!(is_eligible(at(9_000), at(8_900), at(1_000)));
+/// assert!(!is_eligible(at(9_000), at(8_200), at(1_000)), "cut off");
+/// assert!(!is_eligible(at(9_000), at(8_900), at(8_800)), "back a moment ago");
 /// ```
-pub fn is_sighted(now: Instant, stored: Instant, since: Instant) -> bool {
+pub fn is_eligible(now: Instant, stored: Instant, since: Instant) -> bool {
     stored + STORED >= now && since + BACK <= now
 }
 
@@ -91,12 +91,12 @@
     /// ```
     /// use std::time::Duration;
     /// let tally = lead::Tally { full: 2, unknown: 3, ..lead::Tally::default() };
-    /// assert!(tally.shut(6, Duration::from_millis(2_300)));
-    /// assert!(!tally.shut(6, Duration::from_millis(1_900)));
+    /// assert!(tally.is_refusing_all(6, Duration::from_millis(2_300)));
+    /// assert!(!tally.is_refusing_all(6, Duration::from_millis(1_900)));
     /// let used = lead::Tally { fine: 1, ..tally };
-    /// assert!(!used.shut(6, Duration::from_secs(10)));
+    /// assert!(!used.is_refusing_all(6, Duration::from_secs(10)));
     /// ```
-    pub fn shut(&self, known: usize, full_for: Duration) -> bool {
+    pub fn is_refusing_all(&self, known: usize, full_for: Duration) -> bool {
         let whole = self.heard() * 2 >= known;
         self.full > 0 && self.fine == 0 && whole && full_for >= SHUT
     }
@@ -113,11 +113,11 @@
     /// ```
     /// use std::time::Duration;
     /// let tally = lead::Tally { fine: 1, failing: 3, unknown: 1, full: 0 };
-    /// assert!(tally.gone(9, Duration::from_millis(300)));
+    /// assert!(tally.is_failed(9, Duration::from_millis(300)));
     /// let blind = lead::Tally { fine: 7, failing: 2, ..lead::Tally::default() };
-    /// assert!(!blind.gone(9, Duration::from_secs(10)));
+    /// assert!(!blind.is_failed(9, Duration::from_secs(10)));
     /// ```
-    pub fn gone(&self, known: usize, failing_for: Duration) -> bool {
+    pub fn is_failed(&self, known: usize, failing_for: Duration) -> bool {
         let heard = self.heard();
         let judges = self.fine + self.failing;
         if self.failing > self.fine {
--- a/crates/lead/tests/floor.rs
+++ b/crates/lead/tests/floor.rs
@@ -24,7 +24,7 @@
         let mut samples = Samples::default();
         for at in sent.iter().filter(|at| **at + delay <= now) {
             let position = Position::new(1, at + delay);
-            samples.learn(Term(1), Instant::from_millis(*at), position, KEEP);
+            samples.record(Term(1), Instant::from_millis(*at), position, KEEP);
         }
         let floor = samples.floor(Instant::from_millis(now), Duration::from_millis(age));
         if let Some(floor) = floor {
@@ -39,10 +39,10 @@
 fn a_new_term_voids_the_samples_of_the_old_one() {
     let mut samples = Samples::default();
     let (early, late) = (Instant::from_millis(100), Instant::from_millis(200));
-    samples.learn(Term(3), early, Position::new(3, 90), KEEP);
-    samples.learn(Term(4), late, Position::new(4, 80), KEEP);
+    samples.record(Term(3), early, Position::new(3, 90), KEEP);
+    samples.record(Term(4), late, Position::new(4, 80), KEEP);
     // A late answer of the replaced primary changes nothing.
-    samples.learn(Term(3), late, Position::new(3, 95), KEEP);
+    samples.record(Term(3), late, Position::new(3, 95), KEEP);
     let floor = samples.floor(Instant::from_millis(250), Duration::from_secs(1));
     assert_eq!(floor, Some(Position::new(4, 80)));
 }
@@ -50,7 +50,7 @@
 #[test]
 fn without_a_young_sample_there_is_no_floor() {
     let mut samples = Samples::default();
-    samples.learn(
+    samples.record(
         Term(1),
         Instant::from_millis(100),
         Position::new(1, 5),
--- a/crates/lead/tests/freshness.rs
+++ b/crates/lead/tests/freshness.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clock::Instant;
-use lead::freshness::{Freshness, Mark, counted};
+use lead::freshness::{Freshness, Watermark, valid_from};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -37,7 +37,7 @@
 enum Stage {
     Asked,
     /// What was told, and how old it was then.
-    Told(Mark, Duration),
+    Told(Watermark, Duration),
 }
 
 #[derive(Clone, Copy)]
@@ -63,8 +63,8 @@
     Instant::from_millis(ms + 10_000)
 }
 
-fn mark(catalog: u64) -> Mark {
-    Mark { catalog, shares: 0 }
+fn mark(catalog: u64) -> Watermark {
+    Watermark { catalog, shares: 0 }
 }
 
 /// Plays a day; how many requests were served, and how many of them with a key that had been
@@ -90,7 +90,7 @@
                 one.catalog = one
                     .catalog
                     .max(newest.saturating_sub(rng.random_range(0..2)));
-                one.freshness.reach(mark(one.catalog));
+                one.freshness.advance(mark(one.catalog));
             }
         }
         for (asker, one) in instances.iter().enumerate() {
@@ -142,11 +142,11 @@
                     }
                     let one = &mut instances[question.asker];
                     let since = match count {
-                        Count::FromQuestion => counted(at(question.at), age),
-                        Count::FromAnswer => counted(at(now), age),
+                        Count::FromQuestion => valid_from(at(question.at), age),
+                        Count::FromAnswer => valid_from(at(now), age),
                         Count::Ageless => at(question.at),
                     };
-                    one.freshness.learn(newest, since, mark(one.catalog));
+                    one.freshness.update(newest, since, mark(one.catalog));
                     question.next = u64::MAX;
                 }
             }
@@ -176,7 +176,7 @@
     assert!(all > SEEDS * STEPS, "hardly anything was served: {all}");
 }
 
-/// The check fails where a proof is counted from the answer: a question that was long on its
+/// The check fails where a proof is valid_from from the answer: a question that was long on its
 /// way, or an instance that stood still, makes it younger than it is.
 #[test]
 fn a_proof_that_counts_from_its_answer_serves_keys_too_long() {
--- a/crates/lead/tests/proof.rs
+++ b/crates/lead/tests/proof.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clock::Instant;
-use lead::{Proof, proof::all_lapsed};
+use lead::{Proof, proof::all_expired_at};
 use proptest::prelude::*;
 
 const SPAN: Duration = Duration::from_millis(600);
@@ -38,9 +38,9 @@
         let mut proof = Proof::default();
         // The store shows the replacement to whoever looks behind its announcement.
         for question in questions.iter().filter(|q| q.looked < announced && q.answered <= used) {
-            proof.learn(Instant::from_millis(question.sent), SPAN);
+            proof.extend(Instant::from_millis(question.sent), SPAN);
         }
-        let promoted = all_lapsed(Instant::from_millis(announced), SPAN);
+        let promoted = all_expired_at(Instant::from_millis(announced), SPAN);
         if Instant::from_millis(used) >= promoted {
             prop_assert!(!proof.covers(Instant::from_millis(used)));
         }
@@ -52,8 +52,8 @@
     fn a_proof_that_counts_from_the_answer_is_found_out(late in 700..4_000u64) {
         let mut proof = Proof::default();
         let (announced, answered) = (1_000, 1_000 + late);
-        proof.learn(Instant::from_millis(answered), SPAN);
-        let promoted = all_lapsed(Instant::from_millis(announced), SPAN);
+        proof.extend(Instant::from_millis(answered), SPAN);
+        let promoted = all_expired_at(Instant::from_millis(announced), SPAN);
         prop_assert!(proof.covers(promoted));
     }
 }
@@ -61,8 +61,8 @@
 #[test]
 fn a_voided_proof_covers_nothing() {
     let mut proof = Proof::default();
-    proof.learn(Instant::from_millis(100), SPAN);
+    proof.extend(Instant::from_millis(100), SPAN);
     assert!(proof.covers(Instant::from_millis(150)));
-    proof.void();
+    proof.invalidate();
     assert!(!proof.covers(Instant::from_millis(0)));
 }
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -36,11 +36,11 @@
 /// The longest line: what a pipe that takes anything takes at once.
 const LONGEST: usize = 4_096;
 
-/// Lines left out since the start of the process.
+/// Appender left out since the start of the process.
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// How many lines were left out since the start of the process.
-pub fn left_out() -> u64 {
+pub fn dropped() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
@@ -50,7 +50,7 @@
 /// Has every line from now on say which instance writes it. Lines of several
 /// instances end up in one place, where nothing else tells them apart. The first
 /// name stays.
-pub fn name(instance: &str) {
+pub fn set_instance(instance: &str) {
     let _ = NAME.set(instance.to_owned());
 }
 
@@ -64,12 +64,12 @@
 
 /// Writes records as JSON lines, as many as the output and the rate take.
 #[derive(Debug)]
-pub struct Lines<W> {
+pub struct Appender<W> {
     own: &'static [&'static str],
     state: Mutex<State<W>>,
 }
 
-impl<W: Write + AsFd> Lines<W> {
+impl<W: Write + AsFd> Appender<W> {
     /// Writes to `out` what the crates named in `own` say, and warnings of all
     /// others.
     pub fn new(out: W, own: &'static [&'static str]) -> Self {
@@ -139,7 +139,7 @@
     }
 }
 
-impl<W: Write + AsFd + Debug + Send + 'static> Append for Lines<W> {
+impl<W: Write + AsFd + Debug + Send + 'static> Append for Appender<W> {
     fn append(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         if !self.wants(record) {
             return Ok(());
--- a/crates/logs/tests/lines.rs
+++ b/crates/logs/tests/lines.rs
@@ -6,7 +6,7 @@
     Append,
     record::{Level, Record},
 };
-use logs::Lines;
+use logs::Appender;
 
 const OWN: &[&str] = &["proxy"];
 
@@ -23,15 +23,15 @@
 #[test]
 fn a_reader_that_never_reads_holds_nothing_up() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Lines::new(writer, OWN);
-    let before = logs::left_out();
+    let lines = Appender::new(writer, OWN);
+    let before = logs::dropped();
     // Far more than a pipe holds; would one block, this would never end.
     for _ in 0..100_000 {
         lines
             .append(&record("proxy::session", Level::Info), &[])
             .unwrap();
     }
-    assert!(logs::left_out() > before + 50_000);
+    assert!(logs::dropped() > before + 50_000);
     drop(reader);
     lines
         .append(&record("proxy::session", Level::Info), &[])
@@ -41,7 +41,7 @@
 #[test]
 fn the_rate_is_bounded_and_what_is_missing_is_told() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Lines::new(writer, OWN);
+    let lines = Appender::new(writer, OWN);
     for _ in 0..5_000 {
         lines
             .append(&record("proxy::session", Level::Info), &[])
@@ -59,7 +59,7 @@
 #[test]
 fn libraries_log_from_warnings_on() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Lines::new(writer, OWN);
+    let lines = Appender::new(writer, OWN);
     lines
         .append(&record("hyper::proto", Level::Info), &[])
         .unwrap();
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/figures.rs
@@ -225,7 +225,7 @@
     }
     let watched = now.since(node.watched.get()).as_secs_f64();
     put("watch_silent_seconds", "", watched);
-    put("log_lines_left_out_total", "", logs::left_out() as f64);
+    put("log_lines_left_out_total", "", logs::dropped() as f64);
     if let Some(age) = node.freshness.age(now) {
         put("keys_proved_seconds_ago", "", age.as_secs_f64());
     }
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -16,7 +16,7 @@
 use clock::{Boot, Instant};
 use lead::{
     Freshness,
-    freshness::{self, Mark},
+    freshness::{self, Watermark},
 };
 use rand::seq::IndexedRandom;
 use tokio::{
@@ -57,7 +57,7 @@
 pub struct Fresh {
     proof: Cell<Freshness>,
     stamp: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<(Mark, Duration)>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<(Watermark, Duration)>>>,
     asking: Cell<bool>,
     asked: Cell<Instant>,
     /// Told when somebody needs a proof now.
@@ -79,27 +79,27 @@
     }
 
     /// Takes in that this instance has `have` from now on.
-    pub fn reach(&self, have: Mark) {
+    pub fn reach(&self, have: Watermark) {
         let mut proof = self.proof.get();
-        proof.reach(have);
+        proof.advance(have);
         self.proof.set(proof);
         self.learnt.notify_waiters();
     }
 
     /// What the store has and this instance has not.
-    pub fn ahead(&self) -> Option<Mark> {
-        self.proof.get().ahead()
+    pub fn ahead(&self) -> Option<Watermark> {
+        self.proof.get().pending()
     }
 
-    fn learn(&self, newest: Mark, since: Instant, have: Mark) {
+    fn learn(&self, newest: Watermark, since: Instant, have: Watermark) {
         let mut proof = self.proof.get();
-        proof.learn(newest, since, have);
+        proof.update(newest, since, have);
         self.proof.set(proof);
         self.learnt.notify_waiters();
     }
 
     /// Takes in an answer.
-    pub(crate) fn told(&self, stamp: u64, newest: Mark, age: Duration) {
+    pub(crate) fn told(&self, stamp: u64, newest: Watermark, age: Duration) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&stamp) {
             let _ = waiting.send((newest, age));
         }
@@ -204,7 +204,7 @@
     let Ok(Ok((newest, age))) = answer else {
         return Err(Fault::Unknown);
     };
-    let since = freshness::counted(asked, age);
+    let since = freshness::valid_from(asked, age);
     let is_newer = fresh.age(asked).is_none_or(|own| own > age);
     fresh.learn(newest, since, node.mark());
     if fresh.ahead().is_some() {
@@ -247,7 +247,7 @@
     let have = node.mark();
     // A store that came back from a copy may have lost the newest: an instance that starts
     // then would serve keys that were taken away in it, unless it believes those who know.
-    let newest = Mark {
+    let newest = Watermark {
         catalog: have.catalog.max(node.peers.newest()),
         ..have
     };
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -317,7 +317,7 @@
         }
         if !same {
             let mut proof = self.proof.get();
-            proof.void();
+            proof.invalidate();
             self.proof.set(proof);
         }
         self.stir();
@@ -332,7 +332,7 @@
             return;
         }
         let mut proof = self.proof.get();
-        proof.learn(sent, span);
+        proof.extend(sent, span);
         self.proof.set(proof);
         self.changed.notify_waiters();
     }
@@ -347,7 +347,7 @@
         if !self.proof.get().covers(sent) {
             return;
         }
-        self.samples.borrow_mut().learn(term, sent, position, keep);
+        self.samples.borrow_mut().record(term, sent, position, keep);
     }
 
     /// The lowest position that a read at `now` may show if it may be `age` old.
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -207,7 +207,7 @@
         if self.is_failing() {
             return Verdict::Failing;
         }
-        if self.pool.starved_since(now).is_some() {
+        if self.pool.locked_out_since(now).is_some() {
             return Verdict::Full;
         }
         let answered = self.health.get().answered;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -10,7 +10,7 @@
 use admit::holders::{self, Candidate};
 use bytes::Bytes;
 use clock::{Boot, Instant};
-use lead::freshness::Mark;
+use lead::freshness::Watermark;
 use serde::{Deserialize, Serialize};
 use tokio::{
     sync::Notify,
@@ -275,8 +275,8 @@
     }
 
     /// How far this instance is with what is agreed on.
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn mark(&self) -> Watermark {
+        Watermark {
             catalog: self.catalog().version,
             shares: self
                 .mirror
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -13,7 +13,7 @@
 
 use std::{collections::HashMap, io, net::SocketAddr, rc::Rc, time::Duration};
 
-use admit::relays::PROMPT;
+use admit::relays::FREQUENT_INTERVAL;
 use clock::{Boot, Instant};
 use lead::Verdict;
 use rand::seq::IndexedRandom;
@@ -107,7 +107,7 @@
         sleep(CALM).await;
         let pause = match node.peers.is_new() {
             true => GREET,
-            false => PROMPT - CALM,
+            false => FREQUENT_INTERVAL - CALM,
         };
         let _ = timeout(pause, node.peers.called.notified()).await;
     }
@@ -124,7 +124,7 @@
     fn new<E: Edge>(node: &Node<E>) -> Self {
         let more = More {
             format: FORMAT,
-            next: PROMPT,
+            next: FREQUENT_INTERVAL,
             hearing: node.hearing(),
             relays: node.peers.standing.get().relays,
             greeting: Greeting::None,
@@ -139,7 +139,7 @@
     }
 
     fn send<E: Edge>(&mut self, node: &Node<E>, socket: &UdpSocket, due: Due) {
-        let kind = match due.next <= PROMPT {
+        let kind = match due.next <= FREQUENT_INTERVAL {
             true => Kind::PromptHeartbeat,
             false => Kind::RareHeartbeat,
         };
@@ -255,7 +255,7 @@
     peer.version = beat.version;
     let mut near = Vec::new();
     peer.silent = Vec::new();
-    (peer.next, peer.format) = (PROMPT, 0);
+    (peer.next, peer.format) = (FREQUENT_INTERVAL, 0);
     if let Some(more) = more {
         (peer.next, peer.format) = (more.next, more.format);
         if more.hearing == Hearing::Hears && peer.hearing == Hearing::Deaf {
@@ -299,7 +299,7 @@
         let Some((primary, term)) = group.primary() else {
             continue;
         };
-        let quiet = primary.health().answered + PROMPT / 2 < Boot.now();
+        let quiet = primary.health().answered + FREQUENT_INTERVAL / 2 < Boot.now();
         if term == belief.term && quiet && node.is_judge(&group) {
             probe::check(node, &group, &primary);
         }
--- a/crates/proxy/src/peers/beat.rs
+++ b/crates/proxy/src/peers/beat.rs
@@ -5,7 +5,7 @@
 use model::Term;
 use serde::{Deserialize, Serialize};
 
-use lead::{Verdict, freshness::Mark};
+use lead::{Verdict, freshness::Watermark};
 
 use crate::node::Service;
 
@@ -134,7 +134,7 @@
         /// What the question named.
         stamp: u64,
         /// The newest that was there.
-        newest: Mark,
+        newest: Watermark,
         /// How old that proof is.
         age: Duration,
     },
--- a/crates/proxy/src/peers/census.rs
+++ b/crates/proxy/src/peers/census.rs
@@ -9,8 +9,8 @@
 };
 
 use admit::{
-    board::Board,
     holders::{self, Candidate},
+    placement::Placement,
     relays,
 };
 use clock::{Boot, Instant};
@@ -53,8 +53,8 @@
     looked: Cell<Instant>,
     is_stale: Cell<bool>,
     count: Cell<usize>,
-    holders: RefCell<Board>,
-    relays: RefCell<Board>,
+    holders: RefCell<Placement>,
+    relays: RefCell<Placement>,
     roll: RefCell<Roll>,
     looks: Cell<u64>,
 }
@@ -102,7 +102,7 @@
     }
 }
 
-fn place(board: &RefCell<Board>, name: &str, zone: &str, standing: Option<(u32, bool)>) {
+fn place(board: &RefCell<Placement>, name: &str, zone: &str, standing: Option<(u32, bool)>) {
     let mut board = board.borrow_mut();
     match standing {
         Some((weight, able)) => board.put(&Candidate {
@@ -160,7 +160,8 @@
     /// How often the whole table was looked through, and how often an instance's place
     /// among a service's holders was drawn.
     pub fn work(&self) -> (u64, u64) {
-        let draws = self.census.holders.borrow().draws() + self.census.relays.borrow().draws();
+        let draws =
+            self.census.holders.borrow().score_count() + self.census.relays.borrow().score_count();
         (self.census.looks.get(), draws)
     }
 
@@ -180,7 +181,7 @@
             ..own
         });
         let table = self.table.borrow();
-        let chosen = board.holders(relays::DUTY, relays::EACH).iter();
+        let chosen = board.holders(relays::ROLE, relays::COUNT).iter();
         chosen
             .map(|name| table.get(&**name).map(|peer| peer.address))
             .collect()
@@ -242,7 +243,7 @@
         own: &str,
     ) -> Vec<SocketAddr> {
         let holders: Vec<_> = holders.iter().map(String::as_str).collect();
-        let order = holders::homes(service, account, &holders).into_iter();
+        let order = holders::account_holders(service, account, &holders).into_iter();
         let table = self.table.borrow();
         order
             .take_while(|name| *name != own)
@@ -256,7 +257,7 @@
         let mut board = self.census.holders.borrow_mut();
         // Where others can serve, this instance goes on trying; only where nobody can, it
         // does not serve for itself what others hold.
-        let able = board.is_any_able_but(own.name);
+        let able = board.has_other_able(own.name);
         board.put(&Candidate { able, ..own });
         let chosen = board.holders(service, count).iter();
         chosen.map(|name| name.to_string()).collect()
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -4,7 +4,7 @@
 
 use admit::{
     holders::Candidate,
-    relays::{Need, PROMPT},
+    relays::{FREQUENT_INTERVAL, Frequency},
 };
 use clock::Instant;
 
@@ -53,7 +53,7 @@
         Self {
             address,
             heard: None,
-            next: PROMPT,
+            next: FREQUENT_INTERVAL,
             listed: false,
             beliefs: Vec::new(),
             version: 0,
@@ -66,7 +66,7 @@
             silent: Vec::new(),
             seen: Seen::default(),
             told: Instant::ZERO,
-            promised: PROMPT,
+            promised: FREQUENT_INTERVAL,
             eased: false,
         }
     }
@@ -88,7 +88,7 @@
 
     /// Whether it is heard so often that its silence tells something at once.
     pub(super) fn is_prompt(&self) -> bool {
-        self.next <= PROMPT
+        self.next <= FREQUENT_INTERVAL
     }
 
     /// Whether it is asked for primaries, so that it can judge them.
@@ -135,7 +135,7 @@
     pub(super) fn greeting(address: SocketAddr, greeting: Greeting) -> Self {
         Self {
             address,
-            next: PROMPT,
+            next: FREQUENT_INTERVAL,
             greeting,
             near: Vec::new(),
         }
@@ -165,12 +165,12 @@
 impl Standing {
     /// Whether `peer`, which handed sessions over or did not, waits for this instance's
     /// beats.
-    pub(super) fn need(self, zone: &str, peer: &Peer, is_guest: bool) -> Need {
+    pub(super) fn need(self, zone: &str, peer: &Peer, is_guest: bool) -> Frequency {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
         let judges = self.serves && (is_near || is_guest || peer.serves());
         match judges || self.relays && (is_near || peer.relays) {
-            true => Need::Prompt,
-            false => Need::Rare,
+            true => Frequency::Frequent,
+            false => Frequency::Infrequent,
         }
     }
 }
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use admit::relays::{self, Need, PROMPT};
+use admit::relays::{self, FREQUENT_INTERVAL, Frequency};
 use clock::{Boot, Instant};
 use lead::{Tally, Verdict};
 use model::Term;
@@ -224,12 +224,12 @@
         for peer in table.values_mut() {
             let is_guest = guests.contains_key(&peer.address.ip());
             let need = self.standing.get().need(&self.zone, peer, is_guest);
-            let pause = relays::pause(need, others);
+            let pause = relays::interval(need, others);
             let wait = pause.min(peer.promised).saturating_sub(LATE / 2);
             let come = peer.told + wait <= now;
             let called = match urgent {
                 Urgent::All => true,
-                Urgent::Prompt => need == Need::Prompt,
+                Urgent::Prompt => need == Frequency::Frequent,
                 Urgent::Nobody => false,
             };
             if come || called {
@@ -302,7 +302,7 @@
         let peer = table.get_mut(name)?;
         let is_guest = self.guests.borrow().contains_key(&peer.address.ip());
         let need = self.standing.get().need(&self.zone, peer, is_guest);
-        let next = relays::pause(need, others);
+        let next = relays::interval(need, others);
         peer.tells(Boot.now(), next);
         Some(Due {
             address: peer.address,
@@ -425,7 +425,7 @@
     pub fn was_heard(&self, address: SocketAddr, beats: u32) -> bool {
         let now = Boot.now();
         let leaving = self.leaving.borrow().get(&address).copied();
-        if leaving.is_some_and(|at| at + PROMPT * beats + LATE > now) {
+        if leaving.is_some_and(|at| at + FREQUENT_INTERVAL * beats + LATE > now) {
             return true;
         }
         let now = self.awake();
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use admit::{Budget, Queue, Waiter, budget::Answer};
+use admit::{Budget, Queue, Waiter, budget::Decision};
 use clock::{Boot, Instant};
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
@@ -142,7 +142,7 @@
             *count = count.saturating_sub(1);
         }
         let is_missing = |waiting: &Waiting| missing[&waiting.account] > 0;
-        let first = waiters.peek_of(now, service, is_missing)?;
+        let first = waiters.peek_where(now, service, is_missing)?;
         Some(first.account.clone())
     }
 
@@ -174,12 +174,12 @@
 
     /// Whether this instance was lately refused its first connection.
     pub fn is_starved(&self, now: Instant) -> bool {
-        self.starved_since(now).is_some()
+        self.locked_out_since(now).is_some()
     }
 
     /// Since when this instance has been refused its first connection.
-    pub fn starved_since(&self, now: Instant) -> Option<Instant> {
-        self.budget.borrow().starved_since(now)
+    pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
+        self.budget.borrow().locked_out_since(now)
     }
 
     /// Closes all idle connections.
@@ -216,7 +216,7 @@
     pool.waiters.borrow_mut().push(Waiter {
         priority: wish.priority,
         since: Boot.now(),
-        aim: wish.aim,
+        due: wish.aim,
         reply: Waiting {
             sender,
             account: wish.account.cloned(),
@@ -279,7 +279,7 @@
         let next = pool
             .waiters
             .borrow_mut()
-            .next_of(Boot.now(), member.latency(), |waiting| {
+            .pop_where(Boot.now(), member.latency(), |waiting| {
                 pool.rests(waiting.account.as_ref())
             });
         let Some(next) = next else {
@@ -308,11 +308,11 @@
         let asked =
             pool.budget
                 .borrow()
-                .ask(Boot.now(), pool.open.get(), opening, pool.limit.get());
+                .check(Boot.now(), pool.open.get(), opening, pool.limit.get());
         match asked {
-            Answer::Now => {}
-            Answer::Wait(until) => return retry::<P>(member, until),
-            Answer::Enough => return,
+            Decision::Now => {}
+            Decision::Wait(until) => return retry::<P>(member, until),
+            Decision::Blocked => return,
         }
         pool.opening.borrow_mut().push(account.clone());
         let member = Rc::clone(member);
@@ -329,7 +329,7 @@
     loop {
         let same = |waiting: &Waiting| waiting.account.as_ref() == account;
         let mut waiters = pool.waiters.borrow_mut();
-        let next = waiters.next_of(Boot.now(), member.latency(), same);
+        let next = waiters.pop_where(Boot.now(), member.latency(), same);
         drop(waiters);
         let Some(waiter) = next else {
             break;
@@ -356,7 +356,7 @@
     drop(opening);
     match opened {
         Ok(line) => {
-            pool.budget.borrow_mut().opened();
+            pool.budget.borrow_mut().record_success();
             member.strain.opened();
             hand(member, account.as_ref(), Ok(line));
         }
@@ -367,7 +367,7 @@
             let chance = rand::random();
             pool.budget
                 .borrow_mut()
-                .refused(now, pool.open.get(), chance);
+                .record_refusal(now, pool.open.get(), chance);
             strain::refused(member, Refusal::Connection, now);
         }
         Err(refused) => {
--- a/crates/proxy/src/shares.rs
+++ b/crates/proxy/src/shares.rs
@@ -17,7 +17,7 @@
 
 use admit::{
     bucket::{Bucket, Demand},
-    shares::{Ledger, Table},
+    shares::{Planner, Table},
 };
 use clock::{Boot, Instant};
 use tokio::{
@@ -112,7 +112,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
     /// Which keepers did not answer, and when.
     silent: RefCell<HashMap<String, Instant>>,
-    ledger: RefCell<Option<Ledger>>,
+    ledger: RefCell<Option<Planner>>,
     /// What was given and refused since it was told last.
     tallies: RefCell<HashMap<String, Tally>>,
     told_at: Cell<Instant>,
@@ -215,7 +215,7 @@
         let used = uses.entry(Rc::clone(account)).or_insert_with(|| Use {
             given: (0, now),
             spent: Instant::ZERO,
-            demand: Demand::open(now),
+            demand: Demand::new(now),
             used: now,
         });
         used.used = now;
@@ -290,7 +290,7 @@
     let known = async {
         loop {
             let learnt = shares.learnt.notified();
-            if shares.table.borrow().keepers(account).next().is_some() {
+            if shares.table.borrow().limiters(account).next().is_some() {
                 return;
             }
             learnt.await;
@@ -341,7 +341,7 @@
 fn keepers<E: Edge>(node: &Node<E>, account: &str, now: Instant) -> Vec<String> {
     let shares = &node.shares;
     let table = shares.table.borrow();
-    let mut keepers: Vec<_> = table.keepers(account).map(str::to_owned).collect();
+    let mut keepers: Vec<_> = table.limiters(account).map(str::to_owned).collect();
     let rank = |keeper: &String| {
         let distance = match *keeper == node.settings.name {
             true => 0,
--- a/crates/proxy/src/shares/keeper.rs
+++ b/crates/proxy/src/shares/keeper.rs
@@ -4,7 +4,7 @@
 
 use admit::{
     bucket::{Bucket, Limit},
-    shares::WHOLE,
+    shares::TOTAL_PARTS,
 };
 use clock::Boot;
 
@@ -32,7 +32,7 @@
 /// What a keeper may give of a quota, if its share is `parts` and `spare` operations of a
 /// window may be beyond the quota.
 fn limit(quota: Quota, spare: f64, parts: u16) -> Limit {
-    let part = f64::from(parts) / f64::from(WHOLE);
+    let part = f64::from(parts) / f64::from(TOTAL_PARTS);
     Limit {
         rate: quota.rate * part,
         burst: ((quota.burst + spare * AT_ONCE) * part).max(1.0),
@@ -70,8 +70,8 @@
     let since = shares.since.borrow().get(account).copied().unwrap_or(now);
     let mut buckets = shares.buckets.borrow_mut();
     let bucket = buckets.entry(account.to_owned()).or_insert_with(|| {
-        let level = spare * AT_START * f64::from(parts) / f64::from(WHOLE);
-        Bucket::open(level.min(limit.burst), since)
+        let level = spare * AT_START * f64::from(parts) / f64::from(TOTAL_PARTS);
+        Bucket::new(level.min(limit.burst), since)
     });
     let mut answer = Answer {
         count: 0,
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-use admit::shares::{Ledger, Table};
+use admit::shares::{Planner, Table};
 use bytes::Bytes;
 use clock::Boot;
 use tokio::time::{sleep, timeout};
@@ -81,7 +81,7 @@
         .slack
         .map_or(Duration::ZERO, |slack| slack.window);
     let span = node.settings.agreed().max(window);
-    let open = || Ledger::open(span, now);
+    let open = || Planner::new(span, now);
     let mut ledger = shares.ledger.take().unwrap_or_else(open);
     let catalog = node.catalog();
     let mut accounts: Vec<_> = catalog.accounts.limited().collect();
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -186,7 +186,7 @@
                 told,
             } => (member, fenced, told),
         };
-        let lapsed = proof::all_lapsed(Boot.now(), node.settings.proof);
+        let lapsed = proof::all_expired_at(Boot.now(), node.settings.proof);
         let wait = lapsed.since(Boot.now());
         let (back, ()) = join(is_back::<E>(group, &old, reason, wait), sleep(wait)).await;
         if !right.holds() {
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -79,15 +79,15 @@
         let since = group.leaving_since(now);
         return (since + wait < now).then_some(Reason::Leaving);
     }
-    if let Some(since) = primary.pool.starved_since(now) {
+    if let Some(since) = primary.pool.locked_out_since(now) {
         let (tally, _) = node.peers.tally(service, known.record.term, Verdict::Full);
         let wait = turn();
-        if tally.shut(node.peers.judges(), now.since(since).saturating_sub(wait)) {
+        if tally.is_refusing_all(node.peers.judges(), now.since(since).saturating_sub(wait)) {
             return Some(Reason::Full);
         }
     }
     // What was seen while this instance itself was cut off says nothing.
-    let is_sighted = vote::is_sighted(now, node.stored.get(), node.stored_since.get());
+    let is_sighted = vote::is_eligible(now, node.stored.get(), node.stored_since.get());
     if !primary.is_failing() || !is_sighted {
         return None;
     }
@@ -96,7 +96,7 @@
     let (tally, failing) = node.peers.tally(service, known.record.term, own);
     // A zone that was cut off hears its own first when it is back.
     let failing_for = now.since(since.max(node.stored_since.get()));
-    if !tally.gone(node.peers.judges(), failing_for) {
+    if !tally.is_failed(node.peers.judges(), failing_for) {
         return None;
     }
     (since + delay(rank(node, service, &failing)) <= now).then_some(Reason::Gone)
--- a/crates/proxy/src/takeover/fence.rs
+++ b/crates/proxy/src/takeover/fence.rs
@@ -140,7 +140,7 @@
     let replicas = group.replicas(Boot.now(), MEMORY);
     let fenced = match last {
         Some(_) => Fenced::Primary,
-        None if quorum::excludes(answered, replicas) => Fenced::Majority,
+        None if quorum::prevents_majority(answered, replicas) => Fenced::Majority,
         None => Fenced::InPart,
     };
     Some(Chosen::Candidate {
@@ -170,7 +170,7 @@
     let chosen_holds = chosen.is_none_or(|at| held[at]);
     let holding = held.iter().filter(|held| **held).count();
     let replicas = group.replicas(Boot.now(), MEMORY);
-    let enough = fenced != Fenced::Majority || quorum::excludes(holding, replicas);
+    let enough = fenced != Fenced::Majority || quorum::prevents_majority(holding, replicas);
     chosen_holds && enough
 }
 
@@ -207,7 +207,7 @@
     let now = Boot.now();
     let replicas = group.replicas(now, MEMORY);
     let seen = group.furthest(now, SEEN);
-    choose::enough(answered, replicas, sync) && seen.is_none_or(|seen| furthest >= seen)
+    choose::holds_all_commits(answered, replicas, sync) && seen.is_none_or(|seen| furthest >= seen)
 }
 
 /// The member that leads a newer term than `term`, if one does.
--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -64,7 +64,7 @@
         ttl: Duration,
     },
     /// Keeps a lease alive.
-    Keep {
+    KeepAlive {
         /// The lease.
         lease: u64,
     },
--- a/crates/store/src/json.rs
+++ b/crates/store/src/json.rs
@@ -16,7 +16,7 @@
         Call::Range { .. } | Call::Span { .. } => "/v3/kv/range",
         Call::Txn { .. } => "/v3/kv/txn",
         Call::Grant { .. } => "/v3/lease/grant",
-        Call::Keep { .. } => "/v3/lease/keepalive",
+        Call::KeepAlive { .. } => "/v3/lease/keepalive",
         Call::Revoke { .. } => "/v3/lease/revoke",
     }
 }
@@ -58,7 +58,7 @@
             deletes,
         } => txn(compares, puts, deletes),
         Call::Grant { ttl } => json!({ "TTL": ttl.as_secs().to_string() }),
-        Call::Keep { lease } | Call::Revoke { lease } => json!({ "ID": lease.to_string() }),
+        Call::KeepAlive { lease } | Call::Revoke { lease } => json!({ "ID": lease.to_string() }),
     }
 }
 
@@ -148,7 +148,7 @@
             revision,
         }),
         Call::Grant { .. } => lease(value),
-        Call::Keep { .. } => lease(&value["result"]),
+        Call::KeepAlive { .. } => lease(&value["result"]),
         Call::Revoke { lease } => Ok(Answer::Lease {
             lease: *lease,
             ttl: Duration::ZERO,
--- a/crates/store/src/json/tests.rs
+++ b/crates/store/src/json/tests.rs
@@ -73,7 +73,7 @@
             puts: Vec::new(),
             deletes: Vec::new(),
         },
-        Call::Keep { lease: 1 },
+        Call::KeepAlive { lease: 1 },
         Call::Revoke { lease: 1 },
     ]
 }
