--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -44,7 +44,7 @@
     };
     proved(node, at).await?;
     let catalog = node.catalog();
-    let Some(account) = catalog.accounts.holder(&key) else {
+    let Some(account) = catalog.accounts.by_key(&key) else {
         return Err((Code::NoAccount, Cause::NoKey));
     };
     let account = account.name.clone();
@@ -96,7 +96,7 @@
         return Err((Code::NoAccount, Cause::NoKey));
     };
     let catalog = node.catalog();
-    let holder = catalog.accounts.holder(&caller.key);
+    let holder = catalog.accounts.by_key(&caller.key);
     if holder.is_none_or(|account| account.name != caller.account) {
         return Err((Code::NoAccount, Cause::NoKey));
     }
--- a/crates/proxy/src/account.rs
+++ b/crates/proxy/src/account.rs
@@ -85,7 +85,7 @@
     }
 
     /// The account that holds the key with this digest.
-    pub fn holder(&self, key: &Digest) -> Option<&Rc<Account>> {
+    pub fn by_key(&self, key: &Digest) -> Option<&Rc<Account>> {
         self.keys.get(key)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The names of the accounts that have a quota.
-    pub fn limited(&self) -> impl Iterator<Item = &str> {
+    pub fn with_quota(&self) -> impl Iterator<Item = &str> {
         self.quotas.keys().map(|name| &**name)
     }
 
--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -31,7 +31,7 @@
     /// How long a statement may take.
     pub timeout: Duration,
     /// How soon it should be answered.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Who goes first; zero is the highest.
     pub priority: u8,
     /// Who may take it.
@@ -73,7 +73,7 @@
 
 /// Whether an upstream takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stay {
+pub enum Readiness {
     /// It does.
     Ready,
     /// It is about to leave.
@@ -94,7 +94,7 @@
     /// Its availability zone.
     pub zone: String,
     /// Whether it takes new work.
-    pub stay: Stay,
+    pub readiness: Readiness,
     /// How many statements it runs at once; zero if it does not say.
     pub slots: usize,
     /// When it started, in milliseconds since the Unix epoch, if it says so. After
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/connection.rs
@@ -16,7 +16,7 @@
 use crate::{
     edge::Protocol,
     member::Member,
-    message::{Code, Command, Reply, Shape, State},
+    message::{Code, Command, Prepared, Reply, State},
 };
 
 /// How long a connection may take to be made and greeted.
@@ -39,7 +39,7 @@
     Misrouted,
     /// Its log is shorter than it was when it led.
     #[error("the upstream has lost a part of its log")]
-    Forgot,
+    LogLost,
     /// Nobody answers there.
     #[error("the upstream can't be reached")]
     Unreachable,
@@ -65,7 +65,7 @@
 /// that account only. It knows which values and prepared
 /// statements the upstream has for it, so that a session finds just its own.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     stream: TcpStream,
     buf: BytesMut,
     out: BytesMut,
@@ -98,7 +98,7 @@
     }
 }
 
-impl Line {
+impl Connection {
     /// Opens a connection for `account`, or for this process itself.
     ///
     /// # Errors
@@ -121,7 +121,7 @@
         let upstream = &member.upstream;
         let stream = TcpStream::connect(upstream.address).await;
         let stream = stream.map_err(|_| Refused::Unreachable)?;
-        let _ = tune(&stream);
+        let _ = set_socket_options(&stream);
         let mut line = Self {
             stream,
             buf: BytesMut::new(),
@@ -144,9 +144,9 @@
         if let Ok(reply) = line.ask::<P>(&hello).await {
             let forgot = reply
                 .position
-                .is_some_and(|position| member.forgot(position, Boot.now()));
+                .is_some_and(|position| member.check_log_loss(position, Boot.now()));
             return match forgot {
-                true => Err(Refused::Forgot),
+                true => Err(Refused::LogLost),
                 false => Ok(line),
             };
         }
@@ -218,7 +218,7 @@
     ///
     /// The name is made of the shape, so names of different sessions never collide
     /// and a shape is prepared once for all sessions that use the connection.
-    pub fn prepare<P: Protocol>(&mut self, shape: &Shape) -> String {
+    pub fn prepare<P: Protocol>(&mut self, shape: &Prepared) -> String {
         let kind = match shape.access {
             crate::message::Access::Read => 'r',
             crate::message::Access::Write => 'w',
@@ -235,7 +235,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Line::ask`].
+    /// As [`Connection::ask`].
     pub async fn reset<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         self.values.clear();
         self.prepared.clear();
@@ -269,7 +269,7 @@
             self.state = reply.state;
             if self.awaited == 0 {
                 self.answered = Boot.now();
-                self.member.answered(self.answered);
+                self.member.note_answer(self.answered);
                 return Ok(reply);
             }
             if reply.verdict.is_err() {
@@ -298,7 +298,7 @@
 /// # Errors
 ///
 /// The kernel refuses an option.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(UNCONFIRMED))?;
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -69,17 +69,17 @@
 const IDLE: Duration = Duration::from_millis(400);
 
 /// The key of a group's record.
-pub fn lead_key<E: Edge>(service: &str) -> String {
-    format!("{}lead/{service}", E::OWN)
+pub fn record_key<E: Edge>(service: &str) -> String {
+    format!("{}lead/{service}", E::OWN_PREFIX)
 }
 
 /// The key of the right to give orders.
 pub fn duty_key<E: Edge>() -> String {
-    format!("{}duty", E::OWN)
+    format!("{}duty", E::OWN_PREFIX)
 }
 
-pub(crate) fn instances<E: Edge>() -> String {
-    format!("{}instance/", E::OWN)
+pub(crate) fn instances_prefix<E: Edge>() -> String {
+    format!("{}instance/", E::OWN_PREFIX)
 }
 
 /// Starts all tasks that keep the node's knowledge up to date.
@@ -109,7 +109,7 @@
 /// them, and a fleet that starts at once asks the store for little more than its list.
 async fn begin<E: Edge>(node: Rc<Node<E>>) {
     if list(&node).await.is_ok() && node.peers.count() > 1 {
-        node.meet();
+        node.note_instances_listed();
     }
     let since = Boot.now();
     while relay::is_own(&node) && since + patience(&node) > Boot.now() {
@@ -120,7 +120,7 @@
         sleep(pause).await;
         pause = (pause * 2).min(AGAIN.1);
     }
-    node.meet();
+    node.note_instances_listed();
     // What is learnt does no harm if more than the relays ask for it.
     sleep(GREETED).await;
     spawn_local(relay::follow(Rc::clone(&node)));
@@ -143,15 +143,15 @@
 
 /// Reads the list of instances, which may be seconds old.
 async fn list<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
-    let prefix = instances::<E>();
-    let listed = node.store().glance(&prefix, READ).await?;
+    let prefix = instances_prefix::<E>();
+    let listed = node.store().read_stale(&prefix, READ).await?;
     let missing = node
         .mirror
         .borrow()
         .missing(&prefix, &listed.items, listed.at);
     let present = listed.items.into_iter().map(Change::Put);
     for change in present.chain(missing) {
-        learn(node, change);
+        apply_change(node, change);
     }
     Ok(())
 }
@@ -186,11 +186,11 @@
 }
 
 /// The keys of a section.
-pub(crate) fn prefix<E: Edge>(section: Section) -> String {
+pub(crate) fn section_prefix<E: Edge>(section: Section) -> String {
     match section {
-        Section::Catalog => E::CATALOG.to_owned(),
-        Section::Upstreams => E::UPSTREAMS.to_owned(),
-        Section::Records => lead_key::<E>(""),
+        Section::Catalog => E::CATALOG_KEY.to_owned(),
+        Section::Upstreams => E::UPSTREAMS_PREFIX.to_owned(),
+        Section::Records => record_key::<E>(""),
     }
 }
 
@@ -219,7 +219,7 @@
                 }
                 lost = true;
                 // Whoever renews the era tells when the store answers again.
-                let _ = timeout(pause, node.answered.notified()).await;
+                let _ = timeout(pause, node.store_returned.notified()).await;
                 pause = (pause * 2).min(AGAIN.1);
                 continue;
             }
@@ -237,24 +237,24 @@
 
 /// Reads a section anew.
 async fn read_section<E: Edge>(node: &Rc<Node<E>>, section: Section) -> Result<(), Fault> {
-    let prefix = prefix::<E>(section);
+    let prefix = section_prefix::<E>(section);
     let read = read(node, &prefix).await?;
     let missing = node.mirror.borrow().missing(&prefix, &read.items, read.at);
     let present = read.items.into_iter().map(Change::Put);
     present
         .chain(missing)
-        .for_each(|change| learn(node, change));
+        .for_each(|change| apply_change(node, change));
     node.mirror.borrow_mut().knows(section, read.at);
     if section == Section::Upstreams {
-        node.listed.set(true);
+        node.is_upstream_list_read.set(true);
     }
     Ok(())
 }
 
 /// Takes in a change of the store, unless something newer is known.
-pub(crate) fn learn<E: Edge>(node: &Rc<Node<E>>, change: Change) {
+pub(crate) fn apply_change<E: Edge>(node: &Rc<Node<E>>, change: Change) {
     if let Change::Put(item) = &change
-        && item.key == E::CATALOG
+        && item.key == E::CATALOG_KEY
         && !put_in_force(node, item)
     {
         return;
@@ -270,20 +270,20 @@
             }
         }
         Change::Gone(key, _) => {
-            if key.starts_with(E::UPSTREAMS) {
-                node.unlist(id_of::<E>(key));
+            if key.starts_with(E::UPSTREAMS_PREFIX) {
+                node.unlist_upstream(id_of::<E>(key));
             }
-            if let Some(name) = key.strip_prefix(&instances::<E>()) {
+            if let Some(name) = key.strip_prefix(&instances_prefix::<E>()) {
                 node.peers.unlist(name);
             }
         }
     }
-    node.learnt.notify_waiters();
+    node.store_changed.notify_waiters();
 }
 
 /// The name and the address of an instance, if `item` is an instance's entry.
 fn instance<E: Edge>(item: &Item) -> Option<(&str, SocketAddr)> {
-    let prefix = instances::<E>();
+    let prefix = instances_prefix::<E>();
     let name = item.key.strip_prefix(&prefix)?;
     let text = std::str::from_utf8(&item.value).ok()?;
     Some((name, text.parse().ok()?))
@@ -301,15 +301,15 @@
 /// Whether a change is one of those that come in one by one: all but a catalogue and the
 /// record of a primary that takes another's place.
 fn is_gradual<E: Edge>(node: &Node<E>, change: &Change) -> bool {
-    let record = change.key().strip_prefix(&lead_key::<E>(""));
-    let is_replaced = record.is_some_and(|service| node.is_led(service));
-    !is_replaced && change.key() != E::CATALOG
+    let record = change.key().strip_prefix(&record_key::<E>(""));
+    let is_replaced = record.is_some_and(|service| node.has_primary(service));
+    !is_replaced && change.key() != E::CATALOG_KEY
 }
 
 /// Waits for changes of a section behind revision `after`, and takes them in.
 async fn watch<E: Edge>(node: &Rc<Node<E>>, section: Section, after: u64) -> Result<News, Fault> {
     let store = node.store();
-    let prefix = prefix::<E>(section);
+    let prefix = section_prefix::<E>(section);
     let watching = store.watch(&prefix, after, WATCH, WATCH_SLACK);
     let told = tokio::select! {
         told = watching => told,
@@ -318,7 +318,7 @@
     };
     let told = told.inspect_err(|_| node.store_failed())?;
     node.store_answered();
-    node.watched.set(Boot.now());
+    node.watch_answered_at.set(Boot.now());
     let mut changes = told.changes.iter();
     let news = match changes.all(|change| is_gradual(node, change)) {
         true => News::Gradual,
@@ -328,7 +328,7 @@
     let is_large = section == Section::Catalog && told.changes.iter().any(is_large);
     let mut at = told.at;
     for change in told.changes {
-        learn(node, change);
+        apply_change(node, change);
     }
     if is_large {
         at = at.max(overtake(node).await?);
@@ -341,12 +341,12 @@
 async fn overtake<E: Edge>(node: &Rc<Node<E>>) -> Result<u64, Fault> {
     loop {
         let revision = node.catalog_item().map_or(0, |item| item.revision);
-        let known = [(E::CATALOG, revision)];
-        let newer = node.store().newer(&known, READ).await?;
+        let known = [(E::CATALOG_KEY, revision)];
+        let newer = node.store().read_newer(&known, READ).await?;
         let Some(item) = newer.into_iter().next() else {
             return Ok(revision);
         };
-        learn(node, Change::Put(item));
+        apply_change(node, Change::Put(item));
     }
 }
 
@@ -366,7 +366,7 @@
 /// One that is not must not be passed on either: whoever starts would take it from here, and
 /// its keys that were taken away since.
 fn put_in_force<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> bool {
-    let known = node.mirror.borrow().item(E::CATALOG);
+    let known = node.mirror.borrow().item(E::CATALOG_KEY);
     if known.is_some_and(|known| known.revision >= item.revision) {
         return true;
     }
@@ -384,23 +384,23 @@
 }
 
 fn id_of<E: Edge>(key: &str) -> &str {
-    key.strip_prefix(E::UPSTREAMS).unwrap_or(key)
+    key.strip_prefix(E::UPSTREAMS_PREFIX).unwrap_or(key)
 }
 
 /// Takes in one item of the store.
 fn take<E: Edge>(node: &Rc<Node<E>>, item: &Item) {
-    if item.key == E::CATALOG {
+    if item.key == E::CATALOG_KEY {
         node.peers.call();
     } else if item.key == shares::key::<E>() {
-        let spans = (node.began, node.settings.agreed());
+        let spans = (node.started_at, node.settings.agreement_ttl());
         node.shares.learn(item, &node.settings.name, spans);
         node.freshness.reach(node.mark());
-    } else if item.key.starts_with(E::UPSTREAMS) {
+    } else if item.key.starts_with(E::UPSTREAMS_PREFIX) {
         match E::upstream(&item.key, &item.value) {
-            Ok(upstream) => node.put(upstream),
+            Ok(upstream) => node.put_upstream(upstream),
             Err(error) => {
                 log::error!(error:%, key = &*item.key; "an upstream can't be read");
-                node.unlist(id_of::<E>(&item.key));
+                node.unlist_upstream(id_of::<E>(&item.key));
             }
         }
     } else if let Some(group) = record(node, item) {
@@ -410,7 +410,7 @@
 
 /// Takes in a group's record; one that stands in a copy of the store is written anew.
 pub fn record<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> Option<Rc<Group>> {
-    let service = item.key.strip_prefix(&lead_key::<E>(""))?;
+    let service = item.key.strip_prefix(&record_key::<E>(""))?;
     let record: Record = serde_json::from_slice(&item.value).ok()?;
     let group = node.group_of(&service.into());
     let text = format!("{record:?}");
@@ -421,7 +421,7 @@
         }
         return None;
     }
-    if group.learn(record, item.revision) {
+    if group.update_record(record, item.revision) {
         log::info!(service, revision = item.revision; "record: {text}");
     }
     Some(group)
@@ -441,7 +441,7 @@
         if lease == 0 {
             lease = enlist(&node).await.unwrap_or_default();
         } else {
-            let kept = timeout(READ, node.store().keep(lease)).await;
+            let kept = timeout(READ, node.store().keep_alive(lease)).await;
             if kept == Ok(Err(Fault::Missing)) {
                 lease = 0;
                 continue;
@@ -458,7 +458,7 @@
 async fn enlist<E: Edge>(node: &Node<E>) -> Option<u64> {
     let store = node.store();
     let lease = timeout(READ, store.grant(LISTED)).await.ok()?.ok()?;
-    let key = format!("{}{}", instances::<E>(), node.settings.name);
+    let key = format!("{}{}", instances_prefix::<E>(), node.settings.name);
     let value = Bytes::from(node.settings.peers.to_string());
     let swap = Swap {
         puts: vec![(key, value, lease)],
@@ -480,7 +480,7 @@
         let since = node.unable_since();
         if since.is_some() != unable.is_some() {
             log::info!(able = since.is_none(); "whether callers can be served here");
-            node.staged.notify_waiters();
+            node.stage_changed.notify_waiters();
         }
         unable = since;
         let catalog = node.catalog();
@@ -491,14 +491,14 @@
             let holders = node.holder_count(&group.service);
             // One part more than there are holders: probes, orders and an instance that
             // has just become one find a free connection.
-            let share = match group.is_wanted(now) {
+            let share = match group.is_proof_wanted(now) {
                 true => (connections / (holders + 1)).max(1),
                 false => 0,
             };
             for member in group.members() {
                 member.holders.set(holders);
                 member.pool.share.set(share);
-                if member.pool.is_starved(now) {
+                if member.pool.is_locked_out(now) {
                     node.peers.call();
                 }
                 member.pool.trim(now, share, IDLE);
--- a/crates/proxy/src/counted.rs
+++ b/crates/proxy/src/counted.rs
@@ -4,20 +4,20 @@
 
 use crate::{
     edge::{Changes, Fault, Item, Items, Store, Swap, Swapped},
-    figures::Figures,
+    metrics::Metrics,
 };
 
 /// A store whose calls are counted by kind and answer.
 #[derive(Debug)]
 pub struct Counted<'a, S> {
     store: &'a S,
-    figures: &'a Figures,
+    metrics: &'a Metrics,
 }
 
 impl<'a, S: Store> Counted<'a, S> {
-    /// Counts the calls of `store` in `figures`.
-    pub fn new(store: &'a S, figures: &'a Figures) -> Self {
-        Self { store, figures }
+    /// Counts the calls of `store` in `metrics`.
+    pub fn new(store: &'a S, metrics: &'a Metrics) -> Self {
+        Self { store, metrics }
     }
 
     async fn call<T>(
@@ -25,7 +25,7 @@
         kind: &'static str,
         call: impl Future<Output = Result<T, Fault>>,
     ) -> Result<T, Fault> {
-        let counting = Counting::open(self.figures, kind);
+        let counting = Counting::open(self.metrics, kind);
         let result = call.await;
         counting.answer.set(answer(result.as_ref().err()));
         result
@@ -34,15 +34,15 @@
 
 /// Counts a call when it ends, also one whose future is dropped.
 struct Counting<'a> {
-    figures: &'a Figures,
+    metrics: &'a Metrics,
     kind: &'static str,
     answer: Cell<&'static str>,
 }
 
 impl<'a> Counting<'a> {
-    fn open(figures: &'a Figures, kind: &'static str) -> Self {
+    fn open(metrics: &'a Metrics, kind: &'static str) -> Self {
         Self {
-            figures,
+            metrics,
             kind,
             answer: Cell::new("given_up"),
         }
@@ -51,11 +51,11 @@
 
 impl Drop for Counting<'_> {
     fn drop(&mut self) {
-        self.figures.called(self.kind, self.answer.get());
+        self.metrics.called(self.kind, self.answer.get());
     }
 }
 
-/// How a call's answer is called in the figures.
+/// How a call's answer is called in the metrics.
 pub(crate) fn answer(fault: Option<&Fault>) -> &'static str {
     match fault {
         None => "done",
@@ -72,16 +72,18 @@
         self.call("read", self.store.read(prefix, quiet)).await
     }
 
-    async fn glance(&self, prefix: &str, quiet: Duration) -> Result<Items, Fault> {
-        self.call("glance", self.store.glance(prefix, quiet)).await
+    async fn read_stale(&self, prefix: &str, quiet: Duration) -> Result<Items, Fault> {
+        self.call("glance", self.store.read_stale(prefix, quiet))
+            .await
     }
 
     fn era(&self) -> u64 {
         self.store.era()
     }
 
-    async fn newer(&self, known: &[(&str, u64)], quiet: Duration) -> Result<Vec<Item>, Fault> {
-        self.call("newer", self.store.newer(known, quiet)).await
+    async fn read_newer(&self, known: &[(&str, u64)], quiet: Duration) -> Result<Vec<Item>, Fault> {
+        self.call("newer", self.store.read_newer(known, quiet))
+            .await
     }
 
     async fn watch(
@@ -103,11 +105,11 @@
         self.call("grant", self.store.grant(ttl)).await
     }
 
-    async fn keep(&self, lease: u64) -> Result<u64, Fault> {
-        self.call("keep", self.store.keep(lease)).await
+    async fn keep_alive(&self, lease: u64) -> Result<u64, Fault> {
+        self.call("keep", self.store.keep_alive(lease)).await
     }
 
-    async fn end(&self, lease: u64) -> Result<(), Fault> {
-        self.call("end", self.store.end(lease)).await
+    async fn revoke(&self, lease: u64) -> Result<(), Fault> {
+        self.call("end", self.store.revoke(lease)).await
     }
 }
--- a/crates/proxy/src/edge.rs
+++ b/crates/proxy/src/edge.rs
@@ -25,11 +25,11 @@
     /// The orders.
     fn orders(&self) -> &Self::Orders;
     /// The key of the operators' catalogue.
-    const CATALOG: &str;
+    const CATALOG_KEY: &str;
     /// What the keys of upstreams begin with.
-    const UPSTREAMS: &str;
+    const UPSTREAMS_PREFIX: &str;
     /// What the keys begin with that instances write.
-    const OWN: &str;
+    const OWN_PREFIX: &str;
     /// Reads a catalogue out of the store's value.
     ///
     /// # Errors
@@ -94,12 +94,12 @@
 /// era, and gives revisions out again there.
 ///
 /// ```
-/// use proxy::edge::{era_of, joined, own_revision};
-/// assert!(joined(3, 900) < joined(4, 7));
-/// assert_eq!((era_of(joined(4, 7)), own_revision(joined(4, 7))), (4, 7));
-/// assert_eq!(joined(4, 0), 0, "there is no such item");
+/// use proxy::edge::{era_of, join_era, store_revision};
+/// assert!(join_era(3, 900) < join_era(4, 7));
+/// assert_eq!((era_of(join_era(4, 7)), store_revision(join_era(4, 7))), (4, 7));
+/// assert_eq!(join_era(4, 0), 0, "there is no such item");
 /// ```
-pub fn joined(era: u64, revision: u64) -> u64 {
+pub fn join_era(era: u64, revision: u64) -> u64 {
     match revision {
         0 => 0,
         revision => era << OWN_BITS | revision,
@@ -112,7 +112,7 @@
 }
 
 /// What the store itself calls a revision.
-pub fn own_revision(revision: u64) -> u64 {
+pub fn store_revision(revision: u64) -> u64 {
     revision & ((1 << OWN_BITS) - 1)
 }
 
@@ -209,23 +209,23 @@
 /// How long a call's answer may be silent; how long all of it takes says nothing, since a
 /// thin link takes a long answer for seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Quiet {
+pub struct IdleTimeout {
     /// Until it begins, and between two parts of it; `None` if whoever calls bounds the
     /// whole call.
     spans: Option<(Duration, Duration)>,
 }
 
-impl Quiet {
+impl IdleTimeout {
     /// Whoever calls bounds the whole call.
-    pub const ANY: Self = Self { spans: None };
+    pub const NONE: Self = Self { spans: None };
 
     /// The answer begins within `span`, and no pause in it is longer.
-    pub fn each(span: Duration) -> Self {
-        Self::behind(Duration::ZERO, span)
+    pub fn new(span: Duration) -> Self {
+        Self::after_wait(Duration::ZERO, span)
     }
 
     /// The same behind a `wait` that was asked for.
-    pub fn behind(wait: Duration, span: Duration) -> Self {
+    pub fn after_wait(wait: Duration, span: Duration) -> Self {
         Self {
             spans: Some((wait + span, span)),
         }
@@ -275,7 +275,7 @@
 ///
 /// It may come back from a copy that is some seconds old: then it is in its next era, and
 /// what was written since is gone, leases too, and what had ended since may be back.
-/// Revisions carry their era ([`joined`]), and none of an earlier era holds any more.
+/// Revisions carry their era ([`join_era`]), and none of an earlier era holds any more.
 pub trait Store {
     /// The newest era that an answer named; zero if none did.
     fn era(&self) -> u64;
@@ -283,10 +283,14 @@
     /// answer came for `quiet`, however long all of it takes.
     fn read(&self, prefix: &str, quiet: Duration) -> impl Future<Output = Result<Items, Fault>>;
     /// Reads the first page of a prefix, for a tenth of the price; it may be seconds old.
-    fn glance(&self, prefix: &str, quiet: Duration) -> impl Future<Output = Result<Items, Fault>>;
+    fn read_stale(
+        &self,
+        prefix: &str,
+        quiet: Duration,
+    ) -> impl Future<Output = Result<Items, Fault>>;
     /// Reads those of the items whose newest revision is not the one beside its key, zero
     /// for none. Those that don't exist are left out.
-    fn newer(
+    fn read_newer(
         &self,
         known: &[(&str, u64)],
         quiet: Duration,
@@ -308,9 +312,9 @@
     /// Makes a lease.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<u64, Fault>>;
     /// Renews a lease; the era in which the store did. [`Fault::Missing`] if it has ended.
-    fn keep(&self, lease: u64) -> impl Future<Output = Result<u64, Fault>>;
+    fn keep_alive(&self, lease: u64) -> impl Future<Output = Result<u64, Fault>>;
     /// Ends a lease; [`Fault::Missing`] if it has ended before.
-    fn end(&self, lease: u64) -> impl Future<Output = Result<(), Fault>>;
+    fn revoke(&self, lease: u64) -> impl Future<Output = Result<(), Fault>>;
 }
 
 /// The orders that go through the platform.
--- a/crates/proxy/src/era.rs
+++ b/crates/proxy/src/era.rs
@@ -35,10 +35,10 @@
 };
 
 use crate::{
-    control::{self, lead_key, record},
+    control::{self, record, record_key},
     edge::{Change, Edge, Fault, Items, Store, Swap, Swapped},
     freshness,
-    group::{Group, MEMORY},
+    group::{Group, LIST_MEMORY},
     node::Node,
     peers::{self, beat::Hearing},
     probe, proofs,
@@ -102,17 +102,17 @@
 
 /// The key of the era, beside the records so that both are read at once.
 pub fn era_key<E: Edge>() -> String {
-    lead_key::<E>("")
+    record_key::<E>("")
 }
 
 /// Keeps the proofs of all primaries fresh for as long as somebody needs them.
 pub async fn prove<E: Edge>(node: Rc<Node<E>>) {
-    node.acquainted().await;
+    node.wait_for_peers().await;
     loop {
         let now = Boot.now();
         if !node.groups().is_empty() {
             let groups = node.active();
-            let wanted = groups.iter().any(|g| g.is_wanted(now));
+            let wanted = groups.iter().any(|g| g.is_proof_wanted(now));
             answer_asked(&node);
             let asked = node.proofs.is_asked() || node.proofs.is_relied_on(now);
             let is_young = is_young(&node, now) && !is_unread(&node);
@@ -122,43 +122,43 @@
                 }
                 Source::Relay(_) => {}
                 Source::Store => {
-                    let unknown = groups.iter().any(|g| !g.is_known()) && relay::reads(&node);
+                    let unknown = groups.iter().any(|g| !g.has_record()) && relay::reads(&node);
                     if (wanted || asked) && !is_young || unknown {
                         ask_store(&node);
                     }
                 }
             }
             // Whether the store hears it decides who the relays are.
-            if relay::is_own(&node) && node.direct.get() + QUIET < now {
+            if relay::is_own(&node) && node.store_answered_at.get() + QUIET < now {
                 ask_store(&node);
             }
             let span = node.settings.proof;
-            let is_late = node.proved.get().1 + span * 2 / 3 < now;
-            let due = |g: &Rc<Group>| g.proof().until() < now + span / 3 && g.is_wanted(now);
+            let is_late = node.proved_lease.get().1 + span * 2 / 3 < now;
+            let due = |g: &Rc<Group>| g.proof().until() < now + span / 3 && g.is_proof_wanted(now);
             if is_late && groups.iter().any(due) {
                 ask_others(&node);
             }
             ask_members(&node, &groups);
         }
         sleep(GAP).await;
-        let _ = timeout(pause(&node), node.prove.notified()).await;
+        let _ = timeout(pause(&node), node.proof_wanted.notified()).await;
         // Questions of others that come in a row are answered by one renewal.
-        let rest = (node.renewed.get() + PACE).since(Boot.now());
+        let rest = (node.lease_renewed_at.get() + PACE).since(Boot.now());
         sleep(rest).await;
     }
 }
 
 /// Whether the era was proved a moment ago.
 fn is_young<E: Edge>(node: &Node<E>, now: Instant) -> bool {
-    let (era, since) = node.proved.get();
-    era != 0 && era == node.era.get() && since + YOUNG > now
+    let (era, since) = node.proved_lease.get();
+    era != 0 && era == node.proof_lease.get() && since + YOUNG > now
 }
 
 /// How long the next renewal may wait: others find a young proof at a relay whenever they
 /// ask, and their callers wait for a hop and not for a renewal.
 fn pause<E: Edge>(node: &Node<E>) -> Duration {
     let now = Boot.now();
-    let (_, since) = node.proved.get();
+    let (_, since) = node.proved_lease.get();
     let renew = node.settings.renew;
     match node.proofs.is_relied_on(now) {
         true => renew.min((since + YOUNG).since(now)),
@@ -174,7 +174,7 @@
         return false;
     }
     if node.proofs.is_asked() {
-        let (era, since) = node.proved.get();
+        let (era, since) = node.proved_lease.get();
         let questions = node.proofs.questions();
         node.proofs.tell_aged(&questions, era, now.since(since));
     }
@@ -183,10 +183,10 @@
 
 /// Has the relay at `address` renew the era, or asks the store if it does not answer.
 fn ask_relay<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) {
-    if node.proving.get() >= FLIGHT {
+    if node.proofs_in_flight.get() >= FLIGHT {
         return;
     }
-    node.proving.set(node.proving.get() + 1);
+    node.proofs_in_flight.set(node.proofs_in_flight.get() + 1);
     let node = Rc::clone(node);
     spawn_local(async move {
         let relayed = match relay::is_own(&node) {
@@ -195,12 +195,12 @@
         };
         answer_asked(&node);
         if relayed.is_err() {
-            node.unanswered.set(Some((address, Boot.now())));
+            node.silent_relay.set(Some((address, Boot.now())));
             if !is_resting(&node) {
                 let _ = asked(&node).await;
             }
         }
-        node.proving.set(node.proving.get() - 1);
+        node.proofs_in_flight.set(node.proofs_in_flight.get() - 1);
     });
 }
 
@@ -237,12 +237,12 @@
     }
     if node.lease.get() != before && !is_unread(node) {
         // The answer is of an era before.
-        node.prove.notify_one();
+        node.proof_wanted.notify_one();
         return Ok(());
     }
     let sent = Boot.now();
     let items = peers::records(address).await?;
-    node.read_at.set(sent);
+    node.records_read_at.set(sent);
     learn(node, &items, sent);
     if let Some(lease) = era_of::<E>(&items) {
         enter(node, &items, lease);
@@ -252,17 +252,17 @@
 
 /// Renews the era, or reads it and the records if any of them is not known.
 fn ask_store<E: Edge>(node: &Rc<Node<E>>) {
-    if node.proving.get() >= FLIGHT || is_resting(node) {
+    if node.proofs_in_flight.get() >= FLIGHT || is_resting(node) {
         return;
     }
-    node.proving.set(node.proving.get() + 1);
+    node.proofs_in_flight.set(node.proofs_in_flight.get() + 1);
     let node = Rc::clone(node);
     spawn_local(async move {
         let questions = node.proofs.questions();
         if let Ok(Some(era)) = asked(&node).await {
             node.proofs.tell(&questions, era);
         }
-        node.proving.set(node.proving.get() - 1);
+        node.proofs_in_flight.set(node.proofs_in_flight.get() - 1);
     });
 }
 
@@ -279,8 +279,8 @@
 
 /// Notes that the store answered this instance.
 pub(crate) fn answered<E: Edge>(node: &Node<E>) {
-    node.failures.set(0);
-    if node.hearing() != Hearing::Hears {
+    node.renewal_failures.set(0);
+    if node.store_contact() != Hearing::Hears {
         // Others that ask in vain try again at once.
         node.store_answered();
         node.peers.call();
@@ -290,7 +290,7 @@
 
 /// Notes that it did not.
 pub(crate) fn unanswered<E: Edge>(node: &Node<E>) {
-    node.failures.set(node.failures.get() + 1);
+    node.renewal_failures.set(node.renewal_failures.get() + 1);
     node.store_failed();
 }
 
@@ -299,7 +299,7 @@
 /// While it was away for 4.4 s, 18 instances asked it 493 times. One that hears it again
 /// tells the others.
 pub(crate) fn is_resting<E: Edge>(node: &Node<E>) -> bool {
-    let failures = node.failures.get();
+    let failures = node.renewal_failures.get();
     if failures == 0 {
         return false;
     }
@@ -309,10 +309,10 @@
 
 /// Whether some record was not read in the era that is known.
 fn is_unread<E: Edge>(node: &Node<E>) -> bool {
-    let era = node.era.get();
-    let is_due = node.read_at.get() + UNKNOWN < Boot.now();
-    let unread = |group: &Rc<Group>| match group.is_known() {
-        true => group.era.get() != era && !adopt::is_read(node, group),
+    let era = node.proof_lease.get();
+    let is_due = node.records_read_at.get() + UNKNOWN < Boot.now();
+    let unread = |group: &Rc<Group>| match group.has_record() {
+        true => group.proof_lease.get() != era && !adopt::is_read(node, group),
         false => is_due && relay::reads(node),
     };
     node.active().iter().any(unread)
@@ -320,11 +320,11 @@
 
 /// Renews the era, or reads what is to be known for that; the era if it was renewed.
 async fn round<E: Edge>(node: &Rc<Node<E>>) -> Result<Option<u64>, Fault> {
-    let (era, lease) = (node.era.get(), node.lease.get());
+    let (era, lease) = (node.proof_lease.get(), node.lease.get());
     let mut is_over = era == 0;
     if era != 0 && !is_unread(node) {
         let sent = Boot.now();
-        node.renewed.set(sent);
+        node.lease_renewed_at.set(sent);
         match lease.renew(node).await {
             Ok(()) => {
                 node.heard_from_store(sent);
@@ -340,12 +340,12 @@
     sleep(Duration::from_millis(jitter)).await;
     let is_newer = adopt::enter_newer(node, lease);
     if (is_newer || !is_over) && !is_unread(node) {
-        node.prove.notify_one();
+        node.proof_wanted.notify_one();
         return Ok(None);
     }
     let sent = Boot.now();
-    let items = node.store().read(&lead_key::<E>(""), CALL).await?;
-    node.read_at.set(sent);
+    let items = node.store().read(&record_key::<E>(""), CALL).await?;
+    node.records_read_at.set(sent);
     learn(node, &items, sent);
     let Some(read) = era_of::<E>(&items) else {
         begin(node, 0).await?;
@@ -356,7 +356,7 @@
         return Ok(None);
     }
     enter(node, &items, read);
-    node.prove.notify_one();
+    node.proof_wanted.notify_one();
     Ok(None)
 }
 
@@ -365,12 +365,12 @@
     let era = lease.era();
     let revisions: HashMap<_, _> = items.items.iter().map(|i| (&*i.key, i.revision)).collect();
     for group in node.active() {
-        let key = lead_key::<E>(&group.service);
+        let key = record_key::<E>(&group.service);
         if revisions.get(&*key).copied() == group.revision() {
-            group.era.set(era);
+            group.proof_lease.set(era);
         }
     }
-    node.era.set(era);
+    node.proof_lease.set(era);
     node.lease.set(lease);
 }
 
@@ -386,7 +386,7 @@
     let swapped = store.swap(&swap).await?;
     log::info!(lease, swapped:?; "next era");
     if swapped == Swapped::Conflict {
-        let _ = store.end(lease).await;
+        let _ = store.revoke(lease).await;
     }
     Ok(())
 }
@@ -394,10 +394,10 @@
 /// Proves the active groups whose records were read in the era, which was renewed for a
 /// question sent at `sent`; the others adopt it once they are asked for.
 fn prove_all<E: Edge>(node: &Node<E>, era: u64, sent: Instant) {
-    if node.proved.get().0 != era || node.proved.get().1 < sent {
-        node.proved.set((era, sent));
+    if node.proved_lease.get().0 != era || node.proved_lease.get().1 < sent {
+        node.proved_lease.set((era, sent));
     }
-    for group in node.active().iter().filter(|g| g.era.get() == era) {
+    for group in node.active().iter().filter(|g| g.proof_lease.get() == era) {
         if let Some(revision) = group.revision() {
             group.prove(revision, sent, node.settings.proof);
         }
@@ -408,7 +408,7 @@
 fn learn<E: Edge>(node: &Rc<Node<E>>, items: &Items, sent: Instant) {
     node.heard_from_store(sent);
     for item in &items.items {
-        control::learn(node, Change::Put(item.clone()));
+        control::apply_change(node, Change::Put(item.clone()));
         if let Some(group) = record(node, item) {
             group.prove(item.revision, sent, node.settings.proof);
         }
@@ -418,7 +418,7 @@
     }
     let present: HashSet<_> = items.items.iter().map(|item| &*item.key).collect();
     let is_missing = |group: &Rc<Group>| {
-        let key = lead_key::<E>(&group.service);
+        let key = record_key::<E>(&group.service);
         !present.contains(&*key) && !group.replacing.replace(true)
     };
     let missing: Vec<_> = node.active().into_iter().filter(is_missing).collect();
@@ -434,7 +434,7 @@
 
 /// Proves primaries without asking the store: by another instance that hears it.
 fn ask_others<E: Edge>(node: &Rc<Node<E>>) {
-    if !node.relaying.replace(true) {
+    if !node.is_asking_relay.replace(true) {
         let node = Rc::clone(node);
         spawn_local(async move {
             let hearing = node.peers.hearing();
@@ -442,7 +442,7 @@
             if let Some(address) = chosen {
                 let _ = relayed(&node, address).await;
             }
-            node.relaying.set(false);
+            node.is_asking_relay.set(false);
         });
     }
 }
@@ -456,7 +456,7 @@
     let now = Boot.now();
     for group in groups {
         let lapses = || group.proof().until() < now + node.settings.proof / LAPSES;
-        if !group.is_wanted(now) || !lapses() {
+        if !group.is_proof_wanted(now) || !lapses() {
             continue;
         }
         adopt(node, group);
@@ -481,7 +481,7 @@
 /// before the question was sent. Where too few replicas can be told, the replacement
 /// waits until nobody counts on a mere majority any more.
 async fn ask_group<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
-    let Some(known) = group.known() else {
+    let Some(known) = group.stored_record() else {
         return;
     };
     let Some((leader, term)) = group.primary() else {
@@ -489,8 +489,8 @@
     };
     let members = group.members();
     let sent = Boot.now();
-    let replicas = group.replicas(sent, MEMORY);
-    let lonely = node.contact.get() + LONELY < sent;
+    let replicas = group.replica_count(sent, LIST_MEMORY);
+    let lonely = node.store_contact_at.get() + LONELY < sent;
     let others = match lonely {
         true => replicas,
         false => quorum::needed(replicas),
@@ -498,7 +498,7 @@
     if others == 0 {
         return;
     }
-    if probe::confirms::<E::Protocol>(&members, &leader, term, others).await {
+    if probe::confirm_primary::<E::Protocol>(&members, &leader, term, others).await {
         group.prove(known.revision, sent, node.settings.proof);
     }
 }
--- a/crates/proxy/src/era/adopt.rs
+++ b/crates/proxy/src/era/adopt.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::{Lease, era_key, lease};
-use crate::{control::lead_key, edge::Edge, group::Group, node::Node};
+use crate::{control::record_key, edge::Edge, group::Group, node::Node};
 
 /// How long the key of an era that somebody proved may take to come by the watch, or from
 /// the relay that is followed, before the records are read instead.
@@ -34,11 +34,11 @@
     let revision = node
         .mirror
         .borrow()
-        .revision(&lead_key::<E>(&group.service));
+        .revision(&record_key::<E>(&group.service));
     if revision.is_none() || revision != group.revision() {
         return false;
     }
-    group.era.set(node.era.get());
+    group.proof_lease.set(node.proof_lease.get());
     true
 }
 
@@ -47,14 +47,14 @@
     let Some(newer) = mirrored(node).filter(|newer| newer.revision > lease.revision) else {
         return false;
     };
-    node.era.set(newer.era());
+    node.proof_lease.set(newer.era());
     node.lease.set(newer);
     true
 }
 
 /// Goes on in `era`, which somebody has just proved, if the mirror comes to name it.
 pub(super) async fn enter<E: Edge>(node: &Node<E>, era: u64) -> bool {
-    if node.era.get() == era {
+    if node.proof_lease.get() == era {
         return true;
     }
     let comes = async {
@@ -66,17 +66,17 @@
         return false;
     }
     enter_newer(node, node.lease.get());
-    node.era.get() == era
+    node.proof_lease.get() == era
 }
 
 /// Proves a group that rested by the last proof of the era.
 pub(crate) fn adopt<E: Edge>(node: &Node<E>, group: &Group) {
-    let (era, since) = node.proved.get();
-    let is_proved = era != 0 && era == node.era.get();
+    let (era, since) = node.proved_lease.get();
+    let is_proved = era != 0 && era == node.proof_lease.get();
     if !is_proved || since + node.settings.proof < Boot.now() {
         return;
     }
-    if group.era.get() != era && !is_read(node, group) {
+    if group.proof_lease.get() != era && !is_read(node, group) {
         return;
     }
     if let Some(revision) = group.revision() {
--- a/crates/proxy/src/era/claim.rs
+++ b/crates/proxy/src/era/claim.rs
@@ -17,7 +17,7 @@
 
 use super::{CALL, JITTER_MS};
 use crate::{
-    control::{encode, lead_key},
+    control::{encode, record_key},
     edge::{Edge, Store, Swap, Swapped},
     group::Group,
     node::Node,
@@ -45,7 +45,7 @@
         .position(Option::is_none)
         .unwrap_or(readers.len());
     sleep(TURN * u32::try_from(turn).unwrap_or(u32::MAX) + jitter).await;
-    let (lost, new): (Vec<_>, Vec<_>) = groups.iter().partition(|group| group.is_known());
+    let (lost, new): (Vec<_>, Vec<_>) = groups.iter().partition(|group| group.has_record());
     let restored = join_all(lost.into_iter().map(|group| restore(node, group)));
     let records = stream::iter(new)
         .map(async |group| (group, first(node, group).await))
@@ -58,7 +58,7 @@
 
 /// Writes a known record anew that a copy of the store does not have at all.
 async fn restore<E: Edge>(node: &Rc<Node<E>>, group: &Group) {
-    let Some(known) = group.known() else {
+    let Some(known) = group.stored_record() else {
         return;
     };
     let written = node.store().era();
@@ -75,11 +75,11 @@
 /// A group's first record, from what its members say.
 async fn first<E: Edge>(node: &Rc<Node<E>>, group: &Group) -> Option<Record> {
     let members = group.members();
-    if members.is_empty() || group.is_known() {
+    if members.is_empty() || group.has_record() {
         return None;
     }
-    let said = probe::all::<E::Protocol>(&members).await;
-    if !group.is_wanted(Boot.now()) {
+    let said = probe::status_of_all::<E::Protocol>(&members).await;
+    if !group.is_proof_wanted(Boot.now()) {
         // Who holds is not told yet; the holders' first connections were refused by an
         // upstream of four, while those of these questions lay idle.
         members.iter().for_each(|member| member.pool.close());
@@ -100,7 +100,7 @@
 
 /// Writes first records by one call; one by one if the store has one of them already.
 async fn write_first<E: Edge>(node: &Rc<Node<E>>, records: &[(Rc<Group>, Record)]) {
-    let key = |group: &Group| lead_key::<E>(&group.service);
+    let key = |group: &Group| record_key::<E>(&group.service);
     let swap = Swap {
         expected: records.iter().map(|(group, _)| (key(group), 0)).collect(),
         puts: records
@@ -114,12 +114,12 @@
     match swapped {
         Ok(Ok(Swapped::Done(revision))) => {
             for (group, record) in records {
-                group.learn(record.clone(), revision);
+                group.update_record(record.clone(), revision);
             }
-            node.prove.notify_one();
+            node.proof_wanted.notify_one();
         }
         Ok(Ok(_)) if records.len() > 1 => {
-            for (group, record) in records.iter().filter(|(group, _)| !group.is_known()) {
+            for (group, record) in records.iter().filter(|(group, _)| !group.has_record()) {
                 write(node, group, record.clone(), 0).await;
             }
         }
@@ -129,7 +129,7 @@
 
 /// Writes a record in the place of the one at `revision`, zero for none.
 async fn write<E: Edge>(node: &Rc<Node<E>>, group: &Group, record: Record, revision: u64) {
-    let key = lead_key::<E>(&group.service);
+    let key = record_key::<E>(&group.service);
     let swap = Swap {
         expected: vec![(key.clone(), revision)],
         puts: vec![(key, encode(&record), 0)],
@@ -139,9 +139,9 @@
     let term = record.term.0;
     log::info!(service = &*group.service, term, revision, swapped:?; "record written");
     if let Ok(Ok(Swapped::Done(revision))) = swapped {
-        group.learn(record, revision);
+        group.update_record(record, revision);
     }
-    node.prove.notify_one();
+    node.proof_wanted.notify_one();
 }
 
 /// Writes a group's record anew that stands in a copy of the store, at `revision`.
@@ -161,7 +161,7 @@
         let rest = (node.era_since() + OUTLASTED).since(Boot.now());
         sleep(rest + jitter).await;
         let written = node.store().era();
-        let known = group.known().map(|known| known.record);
+        let known = group.stored_record().map(|known| known.record);
         match known.filter(|known| copy.is_behind(known)) {
             Some(known) if known.written < written => {
                 let record = Record { written, ..known };
@@ -177,7 +177,7 @@
 /// Writes a copied record anew by what the members say.
 async fn confirm<E: Edge>(node: &Rc<Node<E>>, group: &Group, copy: Record, revision: u64) {
     let members = group.members();
-    let said = probe::all::<E::Protocol>(&members).await;
+    let said = probe::status_of_all::<E::Protocol>(&members).await;
     let leaders = members.iter().zip(&said).filter_map(|(member, said)| {
         let status = said.status().filter(|status| status.leads)?;
         Some((status.term, member.upstream.id.to_string()))
--- a/crates/proxy/src/era/lease.rs
+++ b/crates/proxy/src/era/lease.rs
@@ -30,7 +30,7 @@
 
     /// Renews it, if the store is still in the era in which it was read.
     pub(super) async fn renew<E: Edge>(self, node: &Node<E>) -> Result<(), Fault> {
-        let era = node.store().keep(self.id).await?;
+        let era = node.store().keep_alive(self.id).await?;
         match era == edge::era_of(self.revision) {
             true => Ok(()),
             false => Err(Fault::Missing),
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -118,7 +118,7 @@
 
 /// Keeps the proof fresh as long as the catalogue has accounts, until the process ends.
 pub(crate) async fn keep<E: Edge>(node: Rc<Node<E>>) {
-    let span = node.settings.agreed();
+    let span = node.settings.agreement_ttl();
     loop {
         let _ = timeout(LOOK, node.freshness.wanted.notified()).await;
         if node.catalog().accounts.is_empty() {
@@ -190,7 +190,7 @@
     let fresh = &node.freshness;
     fresh.stamp.set(fresh.stamp.get() + 1);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(fresh.stamp.get());
+    let stamp = node.incarnation.wrapping_add(fresh.stamp.get());
     let (sender, answer) = oneshot::channel();
     fresh.waiting.borrow_mut().insert(stamp, sender);
     let asked = Boot.now();
@@ -219,7 +219,7 @@
 /// Reads the catalogue and the shares anew, since the store is in another era than what is
 /// known of them.
 async fn reread<E: Edge>(node: &Node<E>) -> Result<Vec<Item>, Fault> {
-    let catalog = node.store().read(E::CATALOG, READ).await?;
+    let catalog = node.store().read(E::CATALOG_KEY, READ).await?;
     let shares = node.store().read(&shares::key::<E>(), READ).await?;
     let items = catalog.items.into_iter().chain(shares.items);
     Ok(items.collect())
@@ -230,8 +230,8 @@
     let revision = node.catalog_item().map_or(0, |item| item.revision);
     let asked = Boot.now();
     let shares = shares::key::<E>();
-    let known = [(E::CATALOG, revision), (&*shares, node.mark().shares)];
-    let newer = match node.store().newer(&known, READ).await {
+    let known = [(E::CATALOG_KEY, revision), (&*shares, node.mark().shares)];
+    let newer = match node.store().read_newer(&known, READ).await {
         Err(Fault::Compacted) => reread(node).await,
         newer => newer,
     };
@@ -239,10 +239,10 @@
     era::answered(node);
     for item in newer {
         // One that can't be read is not in force here, and proves nothing.
-        if item.key == E::CATALOG {
+        if item.key == E::CATALOG_KEY {
             E::catalog(&item.value).map_err(|_| Fault::Malformed)?;
         }
-        control::learn(node, Change::Put(item));
+        control::apply_change(node, Change::Put(item));
     }
     let have = node.mark();
     // A store that came back from a copy may have lost the newest: an instance that starts
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -13,13 +13,13 @@
 use tokio::sync::Notify;
 
 use crate::{
-    catalog::{Stay, Upstream},
+    catalog::{Readiness, Upstream},
     member::Member,
     roster::Stirred,
 };
 
 /// How long the list of upstreams is remembered as having been longer.
-pub const MEMORY: Duration = Duration::from_secs(15);
+pub const LIST_MEMORY: Duration = Duration::from_secs(15);
 
 /// How long a need for proofs lasts.
 const WANTED: Duration = Duration::from_secs(2);
@@ -30,7 +30,7 @@
 
 /// The record of a primary and the revision that it has in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct StoredRecord {
     /// The record.
     pub record: Record,
     /// Its revision.
@@ -45,7 +45,7 @@
     /// Counts one more session on `group`.
     pub fn new(group: Rc<Group>) -> Self {
         group.sessions.set(group.sessions.get() + 1);
-        group.stir();
+        group.activate();
         Self(group)
     }
 }
@@ -63,7 +63,7 @@
     /// The group's name.
     pub service: Rc<str>,
     members: RefCell<HashMap<Rc<str>, Rc<Member>>>,
-    known: RefCell<Option<Known>>,
+    known: RefCell<Option<StoredRecord>>,
     proof: Cell<Proof>,
     samples: RefCell<Samples>,
     /// Told when the record, the proof or the members change.
@@ -75,30 +75,30 @@
     /// When somebody last needed a proof.
     wanted: Cell<Instant>,
     /// The lease under which the record was read, zero for none.
-    pub era: Cell<u64>,
+    pub proof_lease: Cell<u64>,
     /// When the record was learnt.
-    pub known_at: Cell<Instant>,
+    pub record_learnt_at: Cell<Instant>,
     /// How many sessions on it are served here.
     pub sessions: Cell<usize>,
     /// Since when others hold its connections, or it was tried in vain to hand a session
     /// to them.
-    pub handed: Cell<Option<Instant>>,
+    pub held_elsewhere_since: Cell<Option<Instant>>,
     /// Since when the list of upstreams lacks the primary.
     pub unlisted: Cell<Option<Instant>>,
     leaving: Cell<Option<Instant>>,
     most: Cell<(usize, Instant)>,
     furthest: Cell<(Position, Instant)>,
-    stirred: Rc<Stirred>,
+    pending: Rc<Stirred>,
     is_active: Cell<bool>,
 }
 
 impl Group {
     /// A group of which nothing is known; it tells `stirred` when something happens to it.
-    pub fn new(service: &Rc<str>, stirred: &Rc<Stirred>) -> Self {
-        stirred.push(service);
+    pub fn new(service: &Rc<str>, pending: &Rc<Stirred>) -> Self {
+        pending.push(service);
         Self {
             service: Rc::clone(service),
-            stirred: Rc::clone(stirred),
+            pending: Rc::clone(pending),
             is_active: Cell::new(true),
             members: RefCell::default(),
             known: RefCell::default(),
@@ -108,10 +108,10 @@
             asking: Cell::new(false),
             replacing: Cell::new(false),
             wanted: Cell::default(),
-            era: Cell::default(),
-            known_at: Cell::default(),
+            proof_lease: Cell::default(),
+            record_learnt_at: Cell::default(),
             sessions: Cell::default(),
-            handed: Cell::default(),
+            held_elsewhere_since: Cell::default(),
             unlisted: Cell::default(),
             leaving: Cell::default(),
             most: Cell::default(),
@@ -120,32 +120,32 @@
     }
 
     /// Has the group looked after until nothing is left to do.
-    pub(crate) fn stir(&self) {
+    pub(crate) fn activate(&self) {
         if !self.is_active.replace(true) {
-            self.stirred.push(&self.service);
+            self.pending.push(&self.service);
         }
     }
 
     /// Lets the group rest if nothing is left to do; whether it rests.
-    pub(crate) fn rest(&self, now: Instant) -> bool {
+    pub(crate) fn deactivate_if_quiet(&self, now: Instant) -> bool {
         let rests = self.is_quiet(now);
         if rests {
             self.is_active.set(false);
-            self.handed.set(None);
+            self.held_elsewhere_since.set(None);
         }
         rests
     }
 
     /// Has the group looked after if something is to be done.
-    pub(crate) fn rouse(&self, now: Instant) {
+    pub(crate) fn activate_if_needed(&self, now: Instant) {
         if !self.is_active.get() && !self.is_quiet(now) {
-            self.stir();
+            self.activate();
         }
     }
 
     /// Whether nobody uses the group, its primary leads, and no member comes or goes.
     fn is_quiet(&self, now: Instant) -> bool {
-        let is_used = self.is_wanted(now) || self.sessions.get() > 0;
+        let is_used = self.is_proof_wanted(now) || self.sessions.get() > 0;
         let is_changed = self.replacing.get() || self.asking.get();
         if is_used || is_changed || self.primary().is_none() {
             return false;
@@ -184,21 +184,21 @@
         match old {
             Some(old) if old.upstream.is_same(&upstream) => {
                 old.unlisted.set(None);
-                old.stays(upstream.stay);
+                old.set_readiness(upstream.readiness);
             }
             old => {
                 let id = Rc::clone(&upstream.id);
                 let member = Rc::new(Member::new(upstream));
                 if let Some(old) = old {
-                    member.shown.set(old.shown.get());
+                    member.led_position.set(old.led_position.get());
                     old.pool.retire();
                 }
                 members.insert(id, member);
             }
         }
         drop(members);
-        self.is_whole(Boot.now(), MEMORY);
-        self.stir();
+        self.is_list_complete(Boot.now(), LIST_MEMORY);
+        self.activate();
         self.changed.notify_waiters();
     }
 
@@ -208,8 +208,8 @@
         let Some(member) = self.member(id) else {
             return;
         };
-        self.stir();
-        if member.stay.get() == Stay::Draining {
+        self.activate();
+        if member.readiness.get() == Readiness::Draining {
             self.remove(id);
         } else if member.unlisted.get().is_none() {
             member.unlisted.set(Some(now));
@@ -227,8 +227,8 @@
 
     fn remove(&self, id: &str) {
         // Until now it was as whole as it is known to have been.
-        self.is_whole(Boot.now(), MEMORY);
-        self.stir();
+        self.is_list_complete(Boot.now(), LIST_MEMORY);
+        self.activate();
         let Some(member) = self.members.borrow_mut().remove(id) else {
             return;
         };
@@ -249,28 +249,30 @@
     }
 
     /// Whether others have held its connections for so long that sessions move to them.
-    pub fn is_handed(&self, now: Instant) -> bool {
-        self.handed.get().is_some_and(|since| since + SETTLED < now)
+    pub fn is_migration_due(&self, now: Instant) -> bool {
+        self.held_elsewhere_since
+            .get()
+            .is_some_and(|since| since + SETTLED < now)
     }
 
     /// Notes that somebody needs a proof.
-    pub(crate) fn want(&self, now: Instant) {
+    pub(crate) fn want_proof(&self, now: Instant) {
         self.wanted.set(now);
-        self.stir();
+        self.activate();
     }
 
     /// Whether somebody needed a proof lately.
-    pub fn is_wanted(&self, now: Instant) -> bool {
+    pub fn is_proof_wanted(&self, now: Instant) -> bool {
         self.wanted.get() + WANTED > now
     }
 
     /// What is known of the primary.
-    pub fn known(&self) -> Option<Known> {
+    pub fn stored_record(&self) -> Option<StoredRecord> {
         self.known.borrow().clone()
     }
 
     /// Whether it has a record.
-    pub fn is_known(&self) -> bool {
+    pub fn has_record(&self) -> bool {
         self.known.borrow().is_some()
     }
 
@@ -294,25 +296,25 @@
     /// Takes in the record as it stood at `revision`; `true` if it is news.
     ///
     /// Answers may cross, so an older record never replaces a newer one.
-    pub fn learn(&self, record: Record, revision: u64) -> bool {
+    pub fn update_record(&self, record: Record, revision: u64) -> bool {
         let mut known = self.known.borrow_mut();
         if known.as_ref().is_some_and(|k| k.revision >= revision) {
             return false;
         }
         let same = known.as_ref().is_some_and(|k| k.record == record);
         let leads_on =
-            |k: &Known| k.record.term == record.term && k.record.upstream == record.upstream;
+            |k: &StoredRecord| k.record.term == record.term && k.record.upstream == record.upstream;
         let replaced = !known.as_ref().is_some_and(leads_on);
-        *known = Some(Known { record, revision });
+        *known = Some(StoredRecord { record, revision });
         drop(known);
-        self.era.set(0);
-        self.known_at.set(Boot.now());
+        self.proof_lease.set(0);
+        self.record_learnt_at.set(Boot.now());
         self.leaving.set(None);
         self.unlisted.set(None);
         if replaced {
             // The log of one that led may be cut back now: that is no new start.
             for member in self.members.borrow().values() {
-                member.shown.set(Position::default());
+                member.led_position.set(Position::default());
             }
         }
         if !same {
@@ -320,14 +322,14 @@
             proof.void();
             self.proof.set(proof);
         }
-        self.stir();
+        self.activate();
         self.changed.notify_waiters();
         true
     }
 
     /// Takes in that the record still had `revision` for a question sent at `sent`.
     pub fn prove(&self, revision: u64, sent: Instant, span: Duration) {
-        let stands = |k: &Known| k.revision == revision && k.record.phase == Phase::Stable;
+        let stands = |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
         if !self.known.borrow().as_ref().is_some_and(stands) {
             return;
         }
@@ -356,7 +358,7 @@
     }
 
     /// Notes how far a replica's log goes.
-    pub fn received(&self, position: Position) {
+    pub fn note_received(&self, position: Position) {
         let (furthest, _) = self.furthest.get();
         if position >= furthest {
             self.furthest.set((position, Boot.now()));
@@ -371,7 +373,7 @@
 
     /// How many replicas the group has: those listed, and those that were listed a
     /// while ago, since an entry may expire though its upstream lives.
-    pub fn replicas(&self, now: Instant, memory: Duration) -> usize {
+    pub fn replica_count(&self, now: Instant, memory: Duration) -> usize {
         let count = self.members.borrow().len();
         let (most, at) = self.most.get();
         let members = match at + memory < now {
@@ -385,7 +387,7 @@
     ///
     /// An entry may expire though its upstream lives; whoever asks all members
     /// must not take the rest for all.
-    pub fn is_whole(&self, now: Instant, memory: Duration) -> bool {
+    pub fn is_list_complete(&self, now: Instant, memory: Duration) -> bool {
         let count = self.members.borrow().len();
         let (most, at) = self.most.get();
         if count >= most || at + memory < now {
--- a/crates/proxy/src/holding.rs
+++ b/crates/proxy/src/holding.rs
@@ -28,12 +28,14 @@
         sleep(LOOK).await;
         let now = Boot.now();
         let mut used = node.active();
-        used.retain(|group| group.sessions.get() > 0 || group.is_wanted(now));
+        used.retain(|group| group.sessions.get() > 0 || group.is_proof_wanted(now));
         told.retain(|service, _| used.iter().any(|group| group.service == *service));
         for group in used {
             let holders = node.holders(&group.service).len();
-            let since = group.handed.get().unwrap_or(Boot.now());
-            group.handed.set((holders > 0).then_some(since));
+            let since = group.held_elsewhere_since.get().unwrap_or(Boot.now());
+            group
+                .held_elsewhere_since
+                .set((holders > 0).then_some(since));
             let stays = holders > 0 && group.sessions.get() > 0;
             let stand = Stand { holders, stays };
             let old = told.insert(Rc::clone(&group.service), stand);
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -9,9 +9,9 @@
 use tokio::sync::Notify;
 
 use crate::{
-    catalog::{Stay, Upstream},
+    catalog::{Readiness, Upstream},
     pool::Pool,
-    strain::Strain,
+    refusal::Counts,
 };
 
 /// An upstream that answered within this span is fine.
@@ -53,21 +53,21 @@
     /// Its entry in the list as it first came; another address makes another member.
     pub upstream: Upstream,
     /// Whether it takes new work.
-    pub stay: Cell<Stay>,
+    pub readiness: Cell<Readiness>,
     leaving: Cell<Option<Instant>>,
     /// Since when the list lacks it.
     pub(crate) unlisted: Cell<Option<Instant>>,
     deposed: Cell<Option<(Term, Instant)>>,
     /// How far its log went while it led.
-    pub(crate) shown: Cell<Position>,
+    pub(crate) led_position: Cell<Position>,
     /// Told when it fails again and again.
-    pub fell: Notify,
+    pub failing_notify: Notify,
     /// How many instances have connections to it, as far as is known here.
     pub holders: Cell<usize>,
     /// The connections to it.
     pub pool: Pool,
     /// What it refuses.
-    pub strain: Strain,
+    pub refusals: Counts,
     /// How many statements run there for this instance.
     pub running: Cell<usize>,
     health: Cell<Health>,
@@ -81,16 +81,16 @@
 impl Member {
     pub(crate) fn new(upstream: Upstream) -> Self {
         Self {
-            stay: Cell::new(upstream.stay),
-            leaving: Cell::new((upstream.stay == Stay::Draining).then(|| Boot.now())),
+            readiness: Cell::new(upstream.readiness),
+            leaving: Cell::new((upstream.readiness == Readiness::Draining).then(|| Boot.now())),
             upstream,
             unlisted: Cell::default(),
             deposed: Cell::default(),
-            shown: Cell::default(),
-            fell: Notify::new(),
+            led_position: Cell::default(),
+            failing_notify: Notify::new(),
             holders: Cell::new(1),
             pool: Pool::default(),
-            strain: Strain::default(),
+            refusals: Counts::default(),
             running: Cell::new(0),
             health: Cell::default(),
             probed: Cell::new(false),
@@ -100,13 +100,13 @@
         }
     }
 
-    pub(crate) fn stays(&self, stay: Stay) {
-        let leaves = match stay {
-            Stay::Ready => None,
-            Stay::Draining => self.leaving.get().or(Some(Boot.now())),
+    pub(crate) fn set_readiness(&self, readiness: Readiness) {
+        let leaves = match readiness {
+            Readiness::Ready => None,
+            Readiness::Draining => self.leaving.get().or(Some(Boot.now())),
         };
         self.leaving.set(leaves);
-        self.stay.set(stay);
+        self.readiness.set(readiness);
     }
 
     /// How much longer it may take new work if it is about to leave; `drain` is how
@@ -117,8 +117,8 @@
     }
 
     /// Notes that it leads `position.term`, and that its log goes as far as that.
-    pub fn leads(&self, position: Position) {
-        self.shown.set(self.shown.get().max(position));
+    pub fn note_led(&self, position: Position) {
+        self.led_position.set(self.led_position.get().max(position));
     }
 
     /// Whether its log, which goes as far as `position`, is shorter than when it led.
@@ -126,8 +126,8 @@
     /// A primary that crashed and started again within a heartbeat may have lost its
     /// log; the list tells that a second later, and reads there would miss commits.
     /// But a log that only grows is never shorter than it was.
-    pub fn forgot(&self, position: Position, now: Instant) -> bool {
-        let shown = self.shown.get();
+    pub fn check_log_loss(&self, position: Position, now: Instant) -> bool {
+        let shown = self.led_position.get();
         let forgot = position < shown;
         if forgot {
             self.depose(shown.term, now);
@@ -158,12 +158,12 @@
     /// Whether nothing is to be done about it: it stays, does not fail, and no connection
     /// to it is open.
     pub(crate) fn is_quiet(&self) -> bool {
-        let stays = self.stay.get() == Stay::Ready && self.unlisted.get().is_none();
+        let stays = self.readiness.get() == Readiness::Ready && self.unlisted.get().is_none();
         stays && !self.is_failing() && !self.probed.get() && self.pool.open.get() == 0
     }
 
     /// Notes that it answered.
-    pub fn answered(&self, now: Instant) {
+    pub fn note_answer(&self, now: Instant) {
         self.health.set(Health {
             answered: now,
             ..Health::default()
@@ -171,7 +171,7 @@
     }
 
     /// Notes that it lives, though it has not answered a statement.
-    pub fn reached(&self) {
+    pub fn note_contact(&self) {
         self.health.set(Health {
             answered: self.health.get().answered,
             ..Health::default()
@@ -179,10 +179,10 @@
     }
 
     /// Notes that it failed: refused, broke off, or did not answer in time.
-    pub fn failed(&self, now: Instant) {
+    pub fn note_failure(&self, now: Instant) {
         let health = self.health.get();
         if health.failures + 1 >= FAILURES {
-            self.fell.notify_waiters();
+            self.failing_notify.notify_waiters();
         }
         self.health.set(Health {
             failing_since: health.failing_since.or(Some(now)),
@@ -207,7 +207,7 @@
         if self.is_failing() {
             return Verdict::Failing;
         }
-        if self.pool.starved_since(now).is_some() {
+        if self.pool.locked_out_since(now).is_some() {
             return Verdict::Full;
         }
         let answered = self.health.get().answered;
@@ -223,7 +223,7 @@
     }
 
     /// Notes how long a statement took.
-    pub fn took(&self, span: Duration) {
+    pub fn note_latency(&self, span: Duration) {
         let old = u64::try_from(self.latency.get().as_micros()).unwrap_or(u64::MAX);
         let new = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         let mean = (old.saturating_mul(SMOOTH - 1).saturating_add(new)) / SMOOTH;
@@ -236,7 +236,7 @@
     }
 
     /// Notes that its log lacked a floor: it is left alone for a while.
-    pub fn lagged(&self, now: Instant) {
+    pub fn note_lag(&self, now: Instant) {
         let pause = self.lag_pause.get();
         self.lag_until.set(now + pause);
         self.lag_pause.set((pause * 2).min(LAG_PAUSE.1));
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -53,11 +53,11 @@
     /// A value of the session: its name and text.
     Set(Bytes, Bytes),
     /// A prepared statement of the session.
-    Prepare(Bytes, Shape),
+    Prepare(Bytes, Prepared),
     /// A prepared statement is run: its name and what stands behind it.
     Execute(Bytes, Bytes),
     /// A prepared statement is forgotten.
-    Forget(Bytes),
+    Deallocate(Bytes),
     /// The text is none of these.
     Malformed,
 }
@@ -83,7 +83,7 @@
             Self::Set(..) => "set",
             Self::Prepare(..) => "prepare",
             Self::Execute(..) => "execute",
-            Self::Forget(_) => "forget",
+            Self::Deallocate(_) => "forget",
             Self::Malformed => "malformed",
         }
     }
@@ -91,7 +91,7 @@
 
 /// What a prepared statement does.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Shape {
+pub struct Prepared {
     /// Whether it writes.
     pub access: Access,
     /// Its text.
@@ -131,7 +131,7 @@
         rest: &'a [u8],
     },
     /// Prepares a statement on this connection.
-    Prepare(&'a str, &'a Shape),
+    Prepare(&'a str, &'a Prepared),
     /// Sets a value on this connection.
     Set(&'a [u8], &'a [u8]),
     /// Clears values and prepared statements of this connection.
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/metrics.rs
@@ -32,7 +32,7 @@
 /// The `metrics` crate's exporter is not used here: its clock spins for 0.2 s at
 /// every start, and that long an instance would serve nobody (docs/MEASUREMENTS.md).
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     ends: RefCell<BTreeMap<End, u64>>,
     spans: RefCell<BTreeMap<(Rc<str>, &'static str), Spans>>,
     waits: [RefCell<Spans>; 2],
@@ -84,7 +84,7 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Counts an answered statement, by service and class, never by a caller's words.
     pub fn answered(&self, route: Option<&Route>, outcome: &Outcome, span: Duration) {
         let service = route.map_or_else(|| "none".into(), |route| Rc::clone(&route.service));
@@ -199,10 +199,10 @@
 ///
 /// It is written anew for each reader, so an upstream that has left is shown no
 /// more.
-pub fn page<E: Edge>(node: &Node<E>) -> String {
+pub fn render<E: Edge>(node: &Node<E>) -> String {
     let now = Boot.now();
     let mut page = String::new();
-    node.figures.write(&mut page);
+    node.metrics.write(&mut page);
     let mut put = |name: &str, labels: &str, value: f64| {
         let _ = writeln!(page, "dandelionlink_{name}{labels} {value}");
     };
@@ -218,12 +218,12 @@
     put(
         "store_silent_seconds",
         "",
-        now.since(node.contact.get()).as_secs_f64(),
+        now.since(node.store_contact_at.get()).as_secs_f64(),
     );
     for (name, done) in work::counts(node) {
         put("work_total", &format!("{{kind=\"{name}\"}}"), done as f64);
     }
-    let watched = now.since(node.watched.get()).as_secs_f64();
+    let watched = now.since(node.watch_answered_at.get()).as_secs_f64();
     put("watch_silent_seconds", "", watched);
     put("log_lines_left_out_total", "", logs::left_out() as f64);
     if let Some(age) = node.freshness.age(now) {
@@ -244,7 +244,7 @@
     }
     for group in node.active() {
         let labels = format!("{{service=\"{}\"}}", group.service);
-        let term = group.known().map_or(0, |known| known.record.term.0);
+        let term = group.stored_record().map_or(0, |known| known.record.term.0);
         put("term", &labels, term as f64);
         let left = group.proof().until().since(now).as_secs_f64();
         put("proof_left_seconds", &labels, left);
@@ -256,13 +256,17 @@
             put("running", &labels, count(member.running.get()));
             put("failing", &labels, f64::from(u8::from(member.is_failing())));
             put("latency_seconds", &labels, member.latency().as_secs_f64());
-            let strain = &member.strain;
+            let refusals = &member.refusals;
             put(
                 "connections_opened_total",
                 &labels,
-                strain.opened_total() as f64,
+                refusals.opened_total() as f64,
+            );
+            put(
+                "statements_shed_total",
+                &labels,
+                refusals.shed_total() as f64,
             );
-            put("statements_shed_total", &labels, strain.shed_total() as f64);
         }
     }
     page
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -23,10 +23,10 @@
     counted::Counted,
     edge::{Edge, Item, Store},
     era::{self, Lease},
-    figures::{Figures, Wait},
     freshness::Fresh,
     group::Group,
     member::Member,
+    metrics::{Metrics, Wait},
     mirror::{self, Mirror},
     peers::{Peers, beat::Hearing, frame::Packed},
     proofs::Proofs,
@@ -74,7 +74,7 @@
 
 /// Whether an instance serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Service {
+pub enum ServiceState {
     /// It has proved a primary lately, and reaches it.
     Able,
     /// Nobody asked it lately, because other instances serve its sessions: it has no
@@ -92,38 +92,38 @@
     /// What it was told at its start.
     pub settings: Settings,
     /// A number of this life of the process.
-    pub life: u64,
+    pub incarnation: u64,
     catalog: RefCell<Rc<Catalog>>,
-    roster: Roster,
+    registry: Roster,
     /// Other instances.
     pub peers: Peers,
     /// How far it is with its life.
     pub stage: Cell<Stage>,
     /// Told when the stage changes.
-    pub staged: Notify,
+    pub stage_changed: Notify,
     /// Told when somebody needs a proof now.
-    pub prove: Notify,
+    pub proof_wanted: Notify,
     /// The era that all instances prove, zero if it is not known.
-    pub era: Cell<u64>,
+    pub proof_lease: Cell<u64>,
     /// Its lease.
     pub(crate) lease: Cell<Lease>,
     /// When the records were last read.
-    pub read_at: Cell<Instant>,
+    pub records_read_at: Cell<Instant>,
     /// How many questions for a proof are on their way to the store.
-    pub proving: Cell<usize>,
+    pub proofs_in_flight: Cell<usize>,
     /// Which era was proved last, and from when on that proof counts.
-    pub(crate) proved: Cell<(u64, Instant)>,
+    pub(crate) proved_lease: Cell<(u64, Instant)>,
     /// When the era was last renewed by this instance.
-    pub renewed: Cell<Instant>,
+    pub lease_renewed_at: Cell<Instant>,
     /// Whether another instance is asked for a proof.
-    pub relaying: Cell<bool>,
+    pub is_asking_relay: Cell<bool>,
     /// Told when the catalogue or the upstreams may have changed.
     pub refresh: Notify,
     /// Whether the list of upstreams was read.
-    pub listed: Cell<bool>,
-    pub(crate) began: Instant,
+    pub is_upstream_list_read: Cell<bool>,
+    pub(crate) started_at: Instant,
     /// When the list of instances was read first.
-    pub met: Cell<Option<Instant>>,
+    pub instances_listed_at: Cell<Option<Instant>>,
     able: Cell<Instant>,
     /// The right to give orders as it was last seen, and since when.
     pub duty: Cell<(u64, Instant)>,
@@ -132,29 +132,29 @@
     /// Whether this instance has that right.
     pub(crate) has_right: Cell<bool>,
     /// Who had that right before this instance took it last.
-    pub(crate) before: RefCell<Vec<String>>,
+    pub(crate) previous_holders: RefCell<Vec<String>>,
     /// When this instance gave its last order.
-    pub(crate) ordered: Cell<Option<Instant>>,
+    pub(crate) last_order_at: Cell<Option<Instant>>,
     /// When the last question was sent that the store answered.
-    pub contact: Cell<Instant>,
+    pub store_contact_at: Cell<Instant>,
     /// When the store last answered, this instance or a relay for it.
-    pub stored: Cell<Instant>,
+    pub store_heard_at: Cell<Instant>,
     /// When the store last answered this instance.
-    pub direct: Cell<Instant>,
+    pub store_answered_at: Cell<Instant>,
     /// When the store last did not answer this instance.
     refused: Cell<Instant>,
     /// How many renewals in a row it did not answer.
-    pub(crate) failures: Cell<u32>,
+    pub(crate) renewal_failures: Cell<u32>,
     /// Which relay did not answer, and when.
-    pub(crate) unanswered: Cell<Option<(SocketAddr, Instant)>>,
+    pub(crate) silent_relay: Cell<Option<(SocketAddr, Instant)>>,
     /// What is known of the store.
     pub mirror: RefCell<Mirror>,
     /// Told when something was learnt of the store.
-    pub learnt: Notify,
+    pub store_changed: Notify,
     packed: RefCell<Option<Packed>>,
     /// What those are told who know nothing, and of which state of the mirror and the
     /// catalogue.
-    pub(crate) whole: RefCell<Option<((mirror::State, u64), Bytes)>>,
+    pub(crate) full_batch: RefCell<Option<((mirror::State, u64), Bytes)>>,
     /// Questions for proofs.
     pub proofs: Proofs,
     /// How surely it is known what may be asked for.
@@ -162,19 +162,19 @@
     /// What each account may ask for here.
     pub shares: Shares,
     /// When the store's watch was answered last.
-    pub watched: Cell<Instant>,
+    pub watch_answered_at: Cell<Instant>,
     /// Told when it answers again.
-    pub(crate) answered: Notify,
+    pub(crate) store_returned: Notify,
     /// Since when it has answered again and again.
-    pub stored_since: Cell<Instant>,
+    pub store_up_since: Cell<Instant>,
     /// What was counted.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// What its duties cost.
     pub work: Work,
     /// How many sessions are open.
     pub sessions: Cell<usize>,
     /// How many callers' connections broke since it was told.
-    pub(crate) lost: Cell<usize>,
+    pub(crate) lost_callers: Cell<usize>,
 }
 
 impl<E: Edge> Node<E> {
@@ -184,49 +184,49 @@
             edge,
             peers: Peers::new(&settings),
             settings,
-            life: rand::random(),
+            incarnation: rand::random(),
             catalog: RefCell::default(),
-            roster: Roster::default(),
+            registry: Roster::default(),
             stage: Cell::new(Stage::Serve),
-            staged: Notify::new(),
-            prove: Notify::new(),
-            era: Cell::default(),
+            stage_changed: Notify::new(),
+            proof_wanted: Notify::new(),
+            proof_lease: Cell::default(),
             lease: Cell::default(),
-            read_at: Cell::default(),
-            proving: Cell::default(),
-            proved: Cell::default(),
-            renewed: Cell::default(),
-            relaying: Cell::default(),
+            records_read_at: Cell::default(),
+            proofs_in_flight: Cell::default(),
+            proved_lease: Cell::default(),
+            lease_renewed_at: Cell::default(),
+            is_asking_relay: Cell::default(),
             refresh: Notify::new(),
-            listed: Cell::new(false),
-            began: Boot.now(),
-            met: Cell::default(),
+            is_upstream_list_read: Cell::new(false),
+            started_at: Boot.now(),
+            instances_listed_at: Cell::default(),
             able: Cell::new(Boot.now()),
             duty: Cell::default(),
             met_era: Cell::default(),
             has_right: Cell::new(false),
-            before: RefCell::default(),
-            ordered: Cell::default(),
-            contact: Cell::default(),
-            stored: Cell::default(),
-            direct: Cell::default(),
+            previous_holders: RefCell::default(),
+            last_order_at: Cell::default(),
+            store_contact_at: Cell::default(),
+            store_heard_at: Cell::default(),
+            store_answered_at: Cell::default(),
             refused: Cell::default(),
-            failures: Cell::default(),
-            unanswered: Cell::default(),
+            renewal_failures: Cell::default(),
+            silent_relay: Cell::default(),
             mirror: RefCell::default(),
-            learnt: Notify::new(),
+            store_changed: Notify::new(),
             packed: RefCell::default(),
-            whole: RefCell::default(),
+            full_batch: RefCell::default(),
             proofs: Proofs::default(),
             freshness: Fresh::default(),
             shares: Shares::default(),
-            watched: Cell::default(),
-            answered: Notify::new(),
-            stored_since: Cell::default(),
-            figures: Figures::default(),
+            watch_answered_at: Cell::default(),
+            store_returned: Notify::new(),
+            store_up_since: Cell::default(),
+            metrics: Metrics::default(),
             work: Work::default(),
             sessions: Cell::new(0),
-            lost: Cell::new(0),
+            lost_callers: Cell::new(0),
         }
     }
 
@@ -241,7 +241,7 @@
 
     /// The platform's store, its calls counted.
     pub fn store(&self) -> Counted<'_, E::Store> {
-        Counted::new(self.edge.store(), &self.figures)
+        Counted::new(self.edge.store(), &self.metrics)
     }
 
     /// The catalogue in force.
@@ -269,7 +269,7 @@
             }
         }
         self.work.add(Kind::Catalogue, 1);
-        self.roster.name(&catalog);
+        self.registry.name(&catalog);
         *self.catalog.borrow_mut() = Rc::new(catalog);
         self.freshness.reach(self.mark());
     }
@@ -322,7 +322,7 @@
 
     /// Where to reach the instances that serve sessions of `account` on `service`, its home
     /// first, if this one is to hand them over.
-    pub fn homes(&self, service: &Rc<str>, account: &str) -> Vec<SocketAddr> {
+    pub fn account_holders(&self, service: &Rc<str>, account: &str) -> Vec<SocketAddr> {
         let holders = self.holder_names(service);
         let own = &self.settings.name;
         self.peers.homes(service, account, &holders, own)
@@ -344,7 +344,7 @@
             let judges = self.peers.holder_names(&duty, JUDGES, self.candidate());
             judges.contains(own) || self.holder_names(&group.service).contains(own)
         };
-        self.has_right.get() || group.is_wanted(Boot.now()) || is_named()
+        self.has_right.get() || group.is_proof_wanted(Boot.now()) || is_named()
     }
 
     fn candidate(&self) -> Candidate<'_> {
@@ -372,25 +372,25 @@
 
     /// The group of a service; made if it is new.
     pub fn group_of(&self, service: &Rc<str>) -> Rc<Group> {
-        self.roster.group(service)
+        self.registry.group(service)
     }
 
     /// Whether a primary of `service` is known.
-    pub(crate) fn is_led(&self, service: &str) -> bool {
-        let group = self.roster.find(service);
-        group.is_some_and(|group| group.known().is_some())
+    pub(crate) fn has_primary(&self, service: &str) -> bool {
+        let group = self.registry.find(service);
+        group.is_some_and(|group| group.stored_record().is_some())
     }
 
     /// All groups that the catalogue names, in order of their names.
     pub fn groups(&self) -> Rc<[Rc<Group>]> {
-        self.roster.named()
+        self.registry.named()
     }
 
     /// The groups of the catalogue that something is to be done for, in order of their
     /// names.
     pub fn active(&self) -> Vec<Rc<Group>> {
         let catalog = self.catalog();
-        let mut active = self.roster.active();
+        let mut active = self.registry.active();
         active.retain(|group| catalog.services.contains_key(&group.service));
         self.work.add(Kind::Group, active.len());
         active
@@ -398,14 +398,14 @@
 
     /// Lets groups rest for which nothing is to be done.
     pub fn sweep(&self, now: Instant) {
-        self.roster.sweep(now);
+        self.registry.sweep(now);
     }
 
     /// Takes in an entry of the list of upstreams.
-    pub fn put(&self, upstream: Upstream) {
+    pub fn put_upstream(&self, upstream: Upstream) {
         let group = self.group_of(&upstream.service);
         let id = Rc::clone(&upstream.id);
-        if let Some(old) = self.roster.list(&id, &upstream.service) {
+        if let Some(old) = self.registry.list(&id, &upstream.service) {
             old.unlist(&id, Boot.now());
         }
         let catalog = self.catalog();
@@ -418,12 +418,12 @@
 
     /// The upstream with this id, whichever group it is in.
     pub fn member(&self, id: &str) -> Option<Rc<Member>> {
-        self.roster.group_with(id)?.member(id)
+        self.registry.group_with(id)?.member(id)
     }
 
     /// Takes in that the list lacks the upstream with this id.
-    pub fn unlist(&self, id: &str) {
-        if let Some(group) = self.roster.group_with(id) {
+    pub fn unlist_upstream(&self, id: &str) {
+        if let Some(group) = self.registry.group_with(id) {
             group.unlist(id, Boot.now());
         }
     }
@@ -431,7 +431,7 @@
     /// Waits until some catalogue is in force, or `wait` is over; whether one is.
     ///
     /// A caller that comes before would be told that its database does not exist.
-    pub async fn informed(&self, wait: Duration) -> bool {
+    pub async fn wait_for_catalog(&self, wait: Duration) -> bool {
         let since = Boot.now();
         while self.catalog().version == 0 {
             if Boot.now().since(since) > wait {
@@ -447,9 +447,9 @@
     /// Who has heard nobody takes itself for a holder of everything. Behind a loss of
     /// power each of 91 instances served its first callers itself for as long as they
     /// stayed, and upstreams shed 35,628 statements in two seconds.
-    pub async fn acquainted(&self) {
+    pub async fn wait_for_peers(&self) {
         loop {
-            let since = self.met.get().unwrap_or(self.began);
+            let since = self.instances_listed_at.get().unwrap_or(self.started_at);
             let left = (since + MEET).since(Boot.now());
             if left.is_zero() {
                 return;
@@ -459,9 +459,9 @@
     }
 
     /// Notes that the list of instances was read.
-    pub(crate) fn meet(&self) {
-        if self.met.get().is_none() {
-            self.met.set(Some(Boot.now()));
+    pub(crate) fn note_instances_listed(&self) {
+        if self.instances_listed_at.get().is_none() {
+            self.instances_listed_at.set(Some(Boot.now()));
             self.peers.call_all();
         }
     }
@@ -470,7 +470,7 @@
     /// by others, or it has none.
     pub fn is_idle(&self) -> bool {
         let now = Boot.now();
-        !self.active().iter().any(|group| group.is_wanted(now))
+        !self.active().iter().any(|group| group.is_proof_wanted(now))
     }
 
     /// Whether the instance can take callers.
@@ -478,28 +478,28 @@
     /// One that can't serve while others may says so: the balancer then sends its
     /// zone's callers to another zone.
     pub fn is_ready(&self) -> bool {
-        if self.stage.get() != Stage::Serve || !self.listed.get() {
+        if self.stage.get() != Stage::Serve || !self.is_upstream_list_read.get() {
             return false;
         }
         if !self.catalog().accounts.is_empty() && !self.is_fresh(Boot.now()) {
             return false;
         }
         let groups = self.groups();
-        let begun = groups.iter().any(|group| group.known().is_some());
+        let begun = groups.iter().any(|group| group.stored_record().is_some());
         begun && self.unable_since().is_none()
     }
 
     /// Whether it serves, or would.
-    pub fn service(&self) -> Service {
+    pub fn service(&self) -> ServiceState {
         if self.is_idle() {
             return match self.peers.is_lost() {
-                true => Service::Unable,
-                false => Service::Idle,
+                true => ServiceState::Unable,
+                false => ServiceState::Idle,
             };
         }
         match self.is_able() {
-            true => Service::Able,
-            false => Service::Unable,
+            true => ServiceState::Able,
+            false => ServiceState::Unable,
         }
     }
 
@@ -518,7 +518,7 @@
     /// Since when this instance can't serve though others may.
     pub fn unable_since(&self) -> Option<Instant> {
         let now = Boot.now();
-        if self.service() != Service::Unable || !self.peers.may_serve() {
+        if self.service() != ServiceState::Unable || !self.peers.may_serve() {
             self.able.set(now);
             return None;
         }
@@ -539,7 +539,7 @@
 
     /// Waits until it is proved that the primary led at `moment`, or `wait` is over.
     pub async fn proved(&self, group: &Group, moment: Instant, wait: Duration) -> Proved {
-        group.want(Boot.now());
+        group.want_proof(Boot.now());
         if let Some(member) = self.leader(group, moment) {
             return Proved::Primary(member);
         }
@@ -548,7 +548,7 @@
         if let Some(member) = self.leader(group, moment) {
             return Proved::Primary(member);
         }
-        let _waited = self.figures.wait(Wait::Proof);
+        let _waited = self.metrics.wait(Wait::Proof);
         let proved = async {
             loop {
                 let changed = group.changed.notified();
@@ -557,7 +557,7 @@
                 }
                 // Who replaces the primary tells when it is over.
                 if group.primary().is_some() {
-                    self.prove.notify_one();
+                    self.proof_wanted.notify_one();
                 }
                 changed.await;
             }
@@ -576,12 +576,13 @@
     /// Notes that a question which was sent to the store at `sent`, by this instance
     /// or through another, was answered.
     pub fn heard_from_store(&self, sent: Instant) {
-        self.contact.set(self.contact.get().max(sent));
+        self.store_contact_at
+            .set(self.store_contact_at.get().max(sent));
     }
 
     /// Notes that the store answered this instance.
     pub fn store_answered(&self) {
-        self.direct.set(Boot.now());
+        self.store_answered_at.set(Boot.now());
         self.store_heard();
     }
 
@@ -596,9 +597,9 @@
     }
 
     /// Whether this instance hears the store itself.
-    pub fn hearing(&self) -> Hearing {
+    pub fn store_contact(&self) -> Hearing {
         let now = Boot.now();
-        let (direct, refused) = (self.direct.get(), self.refused.get());
+        let (direct, refused) = (self.store_answered_at.get(), self.refused.get());
         if direct != Instant::ZERO && direct + HEARS > now {
             return Hearing::Hears;
         }
@@ -610,7 +611,7 @@
 
     /// The catalogue as the store holds it.
     pub(crate) fn catalog_item(&self) -> Option<Item> {
-        self.mirror.borrow().item(E::CATALOG)
+        self.mirror.borrow().item(E::CATALOG_KEY)
     }
 
     /// The same, packed once for all who ask.
@@ -629,11 +630,11 @@
     /// Notes that the store answered this instance, or a relay for it.
     pub fn store_heard(&self) {
         let now = Boot.now();
-        if self.stored.get() + AWAY < now {
-            self.answered.notify_waiters();
-            self.stored_since.set(now);
+        if self.store_heard_at.get() + AWAY < now {
+            self.store_returned.notify_waiters();
+            self.store_up_since.set(now);
         }
-        self.stored.set(now);
+        self.store_heard_at.set(now);
     }
 
     /// Whether a stop was asked for.
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -68,7 +68,7 @@
 
 /// How often a statement was tried in vain, by what stood in its way.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tries {
+pub struct Attempts {
     /// An upstream refused it without running it.
     pub refused: u32,
     /// No connection became free in time.
@@ -89,19 +89,19 @@
     /// Why the statement did not succeed.
     pub failure: Option<(Code, Cause)>,
     /// The tries before.
-    pub tries: Tries,
+    pub attempts: Attempts,
 }
 
 impl Outcome {
     /// An upstream's own answer.
-    pub fn of(reply: Reply) -> Self {
+    pub fn from_reply(reply: Reply) -> Self {
         let failure = reply.verdict.as_ref().err();
         Self {
             failure: failure.map(|failure| (failure.code, Cause::Upstream)),
             bytes: reply.raw,
             state: reply.state,
             position: reply.position,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
         }
     }
 
@@ -114,7 +114,7 @@
             state,
             position: None,
             failure: Some((code, cause)),
-            tries: Tries::default(),
+            attempts: Attempts::default(),
         }
     }
 
@@ -127,7 +127,7 @@
             state,
             position: None,
             failure: None,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
         }
     }
 }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -26,9 +26,10 @@
 use crate::{
     control,
     edge::{Change, Edge, Fault, Item, Items, Store},
-    kept::Kept,
     node::Node,
-    probe, proofs, relay, roll, session, shares,
+    presence, probe, proofs, relay, session,
+    session_state::SessionState,
+    shares,
     work::Kind,
 };
 
@@ -89,8 +90,8 @@
         let news = node.peers.roll();
         node.work
             .add(Kind::ChangedInstance, news.came.len() + news.went.len());
-        roll::call(news);
-        roll::lost(&node.lost);
+        presence::log_changes(news);
+        presence::log_lost_callers(&node.lost_callers);
         let now = Boot.now();
         if !node.is_idle() {
             served = now;
@@ -125,7 +126,7 @@
         let more = More {
             format: FORMAT,
             next: PROMPT,
-            hearing: node.hearing(),
+            hearing: node.store_contact(),
             relays: node.peers.standing.get().relays,
             greeting: Greeting::None,
             silent: node.peers.silent(),
@@ -140,8 +141,8 @@
 
     fn send<E: Edge>(&mut self, node: &Node<E>, socket: &UdpSocket, due: Due) {
         let kind = match due.next <= PROMPT {
-            true => Kind::PromptHeartbeat,
-            false => Kind::RareHeartbeat,
+            true => Kind::FrequentHeartbeat,
+            false => Kind::InfrequentHeartbeat,
         };
         node.work.add(kind, 1);
         let more = More {
@@ -171,7 +172,7 @@
     let mut starved = Vec::new();
     for group in node.active() {
         for member in group.members() {
-            if member.pool.is_starved(now) {
+            if member.pool.is_locked_out(now) {
                 starved.push(member.upstream.id.to_string());
             }
         }
@@ -179,7 +180,7 @@
             continue;
         };
         // Who is not asked has nothing to say, and says it to all.
-        if !group.is_wanted(now) {
+        if !group.is_proof_wanted(now) {
             continue;
         }
         beliefs.push(Belief {
@@ -215,7 +216,7 @@
     let now = Boot.now();
     for id in &beat.starved {
         if let Some(member) = node.member(id) {
-            member.pool.spare(now);
+            member.pool.release_idle(now);
         }
     }
     if beat.leaving {
@@ -259,8 +260,8 @@
     if let Some(more) = more {
         (peer.next, peer.format) = (more.next, more.format);
         if more.hearing == Hearing::Hears && peer.hearing == Hearing::Deaf {
-            node.failures.set(0);
-            node.prove.notify_one();
+            node.renewal_failures.set(0);
+            node.proof_wanted.notify_one();
         }
         (peer.hearing, peer.relays) = (more.hearing, more.relays);
         (peer.silent, near) = (more.silent, more.near);
@@ -270,7 +271,7 @@
     let overdue = news.heard(beat.version, node.catalog().version, now);
     node.peers.news.set(news);
     let is_newer = beat.version > node.catalog().version;
-    let relays = node.peers.standing.get().relays && node.met.get().is_some();
+    let relays = node.peers.standing.get().relays && node.instances_listed_at.get().is_some();
     if (overdue || is_newer && relays) && !node.peers.fetching.replace(true) {
         let node = Rc::clone(node);
         let address = beat.address;
@@ -301,7 +302,7 @@
         };
         let quiet = primary.health().answered + PROMPT / 2 < Boot.now();
         if term == belief.term && quiet && node.is_judge(&group) {
-            probe::check(node, &group, &primary);
+            probe::monitor(node, &group, &primary);
         }
     }
 }
@@ -320,7 +321,7 @@
         _ => None,
     };
     if let Some(item) = item {
-        control::learn(node, Change::Put(item));
+        control::apply_change(node, Change::Put(item));
     }
 }
 
@@ -376,7 +377,7 @@
 /// # Errors
 ///
 /// It can't be reached.
-pub async fn hand(address: SocketAddr, kept: &Kept) -> io::Result<TcpStream> {
+pub async fn hand(address: SocketAddr, kept: &SessionState) -> io::Result<TcpStream> {
     let mut stream = connect(address).await?;
     let ask = match &kept.account {
         Some(account) => Ask::Keyed(account.to_string(), kept.clone()),
@@ -408,12 +409,12 @@
     let told = match receive(&mut stream, QUIET).await? {
         Ask::Session(kept) => {
             let _guest = node.peers.host(from.ip());
-            return session::host(node, stream, kept).await;
+            return session::serve_forwarded(node, stream, kept).await;
         }
         Ask::Keyed(account, kept) => {
             let _guest = node.peers.host(from.ip());
             let account = Some(account.into());
-            return session::host(node, stream, Kept { account, ..kept }).await;
+            return session::serve_forwarded(node, stream, SessionState { account, ..kept }).await;
         }
         Ask::Follow(followed) => return relay::lead(node, stream, followed).await,
         Ask::Read(prefix) => match node.store().read(&prefix, READ).await {
--- a/crates/proxy/src/peers/beat.rs
+++ b/crates/proxy/src/peers/beat.rs
@@ -7,7 +7,7 @@
 
 use lead::{Verdict, freshness::Mark};
 
-use crate::node::Service;
+use crate::node::ServiceState;
 
 /// The format that this version writes. The version before wrote beats without one, and
 /// reads the first part of a beat.
@@ -46,7 +46,7 @@
     /// How much processor it has, in hundredths of a core.
     pub weight: u32,
     /// Whether it serves.
-    pub service: Service,
+    pub service: ServiceState,
     /// Whether it stops.
     pub leaving: bool,
 }
--- a/crates/proxy/src/peers/census.rs
+++ b/crates/proxy/src/peers/census.rs
@@ -21,7 +21,7 @@
     peer::{Peer, Relay},
     table::{HEARD, LOST, Peers},
 };
-use crate::node::Service;
+use crate::node::ServiceState;
 
 /// How long an instance that is not heard stays known if the store does not list it: three
 /// of the longest pauses between two beats.
@@ -140,7 +140,7 @@
             let holds = lives && reached;
             let is_near = lives && peer.format >= FORMAT && peer.zone == self.zone;
             let seen = Seen {
-                holder: holds.then_some((peer.weight, peer.service != Service::Unable)),
+                holder: holds.then_some((peer.weight, peer.service != ServiceState::Unable)),
                 relay: is_near
                     .then_some((relays::weight(peer.weight), peer.hearing != Hearing::Deaf)),
                 heard: peer.was_heard(now, HEARD),
--- a/crates/proxy/src/peers/frame.rs
+++ b/crates/proxy/src/peers/frame.rs
@@ -20,9 +20,9 @@
 };
 
 use crate::{
+    connection,
     edge::{Change, Item, Items},
-    kept::Kept,
-    line,
+    session_state::SessionState,
 };
 
 /// The longest frame.
@@ -43,7 +43,7 @@
     /// The catalogue you have. Asked by the version before.
     Catalog,
     /// Serve this session: its statements follow.
-    Session(Kept),
+    Session(SessionState),
     /// The catalogue you have, packed.
     Packed,
     /// What you learnt of the store; asked again on the same connection.
@@ -51,7 +51,7 @@
     /// The records and the era, read for me from now on.
     Records,
     /// Serve this session of the account with this name: its statements follow.
-    Keyed(String, Kept),
+    Keyed(String, SessionState),
     /// The accounts' shares you have.
     Shares,
 }
@@ -118,7 +118,7 @@
 /// Connects to the instance at `address`.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(QUIET, TcpStream::connect(address)).await??;
-    let _ = line::tune(&stream);
+    let _ = connection::set_socket_options(&stream);
     Ok(stream)
 }
 
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -12,7 +12,7 @@
     beat::{Belief, Greeting, Hearing},
     census::Seen,
 };
-use crate::node::Service;
+use crate::node::ServiceState;
 
 /// How late a beat may be.
 pub(super) const LATE: Duration = Duration::from_millis(100);
@@ -30,7 +30,7 @@
     pub(super) version: u64,
     pub(super) zone: String,
     pub(super) weight: u32,
-    pub(super) service: Service,
+    pub(super) service: ServiceState,
     /// The newest format that it reads.
     pub(super) format: u8,
     pub(super) hearing: Hearing,
@@ -59,7 +59,7 @@
             version: 0,
             zone: String::new(),
             weight: 0,
-            service: Service::Idle,
+            service: ServiceState::Idle,
             format: 0,
             hearing: Hearing::Unknown,
             relays: false,
@@ -93,7 +93,7 @@
 
     /// Whether it is asked for primaries, so that it can judge them.
     pub(super) fn serves(&self) -> bool {
-        self.is_prompt() && self.service != Service::Idle
+        self.is_prompt() && self.service != ServiceState::Idle
     }
 }
 
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -18,7 +18,7 @@
     census::{Census, FORGET},
     peer::{Due, LATE, Peer, Standing, Urgent},
 };
-use crate::{news::News, node::Service, settings::Settings};
+use crate::{news::News, node::ServiceState, settings::Settings};
 
 /// How many beats of an instance may be missing until what it said counts no more.
 pub(super) const HEARD: u32 = 3;
@@ -436,11 +436,11 @@
 
     /// Whether somebody is heard who serves.
     pub(super) fn is_served(&self) -> bool {
-        self.is_said(Service::Able)
+        self.is_said(ServiceState::Able)
     }
 
     /// Whether somebody who is heard promptly says so of itself.
-    fn is_said(&self, service: Service) -> bool {
+    fn is_said(&self, service: ServiceState) -> bool {
         let now = self.awake();
         let table = self.table.borrow();
         let mut heard = table.values().filter(|p| p.was_heard(now, HEARD));
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -17,10 +17,10 @@
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
 use crate::{
+    connection::{Connection, Counted, Refused, Values},
     edge::Protocol,
-    line::{Counted, Line, Refused, Values},
     member::Member,
-    strain::{self, Refusal},
+    refusal::{self, Refusal},
 };
 
 /// How long connections are given up after use once somebody has none at all.
@@ -29,7 +29,7 @@
 /// Somebody who waits for a connection.
 #[derive(Debug)]
 struct Waiting {
-    sender: oneshot::Sender<Result<Line, Refused>>,
+    sender: oneshot::Sender<Result<Connection, Refused>>,
     account: Option<Rc<str>>,
 }
 
@@ -49,7 +49,7 @@
 /// The connections of this instance to one upstream.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: RefCell<Vec<Line>>,
+    idle: RefCell<Vec<Connection>>,
     waiters: RefCell<Queue<Waiting>>,
     budget: RefCell<Budget>,
     /// For whose sessions connections are being opened.
@@ -86,10 +86,10 @@
     }
 
     /// An idle connection of `account`, the one with just these values if there is one.
-    pub fn idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Line> {
+    pub fn idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
-            let same = |line: &Line| line.is_of(account) && line.has(values);
+            let same = |line: &Connection| line.is_of(account) && line.has(values);
             let same = idle.iter().rposition(same);
             let at = same.or_else(|| idle.iter().rposition(|line| line.is_of(account)))?;
             let line = idle.remove(at);
@@ -100,7 +100,7 @@
     }
 
     /// An idle connection, whosever it is, for a question of this process itself.
-    pub fn idle_any(&self) -> Option<Line> {
+    pub fn idle_any(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(line) = idle.pop() {
             if line.is_open() {
@@ -162,23 +162,23 @@
     /// Behind a loss of power the upstream still counts the connections of before.
     /// What is left would stay with those who came first, and the others could
     /// serve nobody. So for a while connections are closed once nobody here waits.
-    pub fn spare(&self, now: Instant) {
+    pub fn release_idle(&self, now: Instant) {
         self.scarce_until.set(now + SCARCE);
         self.idle.borrow_mut().clear();
     }
 
     /// Whether connections are so few that none may be held for long.
     pub fn is_tight(&self, now: Instant) -> bool {
-        self.scarce_until.get() > now || self.is_starved(now)
+        self.scarce_until.get() > now || self.is_locked_out(now)
     }
 
     /// Whether this instance was lately refused its first connection.
-    pub fn is_starved(&self, now: Instant) -> bool {
-        self.starved_since(now).is_some()
+    pub fn is_locked_out(&self, now: Instant) -> bool {
+        self.locked_out_since(now).is_some()
     }
 
     /// Since when this instance has been refused its first connection.
-    pub fn starved_since(&self, now: Instant) -> Option<Instant> {
+    pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
         self.budget.borrow().starved_since(now)
     }
 
@@ -203,7 +203,10 @@
 /// # Errors
 ///
 /// A new connection was refused. The future may be dropped at any time.
-pub async fn acquire<P: Protocol>(member: &Rc<Member>, wish: Wish<'_>) -> Result<Line, Refused> {
+pub async fn acquire<P: Protocol>(
+    member: &Rc<Member>,
+    wish: Wish<'_>,
+) -> Result<Connection, Refused> {
     let pool = &member.pool;
     let window = member.window();
     if pool.waiting() == 0
@@ -248,7 +251,7 @@
 }
 
 /// Gives a connection back; one that is not clean is closed.
-pub fn release<P: Protocol>(line: Line) {
+pub fn release<P: Protocol>(line: Connection) {
     let member = Rc::clone(line.member());
     let pool = &member.pool;
     let tight = pool.is_tight(Boot.now());
@@ -262,7 +265,7 @@
 }
 
 /// Closes a connection and lets those who wait have another.
-pub fn discard<P: Protocol>(line: Line) {
+pub fn discard<P: Protocol>(line: Connection) {
     let member = Rc::clone(line.member());
     drop(line);
     serve::<P>(&member);
@@ -324,7 +327,7 @@
 }
 
 /// Gives a connection of `account`, or why there is none, to the next who still waits.
-fn hand(member: &Member, account: Option<&Rc<str>>, mut result: Result<Line, Refused>) {
+fn hand(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
     let pool = &member.pool;
     loop {
         let same = |waiting: &Waiting| waiting.account.as_ref() == account;
@@ -348,7 +351,7 @@
 
 async fn open<P: Protocol>(member: &Rc<Member>, account: Option<Rc<str>>, counted: Counted) {
     let pool = &member.pool;
-    let opened = Line::open::<P>(member, account.clone(), counted).await;
+    let opened = Connection::open::<P>(member, account.clone(), counted).await;
     let mut opening = pool.opening.borrow_mut();
     if let Some(at) = opening.iter().position(|other| *other == account) {
         opening.swap_remove(at);
@@ -357,21 +360,21 @@
     match opened {
         Ok(line) => {
             pool.budget.borrow_mut().opened();
-            member.strain.opened();
+            member.refusals.opened();
             hand(member, account.as_ref(), Ok(line));
         }
         Err(Refused::TooMany) => {
             // It lives; but it serves nobody here, which is for others to know.
-            member.reached();
+            member.note_contact();
             let now = Boot.now();
             let chance = rand::random();
             pool.budget
                 .borrow_mut()
                 .refused(now, pool.open.get(), chance);
-            strain::refused(member, Refusal::Connection, now);
+            refusal::record(member, Refusal::Connection, now);
         }
         Err(refused) => {
-            member.failed(Boot.now());
+            member.note_failure(Boot.now());
             hand(member, account.as_ref(), Err(refused));
         }
     }
--- a/crates/proxy/src/roll.rs
+++ b/crates/proxy/src/presence.rs
@@ -7,7 +7,7 @@
 /// Tells who is heard now and was not before, and the other way round.
 ///
 /// One line for all of them: a zone that is lost is one piece of news.
-pub(crate) fn call(mut roll: Roll) {
+pub(crate) fn log_changes(mut roll: Roll) {
     for (names, what) in [
         (&mut roll.came, "peers heard"),
         (&mut roll.went, "peers silent"),
@@ -21,7 +21,7 @@
 }
 
 /// Tells how many callers' connections broke since the last time.
-pub(crate) fn lost(count: &Cell<usize>) {
+pub(crate) fn log_lost_callers(count: &Cell<usize>) {
     let lost = count.take();
     if lost > 0 {
         log::info!(sessions = lost; "callers lost");
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -12,9 +12,9 @@
 };
 
 use crate::{
+    connection::{Connection, Counted, Refused},
     edge::{Edge, Protocol},
     group::Group,
-    line::{Counted, Line, Refused},
     member::Member,
     message::{Code, Command, Status},
     node::Node,
@@ -22,7 +22,7 @@
 };
 
 /// How long an upstream may take to say what it is.
-pub const ANSWER: Duration = Duration::from_millis(300);
+pub const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long one that fails may take to say what it is.
 const HOPELESS: Duration = Duration::from_millis(120);
@@ -42,7 +42,7 @@
 
 /// What came of a question or an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum Answer {
     /// What the upstream says of itself.
     Status(Status),
     /// It lives, but has no room to say more.
@@ -53,7 +53,7 @@
     Silent,
 }
 
-impl Said {
+impl Answer {
     /// What the upstream says of itself, if it does.
     pub fn status(self) -> Option<Status> {
         match self {
@@ -64,7 +64,7 @@
 }
 
 /// Asks `member` what it is.
-pub async fn status<P: Protocol>(member: &Rc<Member>) -> Said {
+pub async fn status<P: Protocol>(member: &Rc<Member>) -> Answer {
     order::<P>(member, &Command::Status, patience(member)).await
 }
 
@@ -72,7 +72,7 @@
 fn patience(member: &Member) -> Duration {
     match member.is_failing() {
         true => HOPELESS,
-        false => ANSWER,
+        false => STATUS_TIMEOUT,
     }
 }
 
@@ -81,17 +81,17 @@
     member: &Rc<Member>,
     command: &Command<'_>,
     within: Duration,
-) -> Said {
+) -> Answer {
     let said = timeout(within, exchange::<P>(member, command)).await;
-    let said = said.unwrap_or(Said::Silent);
+    let said = said.unwrap_or(Answer::Silent);
     match said {
-        Said::Silent => member.failed(Boot.now()),
-        Said::Status(_) | Said::Full | Said::Refused(_) => member.answered(Boot.now()),
+        Answer::Silent => member.note_failure(Boot.now()),
+        Answer::Status(_) | Answer::Full | Answer::Refused(_) => member.note_answer(Boot.now()),
     }
     said
 }
 
-async fn exchange<P: Protocol>(member: &Rc<Member>, command: &Command<'_>) -> Said {
+async fn exchange<P: Protocol>(member: &Rc<Member>, command: &Command<'_>) -> Answer {
     let mut fresh = false;
     loop {
         let idle = match fresh {
@@ -101,36 +101,36 @@
         fresh |= idle.is_none();
         let line = match idle {
             Some(line) => Ok(line),
-            None => Line::open::<P>(member, None, Counted::new(member)).await,
+            None => Connection::open::<P>(member, None, Counted::new(member)).await,
         };
         let mut line = match line {
             Ok(line) => line,
-            Err(Refused::TooMany) => return Said::Full,
-            Err(Refused::Misrouted | Refused::Forgot | Refused::Unreachable) => {
-                return Said::Silent;
+            Err(Refused::TooMany) => return Answer::Full,
+            Err(Refused::Misrouted | Refused::LogLost | Refused::Unreachable) => {
+                return Answer::Silent;
             }
         };
         let Ok(reply) = line.ask::<P>(command).await else {
             pool::discard::<P>(line);
             if fresh {
-                return Said::Silent;
+                return Answer::Silent;
             }
             fresh = true;
             continue;
         };
         pool::release::<P>(line);
         return match &reply.verdict {
-            Ok(()) => P::status(&reply).map_or(Said::Refused(Code::Other), Said::Status),
-            Err(failure) if failure.code == Code::Busy => Said::Full,
-            Err(failure) => Said::Refused(failure.code),
+            Ok(()) => P::status(&reply).map_or(Answer::Refused(Code::Other), Answer::Status),
+            Err(failure) if failure.code == Code::Busy => Answer::Full,
+            Err(failure) => Answer::Refused(failure.code),
         };
     }
 }
 
 /// Notes that `member` did not answer a statement, and looks after it.
 pub fn doubt<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
-    member.failed(Boot.now());
-    check(node, group, member);
+    member.note_failure(Boot.now());
+    monitor(node, group, member);
 }
 
 /// Whether `member` lives: it accepts connections, and answered a while ago or does
@@ -139,12 +139,12 @@
     let connecting = TcpStream::connect(member.upstream.address);
     let accepts = matches!(timeout(ACCEPT, connecting).await, Ok(Ok(_)));
     let quiet = member.health().answered + QUIET < Boot.now();
-    accepts && (!quiet || status::<P>(member).await != Said::Silent)
+    accepts && (!quiet || status::<P>(member).await != Answer::Silent)
 }
 
 /// Tries to reach `member` again and again until it lives, or is no member any more.
-pub fn check<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
-    group.stir();
+pub fn monitor<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
+    group.activate();
     if member.probed.replace(true) {
         return;
     }
@@ -164,7 +164,7 @@
                 }
             } else {
                 accepted = 0;
-                member.failed(Boot.now());
+                member.note_failure(Boot.now());
             }
             if member.is_failing() && !told {
                 told = true;
@@ -174,7 +174,7 @@
             sleep(AGAIN).await;
         }
         if accepted > 0 {
-            member.reached();
+            member.note_contact();
         }
         if told {
             log::info!(service = &*group.service, upstream = &**id, back = accepted > 0; "upstream fails no more");
@@ -185,12 +185,12 @@
 }
 
 /// Asks all members of a group at once.
-pub async fn all<P: Protocol>(members: &[Rc<Member>]) -> Vec<Said> {
-    each::<P>(members, &Command::Status).await
+pub async fn status_of_all<P: Protocol>(members: &[Rc<Member>]) -> Vec<Answer> {
+    order_all::<P>(members, &Command::Status).await
 }
 
 /// Gives all members the same order at once.
-pub async fn each<P: Protocol>(members: &[Rc<Member>], command: &Command<'_>) -> Vec<Said> {
+pub async fn order_all<P: Protocol>(members: &[Rc<Member>], command: &Command<'_>) -> Vec<Answer> {
     let mut tasks = Vec::with_capacity(members.len());
     for member in members {
         tasks.push(order::<P>(member, command, patience(member)));
@@ -200,7 +200,7 @@
 
 /// Whether `leader` answers that it leads `term`, and `others` more members that
 /// they have heard of nothing newer, before anybody says otherwise.
-pub async fn confirms<P: Protocol>(
+pub async fn confirm_primary<P: Protocol>(
     members: &[Rc<Member>],
     leader: &Rc<Member>,
     term: Term,
--- a/crates/proxy/src/proofs.rs
+++ b/crates/proxy/src/proofs.rs
@@ -17,7 +17,7 @@
 use tokio::{net::UdpSocket, sync::oneshot, task::spawn_local, time::timeout};
 
 use crate::{
-    control::lead_key,
+    control::record_key,
     edge::{Edge, Fault, Items, Store},
     era, freshness,
     node::Node,
@@ -112,7 +112,7 @@
             node.proofs.asked.borrow_mut().push((stamp, answer));
             node.proofs.relied.set(Boot.now());
             if !era::answer_asked(node) {
-                node.prove.notify_one();
+                node.proof_wanted.notify_one();
             }
         }
         Proof::Told { stamp, era } => {
@@ -146,7 +146,7 @@
     let stamp = proofs.stamp.get() + 1;
     proofs.stamp.set(stamp);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(stamp);
+    let stamp = node.incarnation.wrapping_add(stamp);
     let (sender, answer) = oneshot::channel();
     proofs.waiting.borrow_mut().insert(stamp, sender);
     let question = Proof::Ask {
@@ -178,7 +178,7 @@
     // have been read behind its question.
     tokio::task::yield_now().await;
     let readers = node.proofs.readers.take();
-    let items = node.store().read(&lead_key::<E>(""), READ).await;
+    let items = node.store().read(&record_key::<E>(""), READ).await;
     for reader in readers {
         let _ = reader.send(items.clone());
     }
--- a/crates/proxy/src/strain.rs
+++ b/crates/proxy/src/refusal.rs
@@ -39,14 +39,14 @@
 
 /// What was opened at an upstream, and what it refused.
 #[derive(Debug, Default)]
-pub struct Strain {
+pub struct Counts {
     opened: Count,
     connections: Count,
     statements: Count,
     told: Cell<Instant>,
 }
 
-impl Strain {
+impl Counts {
     /// Counts a connection that was opened.
     pub fn opened(&self) {
         self.opened.add();
@@ -64,29 +64,29 @@
 }
 
 /// Counts what `member` refused, and tells how this instance stands there.
-pub fn refused(member: &Member, refusal: Refusal, now: Instant) {
-    let strain = &member.strain;
+pub fn record(member: &Member, refusal: Refusal, now: Instant) {
+    let refusals = &member.refusals;
     let message = match refusal {
         Refusal::Connection => {
-            strain.connections.add();
+            refusals.connections.add();
             "upstream full"
         }
         Refusal::Statement => {
-            strain.statements.add();
+            refusals.statements.add();
             "upstream busy"
         }
     };
-    if strain.told.get() + TOLD > now {
+    if refusals.told.get() + TOLD > now {
         return;
     }
-    strain.told.set(now);
+    refusals.told.set(now);
     let pool = &member.pool;
     log::info!(
         service = &*member.upstream.service, upstream = &*member.upstream.id,
-        refused = strain.connections.take(), shed = strain.statements.take(),
-        opened = strain.opened.take(),
+        refused = refusals.connections.take(), shed = refusals.statements.take(),
+        opened = refusals.opened.take(),
         open = pool.open.get(), idle = pool.resting(), waiting = pool.waiting(),
-        running = member.running.get(), starved = pool.is_starved(now);
+        running = member.running.get(), starved = pool.is_locked_out(now);
         "{message}"
     );
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -53,7 +53,7 @@
         name: &node.settings.name,
         zone: &node.settings.zone,
         weight: node.settings.weight,
-        able: node.hearing() != Hearing::Deaf,
+        able: node.store_contact() != Hearing::Deaf,
     }
 }
 
@@ -93,7 +93,7 @@
 
 /// Whether the instance at `address` did not answer a moment ago.
 pub(crate) fn is_left<E: Edge>(node: &Node<E>, address: SocketAddr) -> bool {
-    let left = node.unanswered.get();
+    let left = node.silent_relay.get();
     left.is_some_and(|(a, at)| a == address && at + LEFT > Boot.now())
 }
 
@@ -119,7 +119,7 @@
             continue;
         };
         if track(&node, address).await.is_err() {
-            node.unanswered.set(Some((address, Boot.now())));
+            node.silent_relay.set(Some((address, Boot.now())));
             sleep(LOOK).await;
         }
     }
@@ -170,23 +170,23 @@
         let present: Vec<Item> = changes.iter().filter_map(put).cloned().collect();
         let mirror = node.mirror.borrow();
         let sections = [Section::Upstreams, Section::Records];
-        let prefixes = sections.map(control::prefix::<E>);
-        for prefix in prefixes.iter().chain([&control::instances::<E>()]) {
+        let prefixes = sections.map(control::section_prefix::<E>);
+        for prefix in prefixes.iter().chain([&control::instances_prefix::<E>()]) {
             changes.extend(mirror.missing(prefix, &present, feed.at));
         }
     }
     node.work.add(Kind::Change, changes.len());
     for change in changes {
-        control::learn(node, change);
+        control::apply_change(node, change);
     }
     let mut mirror = node.mirror.borrow_mut();
     for section in SECTIONS {
         mirror.knows(section, feed.at);
     }
     drop(mirror);
-    node.watched.set(Boot.now());
-    node.listed.set(true);
-    node.meet();
+    node.watch_answered_at.set(Boot.now());
+    node.is_upstream_list_read.set(true);
+    node.note_instances_listed();
 }
 
 fn put(change: &Change) -> Option<&Item> {
@@ -205,14 +205,16 @@
 ) -> io::Result<()> {
     loop {
         let _ = timeout(WAIT, news(node, &followed)).await;
-        let fit = node.listed.get() && node.hearing() != Hearing::Deaf && is_own(node);
+        let fit = node.is_upstream_list_read.get()
+            && node.store_contact() != Hearing::Deaf
+            && is_own(node);
         let frame = match fit {
             true => packed(node, &followed)?,
             false => pack(&Told::Nothing)?,
         };
         send_frame(&mut stream, &frame).await?;
-        node.work.add(Kind::Feed, 1);
-        node.work.add(Kind::FeedByte, frame.len());
+        node.work.add(Kind::ChangeBatch, 1);
+        node.work.add(Kind::ChangeBatchByte, frame.len());
         drop(frame);
         let Ask::Follow(next) = receive(&mut stream, WAIT).await? else {
             return Err(io::Error::other("another question"));
@@ -224,10 +226,11 @@
 /// Waits until there is something to tell.
 async fn news<E: Edge>(node: &Node<E>, followed: &Followed) {
     loop {
-        let learnt = node.learnt.notified();
-        let is_known = followed.life == node.life && followed.seq == node.mirror.borrow().seq();
+        let learnt = node.store_changed.notified();
+        let is_known =
+            followed.life == node.incarnation && followed.seq == node.mirror.borrow().seq();
         let is_newest = followed.version >= node.catalog().version;
-        if node.listed.get() && !(is_known && is_newest) {
+        if node.is_upstream_list_read.get() && !(is_known && is_newest) {
             return;
         }
         learnt.await;
@@ -242,7 +245,7 @@
         return pack(&Told::Feed(feed(node, followed)));
     }
     let state = (node.mirror.borrow().state(), node.catalog().version);
-    let mut kept = node.whole.borrow_mut();
+    let mut kept = node.full_batch.borrow_mut();
     if let Some((_, frame)) = kept.as_ref().filter(|(of, _)| *of == state) {
         return Ok(frame.clone());
     }
@@ -254,15 +257,17 @@
 fn feed<E: Edge>(node: &Node<E>, followed: &Followed) -> Feed {
     let mirror = node.mirror.borrow();
     let known = match followed.life {
-        0 if followed.seq <= mirror.at() => mirror.behind(followed.seq, &control::instances::<E>()),
-        life if life == node.life => mirror.since(followed.seq),
+        0 if followed.seq <= mirror.at() => {
+            mirror.behind(followed.seq, &control::instances_prefix::<E>())
+        }
+        life if life == node.incarnation => mirror.since(followed.seq),
         _ => None,
     };
     let is_whole = known.is_none() || followed.seq == 0;
     let mut changes = known.or_else(|| mirror.since(0)).unwrap_or_default();
-    changes.retain(|change| put(change).is_none_or(|item| item.key != E::CATALOG));
+    changes.retain(|change| put(change).is_none_or(|item| item.key != E::CATALOG_KEY));
     Feed {
-        life: node.life,
+        life: node.incarnation,
         seq: mirror.seq(),
         at: mirror.at(),
         is_whole,
--- a/crates/proxy/src/remote.rs
+++ b/crates/proxy/src/remote.rs
@@ -17,13 +17,13 @@
 
 use crate::{
     catalog::Route,
+    connection::Broken,
     edge::{Edge, Protocol},
-    kept::Kept,
-    line::Broken,
-    message::{Access, Code, Command, Query, Reply, Shape, State, Statement},
+    message::{Access, Code, Command, Prepared, Query, Reply, State, Statement},
     node::Node,
     outcome::{Cause, Outcome},
     peers::{self, LOST},
+    session_state::SessionState,
 };
 
 /// How long a holder may take to take over a session: a hop there and back, and a turn
@@ -54,9 +54,13 @@
 impl Remote {
     /// Hands a session to one of the holders of its route's service; `None` if this
     /// instance is to serve it.
-    pub async fn open<E: Edge>(node: &Rc<Node<E>>, route: &Route, kept: &Kept) -> Option<Self> {
+    pub async fn open<E: Edge>(
+        node: &Rc<Node<E>>,
+        route: &Route,
+        kept: &SessionState,
+    ) -> Option<Self> {
         let holders = match &kept.account {
-            Some(account) => node.homes(&route.service, account),
+            Some(account) => node.account_holders(&route.service, account),
             None => node.holders(&route.service),
         };
         if holders.is_empty() {
@@ -101,7 +105,7 @@
         &mut self,
         node: &Node<E>,
         query: &Query,
-        prepared: Option<&Shape>,
+        prepared: Option<&Prepared>,
         within: Duration,
     ) -> Outcome {
         if !self.gone {
@@ -112,7 +116,7 @@
             };
             if let Some(reply) = reply {
                 self.state = reply.state;
-                return Outcome::of(reply);
+                return Outcome::from_reply(reply);
             }
             self.gone = true;
         }
@@ -177,7 +181,7 @@
 ///
 /// Without a `COMMIT` nothing of a transaction is kept, wherever its connection is. A
 /// single write or a `COMMIT` may have been kept, and is never sent again.
-fn lost<E: Edge>(state: State, statement: &Statement, prepared: Option<&Shape>) -> Outcome {
+fn lost<E: Edge>(state: State, statement: &Statement, prepared: Option<&Prepared>) -> Outcome {
     let reads = prepared.is_some_and(|shape| shape.access == Access::Read);
     let refuse = |code, state| Outcome::refusal::<E::Protocol>(code, Cause::Holder, state);
     match (state, statement) {
--- a/crates/proxy/src/roster.rs
+++ b/crates/proxy/src/roster.rs
@@ -92,7 +92,7 @@
     pub(crate) fn sweep(&self, now: Instant) {
         self.active();
         let mut active = self.active.borrow_mut();
-        active.retain(|_, group| !group.rest(now));
+        active.retain(|_, group| !group.deactivate_if_quiet(now));
         drop(active);
         let named = self.named();
         let next = self.swept.get();
@@ -105,7 +105,7 @@
             .iter()
             .skip(next)
             .take(SWEPT)
-            .for_each(|group| group.rouse(now));
+            .for_each(|group| group.activate_if_needed(now));
         self.swept.set(next + SWEPT);
     }
 
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/routing.rs
@@ -6,7 +6,7 @@
 use model::Position;
 
 use crate::{
-    catalog::{Freshness, Route, Stay},
+    catalog::{Freshness, Readiness, Route},
     edge::Edge,
     group::Group,
     member::Member,
@@ -23,7 +23,7 @@
 
 /// Where a read may run.
 #[derive(Debug)]
-pub struct Place {
+pub struct Target {
     /// The upstream.
     pub member: Rc<Member>,
     /// The position that its log must have reached.
@@ -62,13 +62,13 @@
 }
 
 /// Where a read runs next; `None` if nobody may run it now.
-pub async fn place<E: Edge>(
+pub async fn choose_target<E: Edge>(
     node: &Node<E>,
     group: &Group,
     ask: &Ask<'_>,
     tried: &[Rc<str>],
     wait: Duration,
-) -> Option<Place> {
+) -> Option<Target> {
     if let Some(floor) = floor(group, ask.route, ask.own, ask.at) {
         let now = Boot.now();
         let primary = group
@@ -76,7 +76,7 @@
             .map(|(member, _)| Rc::clone(&member.upstream.id));
         let leads = |member: &Member| primary.as_deref() == Some(&*member.upstream.id);
         let usable = |member: &&Rc<Member>| {
-            let fit = member.stay.get() == Stay::Ready;
+            let fit = member.readiness.get() == Readiness::Ready;
             let held = member.is_lagging(now) && !leads(member);
             fit && !held && !member.is_failing() && !tried.contains(&member.upstream.id)
         };
@@ -90,7 +90,7 @@
         });
         if let Some(member) = best {
             let leads = leads(member);
-            return Some(Place {
+            return Some(Target {
                 member: Rc::clone(member),
                 floor: Some(floor),
                 leads,
@@ -98,7 +98,7 @@
         }
     }
     match node.proved(group, ask.at, wait).await {
-        Proved::Primary(member) => Some(Place {
+        Proved::Primary(member) => Some(Target {
             member,
             floor: None,
             leads: true,
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -10,17 +10,17 @@
 
 use crate::{
     catalog::Route,
+    connection::{Broken, Connection, Refused, Values},
     edge::Edge,
-    figures::Wait,
     group::Group,
-    line::{Broken, Line, Refused, Values},
     member::Member,
-    message::{Code, Command, Query, Reply, Shape, State, Statement},
+    message::{Code, Command, Prepared, Query, Reply, State, Statement},
+    metrics::Wait,
     node::Node,
-    outcome::{Cause, Outcome, Tries},
-    place::{Place, place},
+    outcome::{Attempts, Cause, Outcome},
     pool, probe,
-    strain::{self, Refusal},
+    refusal::{self, Refusal},
+    routing::{Target, choose_target},
 };
 
 pub use write::{acknowledged, in_doubt, write};
@@ -51,7 +51,7 @@
     /// The statement.
     pub query: &'a Query,
     /// The prepared statement that is run, with what stands behind its name.
-    pub prepared: Option<(&'a Shape, &'a [u8])>,
+    pub prepared: Option<(&'a Prepared, &'a [u8])>,
     /// The account whose session it is.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
@@ -80,7 +80,7 @@
 pub async fn send<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    line: &mut Line,
+    line: &mut Connection,
     ask: &Ask<'_>,
     floor: Option<Position>,
     (within, patience): (Duration, Patience),
@@ -110,13 +110,13 @@
         Ok(asked) => asked,
         Err(_) => {
             if member.health().answered < sent {
-                probe::check(node, group, &member);
+                probe::monitor(node, group, &member);
             }
             match patience {
                 Patience::UntilFailing if member.is_failing() => return Err(Lost::Late),
                 Patience::UntilFailing => tokio::select! {
                     asked = &mut asked => asked,
-                    () = member.fell.notified() => return Err(Lost::Late),
+                    () = member.failing_notify.notified() => return Err(Lost::Late),
                 },
                 Patience::ToTheEnd => asked.await,
             }
@@ -167,7 +167,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
-        self.0.took(Boot.now().since(self.1));
+        self.0.note_latency(Boot.now().since(self.1));
     }
 }
 
@@ -185,7 +185,7 @@
 }
 
 /// Notes what an upstream's answer says about it.
-pub fn note<E: Edge>(node: &Node<E>, group: &Group, place: &Place, sent: Instant, reply: &Reply) {
+pub fn note<E: Edge>(node: &Node<E>, group: &Group, place: &Target, sent: Instant, reply: &Reply) {
     let member = &place.member;
     match &reply.verdict {
         Ok(()) => {
@@ -195,16 +195,16 @@
                 && Rc::ptr_eq(&lead, member)
                 && position.term == term
             {
-                member.leads(position);
+                member.note_led(position);
                 group.sample(term, sent, position, KEEP);
             }
         }
         Err(failure) if failure.code == Code::Lagging && !place.leads => {
-            member.lagged(Boot.now());
+            member.note_lag(Boot.now());
         }
         Err(failure) if failure.code == Code::ReadOnly => read_only(node, group, member),
         Err(failure) if failure.code == Code::Busy => {
-            strain::refused(member, Refusal::Statement, Boot.now());
+            refusal::record(member, Refusal::Statement, Boot.now());
         }
         Err(_) => {}
     }
@@ -216,7 +216,7 @@
 /// step down by somebody whose word has not come yet. Unless it is replaced, every
 /// write of its group is refused from then on.
 pub fn read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
-    node.prove.notify_one();
+    node.proof_wanted.notify_one();
     if let Some((lead, term)) = group.primary()
         && Rc::ptr_eq(&lead, member)
     {
@@ -231,16 +231,19 @@
 
 /// Runs a single read.
 pub async fn read<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, ask: &Ask<'_>) -> Outcome {
-    let mut tries = Tries::default();
-    let outcome = try_read(node, group, ask, &mut tries).await;
-    Outcome { tries, ..outcome }
+    let mut attempts = Attempts::default();
+    let outcome = try_read(node, group, ask, &mut attempts).await;
+    Outcome {
+        attempts,
+        ..outcome
+    }
 }
 
 async fn try_read<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
     ask: &Ask<'_>,
-    tries: &mut Tries,
+    attempts: &mut Attempts,
 ) -> Outcome {
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = None;
@@ -251,7 +254,7 @@
         if hold.is_zero() {
             break;
         }
-        let Some(place) = place(node, group, ask, &tried, hold).await else {
+        let Some(place) = choose_target(node, group, ask, &tried, hold).await else {
             break;
         };
         let wait = match place.floor {
@@ -260,8 +263,8 @@
         };
         let Some(mut line) = connect::<E>(node, &place.member, ask, wait).await else {
             cause = Cause::NoConnection;
-            tries.unconnected += 1;
-            probe::check(node, group, &place.member);
+            attempts.unconnected += 1;
+            probe::monitor(node, group, &place.member);
             tried.push(Rc::clone(&place.member.upstream.id));
             pause(&tried, group).await;
             continue;
@@ -270,7 +273,7 @@
         line.align::<E::Protocol>(ask.values);
         let rest = left(timeout_at, ask.at);
         let patience = (
-            ask.route.aim.max(PATIENCE).min(rest),
+            ask.route.latency_target.max(PATIENCE).min(rest),
             Patience::UntilFailing,
         );
         let sent = running.since();
@@ -292,13 +295,13 @@
                     }
                 };
                 if !again {
-                    return Outcome::of(reply);
+                    return Outcome::from_reply(reply);
                 }
-                tries.refused += 1;
+                attempts.refused += 1;
                 last = Some(reply);
             }
             Err(lost) => {
-                tries.lost += 1;
+                attempts.lost += 1;
                 cause = lost.into();
                 pool::discard::<E::Protocol>(line);
                 probe::doubt(node, group, &place.member);
@@ -311,7 +314,7 @@
         }
     }
     match last {
-        Some(reply) => Outcome::of(reply),
+        Some(reply) => Outcome::from_reply(reply),
         None => not_run::<E>(cause),
     }
 }
@@ -338,17 +341,17 @@
     member: &Rc<Member>,
     ask: &Ask<'_>,
     wait: Duration,
-) -> Option<Line> {
+) -> Option<Connection> {
     let mut priority = ask.route.priority;
     if member.pool.is_tight(Boot.now()) && matches!(ask.query.statement, Statement::Begin(_)) {
         // A transaction holds its connection through its pauses; in that time many
         // single statements run on it.
         priority = priority.saturating_add(TRANSACTIONS_LAST);
     }
-    let _waited = node.figures.wait(Wait::Connection);
+    let _waited = node.metrics.wait(Wait::Connection);
     let wish = pool::Wish {
         priority,
-        aim: ask.at + ask.route.aim,
+        aim: ask.at + ask.route.latency_target,
         account: ask.account,
         values: ask.values,
     };
@@ -356,7 +359,7 @@
     match timeout(wait, acquired).await {
         Ok(Ok(line)) => Some(line),
         Ok(Err(Refused::TooMany)) | Err(_) => None,
-        Ok(Err(Refused::Unreachable | Refused::Misrouted | Refused::Forgot)) => {
+        Ok(Err(Refused::Unreachable | Refused::Misrouted | Refused::LogLost)) => {
             node.refresh.notify_one();
             None
         }
--- a/crates/proxy/src/run/write.rs
+++ b/crates/proxy/src/run/write.rs
@@ -7,15 +7,15 @@
 
 use super::{Ask, PAUSE, Patience, Running, connect, is_not_run, left, not_run, note, send};
 use crate::{
+    connection::Connection,
     edge::{Edge, Protocol},
     group::Group,
-    line::Line,
     member::Member,
     message::{Code, Reply, State},
     node::{Node, Proved},
-    outcome::{Cause, Outcome, Tries},
-    place::Place,
+    outcome::{Attempts, Cause, Outcome},
     pool, probe,
+    routing::Target,
 };
 
 /// A connection that lay idle longer is asked for a sign of life before a write.
@@ -26,16 +26,19 @@
 
 /// Runs a single write.
 pub async fn write<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, ask: &Ask<'_>) -> Outcome {
-    let mut tries = Tries::default();
-    let outcome = try_write(node, group, ask, &mut tries).await;
-    Outcome { tries, ..outcome }
+    let mut attempts = Attempts::default();
+    let outcome = try_write(node, group, ask, &mut attempts).await;
+    Outcome {
+        attempts,
+        ..outcome
+    }
 }
 
 async fn try_write<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
     ask: &Ask<'_>,
-    tries: &mut Tries,
+    attempts: &mut Attempts,
 ) -> Outcome {
     let mut last = None;
     let mut cause = Cause::NoProof;
@@ -49,12 +52,12 @@
         };
         let Some(mut line) = connect::<E>(node, &member, ask, hold).await else {
             cause = Cause::NoConnection;
-            tries.unconnected += 1;
+            attempts.unconnected += 1;
             tokio::time::sleep(PAUSE).await;
             continue;
         };
         if !is_alive::<E::Protocol>(&mut line).await {
-            tries.lost += 1;
+            attempts.lost += 1;
             pool::discard::<E::Protocol>(line);
             probe::doubt(node, group, &member);
             continue;
@@ -93,7 +96,7 @@
             line.unprepare();
         }
         pool::release::<E::Protocol>(line);
-        let place = Place {
+        let place = Target {
             member,
             floor: None,
             leads: true,
@@ -101,16 +104,16 @@
         note(node, group, &place, sent, &reply);
         match &reply.verdict {
             Ok(()) => return acknowledged(node, group, &place.member, reply, ask).await,
-            Err(failure) if !is_not_run(failure.code) => return Outcome::of(reply),
+            Err(failure) if !is_not_run(failure.code) => return Outcome::from_reply(reply),
             Err(_) => {
-                tries.refused += 1;
+                attempts.refused += 1;
                 last = Some(reply);
             }
         }
         tokio::time::sleep(PAUSE).await;
     }
     match last {
-        Some(reply) => Outcome::of(reply),
+        Some(reply) => Outcome::from_reply(reply),
         None => not_run::<E>(cause),
     }
 }
@@ -119,7 +122,7 @@
 ///
 /// A connection can go silent without a reset. A write that is sent on one ends as
 /// unknown; one that was never sent can be sent elsewhere.
-async fn is_alive<P: Protocol>(line: &mut Line) -> bool {
+async fn is_alive<P: Protocol>(line: &mut Connection) -> bool {
     if line.answered() + STALE_LINE > Boot.now() {
         return true;
     }
@@ -146,7 +149,7 @@
     let now = Boot.now();
     let wait = left(ask.route.timeout, ask.at);
     match node.proved(group, now, wait).await {
-        Proved::Primary(lead) if Rc::ptr_eq(&lead, member) => Outcome::of(reply),
+        Proved::Primary(lead) if Rc::ptr_eq(&lead, member) => Outcome::from_reply(reply),
         _ => in_doubt::<E>(Cause::Unproved),
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -88,7 +88,7 @@
 pub async fn stop<E: Edge>(node: &Rc<Node<E>>) {
     let since = Boot.now();
     node.stage.set(Stage::Stop(since));
-    node.staged.notify_waiters();
+    node.stage_changed.notify_waiters();
     node.peers.call_all();
     log::info!(sessions = node.sessions.get(); "stopping");
     let grace = node.settings.grace;
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -16,12 +16,12 @@
 use crate::{
     access,
     account::Hello,
+    connection,
     edge::{Edge, Protocol},
-    kept::Kept,
-    line,
     message::{Code, Request, State},
     node::{Node, Stage},
     run,
+    session_state::SessionState,
     transaction::Transaction,
 };
 use statement::Session;
@@ -55,7 +55,7 @@
                 spawn_local(async move {
                     node.sessions.set(node.sessions.get() + 1);
                     if serve(&node, stream).await.is_err() {
-                        node.lost.set(node.lost.get() + 1);
+                        node.lost_callers.set(node.lost_callers.get() + 1);
                     }
                     node.sessions.set(node.sessions.get() - 1);
                 });
@@ -77,14 +77,14 @@
 }
 
 async fn serve<E: Edge>(node: &Rc<Node<E>>, mut stream: TcpStream) -> io::Result<()> {
-    let _ = line::tune(&stream);
+    let _ = connection::set_socket_options(&stream);
     let mut buf = BytesMut::new();
     let hello = timeout(HELLO, hello::<E>(&mut stream, &mut buf)).await;
     let Ok(Ok(Some(hello))) = hello else {
         return Ok(());
     };
     let mut out = BytesMut::new();
-    if !node.informed(INFORMED).await {
+    if !node.wait_for_catalog(INFORMED).await {
         E::Protocol::rejection(
             Code::Busy,
             "no catalogue yet, come back in 500 ms",
@@ -92,7 +92,7 @@
         );
         return stream.write_all(&out).await;
     }
-    node.acquainted().await;
+    node.wait_for_peers().await;
     let caller = match access::enter(node, &hello, Boot.now()).await {
         Ok(caller) => caller,
         Err((code, cause)) => {
@@ -113,12 +113,12 @@
 /// # Errors
 ///
 /// The connection broke.
-pub async fn host<E: Edge>(
+pub async fn serve_forwarded<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
-    kept: Kept,
+    kept: SessionState,
 ) -> io::Result<()> {
-    let _ = line::tune(&stream);
+    let _ = connection::set_socket_options(&stream);
     let mut out = BytesMut::new();
     if node.route(&kept.database).is_none() {
         E::Protocol::rejection(Code::NoDatabase, "no such database", &mut out);
@@ -205,7 +205,7 @@
     rest_from: Instant,
 ) -> io::Result<Wake> {
     loop {
-        let staged = node.staged.notified();
+        let staged = node.stage_changed.notified();
         let stop = stop_at(node, session, buf);
         let rest = match &session.transaction {
             Transaction::Pinned(_) | Transaction::Begun(_) => {
--- a/crates/proxy/src/session/statement.rs
+++ b/crates/proxy/src/session/statement.rs
@@ -11,15 +11,15 @@
     access,
     account::Caller,
     catalog::Route,
+    connection::Values,
     edge::Edge,
     group::Served,
-    kept::Kept,
-    line::Values,
-    message::{Access, Code, Query, Shape, State, Statement},
+    message::{Access, Code, Prepared, Query, State, Statement},
     node::Node,
     outcome::{Cause, Outcome},
     remote::Remote,
     run::{self, Ask},
+    session_state::SessionState,
     shares,
     transaction::{self, Begun, Start, Transaction},
 };
@@ -29,7 +29,7 @@
 pub(super) struct Session {
     pub(super) database: Bytes,
     pub(super) values: Values,
-    pub(super) prepared: HashMap<Bytes, Shape>,
+    pub(super) prepared: HashMap<Bytes, Prepared>,
     pub(super) own: Option<(Rc<str>, Position)>,
     pub(super) transaction: Transaction,
     /// The ids of the transaction's statements so far, for the log.
@@ -72,7 +72,7 @@
         caller: Option<Caller>,
     ) -> Self {
         let account = caller.as_ref().map(|caller| Rc::clone(&caller.account));
-        let kept = Kept::new(database, account);
+        let kept = SessionState::new(database, account);
         let mut session = Self::new(kept, At::Here { _served: None });
         session.caller = caller;
         session.settle(node).await;
@@ -80,17 +80,17 @@
     }
 
     /// A session that another instance handed over.
-    pub(super) fn host<E: Edge>(node: &Node<E>, kept: Kept) -> Self {
+    pub(super) fn host<E: Edge>(node: &Node<E>, kept: SessionState) -> Self {
         let served = served(node, &kept.database);
         Self::new(kept, At::Hosted { _served: served })
     }
 
-    fn new(kept: Kept, at: At) -> Self {
+    fn new(kept: SessionState, at: At) -> Self {
         Self {
             database: kept.database,
             values: kept.values,
             prepared: kept.prepared,
-            own: kept.own.map(|(service, own)| (service.into(), own)),
+            own: kept.last_commit.map(|(service, own)| (service.into(), own)),
             transaction: Transaction::None,
             ids: Vec::new(),
             at,
@@ -102,14 +102,14 @@
     }
 
     /// What another instance needs to go on with it.
-    fn kept(&self) -> Kept {
+    fn kept(&self) -> SessionState {
         let own = self.own.as_ref();
-        Kept {
+        SessionState {
             database: self.database.clone(),
             account: self.account.clone(),
             values: self.values.clone(),
             prepared: self.prepared.clone(),
-            own: own.map(|(service, own)| (service.to_string(), *own)),
+            last_commit: own.map(|(service, own)| (service.to_string(), *own)),
         }
     }
 
@@ -141,12 +141,12 @@
             return;
         };
         let group = node.group_of(&route.service);
-        if !group.is_handed(Boot.now()) {
+        if !group.is_migration_due(Boot.now()) {
             return;
         }
         self.settle(node).await;
         if !matches!(self.at, At::There(_)) {
-            group.handed.set(Some(Boot.now()));
+            group.held_elsewhere_since.set(Some(Boot.now()));
         }
     }
 
@@ -210,7 +210,7 @@
         }
         if matches!(outcome.failure, Some((_, Cause::Holder))) {
             let span = Boot.now().since(at);
-            node.figures.answered(route.as_deref(), &outcome, span);
+            node.metrics.answered(route.as_deref(), &outcome, span);
             self.tell(node, query, route.as_deref(), &outcome, span);
         }
         outcome
@@ -280,8 +280,8 @@
         let outcome = self.dispatch(node, query, at).await;
         let route = node.route(&self.database);
         let span = Boot.now().since(at);
-        node.figures.answered(route.as_deref(), &outcome, span);
-        if outcome.failure.is_some() || route.as_ref().is_some_and(|r| span > r.aim) {
+        node.metrics.answered(route.as_deref(), &outcome, span);
+        if outcome.failure.is_some() || route.as_ref().is_some_and(|r| span > r.latency_target) {
             self.tell(node, query, route.as_deref(), &outcome, span);
         }
         outcome
@@ -291,7 +291,7 @@
     /// so that the other half is left for it.
     fn patience<E: Edge>(&self, node: &Node<E>) -> Duration {
         let route = node.route(&self.database);
-        route.map_or(Duration::ZERO, |route| route.aim / 2)
+        route.map_or(Duration::ZERO, |route| route.latency_target / 2)
     }
 
     /// Refuses a statement that its caller may not ask for. Nothing of an open transaction is
@@ -327,7 +327,7 @@
         };
         let route = node.route(&self.database);
         let span = Boot.now().since(at);
-        node.figures.answered(route.as_deref(), &outcome, span);
+        node.metrics.answered(route.as_deref(), &outcome, span);
         self.tell(node, query, route.as_deref(), &outcome, span);
         outcome
     }
@@ -343,7 +343,7 @@
     ) {
         let now = Boot.now();
         let group = route.map(|route| node.group_of(&route.service));
-        let known = group.as_ref().and_then(|group| group.known());
+        let known = group.as_ref().and_then(|group| group.stored_record());
         let left = group.map_or(Duration::ZERO, |group| group.proof().until().since(now));
         let (code, cause) = match outcome.failure {
             Some((code, cause)) => (Some(code), Some(cause)),
@@ -361,15 +361,15 @@
             state:? = outcome.state,
             code:?, cause:?,
             ms = millis(span),
-            refused = outcome.tries.refused,
-            unconnected = outcome.tries.unconnected,
-            lost = outcome.tries.lost,
+            refused = outcome.attempts.refused,
+            unconnected = outcome.attempts.unconnected,
+            lost = outcome.attempts.lost,
             catalogue = node.catalog().version,
             term = known.as_ref().map_or(0, |known| known.record.term.0),
             upstream = known.as_ref().map_or("", |known| &*known.record.upstream),
             phase:? = known.as_ref().map(|known| known.record.phase),
             proof_left_ms = millis(left),
-            store_silent_ms = millis(now.since(node.contact.get()));
+            store_silent_ms = millis(now.since(node.store_contact_at.get()));
             "statement"
         );
     }
@@ -420,7 +420,7 @@
                 self.prepared.insert(name.clone(), shape.clone());
                 Outcome::done::<E::Protocol>(state)
             }
-            Statement::Forget(name) => match self.prepared.remove(name) {
+            Statement::Deallocate(name) => match self.prepared.remove(name) {
                 Some(_) => Outcome::done::<E::Protocol>(state),
                 None => unknown::<E>(state),
             },
@@ -515,7 +515,7 @@
         &mut self,
         node: &Rc<Node<E>>,
         query: &Query,
-        prepared: Option<(&Shape, &[u8])>,
+        prepared: Option<(&Prepared, &[u8])>,
         access: Access,
         at: Instant,
     ) -> Outcome {
@@ -545,7 +545,7 @@
         &mut self,
         node: &Rc<Node<E>>,
         query: &Query,
-        prepared: Option<(&Shape, &[u8])>,
+        prepared: Option<(&Prepared, &[u8])>,
         access: Access,
         at: Instant,
     ) -> Outcome {
@@ -568,7 +568,7 @@
         &self,
         route: &'a Route,
         query: &'a Query,
-        prepared: Option<(&'a Shape, &'a [u8])>,
+        prepared: Option<(&'a Prepared, &'a [u8])>,
         (values, account): (&'a Values, Option<&'a Rc<str>>),
         at: Instant,
     ) -> Ask<'a> {
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/session_state.rs
@@ -7,11 +7,11 @@
 use model::Position;
 use serde::{Deserialize, Serialize};
 
-use crate::{line::Values, message::Shape};
+use crate::{connection::Values, message::Prepared};
 
 /// What makes a session outside of a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SessionState {
     /// The database that the caller named.
     pub database: Bytes,
     /// The account whose session it is. Whoever hands it over has checked its caller's key,
@@ -22,12 +22,12 @@
     /// The session's values.
     pub values: Values,
     /// Its prepared statements.
-    pub prepared: HashMap<Bytes, Shape>,
+    pub prepared: HashMap<Bytes, Prepared>,
     /// The position of its last commit, and the service whose log that is in.
-    pub own: Option<(String, Position)>,
+    pub last_commit: Option<(String, Position)>,
 }
 
-impl Kept {
+impl SessionState {
     /// A session of `account` on `database` that has nothing yet.
     pub fn new(database: Bytes, account: Option<Rc<str>>) -> Self {
         Self {
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -39,7 +39,7 @@
 impl Settings {
     /// How long what the operators and all instances agreed on may be used by an instance
     /// that has not heard that it changed.
-    pub fn agreed(&self) -> Duration {
+    pub fn agreement_ttl(&self) -> Duration {
         self.revocation.unwrap_or(AGREED)
     }
 
--- a/crates/proxy/src/shares.rs
+++ b/crates/proxy/src/shares.rs
@@ -124,7 +124,7 @@
 
 /// The key of the table.
 pub fn key<E: Edge>() -> String {
-    format!("{}shares", E::OWN)
+    format!("{}shares", E::OWN_PREFIX)
 }
 
 impl Shares {
@@ -369,7 +369,7 @@
     let address = node.peers.address(keeper)?;
     shares.stamp.set(shares.stamp.get() + 1);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(shares.stamp.get());
+    let stamp = node.incarnation.wrapping_add(shares.stamp.get());
     let (sender, answer) = oneshot::channel();
     shares.waiting.borrow_mut().insert(stamp, sender);
     let question = Proof::Take {
--- a/crates/proxy/src/shares/keeper.rs
+++ b/crates/proxy/src/shares/keeper.rs
@@ -62,7 +62,7 @@
     let now = Boot.now();
     let shares = &node.shares;
     let parts = shares.parts(account, &node.settings.name, now);
-    if parts == 0 || !node.freshness.covers(now, node.settings.agreed()) {
+    if parts == 0 || !node.freshness.covers(now, node.settings.agreement_ttl()) {
         return None;
     }
     let spare = node.settings.slack.map_or(0.0, |slack| slack.spare(quota));
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -59,7 +59,7 @@
 
 async fn fetch<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
     if let Some(item) = peers::shares(address).await? {
-        control::learn(node, Change::Put(item));
+        control::apply_change(node, Change::Put(item));
     }
     Ok(())
 }
@@ -67,7 +67,10 @@
 /// Changes the table, if keepers are lost or missing.
 async fn divide<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     // Without a proof the table may be one that was changed since; a write would be in vain.
-    if !node.freshness.covers(Boot.now(), node.settings.agreed()) {
+    if !node
+        .freshness
+        .covers(Boot.now(), node.settings.agreement_ttl())
+    {
         return Ok(());
     }
     let shares = &node.shares;
@@ -80,11 +83,11 @@
         .settings
         .slack
         .map_or(Duration::ZERO, |slack| slack.window);
-    let span = node.settings.agreed().max(window);
+    let span = node.settings.agreement_ttl().max(window);
     let open = || Ledger::open(span, now);
     let mut ledger = shares.ledger.take().unwrap_or_else(open);
     let catalog = node.catalog();
-    let mut accounts: Vec<_> = catalog.accounts.limited().collect();
+    let mut accounts: Vec<_> = catalog.accounts.with_quota().collect();
     accounts.sort_unstable();
     let relays = node.peers.all_relays(relay::candidate(node));
     let candidates: Vec<_> = relays.iter().map(peers::Relay::candidate).collect();
@@ -121,12 +124,12 @@
                 revision,
             };
             log::info!(revision, size = item.value.len(); "shares changed");
-            control::learn(node, Change::Put(item));
+            control::apply_change(node, Change::Put(item));
         }
         Swapped::Conflict | Swapped::NoLease => {
-            let newer = node.store().newer(&[(&key, known)], CALL).await?;
+            let newer = node.store().read_newer(&[(&key, known)], CALL).await?;
             for item in newer {
-                control::learn(node, Change::Put(item));
+                control::apply_change(node, Change::Put(item));
             }
         }
     }
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -23,7 +23,7 @@
     counted,
     edge::{Edge, Fault, Orders},
     era::LONELY,
-    group::{Group, Known},
+    group::{Group, StoredRecord},
     member::Member,
     node::Node,
     probe,
@@ -129,8 +129,8 @@
 /// Notes who has the right to give orders as soon as a group's primary is being replaced:
 /// if that instance is lost, the right has run out so long after it was seen first.
 pub(crate) fn notice<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
-    let changes = |known: &Known| known.record.phase == Phase::Changing;
-    if !group.known().as_ref().is_some_and(changes) {
+    let changes = |known: &StoredRecord| known.record.phase == Phase::Changing;
+    if !group.stored_record().as_ref().is_some_and(changes) {
         return;
     }
     let holders = node.holder_names(&group.service);
@@ -160,7 +160,7 @@
     right: &Right,
     mut reason: Reason,
 ) -> Result<(), Failed> {
-    let old = group.known().ok_or(Failed::Overtaken)?.record;
+    let old = group.stored_record().ok_or(Failed::Overtaken)?.record;
     let revision = announce(node, group, right).await?;
     let ended = end_era(node, right).await?;
     while right.holds() {
@@ -207,12 +207,12 @@
             .orders()
             .promote(&group.service, id, name, right.fence);
         let ordered = timeout(ORDER, order).await;
-        node.ordered.set(Some(Boot.now()));
+        node.last_order_at.set(Some(Boot.now()));
         let answer = match &ordered {
             Ok(ordered) => counted::answer(ordered.as_ref().err()),
             Err(_) => "given_up",
         };
-        node.figures.called("promote", answer);
+        node.metrics.called("promote", answer);
         log::info!(service = &*group.service, upstream = &**id, fence = right.fence, ordered:?; "promote");
         if matches!(ordered, Ok(Err(Fault::Missing | Fault::Refused))) {
             continue;
@@ -236,7 +236,7 @@
     if !reason.is_doubt() {
         return None;
     }
-    sleep(wait.saturating_sub(probe::ANSWER)).await;
+    sleep(wait.saturating_sub(probe::STATUS_TIMEOUT)).await;
     let status = probe::status::<E::Protocol>(&primary).await.status()?;
     (status.leads && status.term == old.term).then_some(primary)
 }
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -7,7 +7,7 @@
 use lead::{Phase, Verdict, vote};
 
 use super::right::RIGHT;
-use crate::{catalog::Stay, edge::Edge, group::Group, node::Node};
+use crate::{catalog::Readiness, edge::Edge, group::Group, node::Node};
 
 /// How much later each further instance tries.
 pub(super) const RANK: Duration = Duration::from_millis(200);
@@ -47,7 +47,7 @@
 
 /// Why a group's primary is to be replaced by this instance now, if it is.
 pub(super) fn due<E: Edge>(node: &Node<E>, group: &Group, holds: bool) -> Option<Reason> {
-    let known = group.known()?;
+    let known = group.stored_record()?;
     let now = Boot.now();
     let service = &*group.service;
     let delay = |turn: u32| match holds {
@@ -56,7 +56,7 @@
     };
     let turn = || delay(turn(node, &group.service));
     if known.record.phase == Phase::Changing {
-        let since = group.known_at.get();
+        let since = group.record_learnt_at.get();
         let wait = match holds {
             true => Duration::ZERO,
             false => RIGHT / 4 + turn() / 2,
@@ -74,12 +74,12 @@
         let wait = turn();
         return (since + wait <= now).then_some(Reason::Deposed);
     }
-    if primary.stay.get() == Stay::Draining {
+    if primary.readiness.get() == Readiness::Draining {
         let wait = turn();
         let since = group.leaving_since(now);
         return (since + wait < now).then_some(Reason::Leaving);
     }
-    if let Some(since) = primary.pool.starved_since(now) {
+    if let Some(since) = primary.pool.locked_out_since(now) {
         let (tally, _) = node.peers.tally(service, known.record.term, Verdict::Full);
         let wait = turn();
         if tally.shut(node.peers.judges(), now.since(since).saturating_sub(wait)) {
@@ -87,7 +87,7 @@
         }
     }
     // What was seen while this instance itself was cut off says nothing.
-    let is_sighted = vote::is_sighted(now, node.stored.get(), node.stored_since.get());
+    let is_sighted = vote::is_sighted(now, node.store_heard_at.get(), node.store_up_since.get());
     if !primary.is_failing() || !is_sighted {
         return None;
     }
@@ -95,7 +95,7 @@
     let own = primary.verdict(now);
     let (tally, failing) = node.peers.tally(service, known.record.term, own);
     // A zone that was cut off hears its own first when it is back.
-    let failing_for = now.since(since.max(node.stored_since.get()));
+    let failing_for = now.since(since.max(node.store_up_since.get()));
     if !tally.gone(node.peers.judges(), failing_for) {
         return None;
     }
--- a/crates/proxy/src/takeover/fence.rs
+++ b/crates/proxy/src/takeover/fence.rs
@@ -10,13 +10,13 @@
 
 use super::{POLL, due::Reason};
 use crate::{
-    catalog::Stay,
+    catalog::Readiness,
     edge::Edge,
-    group::{Group, MEMORY},
+    group::{Group, LIST_MEMORY},
     member::Member,
     message::Command,
     node::Node,
-    probe::{self, Said},
+    probe::{self, Answer},
 };
 
 /// How long a replica's position is remembered that no other may fall behind.
@@ -76,20 +76,20 @@
     let old_said = async {
         match primary {
             Some(primary) if !primary.is_failing() => probe::status::<E::Protocol>(primary).await,
-            _ => Said::Silent,
+            _ => Answer::Silent,
         }
     };
-    let (said, old_said) = join(probe::all::<E::Protocol>(&others), old_said).await;
+    let (said, old_said) = join(probe::status_of_all::<E::Protocol>(&others), old_said).await;
     if let Some(leads) = leader(&others, &said, old.term) {
         return Some(leads);
     }
-    if let (Some(primary), Said::Status(status)) = (primary, old_said)
+    if let (Some(primary), Answer::Status(status)) = (primary, old_said)
         && status.leads
         && status.term > old.term
     {
         return Some(Chosen::Leads(Rc::clone(primary), status.term));
     }
-    if let (Some(primary), Said::Status(status)) = (primary, old_said)
+    if let (Some(primary), Answer::Status(status)) = (primary, old_said)
         && reason.is_doubt()
         && status.leads
         && status.term == old.term
@@ -97,29 +97,29 @@
         return Some(Chosen::Leads(Rc::clone(primary), old.term));
     }
     let mut last = None;
-    if let (Some(primary), Said::Status(_)) = (primary, old_said) {
+    if let (Some(primary), Answer::Status(_)) = (primary, old_said) {
         let demote = Command::Demote(next);
-        let said = probe::order::<E::Protocol>(primary, &demote, probe::ANSWER).await;
-        if let Said::Status(status) = said
+        let said = probe::order::<E::Protocol>(primary, &demote, probe::STATUS_TIMEOUT).await;
+        if let Answer::Status(status) = said
             && reason != Reason::Deposed
         {
             last = Some(status.received);
             catch_up::<E>(&others, status.received).await;
         }
     }
-    let said = probe::each::<E::Protocol>(&others, &Command::Pause(next)).await;
+    let said = probe::order_all::<E::Protocol>(&others, &Command::Pause(next)).await;
     let mut candidates = Vec::new();
     let mut told = Vec::new();
     for (member, said) in others.iter().zip(&said) {
         let Some(status) = said.status() else {
             continue;
         };
-        group.received(status.received);
+        group.note_received(status.received);
         told.push(Rc::clone(member));
         candidates.push(choose::Candidate {
             upstream: &member.upstream.id,
             received: status.received,
-            stays: member.stay.get() == Stay::Ready,
+            stays: member.readiness.get() == Readiness::Ready,
         });
     }
     let answered = candidates.len();
@@ -129,7 +129,7 @@
         candidates.push(choose::Candidate {
             upstream: &primary.upstream.id,
             received,
-            stays: primary.stay.get() == Stay::Ready,
+            stays: primary.readiness.get() == Readiness::Ready,
         });
     }
     if !is_safe(node, group, &candidates, answered, last) {
@@ -137,7 +137,7 @@
     }
     let best = choose::best(&candidates)?;
     log::info!(service = &*group.service, upstream = best, candidates:?, last:?; "replica chosen");
-    let replicas = group.replicas(Boot.now(), MEMORY);
+    let replicas = group.replica_count(Boot.now(), LIST_MEMORY);
     let fenced = match last {
         Some(_) => Fenced::Primary,
         None if quorum::excludes(answered, replicas) => Fenced::Majority,
@@ -169,7 +169,7 @@
     let chosen = told.iter().position(leads);
     let chosen_holds = chosen.is_none_or(|at| held[at]);
     let holding = held.iter().filter(|held| **held).count();
-    let replicas = group.replicas(Boot.now(), MEMORY);
+    let replicas = group.replica_count(Boot.now(), LIST_MEMORY);
     let enough = fenced != Fenced::Majority || quorum::excludes(holding, replicas);
     chosen_holds && enough
 }
@@ -178,9 +178,9 @@
 async fn holds<E: Edge>(member: &Rc<Member>, term: Term) -> bool {
     for _ in 0..HOLD_ASKED {
         match probe::status::<E::Protocol>(member).await {
-            Said::Status(status) => return status.held > term || status.leads,
-            Said::Full => sleep(POLL).await,
-            Said::Refused(_) | Said::Silent => return false,
+            Answer::Status(status) => return status.held > term || status.leads,
+            Answer::Full => sleep(POLL).await,
+            Answer::Refused(_) | Answer::Silent => return false,
         }
     }
     false
@@ -205,13 +205,13 @@
         return true;
     }
     let now = Boot.now();
-    let replicas = group.replicas(now, MEMORY);
+    let replicas = group.replica_count(now, LIST_MEMORY);
     let seen = group.furthest(now, SEEN);
     choose::enough(answered, replicas, sync) && seen.is_none_or(|seen| furthest >= seen)
 }
 
 /// The member that leads a newer term than `term`, if one does.
-pub(super) fn leader(members: &[Rc<Member>], said: &[Said], term: Term) -> Option<Chosen> {
+pub(super) fn leader(members: &[Rc<Member>], said: &[Answer], term: Term) -> Option<Chosen> {
     let leaders = members.iter().zip(said).filter_map(|(member, said)| {
         let status = said.status()?;
         (status.leads && status.term > term).then_some((status.term, member))
@@ -224,7 +224,7 @@
 pub(super) async fn catch_up<E: Edge>(others: &[Rc<Member>], last: Position) {
     let deadline = Boot.now() + CATCH_UP;
     while Boot.now() < deadline {
-        let said = probe::all::<E::Protocol>(others).await;
+        let said = probe::status_of_all::<E::Protocol>(others).await;
         let received = said.iter().filter_map(|said| said.status());
         if received
             .map(|status| status.received)
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -16,7 +16,7 @@
     right::{CALL, Right},
 };
 use crate::{
-    control::{duty_key, encode, lead_key},
+    control::{duty_key, encode, record_key},
     edge::{Edge, Fault, Store, Swap, Swapped},
     era::{era_key, era_of},
     group::Group,
@@ -32,14 +32,14 @@
     group: &Group,
     right: &Right,
 ) -> Result<u64, Failed> {
-    let known = group.known().ok_or(Failed::Overtaken)?;
+    let known = group.stored_record().ok_or(Failed::Overtaken)?;
     let record = Record {
         phase: Phase::Changing,
         by: node.settings.name.clone(),
         written: node.store().era(),
         ..known.record
     };
-    let key = lead_key::<E>(&group.service);
+    let key = record_key::<E>(&group.service);
     let mut swap = Swap {
         expected: vec![(key.clone(), known.revision), (duty_key::<E>(), 0)],
         puts: vec![(key, encode(&record), 0)],
@@ -50,7 +50,7 @@
         swap.expected[1].1 = duty;
         match timeout(CALL, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
-                group.learn(record, revision);
+                group.update_record(record, revision);
                 return Ok(revision);
             }
             // The right was renewed meanwhile, or an unanswered try was done.
@@ -68,7 +68,7 @@
     group: &Group,
     record: &Record,
 ) -> Result<u64, Failed> {
-    let key = lead_key::<E>(&group.service);
+    let key = record_key::<E>(&group.service);
     let items = timeout(CALL, node.store().read(&key, CALL)).await;
     let items = items.map_err(|_| Fault::Unknown)??;
     let item = items.items.iter().find(|item| item.key == key);
@@ -77,7 +77,7 @@
     if read.as_ref() != Some(record) {
         return Err(Failed::Overtaken);
     }
-    group.learn(record.clone(), item.revision);
+    group.update_record(record.clone(), item.revision);
     Ok(item.revision)
 }
 
@@ -93,7 +93,7 @@
         let Some(lease) = era_of::<E>(&items) else {
             return Ok(Boot.now());
         };
-        match timeout(CALL, store.end(lease.id)).await {
+        match timeout(CALL, store.revoke(lease.id)).await {
             Ok(Ok(()) | Err(Fault::Missing)) => return Ok(Boot.now()),
             _ => sleep(POLL).await,
         }
@@ -110,7 +110,7 @@
     member: &Rc<Member>,
     term: Term,
 ) -> Result<(), Failed> {
-    let old = group.known().map(|known| known.record.upstream);
+    let old = group.stored_record().map(|known| known.record.upstream);
     let record = Record {
         term,
         upstream: member.upstream.id.to_string(),
@@ -118,7 +118,7 @@
         by: node.settings.name.clone(),
         written: node.store().era(),
     };
-    let key = lead_key::<E>(&group.service);
+    let key = record_key::<E>(&group.service);
     let swap = Swap {
         expected: vec![(key.clone(), revision)],
         puts: vec![(key, encode(&record), 0)],
@@ -130,7 +130,7 @@
         }
         match timeout(CALL, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
-                group.learn(record, revision);
+                group.update_record(record, revision);
                 break;
             }
             Ok(Ok(_)) => {
@@ -140,7 +140,7 @@
             Ok(Err(_)) | Err(_) => sleep(POLL * 2).await,
         }
     }
-    node.prove.notify_one();
+    node.proof_wanted.notify_one();
     let again = old.as_deref() == Some(&*member.upstream.id);
     let others: Vec<_> = group
         .members()
@@ -148,11 +148,11 @@
         .filter(|m| !Rc::ptr_eq(m, member))
         .collect();
     spawn_local(async move {
-        probe::each::<E::Protocol>(&others, &Command::Resume).await;
+        probe::order_all::<E::Protocol>(&others, &Command::Resume).await;
         if again {
             return;
         }
-        probe::each::<E::Protocol>(&others, &Command::Demote(term)).await;
+        probe::order_all::<E::Protocol>(&others, &Command::Demote(term)).await;
     });
     Ok(())
 }
--- a/crates/proxy/src/takeover/right.rs
+++ b/crates/proxy/src/takeover/right.rs
@@ -101,7 +101,7 @@
     }
     let name = &node.settings.name;
     if let Some(duty) = &duty {
-        let own = duty.life == node.life;
+        let own = duty.life == node.incarnation;
         if duty.held && !own && seen + RIGHT + RIGHT / 20 > now {
             if let Some(address) = node.peers.address(&duty.holder) {
                 node.peers.call_one(address);
@@ -109,12 +109,12 @@
             return Err(Failed::Held);
         }
         // A life before this one may have given the order.
-        let acted = node.ordered.get().unwrap_or(seen);
+        let acted = node.last_order_at.get().unwrap_or(seen);
         if duty.holder != *name && duty.before.contains(name) && acted + TURN > now {
             return Err(Failed::Held);
         }
     }
-    *node.before.borrow_mut() = duty.map_or_else(Vec::new, |duty| duty.before(name));
+    *node.previous_holders.borrow_mut() = duty.map_or_else(Vec::new, |duty| duty.before(name));
     let (revision, until) = write_duty(node, revision, true).await?;
     Ok(Right {
         fence: revision,
@@ -156,9 +156,9 @@
 ) -> Result<(u64, Instant), Failed> {
     let duty = Duty {
         holder: node.settings.name.clone(),
-        life: node.life,
+        life: node.incarnation,
         held,
-        before: node.before.borrow().clone(),
+        before: node.previous_holders.borrow().clone(),
         written: node.store().era(),
     };
     let swap = Swap {
--- a/crates/proxy/src/transaction.rs
+++ b/crates/proxy/src/transaction.rs
@@ -11,16 +11,16 @@
 
 use crate::{
     catalog::Route,
+    connection::{Connection, Values},
     edge::{Edge, Protocol},
     group::Group,
-    line::{Line, Values},
     message::{Access, Code, Command, Query, Reply, State},
     node::{Node, Proved},
     outcome::{Cause, Outcome},
-    place::{self, Place},
     pool, probe,
+    refusal::{self, Refusal},
+    routing::{self, Target},
     run::{self, Ask, Lost, Patience},
-    strain::{self, Refusal},
 };
 
 /// How long undoing a transaction may take until its connection is closed instead.
@@ -104,7 +104,7 @@
 /// A transaction on its connection.
 #[derive(Debug)]
 pub struct Pinned {
-    line: Box<Line>,
+    line: Box<Connection>,
     pin: pool::Pin,
     group: Rc<Group>,
     /// The route it takes.
@@ -183,23 +183,23 @@
         if hold.is_zero() {
             return Err(given_up::<E>(last));
         }
-        let place = match place::needs_primary(&begun.route, begun.access) {
+        let place = match routing::needs_primary(&begun.route, begun.access) {
             true => match node.proved(&group, begun.at, hold).await {
-                Proved::Primary(member) => Some(Place {
+                Proved::Primary(member) => Some(Target {
                     member,
                     floor: None,
                     leads: true,
                 }),
                 Proved::Nobody => None,
             },
-            false => place::place(node, &group, &begin, &tried, hold).await,
+            false => routing::choose_target(node, &group, &begin, &tried, hold).await,
         };
         let Some(place) = place else {
             return Err(given_up::<E>(last));
         };
         let Some(mut line) = run::connect::<E>(node, &place.member, &begin, hold).await else {
             last = (Code::Busy, Cause::NoConnection);
-            probe::check(node, &group, &place.member);
+            probe::monitor(node, &group, &place.member);
             tried.push(Rc::clone(&place.member.upstream.id));
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -275,7 +275,7 @@
             pinned.line.unprepare();
         }
         if code == Some(Code::Busy) {
-            strain::refused(pinned.line.member(), Refusal::Statement, Boot.now());
+            refusal::record(pinned.line.member(), Refusal::Statement, Boot.now());
         }
         let again = matches!(code, Some(Code::Busy | Code::NoStatement));
         if again && reply.state == State::Open && !run::left(pinned.route.timeout, ask.at).is_zero()
@@ -286,7 +286,7 @@
         if code == Some(Code::ReadOnly) {
             run::read_only(node, &pinned.group, pinned.line.member());
         }
-        let outcome = Outcome::of(reply);
+        let outcome = Outcome::from_reply(reply);
         return match outcome.state {
             State::Open => (outcome, Transaction::Pinned(pinned)),
             State::Failed => {
@@ -364,7 +364,7 @@
         let group = Rc::clone(&pinned.group);
         let outcome = match (&reply.verdict, pinned.wrote) {
             (Ok(()), true) => run::acknowledged(node, &group, &member, reply, ask).await,
-            _ => Outcome::of(reply),
+            _ => Outcome::from_reply(reply),
         };
         return (outcome, Transaction::None);
     }
--- a/crates/proxy/src/work.rs
+++ b/crates/proxy/src/work.rs
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A heartbeat to an instance that waits for it.
-    PromptHeartbeat,
+    FrequentHeartbeat,
     /// A heartbeat to an instance that only wants to know who there is.
-    RareHeartbeat,
+    InfrequentHeartbeat,
     /// A heartbeat that came.
     HeardHeartbeat,
     /// A byte of heartbeats sent.
@@ -23,9 +23,9 @@
     /// An instance that came or went.
     ChangedInstance,
     /// An answer to an instance that follows this one.
-    Feed,
+    ChangeBatch,
     /// A byte of these answers.
-    FeedByte,
+    ChangeBatchByte,
     /// A change that a relay told of.
     Change,
     /// A question for a proof that came from another instance.
@@ -38,29 +38,29 @@
 
 impl Kind {
     const ALL: [Self; 11] = [
-        Self::PromptHeartbeat,
-        Self::RareHeartbeat,
+        Self::FrequentHeartbeat,
+        Self::InfrequentHeartbeat,
         Self::HeardHeartbeat,
         Self::HeartbeatByte,
         Self::ChangedInstance,
-        Self::Feed,
-        Self::FeedByte,
+        Self::ChangeBatch,
+        Self::ChangeBatchByte,
         Self::Change,
         Self::ProofQuestion,
         Self::Catalogue,
         Self::Group,
     ];
 
-    /// Its name among the figures.
+    /// Its name among the metrics.
     fn name(self) -> &'static str {
         match self {
-            Self::PromptHeartbeat => "prompt_heartbeats",
-            Self::RareHeartbeat => "rare_heartbeats",
+            Self::FrequentHeartbeat => "prompt_heartbeats",
+            Self::InfrequentHeartbeat => "rare_heartbeats",
             Self::HeardHeartbeat => "heard_heartbeats",
             Self::HeartbeatByte => "heartbeat_bytes",
             Self::ChangedInstance => "changed_instances",
-            Self::Feed => "feeds",
-            Self::FeedByte => "feed_bytes",
+            Self::ChangeBatch => "feeds",
+            Self::ChangeBatchByte => "feed_bytes",
             Self::Change => "changes",
             Self::ProofQuestion => "proof_questions",
             Self::Catalogue => "catalogues",
@@ -87,9 +87,9 @@
     /// ```
     /// use proxy::work::{Kind, Work};
     ///
-    /// assert_eq!(Work::default().of(Kind::Feed), 0);
+    /// assert_eq!(Work::default().count(Kind::ChangeBatch), 0);
     /// ```
-    pub fn of(&self, kind: Kind) -> u64 {
+    pub fn count(&self, kind: Kind) -> u64 {
         self.counts[kind as usize].get()
     }
 }
@@ -97,7 +97,7 @@
 /// All counts of an instance, by name.
 pub fn counts<E: Edge>(node: &Node<E>) -> Vec<(&'static str, u64)> {
     let (looks, draws) = node.peers.work();
-    let own = Kind::ALL.map(|kind| (kind.name(), node.work.of(kind)));
+    let own = Kind::ALL.map(|kind| (kind.name(), node.work.count(kind)));
     own.into_iter()
         .chain([("looks", looks), ("draws", draws)])
         .collect()
@@ -111,7 +111,7 @@
         for (name, count) in counts(&node) {
             let _ = write!(done, "{name}={count} ");
         }
-        let calls = node.figures.calls();
+        let calls = node.metrics.calls();
         let (instances, active) = (node.peers.count(), node.active().len());
         log::info!(
             instances, active, relays = node.is_relay(), sessions = node.sessions.get(),
--- a/crates/proxy/tests/beat.rs
+++ b/crates/proxy/tests/beat.rs
@@ -6,7 +6,7 @@
 use model::Term;
 use proptest::prelude::*;
 use proxy::{
-    node::Service,
+    node::ServiceState,
     peers::beat::{self, Beat, Belief, Datagram, FORMAT, Greeting, Hearing, More, Proof},
 };
 
@@ -28,7 +28,7 @@
         starved: vec!["i-1".to_owned()],
         zone: "zone-1".to_owned(),
         weight: 25,
-        service: Service::Able,
+        service: ServiceState::Able,
         leaving: false,
     };
     let more = More {
