--- a/crates/daemon/src/control/duty.rs
+++ b/crates/daemon/src/control/duty.rs
@@ -4,7 +4,7 @@
 
 use catalog::layout::Snapshot;
 use clock::{Clock, Instant};
-use failover::{Action, Event, Group, Member, Stay};
+use failover::{Action, Event, Group, Member, Status};
 use model::{Phase as Change, Record, name};
 use ntex::time::sleep;
 
@@ -98,7 +98,7 @@
     fn leads(&self) -> Vec<Lead> {
         let lead = |(database, slot): (&name::Database, &Slot)| {
             let term = slot.group.term().unwrap_or_default();
-            let lead = slot.group.lead().filter(|lead| lead.term == term);
+            let lead = slot.group.primary().filter(|lead| lead.term == term);
             Lead {
                 database: database.clone(),
                 term,
@@ -167,7 +167,7 @@
         match word {
             Word::Members(members) => self.set_members(members),
             Word::Catalog(snapshot) => self.follow(&snapshot),
-            Word::Seen { database, entry } => self.step(&database, Event::Seen(entry)),
+            Word::Seen { database, entry } => self.step(&database, Event::Watched(entry)),
             Word::Heard {
                 from,
                 zone,
@@ -176,7 +176,7 @@
                 let database = evidence.database.clone();
                 self.step(
                     &database,
-                    Event::Heard {
+                    Event::Evidence {
                         from,
                         zone,
                         evidence,
@@ -288,7 +288,7 @@
                 }
             }
             // Evidence may be lost, and is told again.
-            Action::Tell { to, evidence } => {
+            Action::SendEvidence { to, evidence } => {
                 if self.says.push(Say::Tell { to, evidence }).is_err() {
                     ring_full("says");
                 }
@@ -315,7 +315,7 @@
         let Some(slot) = self.groups.get_mut(database) else {
             return;
         };
-        let Some(lead) = slot.group.lead() else {
+        let Some(lead) = slot.group.primary() else {
             return;
         };
         if slot.told == Some(lead.term) {
@@ -351,14 +351,14 @@
 /// The upstreams of a database, as the failover machine sees them.
 fn members(database: &catalog::Database) -> BTreeMap<name::Upstream, Member> {
     let member = |it: &catalog::Upstream| {
-        let stay = if it.leaving {
-            Stay::Leaving
+        let status = if it.leaving {
+            Status::Leaving
         } else {
-            Stay::Staying
+            Status::Active
         };
         Member {
             zone: it.zone.clone(),
-            stay,
+            status,
         }
     };
     database
--- a/crates/daemon/src/control/pace.rs
+++ b/crates/daemon/src/control/pace.rs
@@ -43,7 +43,7 @@
     let each = databases * FEW * UPSTREAMS * PROBE_BYTES / instances;
     let micros = each as u64 * 1_000_000 / BUDGET as u64;
     let steps = u128::from(micros).div_ceil(STEP.as_micros());
-    Timing::paced(STEP * u32::try_from(steps.max(1)).unwrap_or(u32::MAX))
+    Timing::with_probe_interval(STEP * u32::try_from(steps.max(1)).unwrap_or(u32::MAX))
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -30,7 +30,9 @@
     ) -> Result<(), Cause> {
         let id = self.next_id();
         let waits = match self.quorum.borrow_mut().as_mut() {
-            Some(quorum) => quorum.wait(id, position).map_err(|_| Cause::Replaced)?,
+            Some(quorum) => quorum
+                .add_write(id, position)
+                .map_err(|_| Cause::Replaced)?,
             None => return Err(Cause::NoUpstream),
         };
         if waits.is_some() {
@@ -45,7 +47,7 @@
             () = sleep(deadline.since(core.now())) => {
                 self.waiters.borrow_mut().remove(&id);
                 if let Some(quorum) = self.quorum.borrow_mut().as_mut() {
-                    quorum.cancel(id, position);
+                    quorum.cancel_write(id, position);
                 }
                 Err(Cause::Deadline)
             }
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -17,7 +17,7 @@
 use ntex::time::sleep;
 use pool::{
     holder::{self, Candidate, Share},
-    pool::Service,
+    pool::Status as PoolStatus,
 };
 use route::{Event, Router, State};
 use session::Confirmed;
@@ -111,7 +111,7 @@
         };
         part.seats
             .iter()
-            .map(|seat| holder::entry_part(limit, of, *seat))
+            .map(|seat| holder::entry_limit(limit, of, *seat))
             .sum()
     }
 }
@@ -162,9 +162,9 @@
                 None => ways(core, conf, &database.dbname),
             };
             lines.set_service(if conf.leaving {
-                Service::Leaving
+                PoolStatus::Leaving
             } else {
-                Service::In
+                PoolStatus::Active
             });
             let member = Member {
                 conf: conf.clone(),
@@ -287,7 +287,7 @@
         let replaced = {
             let mut quorum = self.quorum.borrow_mut();
             match quorum.as_mut() {
-                Some(quorum) => quorum.replaced(term, upstream.clone()),
+                Some(quorum) => quorum.replace_primary(term, upstream.clone()),
                 None => {
                     *quorum = Some(Quorum::open(size, term, upstream.clone()));
                     Vec::new()
@@ -424,8 +424,8 @@
         connections: connections.saturating_sub(1),
         slots,
         warm: slots,
-        idle: IDLE,
-        transaction_idle: TRANSACTION_IDLE,
+        idle_timeout: IDLE,
+        transaction_idle_timeout: TRANSACTION_IDLE,
     }
 }
 
--- a/crates/daemon/src/upstreams/lines.rs
+++ b/crates/daemon/src/upstreams/lines.rs
@@ -14,7 +14,7 @@
 use pool::{
     Action, Event, Handle, Pool, Ticket,
     conn::Generation,
-    pool::{After, Request, Service},
+    pool::{Condition, Request, Status},
 };
 use tokio::sync::{Notify, oneshot};
 use upstream::{Conn, Login};
@@ -93,8 +93,8 @@
     }
 
     /// Tells whether the upstream gets new work.
-    pub(super) fn set_service(self: &Rc<Self>, service: Service) {
-        self.step(Event::Service(service));
+    pub(super) fn set_service(self: &Rc<Self>, service: Status) {
+        self.step(Event::Status(service));
     }
 
     /// What the upstream has to do for this instance.
@@ -164,12 +164,12 @@
             seen: line.seen,
         };
         self.idle.borrow_mut().insert(line.handle.generation, idle);
-        self.step(Event::Answered(line.handle, After::Idle));
+        self.step(Event::Answered(line.handle, Condition::Idle));
     }
 
     /// Notes that the transaction on a connection goes on.
     pub(super) fn hold(self: &Rc<Self>, line: &Line) {
-        self.step(Event::Answered(line.handle, After::Transaction));
+        self.step(Event::Answered(line.handle, Condition::Transaction));
     }
 
     /// Closes a connection that is not fit for another request.
@@ -179,7 +179,7 @@
     pub(super) fn discard(self: &Rc<Self>, line: Line) {
         let handle = line.handle;
         drop(line);
-        self.step(Event::Answered(handle, After::Unusable));
+        self.step(Event::Answered(handle, Condition::Unusable));
         self.tell_closed(handle.generation);
     }
 
@@ -242,7 +242,7 @@
             // The request that owns the connection has the same deadline and
             // cancels and discards it itself; the pool has closed its books.
             Action::Cancel(_) => {}
-            Action::Broke(ticket, cause) => {
+            Action::Abort(ticket, cause) => {
                 self.broken.borrow_mut().insert(ticket);
                 self.answer(
                     ticket,
--- a/crates/daemon/src/upstreams/view.rs
+++ b/crates/daemon/src/upstreams/view.rs
@@ -186,7 +186,7 @@
     fn view(&self, now: Instant) -> Pool {
         let pool = self.pool.borrow();
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
-        let breaker = match pool.breaker().opens_at() {
+        let breaker = match pool.breaker().retry_at() {
             Some(at) => Breaker::Open {
                 retry_ms: millis(at.since(now)),
             },
--- a/crates/failover/src/sight.rs
+++ b/crates/failover/src/detector.rs
@@ -19,7 +19,7 @@
 
 /// What is known of an upstream, and how regularly it answers.
 #[derive(Debug)]
-pub(crate) struct Sight {
+pub(crate) struct Detector {
     asked: BTreeMap<Call, Instant>,
     mean: Duration,
     deviation: Duration,
@@ -32,7 +32,7 @@
     advanced: Option<Instant>,
 }
 
-impl Sight {
+impl Detector {
     pub(crate) fn open(now: Instant) -> Self {
         Self {
             asked: BTreeMap::new(),
@@ -50,7 +50,8 @@
 
     /// Notes a probe, unless too many are under way.
     pub(crate) fn ask(&mut self, now: Instant, timing: &Timing, call: Call) -> Option<Call> {
-        self.asked.retain(|_, asked| now.since(*asked) < timing.cap);
+        self.asked
+            .retain(|_, asked| now.since(*asked) < timing.max_silence);
         if self.asked.len() >= OUTSTANDING {
             return None;
         }
@@ -92,11 +93,11 @@
     /// instances, whose old and new connections fill an upstream for a while,
     /// replaces a healthy primary and leaves its writes in doubt. But one that
     /// hangs behind connections that nobody can use says the same: without a
-    /// report for [`Timing::crowded`] it counts as silent.
+    /// report for [`Timing::full_grace`] it counts as silent.
     fn crowded(&mut self, now: Instant, timing: &Timing) {
         self.refusals = 0;
         let known = self.answered.unwrap_or(self.opened);
-        if now.since(known) < timing.crowded {
+        if now.since(known) < timing.full_grace {
             self.patience = now;
         }
     }
@@ -121,8 +122,8 @@
 
     /// How long this upstream may be silent before it is suspected.
     pub(crate) fn tolerance(&self, timing: &Timing) -> Duration {
-        let usual = timing.probe + self.mean + self.deviation * 4;
-        usual.clamp(timing.floor, timing.cap)
+        let usual = timing.probe_interval + self.mean + self.deviation * 4;
+        usual.clamp(timing.min_silence, timing.max_silence)
     }
 
     /// Starts to count silence anew.
@@ -177,6 +178,6 @@
     /// Whether its log grew a short while ago.
     pub(crate) fn advancing(&self, now: Instant, timing: &Timing) -> bool {
         self.advanced
-            .is_some_and(|at| now.since(at) < timing.progress)
+            .is_some_and(|at| now.since(at) < timing.progress_window)
     }
 }
--- a/crates/failover/src/event.rs
+++ b/crates/failover/src/event.rs
@@ -16,14 +16,14 @@
     /// Its availability zone.
     pub zone: name::Zone,
     /// Whether it is leaving, and can't become primary if another can.
-    pub stay: Stay,
+    pub status: Status,
 }
 
 /// Whether an upstream stays in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stay {
+pub enum Status {
     /// It stays.
-    Staying,
+    Active,
     /// It is being taken out of service.
     Leaving,
 }
@@ -38,7 +38,7 @@
 }
 
 /// The revision to expect when there must be no record yet.
-pub const ABSENT: u64 = 0;
+pub const ABSENT_REVISION: u64 = 0;
 
 /// Why an upstream gave no report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
@@ -143,7 +143,7 @@
         result: Result<Report, Fault>,
     },
     /// Another candidate told its evidence.
-    Heard {
+    Evidence {
         /// The teller.
         from: name::Instance,
         /// The teller's zone.
@@ -166,7 +166,7 @@
         result: Result<u64, StoreFault>,
     },
     /// A watch of the store showed the record.
-    Seen(Entry),
+    Watched(Entry),
     /// Another instance announced the record.
     Announced(Entry),
 }
@@ -191,7 +191,7 @@
         order: Order,
     },
     /// Tell another candidate, without confirmation.
-    Tell {
+    SendEvidence {
         /// The candidate.
         to: name::Instance,
         /// What to tell.
@@ -206,7 +206,7 @@
     Swap {
         /// To answer with.
         call: Call,
-        /// The revision it must have, or [`ABSENT`].
+        /// The revision it must have, or [`ABSENT_REVISION`].
         expected: u64,
         /// The new record.
         record: Record,
--- a/crates/failover/src/group.rs
+++ b/crates/failover/src/group.rs
@@ -1,8 +1,8 @@
 //! The failover machine of one database at one candidate instance.
 
-mod act;
-mod duty;
-mod judge;
+mod actions;
+mod guards;
+mod periodic;
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,12 +14,12 @@
 use model::{Lsn, Phase, Position, Record, Report, Term, name};
 
 use crate::{
+    detector::Detector,
     event::{Action, Call, Entry, Event, Fault, Member, Order, View},
-    ledger::{self, Ledger},
     machine::{self, Machine, State},
     peers::{Peers, candidates},
     promotion::Promotion,
-    sight::Sight,
+    register::{self, Register},
     timing::Timing,
 };
 
@@ -49,7 +49,7 @@
 
 /// Who leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lead {
+pub struct Primary {
     /// The term.
     pub term: Term,
     /// The primary.
@@ -86,10 +86,10 @@
     timer: Timer<Alarm>,
     due: Option<clock::Token>,
     wake: Option<Instant>,
-    sights: BTreeMap<name::Upstream, Sight>,
+    detectors: BTreeMap<name::Upstream, Detector>,
     peers: Peers,
-    ledger: Ledger,
-    lead: Option<Lead>,
+    register: Register,
+    primary: Option<Primary>,
     changes: VecDeque<Instant>,
     promotion: Option<Promotion>,
     claim: Option<u128>,
@@ -113,17 +113,20 @@
     /// the crate's tests rule out.
     pub fn open(conf: Conf, now: Instant) -> Result<Self, chart::Error> {
         let chart = machine::chart()?;
-        let sights = conf.upstreams.keys().map(|u| (u.clone(), Sight::open(now)));
+        let detectors = conf
+            .upstreams
+            .keys()
+            .map(|u| (u.clone(), Detector::open(now)));
         Ok(Self {
             state: chart.initial(),
             chart,
             timer: Timer::default(),
             due: None,
             wake: None,
-            sights: sights.collect(),
+            detectors: detectors.collect(),
             peers: Peers::default(),
-            ledger: Ledger::open(conf.instance.clone(), conf.seed),
-            lead: None,
+            register: Register::open(conf.instance.clone(), conf.seed),
+            primary: None,
             changes: VecDeque::new(),
             promotion: None,
             claim: None,
@@ -140,16 +143,16 @@
     }
 
     /// Who leads, as far as this instance knows.
-    pub fn lead(&self) -> Option<&Lead> {
-        self.lead.as_ref()
+    pub fn primary(&self) -> Option<&Primary> {
+        self.primary.as_ref()
     }
 
     /// The latest term that the store's record is known to have opened; above
-    /// that of [`Group::lead`] while it is only claimed.
+    /// that of [`Group::primary`] while it is only claimed.
     pub fn term(&self) -> Option<Term> {
-        let known = self.ledger.known().map(|entry| entry.record.term);
-        let lead = self.lead.as_ref().map(|lead| lead.term);
-        known.max(lead)
+        let known = self.register.known().map(|entry| entry.record.term);
+        let primary = self.primary.as_ref().map(|primary| primary.term);
+        known.max(primary)
     }
 
     /// Where the machine stands.
@@ -164,7 +167,7 @@
         for alarm in self.timer.expired(now) {
             self.ring(now, alarm);
         }
-        if let Some(action) = self.ledger.expire(now, &self.conf.timing) {
+        if let Some(action) = self.register.expire(now, &self.conf.timing) {
             self.out.push(action);
         }
         self.check(now);
@@ -179,8 +182,8 @@
             return;
         }
         self.peers.forget();
-        for sight in self.sights.values_mut() {
-            sight.forgive(now);
+        for detector in self.detectors.values_mut() {
+            detector.forgive(now);
         }
     }
 
@@ -194,21 +197,23 @@
                 upstream,
                 result,
             } => self.answer(now, call, &upstream, result),
-            Event::Heard {
+            Event::Evidence {
                 from,
                 zone,
                 evidence,
             } => self.peers.hear(now, from, zone, evidence),
             Event::Read { call, result } => {
-                let step = self.ledger.on_read(now, &self.conf.timing, call, result);
+                let step = self.register.on_read(now, &self.conf.timing, call, result);
                 self.store(now, step);
             }
             Event::Swapped { call, result } => {
-                let step = self.ledger.on_swapped(now, &self.conf.timing, call, result);
+                let step = self
+                    .register
+                    .on_swapped(now, &self.conf.timing, call, result);
                 self.store(now, step);
             }
-            Event::Seen(entry) => {
-                let outcome = self.ledger.on_seen(entry);
+            Event::Watched(entry) => {
+                let outcome = self.register.on_seen(entry);
                 self.store(now, (outcome, None));
             }
             Event::Announced(entry) => self.announced(now, &entry),
@@ -226,17 +231,17 @@
             self.timer.subscribe(now, Alarm::Probe);
             self.timer.subscribe(now, Alarm::Tell);
             if self.state == State::Reading {
-                let read = self.ledger.read(now, &self.conf.timing);
+                let read = self.register.read(now, &self.conf.timing);
                 self.out.push(read);
             }
         }
     }
 
     fn set_upstreams(&mut self, now: Instant, upstreams: BTreeMap<name::Upstream, Member>) {
-        self.sights.retain(|u, _| upstreams.contains_key(u));
+        self.detectors.retain(|u, _| upstreams.contains_key(u));
         for upstream in upstreams.keys() {
-            let sight = self.sights.entry(upstream.clone());
-            sight.or_insert_with(|| Sight::open(now));
+            let detector = self.detectors.entry(upstream.clone());
+            detector.or_insert_with(|| Detector::open(now));
         }
         self.conf.upstreams = upstreams;
     }
@@ -248,11 +253,11 @@
         upstream: &name::Upstream,
         result: Result<Report, Fault>,
     ) {
-        let Some(sight) = self.sights.get_mut(upstream) else {
+        let Some(detector) = self.detectors.get_mut(upstream) else {
             return;
         };
-        sight.answer(now, &self.conf.timing, call, result);
-        if sight.doubtful() {
+        detector.answer(now, &self.conf.timing, call, result);
+        if detector.doubtful() {
             self.probe(now, upstream);
         }
         let Some(promotion) = &mut self.promotion else {
@@ -265,20 +270,20 @@
         }
     }
 
-    fn store(&mut self, now: Instant, step: (Option<ledger::Outcome>, Option<Action>)) {
+    fn store(&mut self, now: Instant, step: (Option<register::Outcome>, Option<Action>)) {
         let (outcome, action) = step;
         self.out.extend(action);
         let Some(outcome) = outcome else {
             return;
         };
-        if let Some(entry) = self.ledger.known().cloned() {
-            self.adopt_lead(now, &entry.record);
+        if let Some(entry) = self.register.known().cloned() {
+            self.adopt_primary(now, &entry.record);
         }
         let swaps = matches!(self.state, State::Claiming | State::Recording);
         let event = match outcome {
-            ledger::Outcome::Won if swaps => machine::Event::Won,
-            ledger::Outcome::Absent => machine::Event::Absent,
-            _ if !self.ledger.claimed() => machine::Event::Led,
+            register::Outcome::Won if swaps => machine::Event::Won,
+            register::Outcome::Absent => machine::Event::Absent,
+            _ if !self.register.claimed() => machine::Event::Led,
             _ if self.unrecorded() => machine::Event::Announced,
             _ => machine::Event::Claimed,
         };
@@ -286,11 +291,11 @@
     }
 
     fn announced(&mut self, now: Instant, entry: &Entry) {
-        if !self.adopt_lead(now, &entry.record) {
+        if !self.adopt_primary(now, &entry.record) {
             return;
         }
         let superseded = self
-            .ledger
+            .register
             .known()
             .is_some_and(|k| k.record.term > entry.record.term);
         if !superseded {
@@ -299,22 +304,22 @@
     }
 
     /// Takes a record's primary as the one that leads, if its term is higher.
-    fn adopt_lead(&mut self, now: Instant, record: &Record) -> bool {
+    fn adopt_primary(&mut self, now: Instant, record: &Record) -> bool {
         let Phase::Led { upstream } = &record.phase else {
             return false;
         };
-        if self.lead.as_ref().is_some_and(|l| l.term >= record.term) {
+        if self.primary.as_ref().is_some_and(|l| l.term >= record.term) {
             return false;
         }
-        if self.lead.is_some() {
+        if self.primary.is_some() {
             self.changes.push_back(now);
         }
-        if let Some(sight) = self.sights.get_mut(upstream) {
-            sight.forgive(now);
+        if let Some(detector) = self.detectors.get_mut(upstream) {
+            detector.forgive(now);
         }
         self.contested = None;
         self.unconfirmed = None;
-        self.lead = Some(Lead {
+        self.primary = Some(Primary {
             term: record.term,
             upstream: upstream.clone(),
             fork: record.fork,
@@ -353,7 +358,7 @@
     }
 
     fn set_wake(&mut self) {
-        let moments = [self.timer.next(), self.ledger.due()];
+        let moments = [self.timer.next(), self.register.due()];
         let Some(at) = moments.into_iter().flatten().min() else {
             return;
         };
--- a/crates/failover/src/group/act.rs
+++ b/crates/failover/src/group/actions.rs
@@ -15,17 +15,17 @@
 impl Group {
     pub(super) fn act(&mut self, now: Instant, action: Action) {
         match action {
-            Action::AwaitPrimary => self.wait(now, self.conf.timing.orphan),
+            Action::AwaitPrimary => self.wait(now, self.conf.timing.adoption_timeout),
             Action::AwaitClaimant | Action::AwaitRecord => {
                 let turn = self.turn(now);
-                self.wait(now, self.conf.timing.overtake + turn);
+                self.wait(now, self.conf.timing.claim_timeout + turn);
             }
             Action::AwaitTurn => {
                 let turn = self.turn(now);
                 self.wait(now, turn);
             }
             Action::Read => {
-                let read = self.ledger.read(now, &self.conf.timing);
+                let read = self.register.read(now, &self.conf.timing);
                 self.out.push(read);
             }
             Action::Adopt => self.adopt(now),
@@ -48,7 +48,7 @@
     /// How long this candidate leaves the field to those ranked before it.
     fn turn(&self, now: Instant) -> Duration {
         let timing = &self.conf.timing;
-        timing.rank * self.peers.rank(now, timing, &self.conf.instance)
+        timing.rank_delay * self.peers.rank(now, timing, &self.conf.instance)
     }
 
     /// Records the primary that the group has before it has a record.
@@ -56,7 +56,7 @@
         let Some((upstream, term)) = self.found() else {
             return;
         };
-        let attempt = self.ledger.attempt();
+        let attempt = self.register.attempt();
         let phase = Phase::Led { upstream };
         let fork = Lsn::default();
         let record = Record {
@@ -65,12 +65,12 @@
             fork,
             attempt,
         };
-        let swap = self.ledger.swap(now, &self.conf.timing, record);
+        let swap = self.register.swap(now, &self.conf.timing, record);
         self.out.push(swap);
     }
 
     fn claim(&mut self, now: Instant) {
-        let attempt = self.ledger.attempt();
+        let attempt = self.register.attempt();
         let by = self.conf.instance.clone();
         let record = Record {
             term: self.highest().next(),
@@ -81,28 +81,28 @@
         self.claim = Some(attempt);
         self.promotion = None;
         self.sent.clear();
-        let swap = self.ledger.swap(now, &self.conf.timing, record);
+        let swap = self.register.swap(now, &self.conf.timing, record);
         self.out.push(swap);
     }
 
     /// The highest term that the store, a primary or a fence was seen to have.
     fn highest(&self) -> Term {
-        let reports = self.sights.values().filter_map(|s| s.report());
+        let reports = self.detectors.values().filter_map(|s| s.report());
         let fenced = reports.map(|r| r.fenced.max(r.received.term));
-        let known = self.ledger.known().map(|e| e.record.term);
-        let lead = self.lead.as_ref().map(|l| l.term);
-        fenced.chain(known).chain(lead).max().unwrap_or_default()
+        let known = self.register.known().map(|e| e.record.term);
+        let primary = self.primary.as_ref().map(|l| l.term);
+        fenced.chain(known).chain(primary).max().unwrap_or_default()
     }
 
     fn fence(&mut self, now: Instant) {
-        let Some(term) = self.ledger.known().map(|e| e.record.term) else {
+        let Some(term) = self.register.known().map(|e| e.record.term) else {
             return;
         };
         self.sent.clear();
         self.promotion = Some(Promotion::open(term));
         if self.isolated(now) {
             self.shun(now);
-        } else if self.lead.is_some() && !self.suspected && self.view(now) == View::Alive {
+        } else if self.primary.is_some() && !self.suspected && self.view(now) == View::Alive {
             self.hand_over(now);
         }
         self.send_fences(now);
@@ -110,8 +110,8 @@
 
     /// Passes over a primary that is isolated from its replicas.
     fn shun(&mut self, now: Instant) {
-        let until = now + self.conf.timing.shun;
-        let isolated = self.lead.as_ref().map(|l| (l.upstream.clone(), until));
+        let until = now + self.conf.timing.exclusion_timeout;
+        let isolated = self.primary.as_ref().map(|l| (l.upstream.clone(), until));
         if let Some(promotion) = &mut self.promotion {
             promotion.shunned = isolated;
         }
@@ -119,7 +119,7 @@
 
     /// Gives replicas time to catch up, if the old primary leaves in good health.
     fn hand_over(&mut self, now: Instant) {
-        let until = now + self.conf.timing.handover;
+        let until = now + self.conf.timing.handover_timeout;
         if let Some(promotion) = &mut self.promotion {
             promotion.handover = Some(until);
         }
@@ -129,7 +129,7 @@
         // From here on the claim may have a primary: it can't be resumed.
         self.claim = None;
         self.sent.clear();
-        self.wait(now, self.conf.timing.promote);
+        self.wait(now, self.conf.timing.promotion_timeout);
         let timing = self.conf.timing.clone();
         let alive: Vec<name::Upstream> = self.alive(now, &timing);
         let Some(promotion) = &mut self.promotion else {
@@ -140,7 +140,7 @@
     }
 
     fn announce(&mut self, now: Instant) {
-        let Some(known) = self.ledger.known().cloned() else {
+        let Some(known) = self.register.known().cloned() else {
             return;
         };
         if known.record.leader().is_some() {
@@ -157,9 +157,9 @@
             term,
             phase: Phase::Led { upstream },
             fork,
-            attempt: self.ledger.attempt(),
+            attempt: self.register.attempt(),
         };
-        self.adopt_lead(now, &record);
+        self.adopt_primary(now, &record);
         self.led = Some(term);
         self.sent.clear();
         let revision = known.revision;
@@ -169,29 +169,29 @@
     }
 
     fn record(&mut self, now: Instant) {
-        let Some(lead) = self.lead.clone() else {
+        let Some(primary) = self.primary.clone() else {
             return;
         };
         let record = Record {
-            term: lead.term,
+            term: primary.term,
             phase: Phase::Led {
-                upstream: lead.upstream,
+                upstream: primary.upstream,
             },
-            fork: lead.fork,
-            attempt: self.ledger.attempt(),
+            fork: primary.fork,
+            attempt: self.register.attempt(),
         };
-        let swap = self.ledger.swap(now, &self.conf.timing, record);
+        let swap = self.register.swap(now, &self.conf.timing, record);
         self.out.push(swap);
     }
 
     /// Sends an order, unless the same one is still within its time to answer.
     pub(super) fn send(&mut self, now: Instant, upstream: &name::Upstream, order: Order) {
-        let bound = self.conf.timing.order;
+        let bound = self.conf.timing.order_timeout;
         let waits = |s: &super::Sent| s.order == order && now.since(s.at) < bound;
         if self.sent.get(upstream).is_some_and(waits) {
             return;
         }
-        let call = self.ledger.call();
+        let call = self.register.call();
         let sent = super::Sent {
             at: now,
             order: order.clone(),
--- a/crates/failover/src/group/judge.rs
+++ b/crates/failover/src/group/guards.rs
@@ -6,7 +6,7 @@
 use model::{Position, Role, Term, name};
 
 use crate::{
-    event::{Stay, View},
+    event::{Status, View},
     group::Group,
     machine::{Guard, State},
     peers::Verdict,
@@ -39,14 +39,14 @@
                 self.contested = None;
                 self.isolated(now)
             }
-            Verdict::Condemned => {
+            Verdict::Suspected => {
                 self.contested.get_or_insert(now);
                 true
             }
             Verdict::Contested => {
                 let since = *self.contested.get_or_insert(now);
-                let ripe = now.since(since) >= self.conf.timing.contested;
-                let stuck = self.stuck(now, self.conf.timing.unconfirmed);
+                let ripe = now.since(since) >= self.conf.timing.contested_delay;
+                let stuck = self.stuck(now, self.conf.timing.unconfirmed_timeout);
                 (ripe || stuck) && !self.replicating(now)
             }
         };
@@ -56,13 +56,13 @@
     /// majority. A primary that is cut off from its replicas goes on to run
     /// writes which never land, and its own zone goes on to vouch for it.
     fn watch_place(&mut self, now: Instant) {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return;
         };
         if self.unconfirmed.is_some_and(|(place, _)| self.held(place)) {
             self.unconfirmed = None;
         }
-        let told = self.peers.place(now, &self.conf.timing, lead.term);
+        let told = self.peers.place(now, &self.conf.timing, primary.term);
         let told = told.max(self.place(now));
         match told.filter(|place| !self.held(*place)) {
             Some(place) => drop(self.unconfirmed.get_or_insert((place, now))),
@@ -72,20 +72,23 @@
 
     /// Whether replicas enough to make a majority with the primary hold this.
     fn held(&self, place: Position) -> bool {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return true;
         };
-        let others = self.sights.iter().filter(|(u, _)| **u != lead.upstream);
+        let others = self
+            .detectors
+            .iter()
+            .filter(|(u, _)| **u != primary.upstream);
         let holds = |r: &model::Report| r.received.covers(place);
         let holding = others.filter(|(_, s)| s.report().is_some_and(holds));
-        holding.count() + 1 >= majority(self.sights.len())
+        holding.count() + 1 >= majority(self.detectors.len())
     }
 
     /// Whether the primary answers here, but its log reaches no majority: only
     /// the ways between the upstreams are cut, and no write lands.
     pub(super) fn isolated(&self, now: Instant) -> bool {
         let alive = self.view(now) == View::Alive;
-        let stuck = self.stuck(now, self.conf.timing.isolated);
+        let stuck = self.stuck(now, self.conf.timing.isolation_timeout);
         alive && stuck && self.able(now) && !self.replicating(now)
     }
 
@@ -99,36 +102,40 @@
         if self.view(now) != View::Alive {
             return None;
         }
-        let sight = self.sights.get(&self.lead.as_ref()?.upstream)?;
-        sight.report().map(|r| r.received)
+        let detector = self.detectors.get(&self.primary.as_ref()?.upstream)?;
+        detector.report().map(|r| r.received)
     }
 
     fn verdict(&self, now: Instant) -> Verdict {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return Verdict::Trusted;
         };
         let own = (&self.conf.zone, self.view(now));
-        self.peers.verdict(now, &self.conf.timing, lead.term, own)
+        self.peers
+            .verdict(now, &self.conf.timing, primary.term, own)
     }
 
     /// How this candidate finds the primary.
     pub(super) fn view(&self, now: Instant) -> View {
-        let sight = self
-            .lead
+        let detector = self
+            .primary
             .as_ref()
-            .and_then(|l| self.sights.get(&l.upstream));
-        sight.map_or(View::Unsure, |s| s.primary_view(now, &self.conf.timing))
+            .and_then(|l| self.detectors.get(&l.upstream));
+        detector.map_or(View::Unsure, |s| s.primary_view(now, &self.conf.timing))
     }
 
     /// Whether a majority still takes in the primary's log. Then writes land
     /// for whoever reaches the primary, and replacing it would only cut them.
     fn replicating(&self, now: Instant) -> bool {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return false;
         };
-        let others = self.sights.iter().filter(|(u, _)| **u != lead.upstream);
+        let others = self
+            .detectors
+            .iter()
+            .filter(|(u, _)| **u != primary.upstream);
         let following = others.filter(|(_, s)| s.advancing(now, &self.conf.timing));
-        following.count() + 1 >= majority(self.sights.len())
+        following.count() + 1 >= majority(self.detectors.len())
     }
 
     /// Whether a majority of the group answers here, so that a claim could be
@@ -136,75 +143,77 @@
     /// nobody, and its claim would stand in the way of others.
     fn able(&self, now: Instant) -> bool {
         let alive = self
-            .sights
+            .detectors
             .values()
             .filter(|s| s.alive(now, &self.conf.timing));
-        alive.count() >= majority(self.sights.len())
+        alive.count() >= majority(self.detectors.len())
     }
 
     /// Whether the last change of primary is too recent for another, so that a
     /// fault which every primary meets does not chase the role around.
     fn held_off(&self, now: Instant) -> bool {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return false;
         };
         let timing = &self.conf.timing;
-        let counted = |at: &&Instant| now.since(**at) < timing.memory;
+        let counted = |at: &&Instant| now.since(**at) < timing.hold_off_window;
         let recent = self.changes.iter().filter(counted).count();
-        now.since(lead.since) < timing.hold(recent)
+        now.since(primary.since) < timing.hold_off(recent)
     }
 
     /// Whether the primary is being taken out of service while a staying
     /// replica is close enough behind to take over.
     fn leaving(&self, now: Instant) -> bool {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return false;
         };
-        if !self.is_leaving(&lead.upstream) {
+        if !self.is_leaving(&primary.upstream) {
             return false;
         }
         let ready = |u: &name::Upstream| {
-            let sight = &self.sights[u];
-            let follows = sight.report().is_some_and(|r| r.received.term == lead.term);
-            follows && sight.alive(now, &self.conf.timing)
+            let detector = &self.detectors[u];
+            let follows = detector
+                .report()
+                .is_some_and(|r| r.received.term == primary.term);
+            follows && detector.alive(now, &self.conf.timing)
         };
-        let others = self.sights.keys().filter(|u| **u != lead.upstream);
+        let others = self.detectors.keys().filter(|u| **u != primary.upstream);
         others.filter(|u| !self.is_leaving(u)).any(ready)
     }
 
     pub(super) fn is_leaving(&self, upstream: &name::Upstream) -> bool {
         let member = self.conf.upstreams.get(upstream);
-        member.is_some_and(|m| m.stay == Stay::Leaving)
+        member.is_some_and(|m| m.status == Status::Leaving)
     }
 
     fn own_claim(&self) -> bool {
-        let attempt = self.ledger.known().map(|e| e.record.attempt);
+        let attempt = self.register.known().map(|e| e.record.attempt);
         attempt.is_some() && attempt == self.claim
     }
 
     /// Whether the primary is announced while the store still holds the claim.
     pub(super) fn unrecorded(&self) -> bool {
-        let led = self.lead.as_ref().map(|l| l.term);
-        self.ledger.claimed() && self.ledger.known().map(|e| e.record.term) == led
+        let led = self.primary.as_ref().map(|l| l.term);
+        self.register.claimed() && self.register.known().map(|e| e.record.term) == led
     }
 
     /// Whether the claim under way has lost its reason.
     fn needless(&self, now: Instant) -> bool {
-        let claimed = self.ledger.claimed() && !self.unrecorded();
+        let claimed = self.register.claimed() && !self.unrecorded();
         let alive = self.view(now) == View::Alive;
-        self.lead.is_some() && !claimed && !self.suspected && alive && !self.leaving(now)
+        self.primary.is_some() && !claimed && !self.suspected && alive && !self.leaving(now)
     }
 
     fn majority_fenced(&self, now: Instant) -> bool {
         let Some(promotion) = &self.promotion else {
             return false;
         };
-        let enough = promotion.fenced(now) >= majority(self.sights.len());
+        let enough = promotion.fenced(now) >= majority(self.detectors.len());
         enough && !self.hands_over(now)
     }
 
     fn claimant_works(&self, now: Instant) -> bool {
-        let claimed = self.ledger.known().map(|e| e.record.term);
+        let claimed = self.register.known().map(|e| e.record.term);
         claimed.is_some_and(|t| self.peers.claiming(now, &self.conf.timing, t))
     }
 
@@ -212,7 +221,7 @@
     /// one: the only one with the highest term, fenced to no higher.
     pub(super) fn found(&self) -> Option<(name::Upstream, Term)> {
         let reports = self
-            .sights
+            .detectors
             .iter()
             .filter_map(|(u, s)| Some((u, s.report()?)));
         let reports: Vec<_> = reports.collect();
@@ -230,12 +239,12 @@
             .iter()
             .filter(|(_, r)| r.received.term == term)
             .count();
-        (followers >= majority(self.sights.len())).then(|| ((*upstream).clone(), term))
+        (followers >= majority(self.detectors.len())).then(|| ((*upstream).clone(), term))
     }
 
     /// The furthest place that any upstream was seen to hold.
     pub(super) fn furthest(&self) -> Position {
-        let reports = self.sights.values().filter_map(|s| s.report());
+        let reports = self.detectors.values().filter_map(|s| s.report());
         reports.map(|r| r.received).max().unwrap_or_default()
     }
 
--- a/crates/failover/src/group/duty.rs
+++ b/crates/failover/src/group/periodic.rs
@@ -29,19 +29,19 @@
 
     fn probe_all(&mut self, now: Instant) {
         self.timer
-            .subscribe(now + self.conf.timing.probe, Alarm::Probe);
-        let upstreams: Vec<_> = self.sights.keys().cloned().collect();
+            .subscribe(now + self.conf.timing.probe_interval, Alarm::Probe);
+        let upstreams: Vec<_> = self.detectors.keys().cloned().collect();
         for upstream in &upstreams {
             self.probe(now, upstream);
         }
     }
 
     pub(super) fn probe(&mut self, now: Instant, upstream: &name::Upstream) {
-        let call = self.ledger.call();
-        let Some(sight) = self.sights.get_mut(upstream) else {
+        let call = self.register.call();
+        let Some(detector) = self.detectors.get_mut(upstream) else {
             return;
         };
-        let Some(call) = sight.ask(now, &self.conf.timing, call) else {
+        let Some(call) = detector.ask(now, &self.conf.timing, call) else {
             return;
         };
         let upstream = upstream.clone();
@@ -50,7 +50,7 @@
 
     fn attend(&mut self, now: Instant) {
         self.timer
-            .subscribe(now + self.conf.timing.tell, Alarm::Tell);
+            .subscribe(now + self.conf.timing.evidence_interval, Alarm::Tell);
         self.tell(now);
         match self.state {
             State::Fencing => self.send_fences(now),
@@ -73,14 +73,14 @@
         self.told = (view, claim);
         let evidence = Evidence {
             database: self.conf.database.clone(),
-            term: self.lead.as_ref().map(|l| l.term).unwrap_or_default(),
+            term: self.primary.as_ref().map(|l| l.term).unwrap_or_default(),
             view,
             place: self.place(now),
             claim,
         };
         for to in self.peers.others(&self.conf.instance) {
             let evidence = evidence.clone();
-            self.out.push(Action::Tell { to, evidence });
+            self.out.push(Action::SendEvidence { to, evidence });
         }
     }
 
@@ -89,7 +89,7 @@
             return;
         };
         let term = promotion.term;
-        let open = self.sights.keys().filter(|u| !promotion.has_fenced(u));
+        let open = self.detectors.keys().filter(|u| !promotion.has_fenced(u));
         let open: Vec<_> = open.filter(|u| self.may_fence(now, u)).cloned().collect();
         for upstream in &open {
             self.send(now, upstream, Order::Fence { term });
@@ -99,35 +99,38 @@
     /// Whether an upstream's turn to be fenced has come: in a handover the old
     /// primary is fenced first, and replicas once they hold all of its log.
     fn may_fence(&self, now: Instant, upstream: &name::Upstream) -> bool {
-        let (Some(promotion), Some(lead)) = (&self.promotion, &self.lead) else {
+        let (Some(promotion), Some(primary)) = (&self.promotion, &self.primary) else {
             return true;
         };
-        if promotion.handover.is_none_or(|until| now >= until) || *upstream == lead.upstream {
+        if promotion.handover.is_none_or(|until| now >= until) || *upstream == primary.upstream {
             return true;
         }
-        let Some(last) = promotion.report(&lead.upstream) else {
+        let Some(last) = promotion.report(&primary.upstream) else {
             return false;
         };
-        let report = self.sights.get(upstream).and_then(|s| s.report());
+        let report = self.detectors.get(upstream).and_then(|s| s.report());
         report.is_some_and(|r| r.received >= last.received)
     }
 
     /// Whether a handover still waits for a staying replica to catch up.
     pub(super) fn hands_over(&self, now: Instant) -> bool {
-        let (Some(promotion), Some(lead)) = (&self.promotion, &self.lead) else {
+        let (Some(promotion), Some(primary)) = (&self.promotion, &self.primary) else {
             return false;
         };
         if promotion.handover.is_none_or(|until| now >= until) {
             return false;
         }
-        let Some(last) = promotion.report(&lead.upstream) else {
+        let Some(last) = promotion.report(&primary.upstream) else {
             return true;
         };
         let level = |u: &name::Upstream| {
             let report = promotion.report(u);
             report.is_some_and(|r| r.received >= last.received)
         };
-        !self.sights.keys().any(|u| !self.is_leaving(u) && level(u))
+        !self
+            .detectors
+            .keys()
+            .any(|u| !self.is_leaving(u) && level(u))
     }
 
     pub(super) fn send_promotion(&mut self, now: Instant) {
@@ -143,41 +146,41 @@
     /// Orders every upstream that is not yet in the primary's term to follow
     /// it, among them an old primary that has come back.
     pub(super) fn send_follows(&mut self, now: Instant) {
-        let Some(lead) = self.lead.clone() else {
+        let Some(primary) = self.primary.clone() else {
             return;
         };
-        let promoter = self.led == Some(lead.term);
+        let promoter = self.led == Some(primary.term);
         if !promoter && self.peers.rank(now, &self.conf.timing, &self.conf.instance) > 0 {
             return;
         }
         let strays: Vec<_> = self
-            .sights
+            .detectors
             .keys()
             .filter(|u| self.strays(u))
             .cloned()
             .collect();
         for stray in &strays {
-            let (term, upstream) = (lead.term, lead.upstream.clone());
+            let (term, upstream) = (primary.term, primary.upstream.clone());
             self.send(now, stray, Order::Follow { term, upstream });
         }
     }
 
     fn strays(&self, upstream: &name::Upstream) -> bool {
-        let Some(lead) = &self.lead else {
+        let Some(primary) = &self.primary else {
             return false;
         };
-        let Some(report) = self.sights.get(upstream).and_then(|s| s.report()) else {
+        let Some(report) = self.detectors.get(upstream).and_then(|s| s.report()) else {
             return false;
         };
-        if *upstream == lead.upstream || report.fenced > lead.term {
+        if *upstream == primary.upstream || report.fenced > primary.term {
             return false;
         }
-        let behind = report.fenced < lead.term || report.received.term < lead.term;
+        let behind = report.fenced < primary.term || report.received.term < primary.term;
         behind || report.role == Role::Primary
     }
 
     pub(super) fn alive(&self, now: Instant, timing: &Timing) -> Vec<name::Upstream> {
-        let alive = self.sights.iter().filter(|(_, s)| s.alive(now, timing));
+        let alive = self.detectors.iter().filter(|(_, s)| s.alive(now, timing));
         alive.map(|(u, _)| u.clone()).collect()
     }
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -10,20 +10,21 @@
 //! to keep that term over restarts, and to report a term as received only once
 //! they hold log of that term, not as soon as they are ordered to follow it.
 
+mod detector;
 pub mod event;
 mod group;
-mod ledger;
 mod machine;
 mod peers;
 mod promotion;
 pub mod quorum;
-mod sight;
+mod register;
 pub mod timing;
 
 pub use event::{
-    ABSENT, Action, Call, Entry, Event, Evidence, Fault, Member, Order, Stay, StoreFault, View,
+    ABSENT_REVISION, Action, Call, Entry, Event, Evidence, Fault, Member, Order, Status,
+    StoreFault, View,
 };
-pub use group::{Conf, Group, Lead};
+pub use group::{Conf, Group, Primary};
 pub use machine::State;
 pub use peers::{CANDIDATES, candidates};
 pub use quorum::Quorum;
--- a/crates/failover/src/peers.rs
+++ b/crates/failover/src/peers.rs
@@ -73,7 +73,7 @@
     /// A majority suspects it, but a zone vouches for it or no other is heard.
     Contested,
     /// A majority suspects it and nobody vouches for it.
-    Condemned,
+    Suspected,
 }
 
 /// The candidates of a group.
@@ -121,7 +121,7 @@
         now: Instant,
         timing: &Timing,
     ) -> impl Iterator<Item = (&name::Instance, &Heard)> {
-        let bound = timing.heard;
+        let bound = timing.evidence_ttl;
         self.heard
             .iter()
             .filter(move |(_, h)| now.since(h.at) <= bound)
@@ -176,7 +176,7 @@
         if vouchers > 0 || alone {
             return Verdict::Contested;
         }
-        Verdict::Condemned
+        Verdict::Suspected
     }
 }
 
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 use model::{Lsn, Report, Role, Term, name};
 
-use crate::event::{Member, Stay};
+use crate::event::{Member, Status};
 
 /// A claim of ours that the store granted.
 #[derive(Debug)]
@@ -101,7 +101,7 @@
         preferred: impl Fn(&name::Upstream) -> bool,
     ) -> Option<&name::Upstream> {
         if self.chosen.is_none() {
-            let stays = |u| members.get(u).is_some_and(|m| m.stay == Stay::Staying);
+            let stays = |u| members.get(u).is_some_and(|m| m.status == Status::Active);
             let best = self
                 .counted(now)
                 .max_by_key(|(u, r)| (r.received, stays(*u), preferred(u), Reverse(*u)));
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -37,7 +37,7 @@
 ///     replayed: Lsn(lsn),
 /// };
 /// let mut quorum = Quorum::open(3, Term(4), upstream("a"));
-/// assert_eq!(quorum.wait(Id(1), Position::new(4, 70)), Ok(None));
+/// assert_eq!(quorum.add_write(Id(1), Position::new(4, 70)), Ok(None));
 /// let asked = Instant::ZERO;
 /// assert!(quorum.report(&upstream("a"), asked, &report(Role::Primary, 75)).is_empty());
 /// assert_eq!(quorum.report(&upstream("b"), asked, &report(Role::Replica, 70)), [Id(1)]);
@@ -77,12 +77,12 @@
     ///
     /// [`Replaced`] if the position is not of this term: the outcome of the
     /// write is unknown here.
-    pub fn wait(&mut self, id: Id, position: Position) -> Result<Option<Id>, Replaced> {
+    pub fn add_write(&mut self, id: Id, position: Position) -> Result<Option<Id>, Replaced> {
         if position.term != self.term {
             let term = self.term;
             return Err(Replaced { term });
         }
-        if position.lsn <= self.place() {
+        if position.lsn <= self.committed() {
             return Ok(Some(id));
         }
         self.writes.insert((position.lsn, id));
@@ -91,7 +91,7 @@
 
     /// Lets a read wait that began at `began` until a majority, the primary
     /// among it, has confirmed this term in answers to probes sent since then.
-    pub fn confirm(&mut self, id: Id, began: Instant) {
+    pub fn add_read(&mut self, id: Id, began: Instant) {
         self.reads.insert((began, id));
     }
 
@@ -124,7 +124,7 @@
 
     /// Gives back all that waits, because a higher term has a primary: the
     /// outcome of each write is unknown, and each read starts anew.
-    pub fn replaced(&mut self, term: Term, primary: name::Upstream) -> Vec<Id> {
+    pub fn replace_primary(&mut self, term: Term, primary: name::Upstream) -> Vec<Id> {
         if term <= self.term {
             return Vec::new();
         }
@@ -150,12 +150,12 @@
     }
 
     /// Stops waiting for a write whose caller's deadline has passed.
-    pub fn cancel(&mut self, id: Id, position: Position) {
+    pub fn cancel_write(&mut self, id: Id, position: Position) {
         self.writes.remove(&(position.lsn, id));
     }
 
     /// Stops waiting for the confirmation of a read that began at `began`.
-    pub fn abandon(&mut self, id: Id, began: Instant) {
+    pub fn cancel_read(&mut self, id: Id, began: Instant) {
         self.reads.remove(&(began, id));
     }
 
@@ -165,14 +165,14 @@
     }
 
     /// The place up to which a majority holds this term's log.
-    pub fn place(&self) -> Lsn {
+    pub fn committed(&self) -> Lsn {
         let mut places: Vec<Lsn> = self.held.values().map(|h| h.lsn).collect();
         places.sort_unstable_by(|a, b| b.cmp(a));
         places.get(self.majority - 1).copied().unwrap_or_default()
     }
 
     fn landed(&mut self) -> Vec<Id> {
-        let place = self.place();
+        let place = self.committed();
         let mut done = Vec::new();
         while let Some(&(lsn, id)) = self.writes.first() {
             if lsn > place {
--- a/crates/failover/src/ledger.rs
+++ b/crates/failover/src/register.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
 use crate::{
-    event::{ABSENT, Action, Call, Entry, StoreFault},
+    event::{ABSENT_REVISION, Action, Call, Entry, StoreFault},
     timing::Timing,
 };
 
@@ -55,7 +55,7 @@
 
 /// What is known of the store's record, and the one call under way.
 #[derive(Debug)]
-pub(crate) struct Ledger {
+pub(crate) struct Register {
     known: Option<Entry>,
     swap: Option<Swap>,
     pending: Option<Pending>,
@@ -68,7 +68,7 @@
     seed: u64,
 }
 
-impl Ledger {
+impl Register {
     pub(crate) fn open(name: name::Instance, seed: u64) -> Self {
         Self {
             known: None,
@@ -112,14 +112,14 @@
 
     /// Swaps the known record for `record`.
     pub(crate) fn swap(&mut self, now: Instant, timing: &Timing, record: Record) -> Action {
-        let expected = self.known.as_ref().map_or(ABSENT, |e| e.revision);
+        let expected = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         self.swap = Some(Swap { expected, record });
         self.asked = false;
         self.failures = 0;
         self.send(now, timing)
     }
 
-    /// When to call [`Ledger::expire`].
+    /// When to call [`Register::expire`].
     pub(crate) fn due(&self) -> Option<Instant> {
         self.pending.as_ref().map(|p| p.until)
     }
@@ -160,8 +160,8 @@
             self.back_off(now, timing);
             return (None, None);
         };
-        let revision = entry.as_ref().map_or(ABSENT, |e| e.revision);
-        let known = self.known.as_ref().map_or(ABSENT, |e| e.revision);
+        let revision = entry.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
+        let known = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         if let Some(entry) = entry
             && revision >= known
         {
@@ -169,7 +169,7 @@
         }
         match &self.swap {
             Some(swap) if swap.expected == revision => (None, Some(self.send(now, timing))),
-            _ if revision == ABSENT => {
+            _ if revision == ABSENT_REVISION => {
                 self.known = None;
                 self.swap = None;
                 self.asked = false;
@@ -255,7 +255,7 @@
     /// Reads again if a swap that was dropped has taken effect after all, and
     /// no watch has shown it.
     fn catch_up(&mut self, now: Instant, timing: &Timing, revision: u64) -> Option<Action> {
-        let known = self.known.as_ref().map_or(ABSENT, |e| e.revision);
+        let known = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         if known >= revision {
             return None;
         }
@@ -299,7 +299,7 @@
     }
 
     fn wait(&self, timing: &Timing) -> Duration {
-        timing.store * (1 << self.failures.min(DOUBLINGS))
+        timing.store_timeout * (1 << self.failures.min(DOUBLINGS))
     }
 
     fn back_off(&mut self, now: Instant, timing: &Timing) {
--- a/crates/failover/src/timing.rs
+++ b/crates/failover/src/timing.rs
@@ -9,77 +9,77 @@
 #[derive(Debug, Clone)]
 pub struct Timing {
     /// Between two probes of one upstream by one candidate.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// An upstream is never called silent before this long without an answer.
-    pub floor: Duration,
+    pub min_silence: Duration,
     /// An upstream is always called silent after this long without an answer.
-    pub cap: Duration,
+    pub max_silence: Duration,
     /// For how long an upstream without room for a connection counts as alive
     /// without a report.
-    pub crowded: Duration,
+    pub full_grace: Duration,
     /// Between two tellings of evidence to the other candidates.
-    pub tell: Duration,
+    pub evidence_interval: Duration,
     /// How long a peer's evidence counts after it was heard.
-    pub heard: Duration,
+    pub evidence_ttl: Duration,
     /// By how much each candidate waits longer than the one ranked before it.
-    pub rank: Duration,
+    pub rank_delay: Duration,
     /// How long a minority that still vouches for the primary delays a claim.
-    pub contested: Duration,
+    pub contested_delay: Duration,
     /// How long a place of the primary's log that a voucher told may be missing
     /// from a majority before the vouching counts no more.
-    pub unconfirmed: Duration,
+    pub unconfirmed_timeout: Duration,
     /// How long a majority may miss a place of a primary that everybody reaches
     /// before the primary counts as isolated from its replicas.
-    pub isolated: Duration,
+    pub isolation_timeout: Duration,
     /// How long a claim on an isolated primary waits for a majority without it.
-    pub shun: Duration,
+    pub exclusion_timeout: Duration,
     /// How recent an advance of the replicas shows that the primary replicates.
-    pub progress: Duration,
+    pub progress_window: Duration,
     /// How long a claim may stand still before another candidate overtakes it.
-    pub overtake: Duration,
+    pub claim_timeout: Duration,
     /// Until an order that was not answered is sent again.
-    pub order: Duration,
+    pub order_timeout: Duration,
     /// How long a promotion order may take before the claim is given up.
-    pub promote: Duration,
+    pub promotion_timeout: Duration,
     /// How long a handover waits for a replica to catch up with the old primary.
-    pub handover: Duration,
+    pub handover_timeout: Duration,
     /// Until a store call that was not answered is given up; doubles up to
     /// eight times this.
-    pub store: Duration,
+    pub store_timeout: Duration,
     /// How long a group without a record may be without any primary.
-    pub orphan: Duration,
+    pub adoption_timeout: Duration,
     /// The hold-off after a first promotion; doubles with each further one.
-    pub hold: Duration,
+    pub hold_off: Duration,
     /// The longest hold-off.
-    pub hold_cap: Duration,
+    pub max_hold_off: Duration,
     /// How long a promotion counts towards the next one's hold-off.
-    pub memory: Duration,
+    pub hold_off_window: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            probe: Duration::from_millis(50),
-            floor: Duration::from_millis(300),
-            cap: Duration::from_millis(1_000),
-            crowded: Duration::from_millis(2_000),
-            tell: Duration::from_millis(50),
-            heard: Duration::from_millis(300),
-            rank: Duration::from_millis(60),
-            contested: Duration::from_millis(1_000),
-            unconfirmed: Duration::from_millis(300),
-            isolated: Duration::from_millis(1_200),
-            shun: Duration::from_millis(300),
-            progress: Duration::from_millis(500),
-            overtake: Duration::from_millis(600),
-            order: Duration::from_millis(100),
-            promote: Duration::from_millis(2_000),
-            handover: Duration::from_millis(500),
-            store: Duration::from_millis(100),
-            orphan: Duration::from_millis(2_000),
-            hold: Duration::from_millis(500),
-            hold_cap: Duration::from_secs(60),
-            memory: Duration::from_secs(300),
+            probe_interval: Duration::from_millis(50),
+            min_silence: Duration::from_millis(300),
+            max_silence: Duration::from_millis(1_000),
+            full_grace: Duration::from_millis(2_000),
+            evidence_interval: Duration::from_millis(50),
+            evidence_ttl: Duration::from_millis(300),
+            rank_delay: Duration::from_millis(60),
+            contested_delay: Duration::from_millis(1_000),
+            unconfirmed_timeout: Duration::from_millis(300),
+            isolation_timeout: Duration::from_millis(1_200),
+            exclusion_timeout: Duration::from_millis(300),
+            progress_window: Duration::from_millis(500),
+            claim_timeout: Duration::from_millis(600),
+            order_timeout: Duration::from_millis(100),
+            promotion_timeout: Duration::from_millis(2_000),
+            handover_timeout: Duration::from_millis(500),
+            store_timeout: Duration::from_millis(100),
+            adoption_timeout: Duration::from_millis(2_000),
+            hold_off: Duration::from_millis(500),
+            max_hold_off: Duration::from_secs(60),
+            hold_off_window: Duration::from_secs(300),
         }
     }
 }
@@ -95,34 +95,34 @@
     /// use std::time::Duration;
     /// use failover::Timing;
     ///
-    /// let timing = Timing::paced(Duration::from_secs(1));
-    /// assert_eq!(timing.floor, Duration::from_secs(4));
+    /// let timing = Timing::with_probe_interval(Duration::from_secs(1));
+    /// assert_eq!(timing.min_silence, Duration::from_secs(4));
     /// ```
-    pub fn paced(probe: Duration) -> Self {
+    pub fn with_probe_interval(probe_interval: Duration) -> Self {
         let usual = Self::default();
         Self {
-            probe,
-            tell: probe,
-            floor: usual.floor.max(probe * 4),
-            cap: usual.cap.max(probe * 6),
-            crowded: usual.crowded.max(probe * 10),
-            heard: usual.heard.max(probe * 4),
-            contested: usual.contested.max(probe * 6),
-            unconfirmed: usual.unconfirmed.max(probe * 4),
-            isolated: usual.isolated.max(probe * 6),
-            progress: usual.progress.max(probe * 5),
-            overtake: usual.overtake.max(probe * 4),
+            probe_interval,
+            evidence_interval: probe_interval,
+            min_silence: usual.min_silence.max(probe_interval * 4),
+            max_silence: usual.max_silence.max(probe_interval * 6),
+            full_grace: usual.full_grace.max(probe_interval * 10),
+            evidence_ttl: usual.evidence_ttl.max(probe_interval * 4),
+            contested_delay: usual.contested_delay.max(probe_interval * 6),
+            unconfirmed_timeout: usual.unconfirmed_timeout.max(probe_interval * 4),
+            isolation_timeout: usual.isolation_timeout.max(probe_interval * 6),
+            progress_window: usual.progress_window.max(probe_interval * 5),
+            claim_timeout: usual.claim_timeout.max(probe_interval * 4),
             ..usual
         }
     }
 
     /// How long after a change of primary the next one is held off, when
-    /// `recent` changes were seen within [`Timing::memory`].
-    pub(crate) fn hold(&self, recent: usize) -> Duration {
+    /// `recent` changes were seen within [`Timing::hold_off_window`].
+    pub(crate) fn hold_off(&self, recent: usize) -> Duration {
         let Some(doublings) = recent.checked_sub(1) else {
             return Duration::ZERO;
         };
         let factor = 1u32 << doublings.min(16);
-        (self.hold * factor).min(self.hold_cap)
+        (self.hold_off * factor).min(self.max_hold_off)
     }
 }
--- a/crates/failover/tests/failover/gap.rs
+++ b/crates/failover/tests/failover/gap.rs
@@ -61,7 +61,7 @@
             world.proxies[0].group = None;
         }
     }
-    world.run(world.setup.timing.probe * 12 + SECOND * 4);
+    world.run(world.setup.timing.probe_interval * 12 + SECOND * 4);
     world.verify();
     let first = match kind {
         Kind::Zone | Kind::Lost => 1,
@@ -160,7 +160,7 @@
 fn crashes_and_cuts_with_sparse_probes() {
     let sparse = || {
         let mut setup = Setup::umurage();
-        setup.timing = Timing::paced(SECOND);
+        setup.timing = Timing::with_probe_interval(SECOND);
         setup.write_every = SECOND / 20;
         setup
     };
--- a/crates/failover/tests/failover/world.rs
+++ b/crates/failover/tests/failover/world.rs
@@ -340,7 +340,7 @@
                 return;
             }
         }
-        self.lead(i);
+        self.primary(i);
         for action in actions {
             self.act(i, action);
         }
@@ -382,9 +382,9 @@
                 let u = upstream::number(&upstream);
                 self.send(me, Host::Server(u), Happening::Ask(i, u, call, Some(order)));
             }
-            Action::Tell { to, evidence } => {
+            Action::SendEvidence { to, evidence } => {
                 let j = instance::number(&to);
-                let event = Event::Heard {
+                let event = Event::Evidence {
                     from: instance::instance(i),
                     zone: zone(i % self.setup.zones),
                     evidence,
--- a/crates/failover/tests/failover/world/instance.rs
+++ b/crates/failover/tests/failover/world/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use clock::Instant;
-use failover::{CANDIDATES, Conf, Group, Lead, Member, Quorum, Stay};
+use failover::{CANDIDATES, Conf, Group, Member, Primary, Quorum, Status};
 use model::{Position, Report, name};
 
 use super::{Happening, Host, Setup, World, id, upstream, zone};
@@ -15,7 +15,7 @@
     pub(crate) life: u32,
     pub(crate) dying: Option<u32>,
     pub(crate) doomed: bool,
-    lead: Option<Lead>,
+    primary: Option<Primary>,
     quorum: Option<Quorum>,
     issued: BTreeMap<u64, (Instant, Position)>,
     /// When each acknowledged write was issued and acknowledged.
@@ -32,12 +32,12 @@
 
 pub(crate) fn members(setup: &Setup, leaving: Option<usize>) -> BTreeMap<name::Upstream, Member> {
     let member = |u| {
-        let stay = match leaving == Some(u) {
-            true => Stay::Leaving,
-            false => Stay::Staying,
+        let status = match leaving == Some(u) {
+            true => Status::Leaving,
+            false => Status::Active,
         };
         let zone = zone(u);
-        (upstream(u), Member { zone, stay })
+        (upstream(u), Member { zone, status })
     };
     (0..setup.upstreams).map(member).collect()
 }
@@ -59,7 +59,7 @@
             life: 0,
             dying: None,
             doomed: false,
-            lead: None,
+            primary: None,
             quorum: None,
             issued: BTreeMap::new(),
             acked: Vec::new(),
@@ -69,21 +69,21 @@
 
 impl World {
     /// Lets the instance's write quorum know who leads.
-    pub(crate) fn lead(&mut self, i: usize) {
+    pub(crate) fn primary(&mut self, i: usize) {
         let size = self.setup.majority_of;
         let proxy = &mut self.proxies[i];
-        let lead = proxy.group.as_ref().and_then(Group::lead);
-        if lead == proxy.lead.as_ref() {
+        let primary = proxy.group.as_ref().and_then(Group::primary);
+        if primary == proxy.primary.as_ref() {
             return;
         }
-        proxy.lead = lead.cloned();
-        let Some(lead) = &proxy.lead else {
+        proxy.primary = primary.cloned();
+        let Some(primary) = &proxy.primary else {
             return;
         };
         proxy.issued.clear();
         match &mut proxy.quorum {
-            Some(quorum) => drop(quorum.replaced(lead.term, lead.upstream.clone())),
-            quorum => *quorum = Some(Quorum::open(size, lead.term, lead.upstream.clone())),
+            Some(quorum) => drop(quorum.replace_primary(primary.term, primary.upstream.clone())),
+            quorum => *quorum = Some(Quorum::open(size, primary.term, primary.upstream.clone())),
         }
     }
 
@@ -109,15 +109,15 @@
                 self.send(Host::Proxy(i), Host::Server(u), Happening::Poll(i, u, now));
             }
         }
-        let Some(lead) = self.proxies[i].lead.clone() else {
+        let Some(primary) = self.proxies[i].primary.clone() else {
             return;
         };
         let write = self.number();
-        let u = super::upstream::number(&lead.upstream);
+        let u = super::upstream::number(&primary.upstream);
         self.proxies[i]
             .issued
             .insert(write, (now, Position::default()));
-        let happening = Happening::Write(i, u, write, lead.term);
+        let happening = Happening::Write(i, u, write, primary.term);
         self.send(Host::Proxy(i), Host::Server(u), happening);
     }
 
@@ -139,7 +139,7 @@
         };
         issued.1 = position;
         let mut done = Vec::new();
-        if let Ok(Some(landed)) = quorum.wait(id(write), position) {
+        if let Ok(Some(landed)) = quorum.add_write(id(write), position) {
             done.push(landed);
         }
         done.extend(quorum.report(&upstream(u), asked, &report));
--- a/crates/failover/tests/failover/world/store.rs
+++ b/crates/failover/tests/failover/world/store.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use failover::{ABSENT, Call, Entry, Event, StoreFault};
+use failover::{ABSENT_REVISION, Call, Entry, Event, StoreFault};
 use model::{Lsn, Phase, Record, Term};
 
 use super::{Happening, Host, World, upstream};
@@ -55,7 +55,11 @@
         if self.store.down {
             return;
         }
-        let revision = self.store.entry.as_ref().map_or(ABSENT, |e| e.revision);
+        let revision = self
+            .store
+            .entry
+            .as_ref()
+            .map_or(ABSENT_REVISION, |e| e.revision);
         if revision != expected {
             let result = Err(StoreFault::Conflict);
             return self.store_answer(i, Event::Swapped { call, result });
@@ -84,7 +88,7 @@
         };
         let slow = self.store.slow;
         for j in 0..self.proxies.len() {
-            let event = Event::Seen(entry.clone());
+            let event = Event::Watched(entry.clone());
             self.send_later(slow, Host::Store, Host::Proxy(j), Happening::Step(j, event));
         }
     }
--- a/crates/failover/tests/quorum.rs
+++ b/crates/failover/tests/quorum.rs
@@ -37,7 +37,10 @@
 fn a_write_lands_with_the_second_holder() {
     let mut quorum = open();
     for id in 1..=3 {
-        assert_eq!(quorum.wait(Id(id), Position::new(4, id * 10)), Ok(None));
+        assert_eq!(
+            quorum.add_write(Id(id), Position::new(4, id * 10)),
+            Ok(None)
+        );
     }
     assert_eq!(quorum.report(&upstream("a"), at(1), &primary(30)), []);
     assert_eq!(quorum.report(&upstream("a"), at(1), &primary(30)), []);
@@ -48,7 +51,10 @@
     assert_eq!(quorum.report(&upstream("c"), at(1), &replica(9)), []);
     assert_eq!(quorum.report(&upstream("c"), at(1), &replica(30)), [Id(3)]);
     assert_eq!(quorum.waiting(), 0);
-    assert_eq!(quorum.wait(Id(9), Position::new(4, 30)), Ok(Some(Id(9))));
+    assert_eq!(
+        quorum.add_write(Id(9), Position::new(4, 30)),
+        Ok(Some(Id(9)))
+    );
 }
 
 /// A replica of a lower term has a long log. Its place says nothing of this
@@ -56,7 +62,7 @@
 #[test]
 fn a_place_in_another_terms_log_does_not_count() {
     let mut quorum = open();
-    quorum.wait(Id(1), Position::new(4, 10)).unwrap();
+    quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
     quorum.report(&upstream("a"), at(1), &primary(10));
     let older = report(Role::Replica, 4, 3, 99);
     assert_eq!(quorum.report(&upstream("b"), at(1), &older), []);
@@ -67,7 +73,7 @@
 #[test]
 fn a_replica_that_is_fenced_higher_does_not_count() {
     let mut quorum = open();
-    quorum.wait(Id(1), Position::new(4, 10)).unwrap();
+    quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
     quorum.report(&upstream("a"), at(1), &primary(10));
     let fenced = report(Role::Replica, 5, 4, 10);
     assert_eq!(quorum.report(&upstream("b"), at(1), &fenced), []);
@@ -77,17 +83,20 @@
 #[test]
 fn a_change_of_primary_gives_back_all_that_waits() {
     let mut quorum = open();
-    quorum.wait(Id(1), Position::new(4, 10)).unwrap();
-    quorum.confirm(Id(2), at(1));
-    assert_eq!(quorum.replaced(Term(4), upstream("b")), []);
-    assert_eq!(quorum.replaced(Term(5), upstream("b")), [Id(1), Id(2)]);
+    quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
+    quorum.add_read(Id(2), at(1));
+    assert_eq!(quorum.replace_primary(Term(4), upstream("b")), []);
+    assert_eq!(
+        quorum.replace_primary(Term(5), upstream("b")),
+        [Id(1), Id(2)]
+    );
     let term = Term(5);
     assert_eq!(
-        quorum.wait(Id(3), Position::new(4, 10)),
+        quorum.add_write(Id(3), Position::new(4, 10)),
         Err(Replaced { term })
     );
     assert_eq!(quorum.report(&upstream("a"), at(2), &primary(50)), []);
-    assert_eq!(quorum.place(), Lsn(0));
+    assert_eq!(quorum.committed(), Lsn(0));
 }
 
 /// A read that must be current waits for answers to probes sent after it
@@ -95,7 +104,7 @@
 #[test]
 fn a_read_is_confirmed_only_by_later_probes() {
     let mut quorum = open();
-    quorum.confirm(Id(1), at(10));
+    quorum.add_read(Id(1), at(10));
     quorum.report(&upstream("a"), at(9), &primary(1));
     assert_eq!(quorum.report(&upstream("b"), at(9), &replica(1)), []);
     assert_eq!(quorum.report(&upstream("b"), at(10), &replica(1)), []);
@@ -106,7 +115,7 @@
 #[test]
 fn a_read_needs_the_primary_itself() {
     let mut quorum = open();
-    quorum.confirm(Id(1), at(1));
+    quorum.add_read(Id(1), at(1));
     quorum.report(&upstream("b"), at(2), &replica(1));
     assert_eq!(quorum.report(&upstream("c"), at(2), &replica(1)), []);
     let demoted = report(Role::Replica, 4, 4, 1);
@@ -120,9 +129,9 @@
 fn what_is_cancelled_is_not_given_back() {
     let mut quorum = open();
     let position = Position::new(4, 10);
-    quorum.wait(Id(1), position).unwrap();
-    quorum.confirm(Id(2), at(1));
-    quorum.cancel(Id(1), position);
-    quorum.abandon(Id(2), at(1));
+    quorum.add_write(Id(1), position).unwrap();
+    quorum.add_read(Id(2), at(1));
+    quorum.cancel_write(Id(1), position);
+    quorum.cancel_read(Id(2), at(1));
     assert_eq!(quorum.waiting(), 0);
 }
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -12,7 +12,7 @@
     Action, Conf, Pool, Request, Ticket,
     conn::{Generation, Handle},
     holder,
-    pool::{After, Limits},
+    pool::{Condition, Limits},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -189,8 +189,8 @@
                     connections: share.connections,
                     slots: share.slots + AHEAD,
                     warm: WARM,
-                    idle: Duration::from_secs(30),
-                    transaction_idle: Duration::from_secs(10),
+                    idle_timeout: Duration::from_secs(30),
+                    transaction_idle_timeout: Duration::from_secs(10),
                 };
                 let limits = Limits {
                     connections: share.connections,
@@ -422,7 +422,7 @@
             Action::Cancel(handle) => {
                 self.seats[seat].running.remove(&handle);
             }
-            Action::Broke(ticket, cause) => {
+            Action::Abort(ticket, cause) => {
                 let outcome = Outcome::Unknown(cause);
                 self.reply(seat, ticket, Answer::bare(outcome), Duration::ZERO);
             }
@@ -497,7 +497,7 @@
             return;
         };
         let in_flight = self.seats[seat].pool.in_flight(handle);
-        self.step(seat, pool::Event::Answered(handle, After::Idle));
+        self.step(seat, pool::Event::Answered(handle, Condition::Idle));
         if in_flight {
             let answer = Answer::done(check::Request(ticket.0));
             self.reply(seat, ticket, answer, Duration::ZERO);
--- a/crates/policy/src/world/instance.rs
+++ b/crates/policy/src/world/instance.rs
@@ -11,7 +11,7 @@
 use check::{Event, Operation, Request};
 use clock::{Instant, Token};
 use failover::{
-    Action, Conf, Entry, Group, Member, Quorum, Stay, event::Event as Decision, quorum::Id,
+    Action, Conf, Entry, Group, Member, Quorum, Status, event::Event as Decision, quorum::Id,
 };
 use model::{Phase, Record, Report, Term, name};
 use pool::Budget;
@@ -91,7 +91,7 @@
 impl Instance {
     /// Who leads, as the failover knows it.
     fn record(&self) -> Option<Record> {
-        let lead = self.group.lead()?;
+        let lead = self.group.primary()?;
         Some(Record {
             term: lead.term,
             phase: Phase::Led {
@@ -162,7 +162,7 @@
         let members = self.names.iter().zip(&self.servers).map(|(name, server)| {
             let member = Member {
                 zone: numbered("z", server.zone, name::Zone::new),
-                stay: Stay::Staying,
+                status: Status::Active,
             };
             (name.clone(), member)
         });
@@ -249,11 +249,11 @@
         let zone = self.instances[instance].zone;
         for other in 0..self.instances.len() {
             if other != instance && self.instances[other].zone == zone {
-                let arrival = Arrival::Group(Decision::Seen(entry.clone()));
+                let arrival = Arrival::Group(Decision::Watched(entry.clone()));
                 self.pass(instance, other, arrival);
             }
         }
-        self.decide(instance, Decision::Seen(entry));
+        self.decide(instance, Decision::Watched(entry));
     }
 
     fn pass(&mut self, from: usize, to: usize, arrival: Arrival) {
@@ -293,7 +293,7 @@
                 upstream,
                 order,
             } => self.ask_server(instance, &upstream, upstream::Ask::Group(call, Some(order))),
-            Action::Tell { to, evidence } => self.tell_peer(instance, &to, evidence),
+            Action::SendEvidence { to, evidence } => self.tell_peer(instance, &to, evidence),
             Action::Read { call } => self.ask_store(instance, call, platform::Ask::Read),
             Action::Swap {
                 call,
@@ -361,7 +361,7 @@
             return;
         };
         let zone = numbered("z", self.instances[from].zone, name::Zone::new);
-        let heard = Decision::Heard {
+        let heard = Decision::Evidence {
             from: self.instances[from].name.clone(),
             zone,
             evidence,
@@ -389,7 +389,7 @@
     /// Puts a new primary in force for writes and reads.
     fn follow_lead(&mut self, instance: usize) {
         let here = &mut self.instances[instance];
-        let lead = here.group.lead().map_or(Term(0), |lead| lead.term);
+        let lead = here.group.primary().map_or(Term(0), |lead| lead.term);
         if lead <= here.quorum.term() {
             return;
         }
@@ -400,7 +400,7 @@
         let Some(primary) = record.leader().cloned() else {
             return;
         };
-        let given_up = here.quorum.replaced(record.term, primary);
+        let given_up = here.quorum.replace_primary(record.term, primary);
         for Id(request) in given_up {
             self.replaced(instance, Request(request));
         }
--- a/crates/policy/src/world/instance/duty.rs
+++ b/crates/policy/src/world/instance/duty.rs
@@ -12,7 +12,7 @@
 impl World {
     pub(super) fn observe(&mut self, instance: usize) {
         self.later(instance, OBSERVE, Arrival::Observe);
-        if self.instances[instance].group.lead().is_none() {
+        if self.instances[instance].group.primary().is_none() {
             self.ask_lead(instance);
         }
         self.poll_all(instance);
@@ -32,7 +32,7 @@
         let Some(record) = self.instances[instance].record() else {
             return;
         };
-        let revision = failover::ABSENT;
+        let revision = failover::ABSENT_REVISION;
         let entry = Entry { revision, record };
         self.pass(instance, from, Arrival::Group(Decision::Announced(entry)));
     }
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -158,7 +158,7 @@
         };
         work.sequence += 1;
         let handle = work.handle(request);
-        let turn = match (self.logic, here.group.lead()) {
+        let turn = match (self.logic, here.group.primary()) {
             (Logic::Naive, _) | (_, Some(_)) => Turn::Admitted(handle),
             (_, None) => Turn::Refused(Cause::NoUpstream, HOLD),
         };
@@ -167,7 +167,7 @@
 
     fn send_write(&mut self, instance: usize, request: Request) {
         let here = &self.instances[instance];
-        let upstream = match (self.logic, here.group.lead()) {
+        let upstream = match (self.logic, here.group.primary()) {
             (Logic::Naive, _) => self.names[0].clone(),
             (_, Some(lead)) => lead.upstream.clone(),
             (_, None) => return,
@@ -308,7 +308,7 @@
         if matches!(self.logic, Logic::Naive | Logic::AcknowledgeAtOnce) {
             return self.landed(instance, request);
         }
-        match here.quorum.wait(Id(request.0), position) {
+        match here.quorum.add_write(Id(request.0), position) {
             Ok(None) => self.poll_all(instance),
             Ok(Some(_)) => self.landed(instance, request),
             Err(_) => self.replaced(instance, request),
@@ -433,7 +433,7 @@
             return;
         };
         if let Stage::Landing(position) = work.stage {
-            here.quorum.cancel(Id(request.0), position);
+            here.quorum.cancel_write(Id(request.0), position);
         }
         if work.errand.kind == Kind::Write {
             return self.live(instance, request, Turn::Deadline);
--- a/crates/policy/src/world/platform.rs
+++ b/crates/policy/src/world/platform.rs
@@ -94,7 +94,7 @@
                 let result = Ok(Some(self.store.entry.clone()));
                 Decision::Read { call, result }
             }
-            Ask::Watch => Decision::Seen(self.store.entry.clone()),
+            Ask::Watch => Decision::Watched(self.store.entry.clone()),
             Ask::Swap(expected, record) => {
                 let result = self.store.swap(expected, record);
                 if result.is_ok() {
--- a/crates/policy/tests/seats.rs
+++ b/crates/policy/tests/seats.rs
@@ -8,7 +8,7 @@
 use pool::{
     Action, Conf, Lease, Pool, Seat, holder,
     lease::{self, Id},
-    seat::{self, Epoch, Permit, Record, Seen},
+    seat::{self, Epoch, Occupancy, Permit, Record},
 };
 
 const LIMIT: u16 = 16;
@@ -95,8 +95,8 @@
             let answer = self.keep(action);
             self.instances[i].lease.step(now, answer);
         }
-        let standing = self.instances[i].lease.standing(now);
-        self.seat(i, seat::Event::Lease(standing));
+        let status = self.instances[i].lease.status(now);
+        self.seat(i, seat::Event::Lease(status));
         let record = self.record(i);
         self.seat(i, seat::Event::Record(record));
         self.seat(i, seat::Event::Tick);
@@ -113,7 +113,7 @@
             }
             lease::Action::Renew(attempt, id) => match self.leases.get_mut(&id.0) {
                 Some(ends) => {
-                    *ends = self.now + lease::interval(9) * lease::INTERVALS;
+                    *ends = self.now + lease::interval(9) * lease::TTL_INTERVALS;
                     lease::Event::Renewed(attempt)
                 }
                 None => lease::Event::Gone(attempt),
@@ -154,8 +154,8 @@
             }
             seat::Action::Check(attempt) => {
                 let seen = match self.open.values().any(|&holder| holder != i) {
-                    true => Seen::Other,
-                    false => Seen::Alone,
+                    true => Occupancy::Later,
+                    false => Occupancy::Alone,
                 };
                 self.seat(i, seat::Event::Checked(attempt, seen));
             }
@@ -194,8 +194,8 @@
             connections: share.connections,
             slots: share.slots,
             warm: share.connections,
-            idle: Duration::from_secs(60),
-            transaction_idle: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
+            transaction_idle_timeout: Duration::from_secs(10),
         };
         let pool = self.instances[i]
             .pool
--- a/crates/pool/examples/cost.rs
+++ b/crates/pool/examples/cost.rs
@@ -12,7 +12,7 @@
 use model::{Priority, name};
 use pool::{
     Action, Conf, Event, Handle, Pool, Request, Ticket,
-    pool::{After, Limits},
+    pool::{Condition, Limits},
 };
 
 const LENGTHS: [u64; 4] = [0, 10, 100, 1_000];
@@ -35,8 +35,8 @@
             connections: 15,
             slots: 1,
             warm: 4,
-            idle: Duration::from_secs(60),
-            transaction_idle: Duration::from_secs(10_000),
+            idle_timeout: Duration::from_secs(60),
+            transaction_idle_timeout: Duration::from_secs(10_000),
         };
         let tenant = |it| name::Tenant::new(&format!("t{it}")).expect("a valid name");
         let mut bench = Self {
@@ -60,7 +60,7 @@
         for _ in 0..=length {
             self.request(now, entry.clone(), 1);
             if let Some(handle) = self.running.take() {
-                let held = Event::Answered(handle, After::Transaction);
+                let held = Event::Answered(handle, Condition::Transaction);
                 self.pool.step(now, held);
             }
         }
@@ -92,7 +92,9 @@
         let Some(handle) = self.running.take() else {
             return;
         };
-        let actions = self.pool.step(now, Event::Answered(handle, After::Idle));
+        let actions = self
+            .pool
+            .step(now, Event::Answered(handle, Condition::Idle));
         self.take(&actions);
     }
 
--- a/crates/pool/examples/load/sim.rs
+++ b/crates/pool/examples/load/sim.rs
@@ -12,7 +12,7 @@
 use pool::{
     Action, Conf, Event, Handle, Pool, Request, Ticket,
     conn::Generation,
-    pool::{After, Limits},
+    pool::{Condition, Limits},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -163,8 +163,8 @@
         connections: 15,
         slots,
         warm: 4,
-        idle: Duration::from_secs(60),
-        transaction_idle: Duration::from_secs(10),
+        idle_timeout: Duration::from_secs(60),
+        transaction_idle_timeout: Duration::from_secs(10),
     };
     let begin = Instant::from_millis(1_000);
     let mut world = World {
@@ -348,7 +348,7 @@
                 self.handles.remove(&handle);
                 self.serve();
             }
-            Action::Broke(ticket, _) => {
+            Action::Abort(ticket, _) => {
                 let Some(asked) = self.asked.remove(&ticket) else {
                     return;
                 };
@@ -396,7 +396,7 @@
         if let Some(ticket) = self.handles.remove(&handle) {
             self.credit(ticket);
         }
-        self.step(Event::Answered(handle, After::Idle));
+        self.step(Event::Answered(handle, Condition::Idle));
     }
 
     fn credit(&mut self, ticket: Ticket) {
--- a/crates/pool/src/breaker.rs
+++ b/crates/pool/src/breaker.rs
@@ -91,7 +91,7 @@
     }
 
     /// When requests may pass again, or `None` while they pass.
-    pub fn opens_at(&self) -> Option<Instant> {
+    pub fn retry_at(&self) -> Option<Instant> {
         match self.state {
             State::Closed { .. } => None,
             State::Open { until, .. } => Some(until),
--- a/crates/pool/src/conn.rs
+++ b/crates/pool/src/conn.rs
@@ -41,10 +41,10 @@
         /// When it was handed out.
         since: Instant,
         /// Whether it is a later statement of an open transaction.
-        within: Within,
+        stage: Stage,
     },
     /// A transaction is open and its owner has nothing in flight.
-    Held {
+    IdleInTransaction {
         /// Whose transaction it is.
         ticket: Ticket,
         /// Since when.
@@ -54,7 +54,7 @@
 
 /// Where a statement stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Within {
+pub enum Stage {
     /// It opens the connection's work: it took a slot.
     First,
     /// It goes on with an open transaction, which needs no slot.
@@ -75,7 +75,7 @@
     pub fn ticket(&self) -> Option<Ticket> {
         match self.state {
             State::Opening | State::Idle { .. } => None,
-            State::Busy { ticket, .. } | State::Held { ticket, .. } => Some(ticket),
+            State::Busy { ticket, .. } | State::IdleInTransaction { ticket, .. } => Some(ticket),
         }
     }
 }
@@ -166,14 +166,14 @@
         now: Instant,
         generation: Generation,
         ticket: Ticket,
-        within: Within,
+        stage: Stage,
     ) -> Option<Handle> {
         let conn = self.conns.get_mut(&generation)?;
         conn.sequence += 1;
         conn.state = State::Busy {
             ticket,
             since: now,
-            within,
+            stage,
         };
         Some(Handle {
             generation,
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -77,13 +77,13 @@
     }
 
     /// How many slots the work before `priority` occupies.
-    pub fn before(&self, now: Instant, priority: Priority) -> f64 {
+    pub fn above(&self, now: Instant, priority: Priority) -> f64 {
         let lanes = self.lanes.range(..priority);
         lanes.map(|(_, lane)| lane.total.value(now)).sum()
     }
 
     /// How many slots the work of a priority occupies.
-    pub fn of(&self, now: Instant, priority: Priority) -> f64 {
+    pub fn of_priority(&self, now: Instant, priority: Priority) -> f64 {
         self.lanes
             .get(&priority)
             .map_or(0.0, |lane| lane.total.value(now))
--- a/crates/pool/src/holder.rs
+++ b/crates/pool/src/holder.rs
@@ -98,7 +98,7 @@
 
 /// An entry's limit at seat `index` out of the `seats` of its whole database;
 /// the parts add up to the limit, so it holds over the fleet.
-pub fn entry_part(limit: u16, seats: NonZeroU16, index: u16) -> u16 {
+pub fn entry_limit(limit: u16, seats: NonZeroU16, index: u16) -> u16 {
     part(limit, seats, index)
 }
 
--- a/crates/pool/src/lease.rs
+++ b/crates/pool/src/lease.rs
@@ -13,12 +13,12 @@
 /// store's calls.
 pub const FLEET_RATE: u32 = 200;
 /// How many intervals a lease lasts, so that two keepalives may be lost.
-pub const INTERVALS: u32 = 3;
+pub const TTL_INTERVALS: u32 = 3;
 /// How long a keepalive may stay unanswered before it is tried again.
-pub const ANSWER: Duration = Duration::from_secs(1);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Taken off the holder's own count of a lease, in thousandths: the store's
 /// clock and ours may run at different speeds.
-pub const DRIFT: u32 = 10;
+pub const CLOCK_DRIFT_PERMILLE: u32 = 10;
 
 /// Names one call to the store, so that a late answer to another is told apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,13 +42,13 @@
 
 /// What an instance may believe of its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// There is none.
     Absent,
     /// The store keeps it at least until then.
     Valid(Id, Instant),
     /// The store did not answer for so long that it may have lapsed.
-    Unproved(Id),
+    Unconfirmed(Id),
 }
 
 /// What happens to a lease.
@@ -98,7 +98,7 @@
         let interval = interval(instances);
         Self {
             interval,
-            ttl: interval * INTERVALS,
+            ttl: interval * TTL_INTERVALS,
             held: None,
             call: None,
             made: 0,
@@ -134,22 +134,22 @@
     /// The lease is counted from *before* the call that the store answered was
     /// sent. Counted from the answer, a holder would believe in it longer than
     /// the store does, by as long as the answer took.
-    pub fn standing(&self, now: Instant) -> Standing {
+    pub fn status(&self, now: Instant) -> Status {
         let Some((id, sent)) = self.held else {
-            return Standing::Absent;
+            return Status::Absent;
         };
-        let until = sent + self.ttl * (1_000 - DRIFT) / 1_000;
+        let until = sent + self.ttl * (1_000 - CLOCK_DRIFT_PERMILLE) / 1_000;
         if now < until {
-            Standing::Valid(id, until)
+            Status::Valid(id, until)
         } else {
-            Standing::Unproved(id)
+            Status::Unconfirmed(id)
         }
     }
 
     /// When to step next at the latest.
     pub fn wake(&self, now: Instant) -> Instant {
         match (self.call, self.held) {
-            (Some(call), _) => call.sent + ANSWER,
+            (Some(call), _) => call.sent + CALL_TIMEOUT,
             (None, Some((_, sent))) => sent + self.interval,
             (None, None) => now,
         }
@@ -171,7 +171,7 @@
         match self.held {
             Some((id, _)) => vec![Action::Renew(attempt, id)],
             None => {
-                self.ttl = self.interval * INTERVALS;
+                self.ttl = self.interval * TTL_INTERVALS;
                 vec![Action::Grant(attempt, self.ttl)]
             }
         }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -8,18 +8,18 @@
 
 use crate::{
     breaker::Breaker,
-    conn::{Generation, Handle, State, Table, Within},
+    conn::{Generation, Handle, Stage, State, Table},
     demand::Demand,
     estimate::Estimate,
     queue::Queue,
 };
 
 mod admit;
-mod pace;
-mod serve;
+mod dispatch;
+mod retry;
 
 use admit::Review;
-use pace::Pace;
+use retry::Schedule;
 
 /// A request at this pool; the caller of the pool chooses it, once each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,9 +36,9 @@
     /// How many connections are kept open with nothing to do.
     pub warm: u16,
     /// After how long without work a connection beyond the warm ones is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long an open transaction may have nothing in flight.
-    pub transaction_idle: Duration,
+    pub transaction_idle_timeout: Duration,
 }
 
 /// What an entry may use at this pool.
@@ -71,7 +71,7 @@
 
 /// How an answer left its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum After {
+pub enum Condition {
     /// Ready for anything.
     Idle,
     /// In an open transaction, failed or not.
@@ -82,9 +82,9 @@
 
 /// Whether an upstream gets new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Service {
+pub enum Status {
     /// It does.
-    In,
+    Active,
     /// It is leaving: what runs may end, nothing new begins.
     Leaving,
 }
@@ -106,11 +106,11 @@
     /// The upstream has ended a connection after [`Action::Close`].
     Closed(Generation),
     /// A statement's whole answer was read.
-    Answered(Handle, After),
+    Answered(Handle, Condition),
     /// The shares changed.
     Conf(Conf),
     /// The upstream is leaving, or is back.
-    Service(Service),
+    Status(Status),
     /// The seat is no longer held: everything closes now.
     Revoked,
     /// A moment asked for by [`Pool::wake`] came.
@@ -138,7 +138,7 @@
     /// Ask the upstream to cancel this statement; its connection closes.
     Cancel(Handle),
     /// The request's connection is gone, with whatever it had in flight.
-    Broke(Ticket, Cause),
+    Abort(Ticket, Cause),
 }
 
 #[derive(Debug)]
@@ -153,14 +153,14 @@
 #[derive(Debug)]
 pub struct Pool {
     conf: Conf,
-    service: Service,
+    status: Status,
     conns: Table,
     queue: Queue,
     active: HashMap<Ticket, Active>,
     in_use: HashMap<name::Entry, u16>,
     estimates: HashMap<name::Entry, Estimate>,
     breaker: Breaker,
-    pace: Pace,
+    retries: Schedule,
     demand: Demand,
     review: Review,
     stepped: Instant,
@@ -171,14 +171,14 @@
     pub fn open(conf: Conf, epoch: u32) -> Self {
         Self {
             conf,
-            service: Service::In,
+            status: Status::Active,
             conns: Table::new(epoch),
             queue: Queue::default(),
             active: HashMap::new(),
             in_use: HashMap::new(),
             estimates: HashMap::new(),
             breaker: Breaker::default(),
-            pace: Pace::default(),
+            retries: Schedule::default(),
             demand: Demand::default(),
             review: Review::default(),
             stepped: Instant::ZERO,
@@ -199,7 +199,7 @@
             Event::Closed(generation) => self.conns.ended(generation),
             Event::Answered(handle, after) => self.answered(now, handle, after, &mut actions),
             Event::Conf(conf) => self.configure(conf, &mut actions),
-            Event::Service(service) => self.service = service,
+            Event::Status(status) => self.status = status,
             Event::Revoked => self.revoke(&mut actions),
             Event::Tick => self.expire(now, &mut actions),
         }
@@ -234,7 +234,7 @@
     /// Connections that run a statement or are held by a transaction.
     pub fn busy(&self) -> usize {
         self.conns
-            .count(|state| matches!(state, State::Busy { .. } | State::Held { .. }))
+            .count(|state| matches!(state, State::Busy { .. } | State::IdleInTransaction { .. }))
     }
 
     /// How many connections there may be.
@@ -265,24 +265,26 @@
         let spare = self.conns.len() > usize::from(self.conf.warm);
         let ends = self.conns.iter().filter_map(|(_, conn)| match conn.state {
             State::Opening => None,
-            State::Idle { since } => spare.then_some(since + self.conf.idle),
+            State::Idle { since } => spare.then_some(since + self.conf.idle_timeout),
             State::Busy { ticket, .. } => Some(self.active.get(&ticket)?.request.deadline),
-            State::Held { since, .. } => Some(since + self.conf.transaction_idle),
+            State::IdleInTransaction { since, .. } => {
+                Some(since + self.conf.transaction_idle_timeout)
+            }
         });
         let places = self.conns.expires();
         let moments = waits.into_iter().chain(ends).chain(places);
-        let moments = moments.chain(self.breaker.opens_at());
+        let moments = moments.chain(self.breaker.retry_at());
         let next = moments.filter(|&at| at > self.stepped).min();
         next.map(|at| at.max(now))
     }
 
     fn next(&mut self, now: Instant, ticket: Ticket, deadline: Instant, actions: &mut Vec<Action>) {
         let Some(active) = self.active.get_mut(&ticket) else {
-            actions.push(Action::Broke(ticket, Cause::ConnectionLost));
+            actions.push(Action::Abort(ticket, Cause::ConnectionLost));
             return;
         };
         let generation = active.generation;
-        let held = |state: &State| matches!(state, State::Held { .. });
+        let held = |state: &State| matches!(state, State::IdleInTransaction { .. });
         if !self
             .conns
             .find(generation)
@@ -296,7 +298,7 @@
         // would stand still until their deadlines.
         if let Some(handle) = self
             .conns
-            .start(now, generation, ticket, Within::Transaction)
+            .start(now, generation, ticket, Stage::Transaction)
         {
             actions.push(Action::Run(ticket, handle));
         }
@@ -356,11 +358,17 @@
         }
         if let Some(ticket) = conn.ticket() {
             self.release(ticket);
-            actions.push(Action::Broke(ticket, Cause::ConnectionLost));
+            actions.push(Action::Abort(ticket, Cause::ConnectionLost));
         }
     }
 
-    fn answered(&mut self, now: Instant, handle: Handle, after: After, actions: &mut Vec<Action>) {
+    fn answered(
+        &mut self,
+        now: Instant,
+        handle: Handle,
+        after: Condition,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.conns.in_flight(handle) {
             return;
         }
@@ -372,24 +380,24 @@
             return;
         };
         conn.state = match after {
-            After::Transaction => State::Held { ticket, since: now },
-            After::Idle | After::Unusable => State::Idle { since: now },
+            Condition::Transaction => State::IdleInTransaction { ticket, since: now },
+            Condition::Idle | Condition::Unusable => State::Idle { since: now },
         };
         // A connection that came to grief says nothing good of its upstream:
         // taken for a success, it would keep the breaker closed on one that
         // takes connections and breaks each.
-        if after != After::Unusable {
+        if after != Condition::Unusable {
             self.breaker.success();
         }
         if let Some(active) = self.active.get(&ticket) {
             let entry = active.request.entry.clone();
             self.learn(now, &entry, now.since(since));
         }
-        if after == After::Transaction {
+        if after == Condition::Transaction {
             return;
         }
         self.release(ticket);
-        if after == After::Unusable {
+        if after == Condition::Unusable {
             self.conns.remove(generation);
             actions.push(Action::Close(generation));
         }
@@ -423,7 +431,7 @@
             actions.push(Action::Close(generation));
             if let Some(ticket) = conn.and_then(|it| it.ticket()) {
                 self.release(ticket);
-                actions.push(Action::Broke(ticket, Cause::ConnectionLost));
+                actions.push(Action::Abort(ticket, Cause::ConnectionLost));
             }
         }
         self.refuse_each(Duration::ZERO, actions);
@@ -441,14 +449,14 @@
                     let deadline = self.active.get(&ticket)?.request.deadline;
                     (now >= deadline).then_some(ticket)
                 }
-                State::Held { ticket, since } => {
-                    (now >= since + self.conf.transaction_idle).then_some(ticket)
+                State::IdleInTransaction { ticket, since } => {
+                    (now >= since + self.conf.transaction_idle_timeout).then_some(ticket)
                 }
             })
             .collect();
         for ticket in late {
             self.discard(now, ticket, actions);
-            actions.push(Action::Broke(ticket, Cause::Deadline));
+            actions.push(Action::Abort(ticket, Cause::Deadline));
         }
     }
 
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 use model::{Cause, name};
 
-use super::{Action, Pool, Request, Service, Ticket};
+use super::{Action, Pool, Request, Status, Ticket};
 use crate::{conn::State, queue::Place};
 
 /// How much of its time a request may be expected to wait to be let in, in
@@ -98,7 +98,7 @@
         // Whatever waits while a slot and a connection are free waits for its
         // entry's own connections.
         if let Some(generation) = self.free(&request) {
-            self.queue.pass(&request, cost);
+            self.queue.bypass(&request, cost);
             self.start(now, request, generation, cost, actions);
             return;
         }
@@ -113,16 +113,16 @@
     }
 
     fn refusal(&mut self, now: Instant, request: &Request) -> Option<(Cause, Duration)> {
-        if self.service == Service::Leaving || self.conf.connections == 0 {
+        if self.status == Status::Leaving || self.conf.connections == 0 {
             return Some((Cause::NoUpstream, Duration::ZERO));
         }
-        if let Some(at) = self.breaker.opens_at() {
+        if let Some(at) = self.breaker.retry_at() {
             return Some((Cause::NoUpstream, at.since(now)));
         }
         if now >= request.deadline {
             return Some((Cause::Deadline, Duration::ZERO));
         }
-        if self.queue.length(&request.entry) >= request.limits.queue {
+        if self.queue.entry_length(&request.entry) >= request.limits.queue {
             return Some((Cause::Overload, self.retry_after(now, request)));
         }
         None
@@ -165,7 +165,7 @@
     /// later and go first.
     fn speed(&self, now: Instant, request: &Request, place: Place) -> f64 {
         let slots = f64::from(self.slots());
-        let higher = self.demand.before(now, request.priority);
+        let higher = self.demand.above(now, request.priority);
         let free = slots - higher - self.overtaking(now, request, place);
         free.max(slots * LEAST)
     }
@@ -179,10 +179,10 @@
         let own = self.demand.of_tenant(now, priority, &request.tenant);
         let behind = self
             .queue
-            .behind(place)
+            .tenants_behind(place)
             .filter(|tenant| **tenant != request.tenant)
             .map(|tenant| self.demand.of_tenant(now, priority, tenant));
-        self.demand.of(now, priority) - own - behind.sum::<f64>()
+        self.demand.of_priority(now, priority) - own - behind.sum::<f64>()
     }
 
     /// How much longer a request could wait than its place says.
@@ -200,7 +200,7 @@
         if self.queue.is_empty() {
             return;
         }
-        if self.service == Service::Leaving || !self.breaker.is_closed() {
+        if self.status == Status::Leaving || !self.breaker.is_closed() {
             self.refuse_all(now, actions);
             return;
         }
@@ -256,7 +256,7 @@
     fn stuck(&self) -> Vec<&Request> {
         let mut held: Vec<(&Request, u16)> = Vec::new();
         for (_, conn) in self.conns.iter() {
-            let State::Held { ticket, .. } = conn.state else {
+            let State::IdleInTransaction { ticket, .. } = conn.state else {
                 continue;
             };
             let Some(active) = self.active.get(&ticket) else {
@@ -276,7 +276,7 @@
 
     /// The work ahead of a place that can run before it.
     fn runnable_ahead(&self, request: &Request, place: Place) -> Duration {
-        let ahead = self.queue.ahead(place);
+        let ahead = self.queue.work_ahead(place);
         if ahead.is_zero() {
             return ahead;
         }
@@ -289,7 +289,7 @@
     }
 
     fn refuse_all(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let retry_after = self.breaker.opens_at().unwrap_or(now).since(now);
+        let retry_after = self.breaker.retry_at().unwrap_or(now).since(now);
         self.refuse_each(retry_after, actions);
     }
 
@@ -321,6 +321,6 @@
     fn retry_after(&mut self, now: Instant, request: &Request) -> Duration {
         let backlog = (self.queue.work() + self.remaining()) / self.slots();
         let cost = self.mean(now, &request.entry) / self.slots();
-        self.pace.next(now, request.priority, backlog, cost)
+        self.retries.next(now, request.priority, backlog, cost)
     }
 }
--- a/crates/pool/src/pool/serve.rs
+++ b/crates/pool/src/pool/dispatch.rs
@@ -4,10 +4,10 @@
 
 use clock::Instant;
 
-use super::{Action, Active, Pool, Request, Service, Ticket};
+use super::{Action, Active, Pool, Request, Status, Ticket};
 use crate::{
     breaker::Permit,
-    conn::{Generation, State, Within},
+    conn::{Generation, Stage, State},
 };
 
 impl Pool {
@@ -45,7 +45,7 @@
         actions: &mut Vec<Action>,
     ) {
         let ticket = request.ticket;
-        let Some(handle) = self.conns.start(now, generation, ticket, Within::First) else {
+        let Some(handle) = self.conns.start(now, generation, ticket, Stage::First) else {
             return;
         };
         match self.in_use.get_mut(&request.entry) {
@@ -97,7 +97,7 @@
     /// Keeps the warm connections open; after a failure one of them is the
     /// breaker's probe.
     pub(super) fn warm(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if self.service == Service::Leaving {
+        if self.status == Status::Leaving {
             return;
         }
         if !self.breaker.is_closed() {
@@ -112,8 +112,8 @@
 
     /// Closes idle connections that are too many, too old or not wanted.
     pub(super) fn trim(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let leaving = self.service == Service::Leaving;
-        let ends = |since: Instant| leaving || now >= since + self.conf.idle;
+        let leaving = self.status == Status::Leaving;
+        let ends = |since: Instant| leaving || now >= since + self.conf.idle_timeout;
         let crowded = self.conns.len() > usize::from(self.conf.connections);
         // Most steps find nothing to close and take no memory for it.
         let mut idle: Vec<_> = self
@@ -128,7 +128,7 @@
         for (since, generation) in idle {
             let held = self.conns.len();
             let beyond = held > usize::from(self.conf.connections);
-            let aged = held > usize::from(self.conf.warm) && now >= since + self.conf.idle;
+            let aged = held > usize::from(self.conf.warm) && now >= since + self.conf.idle_timeout;
             if leaving || beyond || aged {
                 self.conns.remove(generation);
                 actions.push(Action::Close(generation));
--- a/crates/pool/src/pool/pace.rs
+++ b/crates/pool/src/pool/retry.rs
@@ -14,11 +14,11 @@
 /// together and be refused together. The moments of a priority follow each
 /// other at the speed at which the upstream could serve them.
 #[derive(Debug, Default)]
-pub(super) struct Pace {
+pub(super) struct Schedule {
     last: BTreeMap<Priority, Instant>,
 }
 
-impl Pace {
+impl Schedule {
     /// How long a caller should stay away, given the queue's `backlog` and
     /// the upstream's time `cost` for one such request.
     pub(super) fn next(
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -136,7 +136,7 @@
 
     /// Counts a request that runs at once, with none waiting: its tenant is
     /// charged as if it had waited.
-    pub fn pass(&mut self, request: &Request, cost: Duration) {
+    pub fn bypass(&mut self, request: &Request, cost: Duration) {
         let lane = self.lanes.entry(request.priority).or_default();
         let start = lane.start(&request.tenant);
         let end = start.saturating_add(charge(request, cost));
@@ -174,7 +174,7 @@
     /// Of its priority only the shorter side of the place is added up. A flood
     /// joins at the end of the queue, where a sum from the front would make
     /// each arrival walk all that wait.
-    pub fn ahead(&self, place: Place) -> Duration {
+    pub fn work_ahead(&self, place: Place) -> Duration {
         let lanes = self.lanes.range(..place.priority);
         let higher: Duration = lanes.map(|(_, lane)| lane.work).sum();
         let own = self
@@ -201,7 +201,7 @@
     /// The tenants of the place's priority whose next request would wait
     /// behind it. Those of all others would go first if the place lies in the
     /// future of virtual time, and behind it too if not.
-    pub fn behind(&self, place: Place) -> impl Iterator<Item = &name::Tenant> {
+    pub fn tenants_behind(&self, place: Place) -> impl Iterator<Item = &name::Tenant> {
         let lane = self.lanes.get(&place.priority);
         let ends = lane.into_iter().flat_map(|it| &it.ends);
         ends.filter(move |(_, end)| **end >= place.start)
@@ -275,7 +275,7 @@
     }
 
     /// How many requests of an entry wait.
-    pub fn length(&self, entry: &name::Entry) -> u32 {
+    pub fn entry_length(&self, entry: &name::Entry) -> u32 {
         self.lines.get(entry).map_or(0, Line::length)
     }
 
--- a/crates/pool/src/seat.rs
+++ b/crates/pool/src/seat.rs
@@ -23,13 +23,13 @@
 
 use clock::Instant;
 
-use crate::lease::{Attempt, Id, Standing};
+use crate::lease::{Attempt, Id, Status};
 
 /// How long a look at the upstream's connections counts while the lease can't
 /// be proved.
-pub const CHECK: Duration = Duration::from_secs(1);
+pub const CHECK_VALIDITY: Duration = Duration::from_secs(1);
 /// How long a call may stay unanswered before it is made again.
-pub const ANSWER: Duration = Duration::from_secs(1);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The store's revision at which a seat was taken; later takers have higher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -48,24 +48,24 @@
 
 /// Who is seen at the upstream under the seat's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum Occupancy {
     /// Only this instance's connections, or none.
     Alone,
     /// Another instance's of an earlier epoch, and none of a later.
     Earlier,
     /// Another instance's of a later epoch.
-    Other,
+    Later,
 }
 
 /// What a new connection may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// Run statements.
     Use,
     /// Nothing until the connections of earlier epochs are ended; then look
     /// again.
     Fence,
-    /// Close: a later holder is here, which is [`Event::Ousted`].
+    /// Close: a later holder is here, which is [`Event::Terminated`].
     Close,
 }
 
@@ -78,17 +78,17 @@
 /// message long after it checked its lease.
 ///
 /// ```
-/// use pool::seat::{Entry, Epoch, admit};
+/// use pool::seat::{Admission, Epoch, admit};
 ///
-/// assert_eq!(admit(Epoch(7), []), Entry::Use);
-/// assert_eq!(admit(Epoch(7), [Epoch(3)]), Entry::Fence);
-/// assert_eq!(admit(Epoch(7), [Epoch(3), Epoch(9)]), Entry::Close);
+/// assert_eq!(admit(Epoch(7), []), Admission::Use);
+/// assert_eq!(admit(Epoch(7), [Epoch(3)]), Admission::Fence);
+/// assert_eq!(admit(Epoch(7), [Epoch(3), Epoch(9)]), Admission::Close);
 /// ```
-pub fn admit(own: Epoch, others: impl IntoIterator<Item = Epoch>) -> Entry {
+pub fn admit(own: Epoch, others: impl IntoIterator<Item = Epoch>) -> Admission {
     match others.into_iter().max() {
-        None => Entry::Use,
-        Some(highest) if highest > own => Entry::Close,
-        Some(_) => Entry::Fence,
+        None => Admission::Use,
+        Some(highest) if highest > own => Admission::Close,
+        Some(_) => Admission::Fence,
     }
 }
 
@@ -100,7 +100,7 @@
     /// The ranking puts another instance on it, or this one is stopping.
     Unwanted,
     /// The instance's lease as it now stands.
-    Lease(Standing),
+    Lease(Status),
     /// The store's key was read, by a call, a watch or as a claim's answer.
     Record(Record),
     /// Peers agree that the holder since this epoch is dead, so that its seat
@@ -110,10 +110,10 @@
     /// that shows none: ending a connection takes the upstream a moment.
     Fenced(Attempt),
     /// The upstream's list of connections was read.
-    Checked(Attempt, Seen),
+    Checked(Attempt, Occupancy),
     /// Connections were ended by the upstream on an administrator's order:
     /// another holder has fenced this one.
-    Ousted,
+    Terminated,
     /// All connections are closed after [`Action::Close`], and the upstream has
     /// ended them: told earlier, the seat's next share would come on top.
     Closed,
@@ -197,7 +197,7 @@
 pub struct Seat {
     state: State,
     wish: Wish,
-    lease: Standing,
+    lease: Status,
     record: Option<Record>,
     dead: Option<Epoch>,
     made: u64,
@@ -208,7 +208,7 @@
         Self {
             state: State::Out,
             wish: Wish::Out,
-            lease: Standing::Absent,
+            lease: Status::Absent,
             record: None,
             dead: None,
             made: 0,
@@ -223,12 +223,12 @@
         match event {
             Event::Wanted => self.wish = Wish::In,
             Event::Unwanted => self.wish = Wish::Out,
-            Event::Lease(standing) => self.leased(now, standing, &mut actions),
+            Event::Lease(status) => self.leased(now, status, &mut actions),
             Event::Record(record) => self.read(now, record, &mut actions),
             Event::Dead(epoch) => self.dead = self.dead.max(Some(epoch)),
             Event::Fenced(attempt) => self.fenced(attempt),
             Event::Checked(attempt, seen) => self.checked(attempt, seen, &mut actions),
-            Event::Ousted => self.ousted(&mut actions),
+            Event::Terminated => self.terminated(&mut actions),
             Event::Closed => self.closed(&mut actions),
             Event::Tick => {}
         }
@@ -241,7 +241,9 @@
     pub fn permit(&self, now: Instant) -> Permit {
         match self.state {
             State::Held { until, .. } if now < until => Permit::Full,
-            State::Unproved { look, .. } if look.alone.is_some_and(|at| now < at + CHECK) => {
+            State::Unproved { look, .. }
+                if look.alone.is_some_and(|at| now < at + CHECK_VALIDITY) =>
+            {
                 Permit::Replace
             }
             _ => Permit::Nothing,
@@ -262,9 +264,11 @@
     pub fn wake(&self) -> Option<Instant> {
         match self.state {
             State::Out | State::Closing { .. } => None,
-            State::Claiming { since, .. } | State::Fencing { since, .. } => Some(since + ANSWER),
+            State::Claiming { since, .. } | State::Fencing { since, .. } => {
+                Some(since + CALL_TIMEOUT)
+            }
             State::Held { until, .. } => Some(until),
-            State::Unproved { look, .. } => Some(look.sent + CHECK / 2),
+            State::Unproved { look, .. } => Some(look.sent + CHECK_VALIDITY / 2),
         }
     }
 
@@ -290,8 +294,8 @@
         }
     }
 
-    fn leased(&mut self, now: Instant, standing: Standing, actions: &mut Vec<Action>) {
-        self.lease = standing;
+    fn leased(&mut self, now: Instant, status: Status, actions: &mut Vec<Action>) {
+        self.lease = status;
         // A claim may have waited for the lease.
         if let (State::Claiming { kept, .. }, Some(Record::Absent)) = (self.state, self.record) {
             self.claim(now, kept, actions);
@@ -322,7 +326,7 @@
         };
     }
 
-    fn checked(&mut self, answer: Attempt, seen: Seen, actions: &mut Vec<Action>) {
+    fn checked(&mut self, answer: Attempt, seen: Occupancy, actions: &mut Vec<Action>) {
         let State::Unproved { epoch, look } = self.state else {
             return;
         };
@@ -330,12 +334,12 @@
             return;
         }
         match seen {
-            Seen::Other => self.close(None, actions),
+            Occupancy::Later => self.close(None, actions),
             // A former holder woke up. Given up for it, the seat would be
             // nobody's until the store is back; it is ended, and the next look
             // shows whether this one is alone.
-            Seen::Earlier => actions.push(Action::Fence(answer)),
-            Seen::Alone => {
+            Occupancy::Earlier => actions.push(Action::Fence(answer)),
+            Occupancy::Alone => {
                 let look = Look {
                     alone: Some(look.sent),
                     ..look
@@ -345,7 +349,7 @@
         }
     }
 
-    fn ousted(&mut self, actions: &mut Vec<Action>) {
+    fn terminated(&mut self, actions: &mut Vec<Action>) {
         if !matches!(self.state, State::Out | State::Closing { .. }) {
             self.record = None;
             self.close(None, actions);
@@ -381,7 +385,7 @@
                 },
                 Wish::Out,
             ) => self.state = State::Out,
-            (State::Claiming { since, kept }, _) if now >= since + ANSWER => {
+            (State::Claiming { since, kept }, _) if now >= since + CALL_TIMEOUT => {
                 self.record = None;
                 self.claim(now, kept, actions);
             }
@@ -393,7 +397,7 @@
                 Wish::Out,
             ) => self.close(Some(epoch), actions),
             (State::Fencing { epoch, since, .. }, Wish::In) => {
-                if now >= since + ANSWER {
+                if now >= since + CALL_TIMEOUT {
                     self.fence(now, epoch, actions);
                 }
             }
@@ -406,16 +410,16 @@
     /// Holds the seat under the lease, or by looking at the upstream.
     fn prove(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
         match self.lease {
-            Standing::Valid(_, until) if now < until => {
+            Status::Valid(_, until) if now < until => {
                 self.state = State::Held { epoch, until };
             }
             // The lease is gone and the key with it: win it back before
             // anything else, with the connections still open.
-            Standing::Absent => {
+            Status::Absent => {
                 self.record = None;
                 self.claim(now, Kept::Connections, actions);
             }
-            Standing::Valid(..) | Standing::Unproved(_) => self.look(now, epoch, actions),
+            Status::Valid(..) | Status::Unconfirmed(_) => self.look(now, epoch, actions),
         }
     }
 
@@ -424,7 +428,7 @@
             State::Unproved { look, .. } => Some(look),
             _ => None,
         };
-        if before.is_some_and(|it| now < it.sent + CHECK / 2) {
+        if before.is_some_and(|it| now < it.sent + CHECK_VALIDITY / 2) {
             return;
         }
         let attempt = self.attempt();
@@ -448,7 +452,7 @@
             Some(Record::Other(epoch)) if self.dead >= Some(epoch) => Some(epoch),
             Some(Record::Other(_)) => return,
         };
-        let Standing::Valid(id, until) = self.lease else {
+        let Status::Valid(id, until) = self.lease else {
             return;
         };
         if now >= until {
--- a/crates/pool/tests/blocked.rs
+++ b/crates/pool/tests/blocked.rs
@@ -6,15 +6,15 @@
 use model::{Priority, name};
 use pool::{
     Action, Conf, Event, Pool, Request, Ticket,
-    pool::{After, Limits},
+    pool::{Condition, Limits},
 };
 
 const CONF: Conf = Conf {
     connections: 3,
     slots: 1,
     warm: 3,
-    idle: Duration::from_secs(60),
-    transaction_idle: Duration::from_secs(60),
+    idle_timeout: Duration::from_secs(60),
+    transaction_idle_timeout: Duration::from_secs(60),
 };
 
 fn request(ticket: u64, entry: &str, connections: u16) -> Request {
@@ -46,7 +46,7 @@
     let [Action::Run(_, handle)] = actions[..] else {
         panic!("it did not run: {actions:?}");
     };
-    pool.step(now, Event::Answered(handle, After::Transaction));
+    pool.step(now, Event::Answered(handle, Condition::Transaction));
     for ticket in 2..52 {
         pool.step(now, Event::Submit(request(ticket, "narrow", 1)));
     }
@@ -70,7 +70,7 @@
     assert_eq!(waits, []);
     let walked = Instant::from_millis(40);
     assert_eq!(pool.step(walked, Event::Tick), []);
-    let next = pool.step(walked, Event::Answered(first, After::Idle));
+    let next = pool.step(walked, Event::Answered(first, Condition::Idle));
     assert!(
         matches!(next[..], [Action::Run(Ticket(101), _)]),
         "{next:?}"
--- a/crates/pool/tests/conn.rs
+++ b/crates/pool/tests/conn.rs
@@ -8,15 +8,15 @@
     Action, Conf, Event, Handle, Pool, Request, Ticket,
     breaker::THRESHOLD,
     conn::LINGER,
-    pool::{After, Limits, Service},
+    pool::{Condition, Limits, Status},
 };
 
 const CONF: Conf = Conf {
     connections: 2,
     slots: 1,
     warm: 1,
-    idle: Duration::from_secs(60),
-    transaction_idle: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(60),
+    transaction_idle_timeout: Duration::from_secs(5),
 };
 
 fn request(ticket: u64, priority: Priority) -> Request {
@@ -61,7 +61,7 @@
     assert!(actions.contains(&Action::Close(handle.generation)));
     assert!(!pool.in_flight(handle));
     assert!(
-        pool.step(now, Event::Answered(handle, After::Idle))
+        pool.step(now, Event::Answered(handle, Condition::Idle))
             .is_empty()
     );
 }
@@ -72,10 +72,13 @@
 #[test]
 fn transaction_of_a_dead_owner_is_closed() {
     let (mut pool, handle) = running();
-    pool.step(Instant::ZERO, Event::Answered(handle, After::Transaction));
+    pool.step(
+        Instant::ZERO,
+        Event::Answered(handle, Condition::Transaction),
+    );
     let actions = pool.step(Instant::from_millis(5_000), Event::Tick);
     assert!(actions.contains(&Action::Close(handle.generation)));
-    assert!(actions.contains(&Action::Broke(Ticket(1), Cause::Deadline)));
+    assert!(actions.contains(&Action::Abort(Ticket(1), Cause::Deadline)));
 }
 
 /// Symptom: two callers wait for each other until both time out. Events: the
@@ -85,7 +88,7 @@
 fn open_transaction_never_waits_for_a_slot() {
     let (mut pool, first) = running();
     let now = Instant::ZERO;
-    pool.step(now, Event::Answered(first, After::Transaction));
+    pool.step(now, Event::Answered(first, Condition::Transaction));
     let opened = pool.step(now, Event::Submit(request(2, Priority::High)));
     let [Action::Open(generation)] = opened[..] else {
         panic!("no connection was opened: {opened:?}");
@@ -104,7 +107,7 @@
     let now = Instant::ZERO;
     pool.step(now, Event::Submit(request(2, Priority::Low)));
     pool.step(now, Event::Submit(request(3, Priority::High)));
-    let actions = pool.step(now, Event::Answered(handle, After::Idle));
+    let actions = pool.step(now, Event::Answered(handle, Condition::Idle));
     assert!(matches!(actions[..], [Action::Run(Ticket(3), _)]));
 }
 
@@ -113,7 +116,7 @@
 fn leaving_upstream_refuses_and_finishes() {
     let (mut pool, handle) = running();
     let now = Instant::ZERO;
-    assert!(pool.step(now, Event::Service(Service::Leaving)).is_empty());
+    assert!(pool.step(now, Event::Status(Status::Leaving)).is_empty());
     let refused = pool.step(now, Event::Submit(request(2, Priority::High)));
     assert!(matches!(
         refused[..],
@@ -122,7 +125,7 @@
             ..
         }]
     ));
-    let last = pool.step(now, Event::Answered(handle, After::Idle));
+    let last = pool.step(now, Event::Answered(handle, Condition::Idle));
     assert_eq!(last, [Action::Close(handle.generation)]);
 }
 
@@ -186,7 +189,7 @@
             panic!("it did not run: {ran:?}");
         };
         let end = match round {
-            2 => Event::Answered(handle, After::Unusable),
+            2 => Event::Answered(handle, Condition::Unusable),
             _ => Event::Lost(generation),
         };
         actions = pool.step(now, end);
--- a/crates/pool/tests/seat.rs
+++ b/crates/pool/tests/seat.rs
@@ -5,8 +5,8 @@
 use clock::Instant;
 use pool::{
     Seat,
-    lease::{self, Attempt, Id, Lease, Standing},
-    seat::{Action, Epoch, Event, Permit, Record, Seen},
+    lease::{self, Attempt, Id, Lease, Status},
+    seat::{Action, Epoch, Event, Occupancy, Permit, Record},
 };
 
 const UNTIL: Instant = Instant::from_millis(6_000);
@@ -14,7 +14,7 @@
 fn held() -> Seat {
     let mut seat = Seat::default();
     let now = Instant::ZERO;
-    seat.step(now, Event::Lease(Standing::Valid(Id(1), UNTIL)));
+    seat.step(now, Event::Lease(Status::Valid(Id(1), UNTIL)));
     assert_eq!(seat.step(now, Event::Wanted), [Action::Read]);
     let claim = seat.step(now, Event::Record(Record::Absent));
     assert_eq!(claim, [Action::Claim(Id(1), None)]);
@@ -37,7 +37,7 @@
     let look = seat.step(woke, Event::Tick);
     assert_eq!(look, [Action::Check(Attempt(2))]);
     assert_eq!(seat.permit(woke), Permit::Nothing);
-    let other = seat.step(woke, Event::Checked(Attempt(2), Seen::Other));
+    let other = seat.step(woke, Event::Checked(Attempt(2), Occupancy::Later));
     assert_eq!(other, [Action::Close]);
     assert_eq!(seat.permit(woke), Permit::Nothing);
 }
@@ -48,7 +48,7 @@
 fn holder_cut_off_from_the_store_goes_on_while_alone() {
     let mut seat = held();
     seat.step(UNTIL, Event::Tick);
-    seat.step(UNTIL, Event::Checked(Attempt(2), Seen::Alone));
+    seat.step(UNTIL, Event::Checked(Attempt(2), Occupancy::Alone));
     assert_eq!(seat.permit(UNTIL), Permit::Replace);
     let stale = UNTIL + Duration::from_secs(1);
     assert_eq!(seat.permit(stale), Permit::Nothing);
@@ -75,8 +75,8 @@
     let answered = Instant::from_millis(900);
     lease.step(answered, lease::Event::Granted(Attempt(1), Id(1)));
     let until = Instant::from_millis(5_940);
-    assert_eq!(lease.standing(answered), Standing::Valid(Id(1), until));
-    assert_eq!(lease.standing(until), Standing::Unproved(Id(1)));
+    assert_eq!(lease.status(answered), Status::Valid(Id(1), until));
+    assert_eq!(lease.status(until), Status::Unconfirmed(Id(1)));
 }
 
 /// Symptom: a seat stays unused for a minute after its holder died. Events:
@@ -86,7 +86,7 @@
 fn dead_holders_seat_is_taken_before_its_lease_ends() {
     let now = Instant::ZERO;
     let mut seat = Seat::default();
-    seat.step(now, Event::Lease(Standing::Valid(Id(2), UNTIL)));
+    seat.step(now, Event::Lease(Status::Valid(Id(2), UNTIL)));
     seat.step(now, Event::Wanted);
     assert_eq!(seat.step(now, Event::Record(Record::Other(Epoch(7)))), []);
     let claim = seat.step(now, Event::Dead(Epoch(7)));
@@ -104,7 +104,7 @@
 fn old_report_of_death_takes_nothing() {
     let now = Instant::ZERO;
     let mut seat = Seat::default();
-    seat.step(now, Event::Lease(Standing::Valid(Id(2), UNTIL)));
+    seat.step(now, Event::Lease(Status::Valid(Id(2), UNTIL)));
     seat.step(now, Event::Wanted);
     seat.step(now, Event::Record(Record::Other(Epoch(9))));
     assert_eq!(seat.step(now, Event::Dead(Epoch(7))), []);
@@ -117,7 +117,7 @@
 fn loser_of_two_claims_opens_nothing() {
     let now = Instant::ZERO;
     let mut loser = Seat::default();
-    loser.step(now, Event::Lease(Standing::Valid(Id(2), UNTIL)));
+    loser.step(now, Event::Lease(Status::Valid(Id(2), UNTIL)));
     loser.step(now, Event::Wanted);
     let claim = loser.step(now, Event::Record(Record::Absent));
     assert_eq!(claim, [Action::Claim(Id(2), None)]);
@@ -138,10 +138,10 @@
 fn lapsed_seat_is_won_back_with_its_connections() {
     let mut seat = held();
     let now = Instant::from_millis(10);
-    let again = seat.step(now, Event::Lease(Standing::Absent));
+    let again = seat.step(now, Event::Lease(Status::Absent));
     assert_eq!(again, [Action::Read]);
     assert_eq!(seat.permit(now), Permit::Nothing);
-    seat.step(now, Event::Lease(Standing::Valid(Id(3), UNTIL)));
+    seat.step(now, Event::Lease(Status::Valid(Id(3), UNTIL)));
     let claim = seat.step(now, Event::Record(Record::Absent));
     assert_eq!(claim, [Action::Claim(Id(3), None)]);
     let fence = seat.step(now, Event::Record(Record::Mine(Epoch(12))));
@@ -156,7 +156,7 @@
 fn lapsed_seat_that_another_took_is_closed() {
     let mut seat = held();
     let now = Instant::from_millis(10);
-    seat.step(now, Event::Lease(Standing::Absent));
+    seat.step(now, Event::Lease(Status::Absent));
     let lost = seat.step(now, Event::Record(Record::Other(Epoch(12))));
     assert_eq!(lost, [Action::Close]);
     assert_eq!(seat.permit(now), Permit::Nothing);
@@ -167,11 +167,11 @@
 /// ends only the connections that it sees.
 #[test]
 fn login_under_way_during_a_fence_is_closed_unused() {
-    use pool::seat::{Entry, admit};
+    use pool::seat::{Admission, admit};
 
-    assert_eq!(admit(Epoch(7), [Epoch(9)]), Entry::Close);
-    assert_eq!(admit(Epoch(9), [Epoch(7)]), Entry::Fence);
-    assert_eq!(admit(Epoch(9), []), Entry::Use);
+    assert_eq!(admit(Epoch(7), [Epoch(9)]), Admission::Close);
+    assert_eq!(admit(Epoch(9), [Epoch(7)]), Admission::Fence);
+    assert_eq!(admit(Epoch(9), []), Admission::Use);
 }
 
 /// Symptom: nobody holds a seat until the store is back. Events: the store is
@@ -181,11 +181,11 @@
 fn former_holder_does_not_oust_the_present_one() {
     let mut seat = held();
     assert_eq!(seat.step(UNTIL, Event::Tick), [Action::Check(Attempt(2))]);
-    let fence = seat.step(UNTIL, Event::Checked(Attempt(2), Seen::Earlier));
+    let fence = seat.step(UNTIL, Event::Checked(Attempt(2), Occupancy::Earlier));
     assert_eq!(fence, [Action::Fence(Attempt(2))]);
     assert_eq!(seat.permit(UNTIL), Permit::Nothing);
     let later = UNTIL + Duration::from_millis(500);
     assert_eq!(seat.step(later, Event::Tick), [Action::Check(Attempt(3))]);
-    seat.step(later, Event::Checked(Attempt(3), Seen::Alone));
+    seat.step(later, Event::Checked(Attempt(3), Occupancy::Alone));
     assert_eq!(seat.permit(later), Permit::Replace);
 }
--- a/crates/pool/tests/seats/world.rs
+++ b/crates/pool/tests/seats/world.rs
@@ -11,7 +11,7 @@
     Seat,
     holder::{seats, share},
     lease::{self, Attempt, Id, Lease},
-    seat::{Action, Entry, Epoch, Event, Permit, admit},
+    seat::{Action, Admission, Epoch, Event, Permit, admit},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -246,12 +246,12 @@
         let trusting = self.variant != Variant::Real;
         match admit(epoch, others) {
             _ if trusting => *conn = Open::Usable,
-            Entry::Use => *conn = Open::Usable,
-            Entry::Fence => self.at(way, Happening::Upstream(holder, seat, Op::End(id, epoch))),
-            Entry::Close => {
+            Admission::Use => *conn = Open::Usable,
+            Admission::Fence => self.at(way, Happening::Upstream(holder, seat, Op::End(id, epoch))),
+            Admission::Close => {
                 self.processes[holder].conns[seat].remove(&id);
                 self.at(way, Happening::Upstream(holder, seat, Op::Close(id)));
-                self.step_seat(holder, seat, Event::Ousted);
+                self.step_seat(holder, seat, Event::Terminated);
             }
         }
     }
@@ -336,9 +336,9 @@
     }
 
     fn step_seats(&mut self, holder: Holder) {
-        let standing = self.processes[holder].lease.standing(self.now);
+        let status = self.processes[holder].lease.status(self.now);
         for seat in 0..SEATS {
-            self.step_seat(holder, seat, Event::Lease(standing));
+            self.step_seat(holder, seat, Event::Lease(status));
         }
     }
 
--- a/crates/pool/tests/seats/world/edges.rs
+++ b/crates/pool/tests/seats/world/edges.rs
@@ -3,7 +3,7 @@
 use pool::{
     holder::{seats, share},
     lease,
-    seat::{Entry, Epoch, Event, Seen, admit},
+    seat::{Admission, Epoch, Event, Occupancy, admit},
 };
 use rand::Rng;
 
@@ -23,7 +23,7 @@
                 News::Lease(lease::Event::Granted(attempt, id))
             }
             Call::Renew(attempt, id) => {
-                let until = self.now + lease::MIN_INTERVAL * lease::INTERVALS;
+                let until = self.now + lease::MIN_INTERVAL * lease::TTL_INTERVALS;
                 News::Lease(match self.store.renew(id, until) {
                     true => lease::Event::Renewed(attempt),
                     false => lease::Event::Gone(attempt),
@@ -97,9 +97,9 @@
             Op::Check(attempt, epoch) => {
                 let others = self.upstream.others(holder, seat);
                 let seen = match admit(epoch, others) {
-                    Entry::Use => Seen::Alone,
-                    Entry::Fence => Seen::Earlier,
-                    Entry::Close => Seen::Other,
+                    Admission::Use => Occupancy::Alone,
+                    Admission::Fence => Occupancy::Earlier,
+                    Admission::Close => Occupancy::Later,
                 };
                 self.tell(holder, News::Seat(seat, Event::Checked(attempt, seen)));
             }
@@ -109,7 +109,7 @@
     fn end(&mut self, holder: Holder, seat: usize, below: Epoch) {
         for (id, conn) in self.upstream.end(holder, seat, below) {
             self.tell(conn.holder, News::Gone(seat, id));
-            self.tell(conn.holder, News::Seat(seat, Event::Ousted));
+            self.tell(conn.holder, News::Seat(seat, Event::Terminated));
         }
     }
 }
--- a/crates/pool/tests/share.rs
+++ b/crates/pool/tests/share.rs
@@ -10,8 +10,8 @@
     connections: 2,
     slots: 1,
     warm: 1,
-    idle: Duration::from_secs(60),
-    transaction_idle: Duration::from_secs(60),
+    idle_timeout: Duration::from_secs(60),
+    transaction_idle_timeout: Duration::from_secs(60),
 };
 
 fn request(ticket: u64) -> Request {
--- a/crates/pool/tests/wake.rs
+++ b/crates/pool/tests/wake.rs
@@ -6,15 +6,15 @@
 use model::{Priority, name};
 use pool::{
     Action, Conf, Event, Pool, Request, Ticket,
-    pool::{After, Limits, Service},
+    pool::{Condition, Limits, Status},
 };
 
 const CONF: Conf = Conf {
     connections: 3,
     slots: 1,
     warm: 1,
-    idle: Duration::from_millis(50),
-    transaction_idle: Duration::from_millis(200),
+    idle_timeout: Duration::from_millis(50),
+    transaction_idle_timeout: Duration::from_millis(200),
 };
 
 fn request(ticket: u64, deadline: u64) -> Request {
@@ -50,7 +50,7 @@
     let [Action::Run(_, handle)] = actions[..] else {
         panic!("it did not run: {actions:?}");
     };
-    pool.step(now, Event::Answered(handle, After::Transaction));
+    pool.step(now, Event::Answered(handle, Condition::Transaction));
     pool.step(now, Event::Submit(request(2, 100)));
     assert_eq!(pool.waiting(), 1);
     pool
@@ -89,7 +89,7 @@
 fn passed_moment_is_not_named_again() {
     let mut pool = Pool::open(CONF, 1);
     tick_down(&mut pool, Instant::ZERO);
-    pool.step(Instant::ZERO, Event::Service(Service::Leaving));
+    pool.step(Instant::ZERO, Event::Status(Status::Leaving));
     assert_eq!(ticks(&mut pool), 1);
 }
 
