--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -59,11 +59,11 @@
     let fresh = &node.freshness;
     let waiting = async {
         loop {
-            let learnt = fresh.learnt.notified();
+            let learnt = fresh.updated.notified();
             if node.is_fresh(at) || fresh.age(Boot.now()).is_some() {
                 return;
             }
-            fresh.wanted.notify_one();
+            fresh.requested.notify_one();
             learnt.await;
         }
     };
@@ -101,7 +101,7 @@
         return Err((Code::NoAccount, Cause::NoKey));
     }
     if !node.is_fresh(at) {
-        node.freshness.wanted.notify_one();
+        node.freshness.requested.notify_one();
         return Err((Code::Busy, Cause::Stale));
     }
     Ok(())
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/catalog_lag.rs
@@ -11,11 +11,11 @@
 
 /// How long an instance has been behind others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct News {
+pub struct Tracker {
     behind: Option<(u64, Instant)>,
 }
 
-impl News {
+impl Tracker {
     /// Takes in that another instance has `version` while this one has `own`; whether it
     /// is to be asked for it.
     ///
@@ -24,16 +24,16 @@
     ///
     /// ```
     /// use clock::Instant;
-    /// use proxy::news::News;
+    /// use proxy::catalog_lag::Tracker;
     ///
     /// let at = Instant::from_millis;
-    /// let mut news = News::default();
-    /// assert!(!news.heard(5, 4, at(1_000)));
-    /// assert!(!news.heard(5, 4, at(2_100)));
-    /// assert!(news.heard(5, 4, at(2_200)));
-    /// assert!(!news.heard(5, 4, at(2_201)));
+    /// let mut news = Tracker::default();
+    /// assert!(!news.observe(5, 4, at(1_000)));
+    /// assert!(!news.observe(5, 4, at(2_100)));
+    /// assert!(news.observe(5, 4, at(2_200)));
+    /// assert!(!news.observe(5, 4, at(2_201)));
     /// ```
-    pub fn heard(&mut self, version: u64, own: u64, now: Instant) -> bool {
+    pub fn observe(&mut self, version: u64, own: u64, now: Instant) -> bool {
         if version <= own {
             return false;
         }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     edge::{Change, Edge, Fault, Item, Items, Store, Swap, Swapped, era_of},
-    era, freshness,
+    freshness,
     group::Group,
     mirror::{SECTIONS, Section},
     node::Node,
-    peers, relay, shares, takeover,
+    peers, proof_lease, relay, shares, takeover,
 };
 
 /// How long an answer of the store may be silent. How long it takes in all says nothing:
@@ -85,12 +85,12 @@
 /// Starts all tasks that keep the node's knowledge up to date.
 pub fn spawn<E: Edge>(node: &Rc<Node<E>>) {
     spawn_local(begin(Rc::clone(node)));
-    spawn_local(era::prove(Rc::clone(node)));
+    spawn_local(proof_lease::run(Rc::clone(node)));
     spawn_local(register(Rc::clone(node)));
-    spawn_local(freshness::keep(Rc::clone(node)));
-    spawn_local(shares::keep(Rc::clone(node)));
+    spawn_local(freshness::run(Rc::clone(node)));
+    spawn_local(shares::run(Rc::clone(node)));
     spawn_local(tidy(Rc::clone(node)));
-    spawn_local(takeover::oversee(Rc::clone(node)));
+    spawn_local(takeover::run(Rc::clone(node)));
 }
 
 /// Reads a prefix from the store, or through another instance.
@@ -112,11 +112,11 @@
         node.meet();
     }
     let since = Boot.now();
-    while relay::is_own(&node) && since + patience(&node) > Boot.now() {
+    while relay::is_relay(&node) && since + patience(&node) > Boot.now() {
         sleep(LOOK / 10).await;
     }
     let mut pause = AGAIN.0;
-    while relay::reads(&node) && read_section(&node, Section::Records).await.is_err() {
+    while relay::is_reader(&node) && read_section(&node, Section::Records).await.is_err() {
         sleep(pause).await;
         pause = (pause * 2).min(AGAIN.1);
     }
@@ -135,7 +135,7 @@
 ///
 /// Where all start at once, each one that did not wait would read the whole store.
 fn patience<E: Edge>(node: &Node<E>) -> Duration {
-    match node.peers.is_silent() {
+    match node.peers.is_mostly_unheard() {
         true => CROWDED,
         false => GREETED,
     }
@@ -167,7 +167,7 @@
             1 => LIST.0,
             _ => (pause * 2).min(LIST.1),
         };
-        if relay::is_own(&node) {
+        if relay::is_relay(&node) {
             let _ = list(&node).await;
         }
     }
@@ -179,9 +179,9 @@
         // Where nobody has one yet, those who could pass it on would be waited for.
         Section::Catalog => {
             let none = node.catalog().version == 0 && !node.peers.is_catalog_known();
-            none && relay::is_own(node) || relay::reads(node)
+            none && relay::is_relay(node) || relay::is_reader(node)
         }
-        Section::Upstreams | Section::Records => relay::reads(node),
+        Section::Upstreams | Section::Records => relay::is_reader(node),
     }
 }
 
@@ -244,7 +244,7 @@
     present
         .chain(missing)
         .for_each(|change| learn(node, change));
-    node.mirror.borrow_mut().knows(section, read.at);
+    node.mirror.borrow_mut().advance(section, read.at);
     if section == Section::Upstreams {
         node.listed.set(true);
     }
@@ -259,7 +259,7 @@
     {
         return;
     }
-    if !node.mirror.borrow_mut().take(&change) {
+    if !node.mirror.borrow_mut().apply(&change) {
         return;
     }
     match &change {
@@ -333,7 +333,7 @@
     if is_large {
         at = at.max(overtake(node).await?);
     }
-    node.mirror.borrow_mut().knows(section, at);
+    node.mirror.borrow_mut().advance(section, at);
     Ok(news)
 }
 
@@ -390,11 +390,11 @@
 /// Takes in one item of the store.
 fn take<E: Edge>(node: &Rc<Node<E>>, item: &Item) {
     if item.key == E::CATALOG {
-        node.peers.call();
-    } else if item.key == shares::key::<E>() {
+        node.peers.announce();
+    } else if item.key == shares::table_key::<E>() {
         let spans = (node.began, node.settings.agreed());
         node.shares.learn(item, &node.settings.name, spans);
-        node.freshness.reach(node.mark());
+        node.freshness.advance(node.mark());
     } else if item.key.starts_with(E::UPSTREAMS) {
         match E::upstream(&item.key, &item.value) {
             Ok(upstream) => node.put(upstream),
@@ -404,7 +404,7 @@
             }
         }
     } else if let Some(group) = record(node, item) {
-        takeover::notice(node, &group);
+        takeover::track_replacement(node, &group);
     }
 }
 
@@ -416,8 +416,8 @@
     let text = format!("{record:?}");
     if record.written < era_of(item.revision) {
         node.era_since();
-        if relay::is_own(node) {
-            era::reclaim(node, &group, record, item.revision);
+        if relay::is_relay(node) {
+            proof_lease::restore_record(node, &group, record, item.revision);
         }
         return None;
     }
@@ -476,7 +476,7 @@
     loop {
         sleep(TIDY).await;
         let now: Instant = Boot.now();
-        node.peers.awake();
+        node.peers.unstalled_now();
         let since = node.unable_since();
         if since.is_some() != unable.is_some() {
             log::info!(able = since.is_none(); "whether callers can be served here");
@@ -499,7 +499,7 @@
                 member.holders.set(holders);
                 member.pool.share.set(share);
                 if member.pool.is_starved(now) {
-                    node.peers.call();
+                    node.peers.announce();
                 }
                 member.pool.trim(now, share, IDLE);
             }
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/figures.rs
@@ -236,7 +236,7 @@
             rate,
         );
     }
-    for (account, parts) in node.shares.kept(&node.settings.name) {
+    for (account, parts) in node.shares.owned(&node.settings.name) {
         let labels = format!("{{account=\"{account}\"}}");
         put("account_share", &labels, f64::from(parts) / 1_000.0);
         let rate = node.quota(&account).map_or(0.0, |quota| quota.rate);
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -28,9 +28,9 @@
 use crate::{
     control,
     edge::{Change, Edge, Fault, Item, Store},
-    era,
     node::Node,
-    peers::beat::Proof,
+    peers::heartbeat::Message,
+    proof_lease,
     relay::{self, Source},
     shares,
 };
@@ -54,19 +54,19 @@
 
 /// What an instance knows of how sure it is, and who waits for an answer.
 #[derive(Debug, Default)]
-pub struct Fresh {
+pub struct Tracker {
     proof: Cell<Freshness>,
-    stamp: Cell<u64>,
+    last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<(Mark, Duration)>>>,
     asking: Cell<bool>,
     asked: Cell<Instant>,
     /// Told when somebody needs a proof now.
-    pub wanted: Notify,
+    pub requested: Notify,
     /// Told when there is a newer proof.
-    pub learnt: Notify,
+    pub updated: Notify,
 }
 
-impl Fresh {
+impl Tracker {
     /// Whether a request that came at `moment` may be served, if a key may be served for
     /// `span` after it was taken away.
     pub fn covers(&self, moment: Instant, span: Duration) -> bool {
@@ -79,11 +79,11 @@
     }
 
     /// Takes in that this instance has `have` from now on.
-    pub fn reach(&self, have: Mark) {
+    pub fn advance(&self, have: Mark) {
         let mut proof = self.proof.get();
         proof.reach(have);
         self.proof.set(proof);
-        self.learnt.notify_waiters();
+        self.updated.notify_waiters();
     }
 
     /// What the store has and this instance has not.
@@ -95,32 +95,32 @@
         let mut proof = self.proof.get();
         proof.learn(newest, since, have);
         self.proof.set(proof);
-        self.learnt.notify_waiters();
+        self.updated.notify_waiters();
     }
 
     /// Takes in an answer.
-    pub(crate) fn told(&self, stamp: u64, newest: Mark, age: Duration) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&stamp) {
+    pub(crate) fn told(&self, id: u64, newest: Mark, age: Duration) {
+        if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
             let _ = waiting.send((newest, age));
         }
     }
 }
 
 /// Answers an instance that asks how sure this one is.
-pub(crate) fn tell<E: Edge>(node: &Node<E>, stamp: u64, to: SocketAddr) {
+pub(crate) fn tell<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr) {
     let Some(age) = node.freshness.age(Boot.now()) else {
         return;
     };
     let newest = node.mark();
-    let told = Proof::Fresh { stamp, newest, age };
+    let told = Message::FreshnessAge { id, newest, age };
     node.proofs.send(&told, to);
 }
 
 /// Keeps the proof fresh as long as the catalogue has accounts, until the process ends.
-pub(crate) async fn keep<E: Edge>(node: Rc<Node<E>>) {
+pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let span = node.settings.agreed();
     loop {
-        let _ = timeout(LOOK, node.freshness.wanted.notified()).await;
+        let _ = timeout(LOOK, node.freshness.requested.notified()).await;
         if node.catalog().accounts.is_empty() {
             sleep(LOOK).await;
             continue;
@@ -167,7 +167,7 @@
 async fn renew<E: Edge>(node: &Rc<Node<E>>, age: Option<Duration>, span: Duration) {
     let asked = match source(node) {
         Source::Relay(address) => ask(node, address).await,
-        Source::Store if era::is_resting(node) => Err(Fault::Refused),
+        Source::Store if proof_lease::is_resting(node) => Err(Fault::Refused),
         Source::Store => check(node).await,
     };
     if asked.is_ok() {
@@ -180,7 +180,7 @@
     {
         return;
     }
-    if age.is_none_or(|age| age > span / 2) && !era::is_resting(node) {
+    if age.is_none_or(|age| age > span / 2) && !proof_lease::is_resting(node) {
         let _ = check(node).await;
     }
 }
@@ -188,19 +188,19 @@
 /// Asks the instance at `address`.
 async fn ask<E: Edge>(node: &Node<E>, address: SocketAddr) -> Result<(), Fault> {
     let fresh = &node.freshness;
-    fresh.stamp.set(fresh.stamp.get() + 1);
+    fresh.last_id.set(fresh.last_id.get() + 1);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(fresh.stamp.get());
+    let id = node.life.wrapping_add(fresh.last_id.get());
     let (sender, answer) = oneshot::channel();
-    fresh.waiting.borrow_mut().insert(stamp, sender);
+    fresh.waiting.borrow_mut().insert(id, sender);
     let asked = Boot.now();
-    let question = Proof::AskFresh {
-        stamp,
-        answer: node.settings.peers,
+    let question = Message::FreshnessRequest {
+        id,
+        reply_to: node.settings.peers,
     };
     node.proofs.send(&question, address);
     let answer = timeout(ANSWER, answer).await;
-    fresh.waiting.borrow_mut().remove(&stamp);
+    fresh.waiting.borrow_mut().remove(&id);
     let Ok(Ok((newest, age))) = answer else {
         return Err(Fault::Unknown);
     };
@@ -220,7 +220,7 @@
 /// known of them.
 async fn reread<E: Edge>(node: &Node<E>) -> Result<Vec<Item>, Fault> {
     let catalog = node.store().read(E::CATALOG, READ).await?;
-    let shares = node.store().read(&shares::key::<E>(), READ).await?;
+    let shares = node.store().read(&shares::table_key::<E>(), READ).await?;
     let items = catalog.items.into_iter().chain(shares.items);
     Ok(items.collect())
 }
@@ -229,14 +229,14 @@
 async fn check<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let revision = node.catalog_item().map_or(0, |item| item.revision);
     let asked = Boot.now();
-    let shares = shares::key::<E>();
+    let shares = shares::table_key::<E>();
     let known = [(E::CATALOG, revision), (&*shares, node.mark().shares)];
     let newer = match node.store().newer(&known, READ).await {
         Err(Fault::Compacted) => reread(node).await,
         newer => newer,
     };
-    let newer = newer.inspect_err(|_| era::unanswered(node))?;
-    era::answered(node);
+    let newer = newer.inspect_err(|_| proof_lease::unanswered(node))?;
+    proof_lease::answered(node);
     for item in newer {
         // One that can't be read is not in force here, and proves nothing.
         if item.key == E::CATALOG {
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -15,7 +15,7 @@
 use crate::{
     catalog::{Stay, Upstream},
     member::Member,
-    roster::Stirred,
+    registry::Pending,
 };
 
 /// How long the list of upstreams is remembered as having been longer.
@@ -88,13 +88,13 @@
     leaving: Cell<Option<Instant>>,
     most: Cell<(usize, Instant)>,
     furthest: Cell<(Position, Instant)>,
-    stirred: Rc<Stirred>,
+    stirred: Rc<Pending>,
     is_active: Cell<bool>,
 }
 
 impl Group {
     /// A group of which nothing is known; it tells `stirred` when something happens to it.
-    pub fn new(service: &Rc<str>, stirred: &Rc<Stirred>) -> Self {
+    pub fn new(service: &Rc<str>, stirred: &Rc<Pending>) -> Self {
         stirred.push(service);
         Self {
             service: Rc::clone(service),
--- a/crates/proxy/src/mirror.rs
+++ b/crates/proxy/src/mirror.rs
@@ -42,7 +42,7 @@
 }
 
 /// What a mirror's contents are told apart by.
-pub(crate) type State = (u64, [u64; SECTIONS.len()]);
+pub(crate) type Version = (u64, [u64; SECTIONS.len()]);
 
 /// What an instance knows of the store.
 ///
@@ -51,10 +51,10 @@
 ///
 /// let item = |revision| Item { key: "k".into(), value: "v".into(), revision };
 /// let mut mirror = Mirror::default();
-/// assert!(mirror.take(&Change::Put(item(7))));
-/// assert!(!mirror.take(&Change::Put(item(6))), "older");
-/// assert_eq!(mirror.since(0), Some(vec![Change::Put(item(7))]));
-/// assert_eq!(mirror.since(mirror.seq()), Some(vec![]));
+/// assert!(mirror.apply(&Change::Put(item(7))));
+/// assert!(!mirror.apply(&Change::Put(item(6))), "older");
+/// assert_eq!(mirror.changes_since(0), Some(vec![Change::Put(item(7))]));
+/// assert_eq!(mirror.changes_since(mirror.seq()), Some(vec![]));
 /// ```
 #[derive(Debug, Default)]
 pub struct Mirror {
@@ -78,23 +78,23 @@
     }
 
     /// How much was learnt, and up to which revision of each section it is all there is.
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn version(&self) -> Version {
         (self.seq, self.known)
     }
 
     /// Notes that all changes of `section` up to the store's revision `at` were taken in.
-    pub fn knows(&mut self, section: Section, at: u64) {
+    pub fn advance(&mut self, section: Section, at: u64) {
         let known = &mut self.known[section as usize];
         *known = at.max(*known);
     }
 
     /// Up to which revision of the store everything is known.
-    pub fn at(&self) -> u64 {
+    pub fn min_known(&self) -> u64 {
         self.known.into_iter().min().unwrap_or(0)
     }
 
     /// Takes in a change; whether it is news.
-    pub fn take(&mut self, change: &Change) -> bool {
+    pub fn apply(&mut self, change: &Change) -> bool {
         let (key, value, revision) = match change {
             Change::Put(item) => (&item.key, Some(item.value.clone()), item.revision),
             Change::Gone(key, revision) => (key, None, *revision),
@@ -174,7 +174,7 @@
     /// What changed in the store behind its revision `at`, and all under `listed`, which is read
     /// now and then and not watched, so that no revision tells up to where it is known; `None`
     /// if a deletion since may be forgotten, so that all has to be told.
-    pub fn behind(&self, at: u64, listed: &str) -> Option<Vec<Change>> {
+    pub fn changes_after(&self, at: u64, listed: &str) -> Option<Vec<Change>> {
         if at < self.forgotten {
             return None;
         }
@@ -188,7 +188,7 @@
 
     /// What was learnt behind number `seq`, oldest first; `None` if some of it is
     /// forgotten, so that all has to be told.
-    pub fn since(&self, seq: u64) -> Option<Vec<Change>> {
+    pub fn changes_since(&self, seq: u64) -> Option<Vec<Change>> {
         if seq < self.floor && seq != 0 || seq > self.seq {
             return None;
         }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -22,16 +22,16 @@
     catalog::{Catalog, Route, Upstream},
     counted::Counted,
     edge::{Edge, Item, Store},
-    era::{self, Lease},
     figures::{Figures, Wait},
-    freshness::Fresh,
+    freshness,
     group::Group,
     member::Member,
     mirror::{self, Mirror},
-    peers::{Peers, beat::Hearing, frame::Packed},
+    peers::{Peers, frame::Compressed, heartbeat::StoreContact},
+    proof_lease::{self, Lease},
     proofs::Proofs,
+    registry::Registry,
     relay,
-    roster::Roster,
     settings::Settings,
     shares::{self, Shares},
     work::{Kind, Work},
@@ -94,7 +94,7 @@
     /// A number of this life of the process.
     pub life: u64,
     catalog: RefCell<Rc<Catalog>>,
-    roster: Roster,
+    roster: Registry,
     /// Other instances.
     pub peers: Peers,
     /// How far it is with its life.
@@ -151,14 +151,14 @@
     pub mirror: RefCell<Mirror>,
     /// Told when something was learnt of the store.
     pub learnt: Notify,
-    packed: RefCell<Option<Packed>>,
+    packed: RefCell<Option<Compressed>>,
     /// What those are told who know nothing, and of which state of the mirror and the
     /// catalogue.
-    pub(crate) whole: RefCell<Option<((mirror::State, u64), Bytes)>>,
+    pub(crate) whole: RefCell<Option<((mirror::Version, u64), Bytes)>>,
     /// Questions for proofs.
     pub proofs: Proofs,
     /// How surely it is known what may be asked for.
-    pub freshness: Fresh,
+    pub freshness: freshness::Tracker,
     /// What each account may ask for here.
     pub shares: Shares,
     /// When the store's watch was answered last.
@@ -186,7 +186,7 @@
             settings,
             life: rand::random(),
             catalog: RefCell::default(),
-            roster: Roster::default(),
+            roster: Registry::default(),
             stage: Cell::new(Stage::Serve),
             staged: Notify::new(),
             prove: Notify::new(),
@@ -218,7 +218,7 @@
             packed: RefCell::default(),
             whole: RefCell::default(),
             proofs: Proofs::default(),
-            freshness: Fresh::default(),
+            freshness: freshness::Tracker::default(),
             shares: Shares::default(),
             watched: Cell::default(),
             answered: Notify::new(),
@@ -269,9 +269,9 @@
             }
         }
         self.work.add(Kind::Catalogue, 1);
-        self.roster.name(&catalog);
+        self.roster.set_services(&catalog);
         *self.catalog.borrow_mut() = Rc::new(catalog);
-        self.freshness.reach(self.mark());
+        self.freshness.advance(self.mark());
     }
 
     /// How far this instance is with what is agreed on.
@@ -281,7 +281,7 @@
             shares: self
                 .mirror
                 .borrow()
-                .item(&shares::key::<E>())
+                .item(&shares::table_key::<E>())
                 .map_or(0, |item| item.revision),
         }
     }
@@ -308,7 +308,7 @@
 
     /// Whether this instance asks the store for its zone.
     pub fn is_relay(&self) -> bool {
-        relay::is_own(self)
+        relay::is_relay(self)
     }
 
     /// Where to reach the instances that serve sessions on `service`, if this one is to
@@ -383,7 +383,7 @@
 
     /// All groups that the catalogue names, in order of their names.
     pub fn groups(&self) -> Rc<[Rc<Group>]> {
-        self.roster.named()
+        self.roster.catalogued()
     }
 
     /// The groups of the catalogue that something is to be done for, in order of their
@@ -405,7 +405,7 @@
     pub fn put(&self, upstream: Upstream) {
         let group = self.group_of(&upstream.service);
         let id = Rc::clone(&upstream.id);
-        if let Some(old) = self.roster.list(&id, &upstream.service) {
+        if let Some(old) = self.roster.assign(&id, &upstream.service) {
             old.unlist(&id, Boot.now());
         }
         let catalog = self.catalog();
@@ -418,12 +418,12 @@
 
     /// The upstream with this id, whichever group it is in.
     pub fn member(&self, id: &str) -> Option<Rc<Member>> {
-        self.roster.group_with(id)?.member(id)
+        self.roster.group_of_upstream(id)?.member(id)
     }
 
     /// Takes in that the list lacks the upstream with this id.
     pub fn unlist(&self, id: &str) {
-        if let Some(group) = self.roster.group_with(id) {
+        if let Some(group) = self.roster.group_of_upstream(id) {
             group.unlist(id, Boot.now());
         }
     }
@@ -462,7 +462,7 @@
     pub(crate) fn meet(&self) {
         if self.met.get().is_none() {
             self.met.set(Some(Boot.now()));
-            self.peers.call_all();
+            self.peers.announce_to_all();
         }
     }
 
@@ -492,7 +492,7 @@
     /// Whether it serves, or would.
     pub fn service(&self) -> Service {
         if self.is_idle() {
-            return match self.peers.is_lost() {
+            return match self.peers.is_unserved() {
                 true => Service::Unable,
                 false => Service::Idle,
             };
@@ -518,7 +518,7 @@
     /// Since when this instance can't serve though others may.
     pub fn unable_since(&self) -> Option<Instant> {
         let now = Boot.now();
-        if self.service() != Service::Unable || !self.peers.may_serve() {
+        if self.service() != Service::Unable || !self.peers.may_others_serve() {
             self.able.set(now);
             return None;
         }
@@ -544,7 +544,7 @@
             return Proved::Primary(member);
         }
         // A group that rested was not proved with the others.
-        era::adopt(self, group);
+        proof_lease::adopt_proof(self, group);
         if let Some(member) = self.leader(group, moment) {
             return Proved::Primary(member);
         }
@@ -596,15 +596,15 @@
     }
 
     /// Whether this instance hears the store itself.
-    pub fn hearing(&self) -> Hearing {
+    pub fn hearing(&self) -> StoreContact {
         let now = Boot.now();
         let (direct, refused) = (self.direct.get(), self.refused.get());
         if direct != Instant::ZERO && direct + HEARS > now {
-            return Hearing::Hears;
+            return StoreContact::Reachable;
         }
         match refused > direct && refused + DEAF > now {
-            true => Hearing::Deaf,
-            false => Hearing::Unknown,
+            true => StoreContact::Unreachable,
+            false => StoreContact::Unknown,
         }
     }
 
@@ -614,14 +614,14 @@
     }
 
     /// The same, packed once for all who ask.
-    pub(crate) fn packed(&self) -> Option<Packed> {
+    pub(crate) fn packed(&self) -> Option<Compressed> {
         let item = self.catalog_item()?;
         let mut packed = self.packed.borrow_mut();
         if packed
             .as_ref()
             .is_none_or(|p| p.item.revision != item.revision)
         {
-            *packed = Packed::pack(&item).ok();
+            *packed = Compressed::compress(&item).ok();
         }
         packed.clone()
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -4,9 +4,9 @@
 //! now and then to all. Over TCP an instance that the store turns away asks another one to
 //! read the store for it, and one that is no relay follows one that is.
 
-pub mod beat;
-mod census;
 pub(crate) mod frame;
+pub mod heartbeat;
+mod membership;
 mod peer;
 mod table;
 mod zones;
@@ -32,13 +32,13 @@
     work::Kind,
 };
 
-use beat::{Beat, Belief, Datagram, FORMAT, Greeting, Hearing, More};
-pub(crate) use census::Roll;
-use census::Seen;
-use frame::{Ask, QUIET, Told, call, connect, receive, send};
+use frame::{QUIET, Request, Response, call, connect, receive, send};
+use heartbeat::{Datagram, Extension, FORMAT, Heartbeat, Observation, ReplyRequest, StoreContact};
+pub(crate) use membership::Changes;
+use membership::Seen;
 pub use peer::Relay;
 use peer::{Due, Peer, Standing, Urgent};
-pub use table::{LOST, Peers};
+pub use table::{LOST_HEARTBEATS, Peers};
 
 /// The shortest pause between two beats.
 const CALM: Duration = Duration::from_millis(20);
@@ -57,7 +57,7 @@
 const SERVED: Duration = Duration::from_secs(3);
 
 /// Sends and takes beats until the process ends.
-pub async fn beats<E: Edge>(node: Rc<Node<E>>, socket: UdpSocket) {
+pub async fn run_heartbeats<E: Edge>(node: Rc<Node<E>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     let receiver = Rc::clone(&socket);
     let receiving = Rc::clone(&node);
@@ -68,9 +68,9 @@
                 sleep(CALM).await;
                 continue;
             };
-            match beat::decode(&buf[..size]) {
-                Some(Datagram::Beat(heard, more)) => {
-                    let dues = take(&receiving, heard, more);
+            match heartbeat::decode(&buf[..size]) {
+                Some(Datagram::Heartbeat(heard, extension)) => {
+                    let dues = take(&receiving, heard, extension);
                     if !dues.is_empty() {
                         let mut beats = Beats::new(&receiving);
                         for due in dues {
@@ -78,7 +78,7 @@
                         }
                     }
                 }
-                Some(Datagram::Proof(proof)) => proofs::take(&receiving, proof),
+                Some(Datagram::Message(proof)) => proofs::take(&receiving, proof),
                 None => {}
             }
         }
@@ -86,9 +86,9 @@
     *node.proofs.socket.borrow_mut() = Some(Rc::clone(&socket));
     let mut served = Instant::ZERO;
     loop {
-        let news = node.peers.roll();
+        let news = node.peers.take_changes();
         node.work
-            .add(Kind::ChangedInstance, news.came.len() + news.went.len());
+            .add(Kind::ChangedInstance, news.joined.len() + news.silent.len());
         roll::call(news);
         roll::lost(&node.lost);
         let now = Boot.now();
@@ -97,7 +97,7 @@
         }
         node.peers.standing.set(Standing {
             serves: served + SERVED > now,
-            relays: relay::is_own(&node),
+            is_relay: relay::is_relay(&node),
         });
         let urgent = node.peers.urgent.replace(Urgent::Nobody);
         let mut beats = Beats::new(&node);
@@ -115,25 +115,25 @@
 
 /// A beat, encoded once for all to whom the same is told.
 struct Beats {
-    beat: Beat,
-    more: More,
-    encoded: HashMap<(Duration, Greeting), Vec<u8>>,
+    beat: Heartbeat,
+    extension: Extension,
+    encoded: HashMap<(Duration, ReplyRequest), Vec<u8>>,
 }
 
 impl Beats {
     fn new<E: Edge>(node: &Node<E>) -> Self {
-        let more = More {
+        let extension = Extension {
             format: FORMAT,
             next: PROMPT,
-            hearing: node.hearing(),
-            relays: node.peers.standing.get().relays,
-            greeting: Greeting::None,
-            silent: node.peers.silent(),
-            near: Vec::new(),
+            store: node.hearing(),
+            is_relay: node.peers.standing.get().is_relay,
+            reply_request: ReplyRequest::None,
+            unreachable_zones: node.peers.silent(),
+            introduced: Vec::new(),
         };
         Self {
             beat: beat(node),
-            more,
+            extension,
             encoded: HashMap::new(),
         }
     }
@@ -144,35 +144,35 @@
             false => Kind::RareHeartbeat,
         };
         node.work.add(kind, 1);
-        let more = More {
+        let extension = Extension {
             next: due.next,
-            greeting: due.greeting,
-            near: due.near,
-            ..self.more.clone()
+            reply_request: due.reply_request,
+            introduced: due.introduced,
+            ..self.extension.clone()
         };
         let beat = &self.beat;
-        let encode = || beat::encode(beat, &more).unwrap_or_default();
-        if !more.near.is_empty() {
+        let encode = || heartbeat::encode(beat, &extension).unwrap_or_default();
+        if !extension.introduced.is_empty() {
             let bytes = encode();
             node.work.add(Kind::HeartbeatByte, bytes.len());
             let _ = socket.try_send_to(&bytes, due.address);
             return;
         }
-        let bytes = self.encoded.entry((due.next, due.greeting));
+        let bytes = self.encoded.entry((due.next, due.reply_request));
         let bytes = bytes.or_insert_with(encode);
         node.work.add(Kind::HeartbeatByte, bytes.len());
         let _ = socket.try_send_to(bytes, due.address);
     }
 }
 
-fn beat<E: Edge>(node: &Node<E>) -> Beat {
+fn beat<E: Edge>(node: &Node<E>) -> Heartbeat {
     let now = Boot.now();
-    let mut beliefs = Vec::new();
-    let mut starved = Vec::new();
+    let mut observations = Vec::new();
+    let mut locked_out = Vec::new();
     for group in node.active() {
         for member in group.members() {
             if member.pool.is_starved(now) {
-                starved.push(member.upstream.id.to_string());
+                locked_out.push(member.upstream.id.to_string());
             }
         }
         let Some((primary, term)) = group.primary() else {
@@ -182,18 +182,18 @@
         if !group.is_wanted(now) {
             continue;
         }
-        beliefs.push(Belief {
+        observations.push(Observation {
             service: group.service.to_string(),
             term,
             verdict: primary.verdict(now),
         });
     }
-    Beat {
+    Heartbeat {
         name: node.settings.name.clone(),
         address: node.settings.peers,
         version: node.catalog().version,
-        beliefs,
-        starved,
+        observations,
+        locked_out,
         zone: node.settings.zone.clone(),
         weight: node.settings.weight,
         service: node.service(),
@@ -206,14 +206,14 @@
 ///
 /// It may have just started, and must not take itself for alone until the next beat: it
 /// would serve its callers itself.
-fn take<E: Edge>(node: &Rc<Node<E>>, beat: Beat, more: Option<More>) -> Vec<Due> {
+fn take<E: Edge>(node: &Rc<Node<E>>, beat: Heartbeat, extension: Option<Extension>) -> Vec<Due> {
     if beat.name == node.settings.name {
         return Vec::new();
     }
     node.work.add(Kind::HeardHeartbeat, 1);
-    look_too(node, &beat.beliefs);
+    look_too(node, &beat.observations);
     let now = Boot.now();
-    for id in &beat.starved {
+    for id in &beat.locked_out {
         if let Some(member) = node.member(id) {
             member.pool.spare(now);
         }
@@ -226,19 +226,23 @@
     let mut table = node.peers.table.borrow_mut();
     let new = || Peer::new(beat.address);
     let peer = table.entry(beat.name.clone()).or_insert_with(new);
-    let awake = node.peers.awake();
-    let known = peer.was_heard(awake, LOST) && peer.address == beat.address;
-    let asked = more.as_ref().map_or(Greeting::None, |more| more.greeting);
+    let awake = node.peers.unstalled_now();
+    let known = peer.was_heard(awake, LOST_HEARTBEATS) && peer.address == beat.address;
+    let asked = extension
+        .as_ref()
+        .map_or(ReplyRequest::None, |extension| extension.reply_request);
     let greeting = match known {
         true => asked,
-        false => asked.max(Greeting::Answer),
+        false => asked.max(ReplyRequest::Answer),
     };
-    let hearing = more.as_ref().map_or(peer.hearing, |more| more.hearing);
+    let hearing = extension
+        .as_ref()
+        .map_or(peer.store, |extension| extension.store);
     let is_same = known
         && peer.zone == beat.zone
         && peer.weight == beat.weight
         && peer.service == beat.service
-        && peer.hearing == hearing;
+        && peer.store == hearing;
     if !is_same {
         node.peers.census.touch();
     }
@@ -251,26 +255,26 @@
     peer.service = beat.service;
     peer.address = beat.address;
     peer.heard = Some(awake);
-    peer.beliefs = beat.beliefs;
+    peer.observations = beat.observations;
     peer.version = beat.version;
     let mut near = Vec::new();
-    peer.silent = Vec::new();
+    peer.unreachable_zones = Vec::new();
     (peer.next, peer.format) = (PROMPT, 0);
-    if let Some(more) = more {
-        (peer.next, peer.format) = (more.next, more.format);
-        if more.hearing == Hearing::Hears && peer.hearing == Hearing::Deaf {
+    if let Some(extension) = extension {
+        (peer.next, peer.format) = (extension.next, extension.format);
+        if extension.store == StoreContact::Reachable && peer.store == StoreContact::Unreachable {
             node.failures.set(0);
             node.prove.notify_one();
         }
-        (peer.hearing, peer.relays) = (more.hearing, more.relays);
-        (peer.silent, near) = (more.silent, more.near);
+        (peer.store, peer.is_relay) = (extension.store, extension.is_relay);
+        (peer.unreachable_zones, near) = (extension.unreachable_zones, extension.introduced);
     }
     drop(table);
     let mut news = node.peers.news.get();
-    let overdue = news.heard(beat.version, node.catalog().version, now);
+    let overdue = news.observe(beat.version, node.catalog().version, now);
     node.peers.news.set(news);
     let is_newer = beat.version > node.catalog().version;
-    let relays = node.peers.standing.get().relays && node.met.get().is_some();
+    let relays = node.peers.standing.get().is_relay && node.met.get().is_some();
     if (overdue || is_newer && relays) && !node.peers.fetching.replace(true) {
         let node = Rc::clone(node);
         let address = beat.address;
@@ -280,9 +284,9 @@
         });
     }
     let new = node.peers.greet(near).into_iter();
-    let greet = |address| Due::greeting(address, Greeting::Answer);
+    let greet = |address| Due::greeting(address, ReplyRequest::Answer);
     let mut dues: Vec<_> = new.map(greet).collect();
-    if greeting != Greeting::None {
+    if greeting != ReplyRequest::None {
         dues.extend(node.peers.answer(&beat.name, greeting));
     }
     dues
@@ -292,8 +296,11 @@
 ///
 /// A few instances do. Were all that hear of it to connect at once, a primary that was
 /// only busy would have no slot left for statements, and fail for everybody.
-fn look_too<E: Edge>(node: &Rc<Node<E>>, beliefs: &[Belief]) {
-    for belief in beliefs.iter().filter(|b| b.verdict == Verdict::Failing) {
+fn look_too<E: Edge>(node: &Rc<Node<E>>, observations: &[Observation]) {
+    for belief in observations
+        .iter()
+        .filter(|b| b.verdict == Verdict::Failing)
+    {
         let service: Rc<str> = belief.service.as_str().into();
         let group = node.group_of(&service);
         let Some((primary, term)) = group.primary() else {
@@ -311,12 +318,14 @@
     let fetches = &node.peers.fetches;
     fetches.set(fetches.get() + 1);
     let ask = match node.peers.format(address) {
-        0 => Ask::Catalog,
-        _ => Ask::Packed,
+        0 => Request::Catalog,
+        _ => Request::CompressedCatalog,
     };
     let item = match call(address, &ask).await {
-        Ok(Told::Catalog(item)) => item,
-        Ok(Told::Packed(packed)) => packed.and_then(|packed| packed.unpack().ok()),
+        Ok(Response::Catalog(item)) => item,
+        Ok(Response::CompressedCatalog(packed)) => {
+            packed.and_then(|packed| packed.decompress().ok())
+        }
         _ => None,
     };
     if let Some(item) = item {
@@ -339,8 +348,8 @@
             return Err(Fault::Unknown);
         };
         heard.retain(|other| *other != address);
-        let ask = Ask::Read(prefix.to_owned());
-        if let Ok(Told::Items(items)) = call(address, &ask).await {
+        let ask = Request::Read(prefix.to_owned());
+        if let Ok(Response::Items(items)) = call(address, &ask).await {
             return Ok(items);
         }
     }
@@ -353,8 +362,8 @@
 ///
 /// It could not read them, or can't be reached.
 pub(crate) async fn records(address: SocketAddr) -> Result<Items, Fault> {
-    match call(address, &Ask::Records).await {
-        Ok(Told::Items(items)) => Ok(items),
+    match call(address, &Request::Records).await {
+        Ok(Response::Items(items)) => Ok(items),
         _ => Err(Fault::Unknown),
     }
 }
@@ -365,8 +374,8 @@
 ///
 /// It can't be reached, or is of the version before.
 pub(crate) async fn shares(address: SocketAddr) -> Result<Option<Item>, Fault> {
-    match call(address, &Ask::Shares).await {
-        Ok(Told::Shares(item)) => Ok(item),
+    match call(address, &Request::Shares).await {
+        Ok(Response::Shares(item)) => Ok(item),
         _ => Err(Fault::Unknown),
     }
 }
@@ -376,11 +385,11 @@
 /// # Errors
 ///
 /// It can't be reached.
-pub async fn hand(address: SocketAddr, kept: &Kept) -> io::Result<TcpStream> {
+pub async fn forward(address: SocketAddr, kept: &Kept) -> io::Result<TcpStream> {
     let mut stream = connect(address).await?;
     let ask = match &kept.account {
-        Some(account) => Ask::Keyed(account.to_string(), kept.clone()),
-        None => Ask::Session(kept.clone()),
+        Some(account) => Request::AccountSession(account.to_string(), kept.clone()),
+        None => Request::Session(kept.clone()),
     };
     send(&mut stream, &ask).await?;
     Ok(stream)
@@ -406,27 +415,27 @@
     from: SocketAddr,
 ) -> io::Result<()> {
     let told = match receive(&mut stream, QUIET).await? {
-        Ask::Session(kept) => {
+        Request::Session(kept) => {
             let _guest = node.peers.host(from.ip());
             return session::host(node, stream, kept).await;
         }
-        Ask::Keyed(account, kept) => {
+        Request::AccountSession(account, kept) => {
             let _guest = node.peers.host(from.ip());
             let account = Some(account.into());
             return session::host(node, stream, Kept { account, ..kept }).await;
         }
-        Ask::Follow(followed) => return relay::lead(node, stream, followed).await,
-        Ask::Read(prefix) => match node.store().read(&prefix, READ).await {
-            Ok(items) => Told::Items(items),
-            Err(_) => Told::Nothing,
+        Request::Follow(cursor) => return relay::lead(node, stream, cursor).await,
+        Request::Read(prefix) => match node.store().read(&prefix, READ).await {
+            Ok(items) => Response::Items(items),
+            Err(_) => Response::Nothing,
         },
-        Ask::Records => match proofs::records(node).await {
-            Ok(items) => Told::Items(items),
-            Err(_) => Told::Nothing,
+        Request::Records => match proofs::records(node).await {
+            Ok(items) => Response::Items(items),
+            Err(_) => Response::Nothing,
         },
-        Ask::Shares => Told::Shares(node.mirror.borrow().item(&shares::key::<E>())),
-        Ask::Catalog => Told::Catalog(node.catalog_item()),
-        Ask::Packed => Told::Packed(node.packed()),
+        Request::Shares => Response::Shares(node.mirror.borrow().item(&shares::table_key::<E>())),
+        Request::Catalog => Response::Catalog(node.catalog_item()),
+        Request::CompressedCatalog => Response::CompressedCatalog(node.packed()),
     };
     send(&mut stream, &told).await
 }
--- a/crates/proxy/src/peers/frame.rs
+++ b/crates/proxy/src/peers/frame.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame is its length and its body. An instance of the version before knows the first
 //! three questions only, and closes the connection at any other; whoever asks looks at
-//! [`super::beat::FORMAT`] first.
+//! [`super::heartbeat::FORMAT`] first.
 
 use std::{
     io::{self, Read, Write},
@@ -37,7 +37,7 @@
 
 /// What an instance asks another.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Ask {
+pub(crate) enum Request {
     /// Read the store for me, now.
     Read(String),
     /// The catalogue you have. Asked by the version before.
@@ -45,22 +45,22 @@
     /// Serve this session: its statements follow.
     Session(Kept),
     /// The catalogue you have, packed.
-    Packed,
+    CompressedCatalog,
     /// What you learnt of the store; asked again on the same connection.
-    Follow(Followed),
+    Follow(Cursor),
     /// The records and the era, read for me from now on.
     Records,
     /// Serve this session of the account with this name: its statements follow.
-    Keyed(String, Kept),
+    AccountSession(String, Kept),
     /// The accounts' shares you have.
     Shares,
 }
 
 /// How far an instance follows another one.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(crate) struct Followed {
+pub(crate) struct Cursor {
     /// The life of the one that is followed, zero if it was not asked before.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     /// The last number that it told; if it was not asked before, the store's revision up to
     /// which everything is known.
     pub(crate) seq: u64,
@@ -70,12 +70,12 @@
 
 /// What it is told.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Told {
+pub(crate) enum Response {
     Items(Items),
     Catalog(Option<Item>),
     Nothing,
-    Packed(Option<Packed>),
-    Feed(Feed),
+    CompressedCatalog(Option<Compressed>),
+    ChangeBatch(ChangeBatch),
     Shares(Option<Item>),
 }
 
@@ -84,7 +84,7 @@
 /// 1,524 routes are 300 KB as operators write them and 25 KB packed; a link of 2 Mbit/s
 /// takes 1.3 s for the one and 0.1 s for the other.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Packed {
+pub(crate) struct Compressed {
     /// The item without its value.
     pub(crate) item: Item,
     /// Its value, deflated.
@@ -93,23 +93,23 @@
 
 /// What an instance learnt of the store behind a number.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Feed {
+pub(crate) struct ChangeBatch {
     /// Its life.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     /// The number to go on from.
     pub(crate) seq: u64,
     /// Which of the store's revisions it knows everything up to.
-    pub(crate) at: u64,
+    pub(crate) known: u64,
     /// Whether all that it knows follows; keys that are missing were deleted.
-    pub(crate) is_whole: bool,
+    pub(crate) is_snapshot: bool,
     /// What it learnt, all but the catalogue.
     pub(crate) changes: Vec<Change>,
     /// Its catalogue, if it is newer than the one that the asker has.
-    pub(crate) catalog: Option<Packed>,
+    pub(crate) catalog: Option<Compressed>,
 }
 
 /// Asks the instance at `address` one thing.
-pub(crate) async fn call(address: SocketAddr, ask: &Ask) -> io::Result<Told> {
+pub(crate) async fn call(address: SocketAddr, ask: &Request) -> io::Result<Response> {
     let mut stream = connect(address).await?;
     send(&mut stream, ask).await?;
     receive(&mut stream, QUIET).await
@@ -165,9 +165,9 @@
     postcard::from_bytes(&body).map_err(io::Error::other)
 }
 
-impl Packed {
+impl Compressed {
     /// Packs an item.
-    pub(crate) fn pack(item: &Item) -> io::Result<Self> {
+    pub(crate) fn compress(item: &Item) -> io::Result<Self> {
         let mut out = DeflateEncoder::new(Vec::new(), Compression::fast());
         out.write_all(&item.value)?;
         let value = out.finish()?.into();
@@ -179,7 +179,7 @@
     }
 
     /// The item, unless it is longer than any frame.
-    pub(crate) fn unpack(self) -> io::Result<Item> {
+    pub(crate) fn decompress(self) -> io::Result<Item> {
         let mut value = Vec::new();
         let deflated = DeflateDecoder::new(&self.value[..]);
         deflated.take(FRAME as u64 + 1).read_to_end(&mut value)?;
--- a/crates/proxy/src/peers/beat.rs
+++ b/crates/proxy/src/peers/heartbeat.rs
@@ -15,11 +15,11 @@
 
 /// The first byte of a question for a proof and of its answer; a beat begins with the
 /// length of a name, which is never zero.
-const PROOF: u8 = 0;
+const MESSAGE: u8 = 0;
 
 /// What an instance says of a primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Belief {
+pub struct Observation {
     /// The primary's service.
     pub service: String,
     /// The term that it leads.
@@ -30,7 +30,7 @@
 
 /// What an instance says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Its name.
     pub name: String,
     /// Where other instances reach it.
@@ -38,9 +38,9 @@
     /// The version of its catalogue.
     pub version: u64,
     /// What it sees of the primaries that it is asked for.
-    pub beliefs: Vec<Belief>,
+    pub observations: Vec<Observation>,
     /// The upstreams that refuse it its first connection.
-    pub starved: Vec<String>,
+    pub locked_out: Vec<String>,
     /// Its availability zone.
     pub zone: String,
     /// How much processor it has, in hundredths of a core.
@@ -53,21 +53,21 @@
 
 /// Whether an instance hears the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Hearing {
+pub enum StoreContact {
     /// It did not ask lately.
     #[default]
     Unknown,
     /// The store answered it a moment ago.
-    Hears,
+    Reachable,
     /// It asks in vain.
-    Deaf,
+    Unreachable,
 }
 
 /// Whether a beat asks for an answer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub enum Greeting {
+pub enum ReplyRequest {
     /// It does not.
     #[default]
     None,
@@ -77,82 +77,82 @@
     Introduce,
 }
 
-/// What an instance of this version says beside its [`Beat`].
+/// What an instance of this version says beside its [`Heartbeat`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct More {
+pub struct Extension {
     /// The newest format that it reads.
     pub format: u8,
     /// When its next beat is due.
     pub next: Duration,
     /// Whether it hears the store.
-    pub hearing: Hearing,
+    pub store: StoreContact,
     /// Whether it asks the store for its zone.
-    pub relays: bool,
+    pub is_relay: bool,
     /// Whether it asks for an answer.
-    pub greeting: Greeting,
+    pub reply_request: ReplyRequest,
     /// The other zones of which it hears nobody any more.
-    pub silent: Vec<String>,
+    pub unreachable_zones: Vec<String>,
     /// To one that asks for it: where some instances of its zone, and all relays, are reached.
-    pub near: Vec<SocketAddr>,
+    pub introduced: Vec<SocketAddr>,
 }
 
 /// A question for a proof or a right, or its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Proof {
+pub enum Message {
     /// Renew the era, not before this came, and answer here.
-    Ask {
+    LeaseRequest {
         /// What the answer is to name.
-        stamp: u64,
+        id: u64,
         /// Where it is to go.
-        answer: SocketAddr,
+        reply_to: SocketAddr,
     },
     /// The era was renewed after the question came.
-    Told {
+    LeaseRenewed {
         /// What the question named.
-        stamp: u64,
+        id: u64,
         /// The lease of the era.
-        era: u64,
+        proof_lease: u64,
     },
     /// The era was renewed so long before this is told, or later.
-    Aged {
+    LeaseAge {
         /// What the question named.
-        stamp: u64,
+        id: u64,
         /// The lease of the era.
-        era: u64,
+        proof_lease: u64,
         /// How old that proof is.
         age: Duration,
     },
     /// How surely do you know what may be asked for? Answer here.
-    AskFresh {
+    FreshnessRequest {
         /// What the answer is to name.
-        stamp: u64,
+        id: u64,
         /// Where it is to go.
-        answer: SocketAddr,
+        reply_to: SocketAddr,
     },
     /// For so long nothing newer than this was in the store, at least.
-    Fresh {
+    FreshnessAge {
         /// What the question named.
-        stamp: u64,
+        id: u64,
         /// The newest that was there.
         newest: Mark,
         /// How old that proof is.
         age: Duration,
     },
     /// May so many operations of this account run? Answer here.
-    Take {
+    QuotaRequest {
         /// What the answer is to name.
-        stamp: u64,
+        id: u64,
         /// Where it is to go.
-        answer: SocketAddr,
+        reply_to: SocketAddr,
         /// The account.
         account: String,
         /// How many.
         count: u32,
     },
     /// So many may run.
-    Given {
+    QuotaGrant {
         /// What the question named.
-        stamp: u64,
+        id: u64,
         /// How many.
         count: u32,
         /// If none: how long it takes until one may.
@@ -164,36 +164,36 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Datagram {
     /// An instance lives.
-    Beat(Beat, Option<More>),
+    Heartbeat(Heartbeat, Option<Extension>),
     /// About a proof.
-    Proof(Proof),
+    Message(Message),
 }
 
 /// A beat as it is sent.
 ///
 /// The version before stops reading where `more` begins.
-pub fn encode(beat: &Beat, more: &More) -> Option<Vec<u8>> {
+pub fn encode(beat: &Heartbeat, extension: &Extension) -> Option<Vec<u8>> {
     let mut bytes = postcard::to_stdvec(beat).ok()?;
-    bytes.extend(postcard::to_stdvec(more).ok()?);
+    bytes.extend(postcard::to_stdvec(extension).ok()?);
     Some(bytes)
 }
 
 /// A question or an answer as it is sent.
-pub fn encode_proof(proof: &Proof) -> Option<Vec<u8>> {
-    let mut bytes = vec![PROOF];
-    bytes.extend(postcard::to_stdvec(proof).ok()?);
+pub fn encode_message(message: &Message) -> Option<Vec<u8>> {
+    let mut bytes = vec![MESSAGE];
+    bytes.extend(postcard::to_stdvec(message).ok()?);
     Some(bytes)
 }
 
 /// Reads a datagram; `None` if it is none of ours.
 pub fn decode(bytes: &[u8]) -> Option<Datagram> {
-    if let Some(proof) = bytes.strip_prefix(&[PROOF]) {
-        return postcard::from_bytes(proof).ok().map(Datagram::Proof);
+    if let Some(message) = bytes.strip_prefix(&[MESSAGE]) {
+        return postcard::from_bytes(message).ok().map(Datagram::Message);
     }
-    let (beat, rest) = postcard::take_from_bytes::<Beat>(bytes).ok()?;
-    let more = match rest {
+    let (beat, rest) = postcard::take_from_bytes::<Heartbeat>(bytes).ok()?;
+    let extension = match rest {
         [] => None,
         rest => Some(postcard::from_bytes(rest).ok()?),
     };
-    Some(Datagram::Beat(beat, more))
+    Some(Datagram::Heartbeat(beat, extension))
 }
--- a/crates/proxy/src/peers/census.rs
+++ b/crates/proxy/src/peers/membership.rs
@@ -17,9 +17,9 @@
 use rand::seq::SliceRandom;
 
 use super::{
-    beat::{FORMAT, Hearing},
+    heartbeat::{FORMAT, StoreContact},
     peer::{Peer, Relay},
-    table::{HEARD, LOST, Peers},
+    table::{HEARD, LOST_HEARTBEATS, Peers},
 };
 use crate::node::Service;
 
@@ -42,9 +42,9 @@
 
 /// Which peers are heard now that were not before, and the other way round.
 #[derive(Debug, Default)]
-pub(crate) struct Roll {
-    pub(crate) came: Vec<String>,
-    pub(crate) went: Vec<String>,
+pub(crate) struct Changes {
+    pub(crate) joined: Vec<String>,
+    pub(crate) silent: Vec<String>,
 }
 
 /// What is known of the fleet as a whole.
@@ -55,7 +55,7 @@
     count: Cell<usize>,
     holders: RefCell<Board>,
     relays: RefCell<Board>,
-    roll: RefCell<Roll>,
+    roll: RefCell<Changes>,
     looks: Cell<u64>,
 }
 
@@ -75,7 +75,7 @@
         self.holders.borrow_mut().remove(name);
         self.relays.borrow_mut().remove(name);
         if peer.seen.heard {
-            self.roll.borrow_mut().went.push(name.to_owned());
+            self.roll.borrow_mut().silent.push(name.to_owned());
         }
         self.touch();
     }
@@ -95,8 +95,8 @@
         if old.heard != seen.heard {
             let mut roll = self.roll.borrow_mut();
             match seen.heard {
-                true => roll.came.push(name.to_owned()),
-                false => roll.went.push(name.to_owned()),
+                true => roll.joined.push(name.to_owned()),
+                false => roll.silent.push(name.to_owned()),
             }
         }
     }
@@ -123,7 +123,7 @@
         }
         self.census.looked.set(Boot.now());
         self.census.looks.set(self.census.looks.get() + 1);
-        let now = self.awake();
+        let now = self.unstalled_now();
         let mut table = self.table.borrow_mut();
         table.retain(|name, peer| {
             let stays = peer.listed || peer.heard.is_some_and(|at| at + FORGET > now);
@@ -135,14 +135,16 @@
         let unreached = self.unreached_zones(&table);
         let unreached: Vec<String> = unreached.into_iter().map(str::to_owned).collect();
         for (name, peer) in table.iter_mut() {
-            let lives = peer.was_heard(now, LOST);
+            let lives = peer.was_heard(now, LOST_HEARTBEATS);
             let reached = peer.is_prompt() || !unreached.contains(&peer.zone);
             let holds = lives && reached;
             let is_near = lives && peer.format >= FORMAT && peer.zone == self.zone;
             let seen = Seen {
                 holder: holds.then_some((peer.weight, peer.service != Service::Unable)),
-                relay: is_near
-                    .then_some((relays::weight(peer.weight), peer.hearing != Hearing::Deaf)),
+                relay: is_near.then_some((
+                    relays::weight(peer.weight),
+                    peer.store != StoreContact::Unreachable,
+                )),
                 heard: peer.was_heard(now, HEARD),
             };
             self.census.note(name, peer, seen);
@@ -159,13 +161,13 @@
 
     /// How often the whole table was looked through, and how often an instance's place
     /// among a service's holders was drawn.
-    pub fn work(&self) -> (u64, u64) {
+    pub fn counters(&self) -> (u64, u64) {
         let draws = self.census.holders.borrow().draws() + self.census.relays.borrow().draws();
         (self.census.looks.get(), draws)
     }
 
     /// Who is heard now and was not the last time this was asked, and the other way round.
-    pub(crate) fn roll(&self) -> Roll {
+    pub(crate) fn take_changes(&self) -> Changes {
         self.look();
         self.census.roll.take()
     }
@@ -189,15 +191,15 @@
     /// All instances that ask the store for their zones, as far as they are heard, `own`
     /// among them.
     pub(crate) fn all_relays(&self, own: Candidate<'_>) -> Vec<Relay> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
-        let relays = |p: &Peer| p.relays && p.is_prompt() && p.was_heard(now, LOST);
+        let relays = |p: &Peer| p.is_relay && p.is_prompt() && p.was_heard(now, LOST_HEARTBEATS);
         let relays = table.iter().filter(|(_, p)| relays(p));
         let relays = relays.map(|(name, peer)| Relay {
             name: name.clone(),
             zone: peer.zone.clone(),
             weight: peer.weight,
-            able: peer.hearing != Hearing::Deaf,
+            able: peer.store != StoreContact::Unreachable,
         });
         let own = Relay {
             name: own.name.to_owned(),
@@ -263,7 +265,7 @@
     }
 
     /// Whether most instances that are listed were never heard.
-    pub(crate) fn is_silent(&self) -> bool {
+    pub(crate) fn is_mostly_unheard(&self) -> bool {
         let table = self.table.borrow();
         let listed = table.values().filter(|p| p.listed);
         let (silent, heard): (Vec<_>, Vec<_>) = listed.partition(|p| p.heard.is_none());
@@ -272,7 +274,7 @@
 
     /// Names of the instances that were heard lately.
     pub fn names(&self) -> Vec<String> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let heard = |p: &Peer| p.was_heard(now, HEARD);
         let names = table.iter().filter(|(_, p)| heard(p));
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -9,8 +9,8 @@
 use clock::Instant;
 
 use super::{
-    beat::{Belief, Greeting, Hearing},
-    census::Seen,
+    heartbeat::{Observation, ReplyRequest, StoreContact},
+    membership::Seen,
 };
 use crate::node::Service;
 
@@ -25,7 +25,7 @@
     /// When its next beat is due behind the last one.
     pub(super) next: Duration,
     pub(super) listed: bool,
-    pub(super) beliefs: Vec<Belief>,
+    pub(super) observations: Vec<Observation>,
     /// The version of its catalogue.
     pub(super) version: u64,
     pub(super) zone: String,
@@ -33,11 +33,11 @@
     pub(super) service: Service,
     /// The newest format that it reads.
     pub(super) format: u8,
-    pub(super) hearing: Hearing,
+    pub(super) store: StoreContact,
     /// Whether it asks the store for its zone.
-    pub(super) relays: bool,
+    pub(super) is_relay: bool,
     /// The other zones of which it hears nobody.
-    pub(super) silent: Vec<String>,
+    pub(super) unreachable_zones: Vec<String>,
     /// What the last look took it for.
     pub(super) seen: Seen,
     /// When it was told last that this instance lives.
@@ -55,15 +55,15 @@
             heard: None,
             next: PROMPT,
             listed: false,
-            beliefs: Vec::new(),
+            observations: Vec::new(),
             version: 0,
             zone: String::new(),
             weight: 0,
             service: Service::Idle,
             format: 0,
-            hearing: Hearing::Unknown,
-            relays: false,
-            silent: Vec::new(),
+            store: StoreContact::Unknown,
+            is_relay: false,
+            unreachable_zones: Vec::new(),
             seen: Seen::default(),
             told: Instant::ZERO,
             promised: PROMPT,
@@ -125,19 +125,19 @@
     /// When the one behind it is due.
     pub(super) next: Duration,
     /// Whether it asks for an answer.
-    pub(super) greeting: Greeting,
+    pub(super) reply_request: ReplyRequest,
     /// Whom it introduces.
-    pub(super) near: Vec<SocketAddr>,
+    pub(super) introduced: Vec<SocketAddr>,
 }
 
 impl Due {
     /// A beat to somebody who is not known yet.
-    pub(super) fn greeting(address: SocketAddr, greeting: Greeting) -> Self {
+    pub(super) fn greeting(address: SocketAddr, reply_request: ReplyRequest) -> Self {
         Self {
             address,
             next: PROMPT,
-            greeting,
-            near: Vec::new(),
+            reply_request,
+            introduced: Vec::new(),
         }
     }
 }
@@ -159,7 +159,7 @@
     /// Whether it serves sessions, or did a moment ago.
     pub(super) serves: bool,
     /// Whether it asks the store for its zone.
-    pub(super) relays: bool,
+    pub(super) is_relay: bool,
 }
 
 impl Standing {
@@ -168,7 +168,7 @@
     pub(super) fn need(self, zone: &str, peer: &Peer, is_guest: bool) -> Need {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
         let judges = self.serves && (is_near || is_guest || peer.serves());
-        match judges || self.relays && (is_near || peer.relays) {
+        match judges || self.is_relay && (is_near || peer.is_relay) {
             true => Need::Prompt,
             false => Need::Rare,
         }
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -14,18 +14,18 @@
 use tokio::sync::Notify;
 
 use super::{
-    beat::{Belief, FORMAT, Greeting, Hearing},
-    census::{Census, FORGET},
+    heartbeat::{FORMAT, Observation, ReplyRequest, StoreContact},
+    membership::{Census, FORGET},
     peer::{Due, LATE, Peer, Standing, Urgent},
 };
-use crate::{news::News, node::Service, settings::Settings};
+use crate::{catalog_lag::Tracker, node::Service, settings::Settings};
 
 /// How many beats of an instance may be missing until what it said counts no more.
 pub(super) const HEARD: u32 = 3;
 
 /// How many beats of an instance may be missing until it is taken for lost by those who
 /// hand their sessions to it: datagrams are lost now and then.
-pub const LOST: u32 = 2;
+pub const LOST_HEARTBEATS: u32 = 2;
 
 /// How long an instance that started asks its seeds again and again: they may start with
 /// it, a moment later.
@@ -87,7 +87,7 @@
     /// To whom.
     pub(super) urgent: Cell<Urgent>,
     /// How long this instance has been behind others.
-    pub(super) news: Cell<News>,
+    pub(super) news: Cell<Tracker>,
     /// Whether another instance is being asked for its catalogue.
     pub(super) fetching: Cell<bool>,
     /// How often another instance was asked for its catalogue.
@@ -124,7 +124,7 @@
     /// Who stood still has heard nobody meanwhile. If that counted, it would take itself for a
     /// holder of everything when it goes on: where a machine was busy, all of its instances
     /// did, and sent to upstreams that take few connections all at once.
-    pub(crate) fn awake(&self) -> Instant {
+    pub(crate) fn unstalled_now(&self) -> Instant {
         let now = Boot.now();
         let (last, still) = self.looked.get();
         let gap = now.since(last);
@@ -137,17 +137,17 @@
     }
 
     /// Has a beat sent at once to those who wait for this instance's beats.
-    pub fn call(&self) {
+    pub fn announce(&self) {
         self.tell(Urgent::Prompt);
     }
 
     /// Has a beat sent at once to everybody.
-    pub fn call_all(&self) {
+    pub fn announce_to_all(&self) {
         self.tell(Urgent::All);
     }
 
     /// Has a beat sent at once to the instance at `address`.
-    pub(crate) fn call_one(&self, address: SocketAddr) {
+    pub(crate) fn announce_to(&self, address: SocketAddr) {
         self.told.borrow_mut().push(address);
         self.called.notify_one();
     }
@@ -192,7 +192,7 @@
 
     /// Other instances that were heard lately.
     pub(super) fn heard(&self) -> Vec<SocketAddr> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let heard = |p: &&Peer| p.was_heard(now, HEARD);
         table.values().filter(heard).map(|p| p.address).collect()
@@ -200,10 +200,13 @@
 
     /// Instances that hear the store as far as they say, and read questions for proofs.
     pub fn hearing(&self) -> Vec<SocketAddr> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
-        let hears =
-            |p: &&Peer| p.was_heard(now, LOST) && p.hearing == Hearing::Hears && p.format >= FORMAT;
+        let hears = |p: &&Peer| {
+            p.was_heard(now, LOST_HEARTBEATS)
+                && p.store == StoreContact::Reachable
+                && p.format >= FORMAT
+        };
         table.values().filter(hears).map(|p| p.address).collect()
     }
 
@@ -214,10 +217,10 @@
         let mut due = Vec::new();
         if self.is_new() {
             let seeds = self.seeds.iter().filter(|seed| **seed != self.own);
-            due.extend(seeds.map(|seed| Due::greeting(*seed, Greeting::Introduce)));
+            due.extend(seeds.map(|seed| Due::greeting(*seed, ReplyRequest::Introduce)));
         }
         let told = self.told.take().into_iter();
-        due.extend(told.map(|address| Due::greeting(address, Greeting::None)));
+        due.extend(told.map(|address| Due::greeting(address, ReplyRequest::None)));
         let mut table = self.table.borrow_mut();
         let others = table.len();
         let guests = self.guests.borrow();
@@ -237,11 +240,11 @@
                 due.push(Due {
                     address: peer.address,
                     next: pause,
-                    greeting: match peer.heard {
-                        Some(_) => Greeting::None,
-                        None => Greeting::Answer,
+                    reply_request: match peer.heard {
+                        Some(_) => ReplyRequest::None,
+                        None => ReplyRequest::Answer,
                     },
-                    near: Vec::new(),
+                    introduced: Vec::new(),
                 });
             }
         }
@@ -258,12 +261,12 @@
 
     /// Some instances of `zone` that were heard and some relays, all but the one at `but`.
     fn near(&self, zone: &str, but: SocketAddr) -> Vec<SocketAddr> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &&Peer| p.was_heard(now, LOST) && p.address != but;
+        let heard = |p: &&Peer| p.was_heard(now, LOST_HEARTBEATS) && p.address != but;
         let near = table.values().filter(heard).filter(|p| p.zone == zone);
         let far = table.values().filter(heard).filter(|p| p.zone != zone);
-        let relays = far.filter(|p| p.relays);
+        let relays = far.filter(|p| p.is_relay);
         let introduced = near.take(INTRODUCED).chain(relays.take(INTRODUCED));
         introduced.map(|p| p.address).collect()
     }
@@ -287,15 +290,15 @@
     }
 
     /// The answer to a beat of `name` that asks for one by `greeting`.
-    pub(super) fn answer(&self, name: &str, greeting: Greeting) -> Option<Due> {
+    pub(super) fn answer(&self, name: &str, reply_request: ReplyRequest) -> Option<Due> {
         let (zone, address) = {
             let table = self.table.borrow();
             let peer = table.get(name)?;
             (peer.zone.clone(), peer.address)
         };
-        let near = match greeting {
-            Greeting::Introduce => self.near(&zone, address),
-            Greeting::None | Greeting::Answer => Vec::new(),
+        let introduced = match reply_request {
+            ReplyRequest::Introduce => self.near(&zone, address),
+            ReplyRequest::None | ReplyRequest::Answer => Vec::new(),
         };
         let mut table = self.table.borrow_mut();
         let others = table.len();
@@ -307,8 +310,8 @@
         Some(Due {
             address: peer.address,
             next,
-            greeting: Greeting::None,
-            near,
+            reply_request: ReplyRequest::None,
+            introduced,
         })
     }
 
@@ -337,7 +340,7 @@
 
     /// The newest version of the catalogue that somebody who is heard has.
     pub(crate) fn newest(&self) -> u64 {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let heard = table.values().filter(|p| p.was_heard(now, HEARD));
         heard.map(|p| p.version).max().unwrap_or(0)
@@ -345,9 +348,9 @@
 
     /// Whether somebody who is heard has a catalogue.
     pub(crate) fn is_catalog_known(&self) -> bool {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
-        let mut heard = table.values().filter(|p| p.was_heard(now, LOST));
+        let mut heard = table.values().filter(|p| p.was_heard(now, LOST_HEARTBEATS));
         heard.any(|p| p.version > 0)
     }
 
@@ -360,7 +363,7 @@
 
     /// Takes in that the instance at `address` could not be reached: it is chosen no more
     /// until it is heard again.
-    pub fn unreached(&self, address: SocketAddr) {
+    pub fn mark_unreachable(&self, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         for peer in table.values_mut().filter(|peer| peer.address == address) {
             if !peer.is_prompt() {
@@ -379,7 +382,7 @@
 
     /// How many instances judge primaries, this one included, as far as is known.
     pub fn judges(&self) -> usize {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let known = |p: &&Peer| p.listed || p.heard.is_some_and(|at| at + FORGET > now);
         let judges = table.values().filter(|p| p.serves());
@@ -389,7 +392,7 @@
     /// What those who were heard lately say of the primary of `service` in `term`,
     /// the `own` verdict included, and the names of those who see it fail.
     pub fn tally(&self, service: &str, term: Term, own: Verdict) -> (Tally, Vec<String>) {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let mut tally = Tally::default();
         tally.add(own);
         let mut failing = Vec::new();
@@ -397,8 +400,8 @@
             if !peer.was_heard(now, HEARD) || !peer.serves() {
                 continue;
             }
-            let same = |b: &&Belief| b.service == service && b.term == term;
-            let belief = peer.beliefs.iter().find(same);
+            let same = |b: &&Observation| b.service == service && b.term == term;
+            let belief = peer.observations.iter().find(same);
             let verdict = belief.map_or(Verdict::Unknown, |b| b.verdict);
             if verdict == Verdict::Failing {
                 failing.push(name.clone());
@@ -410,7 +413,7 @@
 
     /// Whether others may serve callers while this instance can't: some were heard that
     /// can, or no other zone can be reached any more.
-    pub fn may_serve(&self) -> bool {
+    pub fn may_others_serve(&self) -> bool {
         self.is_served() || self.is_alone()
     }
 
@@ -428,7 +431,7 @@
         if leaving.is_some_and(|at| at + PROMPT * beats + LATE > now) {
             return true;
         }
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let same = |p: &&Peer| p.address == address;
         table.values().filter(same).any(|p| p.was_heard(now, beats))
@@ -441,7 +444,7 @@
 
     /// Whether somebody who is heard promptly says so of itself.
     fn is_said(&self, service: Service) -> bool {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let table = self.table.borrow();
         let mut heard = table.values().filter(|p| p.was_heard(now, HEARD));
         heard.any(|p| p.is_prompt() && p.service == service)
@@ -449,7 +452,7 @@
 
     /// Whether an instance that hands its sessions over has nobody left who serves them:
     /// its zone is cut off, and nobody in it can serve.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_unserved(&self) -> bool {
         self.is_alone() && !self.is_served()
     }
 }
--- a/crates/proxy/src/peers/zones.rs
+++ b/crates/proxy/src/peers/zones.rs
@@ -7,7 +7,7 @@
 
 use super::{
     peer::Peer,
-    table::{LOST, Peers},
+    table::{LOST_HEARTBEATS, Peers},
 };
 
 /// How many others of the own zone must hear nobody of another one: who alone hears nobody
@@ -30,7 +30,7 @@
     /// The other zones whose instances this one would hear promptly, and whether it hears
     /// any of them.
     fn zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashMap<&'a str, bool> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let mut zones = HashMap::new();
         for peer in table.values() {
             if peer.zone.is_empty() || peer.zone == self.zone || !peer.is_prompt() {
@@ -49,14 +49,14 @@
     /// sessions to them for ten seconds: of a zone's requests seven tenths were lost for
     /// as long as it was cut off.
     pub(super) fn unreached_zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashSet<&'a str> {
-        let now = self.awake();
+        let now = self.unstalled_now();
         let own = self.zones(table);
         let near = table.values().filter(|p| p.zone == self.zone);
-        let near = near.filter(|p| p.is_prompt() && p.was_heard(now, LOST));
+        let near = near.filter(|p| p.is_prompt() && p.was_heard(now, LOST_HEARTBEATS));
         let (mut tellers, mut told) = (0, HashMap::new());
         for peer in near {
             tellers += 1;
-            for zone in &peer.silent {
+            for zone in &peer.unreachable_zones {
                 *told.entry(zone.as_str()).or_insert(0) += 1;
             }
         }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -169,7 +169,7 @@
             if member.is_failing() && !told {
                 told = true;
                 log::info!(service = &*group.service, upstream = &**id; "upstream fails");
-                node.peers.call();
+                node.peers.announce();
             }
             sleep(AGAIN).await;
         }
@@ -178,7 +178,7 @@
         }
         if told {
             log::info!(service = &*group.service, upstream = &**id, back = accepted > 0; "upstream fails no more");
-            node.peers.call();
+            node.peers.announce();
         }
         member.probed.set(false);
     });
--- a/crates/proxy/src/era.rs
+++ b/crates/proxy/src/proof_lease.rs
@@ -13,8 +13,8 @@
 //! this one. When nobody does, the members of the group are asked.
 
 mod adopt;
-mod claim;
 mod lease;
+mod recovery;
 
 use std::{
     collections::{HashMap, HashSet},
@@ -40,14 +40,14 @@
     freshness,
     group::{Group, MEMORY},
     node::Node,
-    peers::{self, beat::Hearing},
+    peers::{self, heartbeat::StoreContact},
     probe, proofs,
     relay::{self, Source},
 };
-pub(crate) use adopt::adopt;
-use claim::found;
-pub(crate) use claim::reclaim;
+pub(crate) use adopt::adopt_proof;
 pub use lease::{Lease, era_of};
+pub(crate) use recovery::restore_record;
+use recovery::write_missing;
 
 /// How long the store may take to answer.
 const CALL: Duration = Duration::from_millis(700);
@@ -81,7 +81,7 @@
 /// While the store is away for all and a zone is cut off, a majority is all there is:
 /// without it every database with an upstream in that zone refuses its writes. But a
 /// primary that is lost together with a replica is replaced that much later.
-pub const LONELY: Duration = Duration::from_secs(5);
+pub const UNANIMITY_AFTER: Duration = Duration::from_secs(5);
 
 /// The part of a proof's span, as a divisor, that is left when a group's members are asked.
 const LAPSES: u32 = 6;
@@ -106,7 +106,7 @@
 }
 
 /// Keeps the proofs of all primaries fresh for as long as somebody needs them.
-pub async fn prove<E: Edge>(node: Rc<Node<E>>) {
+pub async fn run<E: Edge>(node: Rc<Node<E>>) {
     node.acquainted().await;
     loop {
         let now = Boot.now();
@@ -122,14 +122,14 @@
                 }
                 Source::Relay(_) => {}
                 Source::Store => {
-                    let unknown = groups.iter().any(|g| !g.is_known()) && relay::reads(&node);
+                    let unknown = groups.iter().any(|g| !g.is_known()) && relay::is_reader(&node);
                     if (wanted || asked) && !is_young || unknown {
                         ask_store(&node);
                     }
                 }
             }
             // Whether the store hears it decides who the relays are.
-            if relay::is_own(&node) && node.direct.get() + QUIET < now {
+            if relay::is_relay(&node) && node.direct.get() + QUIET < now {
                 ask_store(&node);
             }
             let span = node.settings.proof;
@@ -189,7 +189,7 @@
     node.proving.set(node.proving.get() + 1);
     let node = Rc::clone(node);
     spawn_local(async move {
-        let relayed = match relay::is_own(&node) {
+        let relayed = match relay::is_relay(&node) {
             true => hedged(&node, address).await,
             false => relayed(&node, address).await,
         };
@@ -280,10 +280,10 @@
 /// Notes that the store answered this instance.
 pub(crate) fn answered<E: Edge>(node: &Node<E>) {
     node.failures.set(0);
-    if node.hearing() != Hearing::Hears {
+    if node.hearing() != StoreContact::Reachable {
         // Others that ask in vain try again at once.
         node.store_answered();
-        node.peers.call();
+        node.peers.announce();
     }
     node.store_answered();
 }
@@ -313,7 +313,7 @@
     let is_due = node.read_at.get() + UNKNOWN < Boot.now();
     let unread = |group: &Rc<Group>| match group.is_known() {
         true => group.era.get() != era && !adopt::is_read(node, group),
-        false => is_due && relay::reads(node),
+        false => is_due && relay::is_reader(node),
     };
     node.active().iter().any(unread)
 }
@@ -413,7 +413,7 @@
             group.prove(item.revision, sent, node.settings.proof);
         }
     }
-    if !relay::reads(node) {
+    if !relay::is_reader(node) {
         return;
     }
     let present: HashSet<_> = items.items.iter().map(|item| &*item.key).collect();
@@ -427,7 +427,7 @@
     }
     let node = Rc::clone(node);
     spawn_local(async move {
-        found(&node, &missing).await;
+        write_missing(&node, &missing).await;
         missing.iter().for_each(|group| group.replacing.set(false));
     });
 }
@@ -459,7 +459,7 @@
         if !group.is_wanted(now) || !lapses() {
             continue;
         }
-        adopt(node, group);
+        adopt_proof(node, group);
         if !lapses() || group.asking.replace(true) {
             continue;
         }
@@ -472,7 +472,7 @@
 }
 
 /// Proves a primary by its group: by the primary and as many replicas as make a
-/// majority, or by all of them once the store was not heard for [`LONELY`].
+/// majority, or by all of them once the store was not heard for [`UNANIMITY_AFTER`].
 ///
 /// Whoever replaces a primary tells it to step down, or so many replicas to hold for the
 /// next term that no majority is left, before anything else; waits then as long as any
@@ -490,7 +490,7 @@
     let members = group.members();
     let sent = Boot.now();
     let replicas = group.replicas(sent, MEMORY);
-    let lonely = node.contact.get() + LONELY < sent;
+    let lonely = node.contact.get() + UNANIMITY_AFTER < sent;
     let others = match lonely {
         true => replicas,
         false => quorum::needed(replicas),
--- a/crates/proxy/src/era/adopt.rs
+++ b/crates/proxy/src/proof_lease/adopt.rs
@@ -70,7 +70,7 @@
 }
 
 /// Proves a group that rested by the last proof of the era.
-pub(crate) fn adopt<E: Edge>(node: &Node<E>, group: &Group) {
+pub(crate) fn adopt_proof<E: Edge>(node: &Node<E>, group: &Group) {
     let (era, since) = node.proved.get();
     let is_proved = era != 0 && era == node.era.get();
     if !is_proved || since + node.settings.proof < Boot.now() {
--- a/crates/proxy/src/era/claim.rs
+++ b/crates/proxy/src/proof_lease/recovery.rs
@@ -37,7 +37,7 @@
 const TOGETHER: usize = 16;
 
 /// Writes the records of groups that the store has none of.
-pub(super) async fn found<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
+pub(super) async fn write_missing<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
     let jitter = Duration::from_millis(rand::random_range(0..JITTER_MS * 2));
     let readers = relay::readers(node);
     let turn = readers
@@ -151,7 +151,12 @@
 /// nobody does, the members are asked who leads. Before that, whoever was replacing the
 /// primary has to be done: its right, and what it announced, may be gone from the copy. Until
 /// then the members prove their primary, as they do while the store is away.
-pub(crate) fn reclaim<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, copy: Record, revision: u64) {
+pub(crate) fn restore_record<E: Edge>(
+    node: &Rc<Node<E>>,
+    group: &Rc<Group>,
+    copy: Record,
+    revision: u64,
+) {
     if group.replacing.replace(true) {
         return;
     }
--- a/crates/proxy/src/proofs.rs
+++ b/crates/proxy/src/proofs.rs
@@ -19,10 +19,10 @@
 use crate::{
     control::lead_key,
     edge::{Edge, Fault, Items, Store},
-    era, freshness,
+    freshness,
     node::Node,
-    peers::beat::{self, Proof},
-    shares,
+    peers::heartbeat::{self, Message},
+    proof_lease, shares,
     work::Kind,
 };
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 pub struct Proofs {
     pub(crate) socket: RefCell<Option<Rc<UdpSocket>>>,
-    stamp: Cell<u64>,
+    last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<(u64, Duration)>>>,
     asked: RefCell<Vec<Asked>>,
     /// When the last question of another instance came.
@@ -74,17 +74,27 @@
     ///
     /// Each of them counts back from its own question, so that all of the time until the
     /// answer is there makes the proof older.
-    pub(crate) fn tell_aged(&self, asked: &[Asked], era: u64, age: Duration) {
-        for (stamp, answer) in asked {
-            let stamp = *stamp;
-            self.send(&Proof::Aged { stamp, era, age }, *answer);
+    pub(crate) fn tell_aged(&self, asked: &[Asked], proof_lease: u64, age: Duration) {
+        for (id, answer) in asked {
+            let id = *id;
+            self.send(
+                &Message::LeaseAge {
+                    id,
+                    proof_lease,
+                    age,
+                },
+                *answer,
+            );
         }
     }
 
     /// Tells those who asked that the era was renewed since.
-    pub(crate) fn tell(&self, asked: &[Asked], era: u64) {
-        for (stamp, answer) in asked {
-            let told = Proof::Told { stamp: *stamp, era };
+    pub(crate) fn tell(&self, asked: &[Asked], proof_lease: u64) {
+        for (id, answer) in asked {
+            let told = Message::LeaseRenewed {
+                id: *id,
+                proof_lease,
+            };
             self.send(&told, *answer);
         }
     }
@@ -96,46 +106,50 @@
         readers.len()
     }
 
-    pub(crate) fn send(&self, proof: &Proof, to: SocketAddr) {
+    pub(crate) fn send(&self, message: &Message, to: SocketAddr) {
         let socket = self.socket.borrow();
-        if let (Some(socket), Some(bytes)) = (&*socket, beat::encode_proof(proof)) {
+        if let (Some(socket), Some(bytes)) = (&*socket, heartbeat::encode_message(message)) {
             let _ = socket.try_send_to(&bytes, to);
         }
     }
 }
 
 /// Takes in a question or an answer.
-pub(crate) fn take<E: Edge>(node: &Node<E>, proof: Proof) {
-    match proof {
-        Proof::Ask { stamp, answer } => {
+pub(crate) fn take<E: Edge>(node: &Node<E>, message: Message) {
+    match message {
+        Message::LeaseRequest { id, reply_to } => {
             node.work.add(Kind::ProofQuestion, 1);
-            node.proofs.asked.borrow_mut().push((stamp, answer));
+            node.proofs.asked.borrow_mut().push((id, reply_to));
             node.proofs.relied.set(Boot.now());
-            if !era::answer_asked(node) {
+            if !proof_lease::answer_asked(node) {
                 node.prove.notify_one();
             }
         }
-        Proof::Told { stamp, era } => {
-            let waiting = node.proofs.waiting.borrow_mut().remove(&stamp);
+        Message::LeaseRenewed { id, proof_lease } => {
+            let waiting = node.proofs.waiting.borrow_mut().remove(&id);
             if let Some(waiting) = waiting {
-                let _ = waiting.send((era, Duration::ZERO));
+                let _ = waiting.send((proof_lease, Duration::ZERO));
             }
         }
-        Proof::Aged { stamp, era, age } => {
-            let waiting = node.proofs.waiting.borrow_mut().remove(&stamp);
+        Message::LeaseAge {
+            id,
+            proof_lease,
+            age,
+        } => {
+            let waiting = node.proofs.waiting.borrow_mut().remove(&id);
             if let Some(waiting) = waiting {
-                let _ = waiting.send((era, age));
+                let _ = waiting.send((proof_lease, age));
             }
         }
-        Proof::AskFresh { stamp, answer } => freshness::tell(node, stamp, answer),
-        Proof::Fresh { stamp, newest, age } => node.freshness.told(stamp, newest, age),
-        Proof::Take {
-            stamp,
-            answer,
+        Message::FreshnessRequest { id, reply_to } => freshness::tell(node, id, reply_to),
+        Message::FreshnessAge { id, newest, age } => node.freshness.told(id, newest, age),
+        Message::QuotaRequest {
+            id,
+            reply_to,
             account,
             count,
-        } => shares::tell(node, stamp, answer, &account, count),
-        Proof::Given { stamp, count, wait } => node.shares.told(stamp, count, wait),
+        } => shares::tell(node, id, reply_to, &account, count),
+        Message::QuotaGrant { id, count, wait } => node.shares.told(id, count, wait),
     }
 }
 
@@ -143,19 +157,19 @@
 /// the answer that was so.
 pub(crate) async fn ask<E: Edge>(node: &Node<E>, address: SocketAddr) -> Option<(u64, Duration)> {
     let proofs = &node.proofs;
-    let stamp = proofs.stamp.get() + 1;
-    proofs.stamp.set(stamp);
+    let id = proofs.last_id.get() + 1;
+    proofs.last_id.set(id);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(stamp);
+    let id = node.life.wrapping_add(id);
     let (sender, answer) = oneshot::channel();
-    proofs.waiting.borrow_mut().insert(stamp, sender);
-    let question = Proof::Ask {
-        stamp,
-        answer: node.settings.peers,
+    proofs.waiting.borrow_mut().insert(id, sender);
+    let question = Message::LeaseRequest {
+        id,
+        reply_to: node.settings.peers,
     };
     proofs.send(&question, address);
     let answer = timeout(ANSWER, answer).await;
-    proofs.waiting.borrow_mut().remove(&stamp);
+    proofs.waiting.borrow_mut().remove(&id);
     answer.ok()?.ok()
 }
 
--- a/crates/proxy/src/roster.rs
+++ b/crates/proxy/src/registry.rs
@@ -19,11 +19,11 @@
 
 /// The names of groups that something happened to.
 #[derive(Debug, Default)]
-pub struct Stirred {
+pub struct Pending {
     names: RefCell<Vec<Rc<str>>>,
 }
 
-impl Stirred {
+impl Pending {
     /// Takes in that something happened to the group of `service`.
     pub(crate) fn push(&self, service: &Rc<str>) {
         self.names.borrow_mut().push(Rc::clone(service));
@@ -32,19 +32,19 @@
 
 /// The groups of an instance.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct Registry {
     groups: RefCell<HashMap<Rc<str>, Rc<Group>>>,
     /// Those that the catalogue names, in order.
     named: RefCell<Rc<[Rc<Group>]>>,
     /// The service that each upstream was listed under last.
     services: RefCell<HashMap<Rc<str>, Rc<str>>>,
-    stirred: Rc<Stirred>,
+    stirred: Rc<Pending>,
     active: RefCell<BTreeMap<Rc<str>, Rc<Group>>>,
     /// Where the next sweep begins.
     swept: Cell<usize>,
 }
 
-impl Roster {
+impl Registry {
     /// The group of a service; made if it is new.
     pub(crate) fn group(&self, service: &Rc<str>) -> Rc<Group> {
         let mut groups = self.groups.borrow_mut();
@@ -62,7 +62,7 @@
     }
 
     /// Takes in which services a catalogue names.
-    pub(crate) fn name(&self, catalog: &Catalog) {
+    pub(crate) fn set_services(&self, catalog: &Catalog) {
         let mut services: Vec<_> = catalog.services.keys().collect();
         services.sort();
         let groups = services.into_iter().map(|service| self.group(service));
@@ -70,7 +70,7 @@
     }
 
     /// All groups that the catalogue names, in order of their names.
-    pub(crate) fn named(&self) -> Rc<[Rc<Group>]> {
+    pub(crate) fn catalogued(&self) -> Rc<[Rc<Group>]> {
         Rc::clone(&self.named.borrow())
     }
 
@@ -94,7 +94,7 @@
         let mut active = self.active.borrow_mut();
         active.retain(|_, group| !group.rest(now));
         drop(active);
-        let named = self.named();
+        let named = self.catalogued();
         let next = self.swept.get();
         if next >= named.len() {
             self.swept.set(0);
@@ -121,7 +121,7 @@
 
     /// Takes in that the upstream `id` is listed under `service`; the group that it was in
     /// before, if that is another one.
-    pub(crate) fn list(&self, id: &Rc<str>, service: &Rc<str>) -> Option<Rc<Group>> {
+    pub(crate) fn assign(&self, id: &Rc<str>, service: &Rc<str>) -> Option<Rc<Group>> {
         let mut services = self.services.borrow_mut();
         let old = services.insert(Rc::clone(id), Rc::clone(service));
         old.filter(|old| old != service)
@@ -129,7 +129,7 @@
     }
 
     /// The group that the upstream `id` was listed in last.
-    pub(crate) fn group_with(&self, id: &str) -> Option<Rc<Group>> {
+    pub(crate) fn group_of_upstream(&self, id: &str) -> Option<Rc<Group>> {
         let service = self.services.borrow().get(id).cloned()?;
         self.find(&service)
     }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -23,9 +23,11 @@
     mirror::{SECTIONS, Section},
     node::Node,
     peers::{
-        LOST,
-        beat::Hearing,
-        frame::{Ask, Feed, Followed, QUIET, Told, connect, pack, receive, send, send_frame},
+        LOST_HEARTBEATS,
+        frame::{
+            ChangeBatch, Cursor, QUIET, Request, Response, connect, pack, receive, send, send_frame,
+        },
+        heartbeat::StoreContact,
     },
     work::Kind,
 };
@@ -53,12 +55,12 @@
         name: &node.settings.name,
         zone: &node.settings.zone,
         weight: node.settings.weight,
-        able: node.hearing() != Hearing::Deaf,
+        able: node.hearing() != StoreContact::Unreachable,
     }
 }
 
 /// Whether this instance reads and watches the store, for all others.
-pub(crate) fn reads<E: Edge>(node: &Node<E>) -> bool {
+pub(crate) fn is_reader<E: Edge>(node: &Node<E>) -> bool {
     feeder(node) == Source::Store
 }
 
@@ -107,7 +109,7 @@
 }
 
 /// Whether this instance asks the store itself.
-pub(crate) fn is_own<E: Edge>(node: &Node<E>) -> bool {
+pub(crate) fn is_relay<E: Edge>(node: &Node<E>) -> bool {
     source(node) == Source::Store
 }
 
@@ -129,26 +131,26 @@
 async fn track<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> io::Result<()> {
     let mut stream = connect(address).await?;
     // Another relay than before goes on from what is known of the store.
-    let mut followed = Followed {
-        life: 0,
-        seq: node.mirror.borrow().at(),
+    let mut cursor = Cursor {
+        incarnation: 0,
+        seq: node.mirror.borrow().min_known(),
         version: 0,
     };
     while feeder(node) == Source::Relay(address) {
-        let is_first = followed.life == 0;
-        followed.version = node.catalog().version;
-        send(&mut stream, &Ask::Follow(followed)).await?;
+        let is_first = cursor.incarnation == 0;
+        cursor.version = node.catalog().version;
+        send(&mut stream, &Request::Follow(cursor)).await?;
         let told = tokio::select! {
             told = receive(&mut stream, WAIT + QUIET) => told?,
             () = silent(node, address) => return Err(io::ErrorKind::TimedOut.into()),
         };
-        let Told::Feed(feed) = told else {
+        let Response::ChangeBatch(feed) = told else {
             return Err(io::Error::other("it asks the store no more"));
         };
         if is_first {
             log::info!(address:%; "follows a relay");
         }
-        (followed.life, followed.seq) = (feed.life, feed.seq);
+        (cursor.incarnation, cursor.seq) = (feed.incarnation, feed.seq);
         take(node, feed);
     }
     Ok(())
@@ -156,23 +158,23 @@
 
 /// Waits until the instance at `address` is heard no more.
 async fn silent<E: Edge>(node: &Node<E>, address: SocketAddr) {
-    while node.peers.was_heard(address, LOST) {
+    while node.peers.was_heard(address, LOST_HEARTBEATS) {
         sleep(LOOK).await;
     }
 }
 
-fn take<E: Edge>(node: &Rc<Node<E>>, feed: Feed) {
+fn take<E: Edge>(node: &Rc<Node<E>>, feed: ChangeBatch) {
     let mut changes = feed.changes;
-    if let Some(item) = feed.catalog.and_then(|packed| packed.unpack().ok()) {
+    if let Some(item) = feed.catalog.and_then(|packed| packed.decompress().ok()) {
         changes.push(Change::Put(item));
     }
-    if feed.is_whole {
+    if feed.is_snapshot {
         let present: Vec<Item> = changes.iter().filter_map(put).cloned().collect();
         let mirror = node.mirror.borrow();
         let sections = [Section::Upstreams, Section::Records];
         let prefixes = sections.map(control::prefix::<E>);
         for prefix in prefixes.iter().chain([&control::instances::<E>()]) {
-            changes.extend(mirror.missing(prefix, &present, feed.at));
+            changes.extend(mirror.missing(prefix, &present, feed.known));
         }
     }
     node.work.add(Kind::Change, changes.len());
@@ -181,7 +183,7 @@
     }
     let mut mirror = node.mirror.borrow_mut();
     for section in SECTIONS {
-        mirror.knows(section, feed.at);
+        mirror.advance(section, feed.known);
     }
     drop(mirror);
     node.watched.set(Boot.now());
@@ -201,32 +203,33 @@
 pub(crate) async fn lead<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
-    mut followed: Followed,
+    mut cursor: Cursor,
 ) -> io::Result<()> {
     loop {
-        let _ = timeout(WAIT, news(node, &followed)).await;
-        let fit = node.listed.get() && node.hearing() != Hearing::Deaf && is_own(node);
+        let _ = timeout(WAIT, news(node, &cursor)).await;
+        let fit =
+            node.listed.get() && node.hearing() != StoreContact::Unreachable && is_relay(node);
         let frame = match fit {
-            true => packed(node, &followed)?,
-            false => pack(&Told::Nothing)?,
+            true => packed(node, &cursor)?,
+            false => pack(&Response::Nothing)?,
         };
         send_frame(&mut stream, &frame).await?;
         node.work.add(Kind::Feed, 1);
         node.work.add(Kind::FeedByte, frame.len());
         drop(frame);
-        let Ask::Follow(next) = receive(&mut stream, WAIT).await? else {
+        let Request::Follow(next) = receive(&mut stream, WAIT).await? else {
             return Err(io::Error::other("another question"));
         };
-        followed = next;
+        cursor = next;
     }
 }
 
 /// Waits until there is something to tell.
-async fn news<E: Edge>(node: &Node<E>, followed: &Followed) {
+async fn news<E: Edge>(node: &Node<E>, cursor: &Cursor) {
     loop {
         let learnt = node.learnt.notified();
-        let is_known = followed.life == node.life && followed.seq == node.mirror.borrow().seq();
-        let is_newest = followed.version >= node.catalog().version;
+        let is_known = cursor.incarnation == node.life && cursor.seq == node.mirror.borrow().seq();
+        let is_newest = cursor.version >= node.catalog().version;
         if node.listed.get() && !(is_known && is_newest) {
             return;
         }
@@ -236,38 +239,42 @@
 
 /// What `followed` is told, as it is sent. What those are told who know nothing is kept for
 /// the next of them: a zone that starts at once asks its relay a hundred times for the same.
-fn packed<E: Edge>(node: &Node<E>, followed: &Followed) -> io::Result<Bytes> {
-    let knows_nothing = followed.life == 0 && followed.seq == 0 && followed.version == 0;
+fn packed<E: Edge>(node: &Node<E>, cursor: &Cursor) -> io::Result<Bytes> {
+    let knows_nothing = cursor.incarnation == 0 && cursor.seq == 0 && cursor.version == 0;
     if !knows_nothing {
-        return pack(&Told::Feed(feed(node, followed)));
+        return pack(&Response::ChangeBatch(feed(node, cursor)));
     }
-    let state = (node.mirror.borrow().state(), node.catalog().version);
+    let state = (node.mirror.borrow().version(), node.catalog().version);
     let mut kept = node.whole.borrow_mut();
     if let Some((_, frame)) = kept.as_ref().filter(|(of, _)| *of == state) {
         return Ok(frame.clone());
     }
-    let frame = pack(&Told::Feed(feed(node, followed)))?;
+    let frame = pack(&Response::ChangeBatch(feed(node, cursor)))?;
     *kept = Some((state, frame.clone()));
     Ok(frame)
 }
 
-fn feed<E: Edge>(node: &Node<E>, followed: &Followed) -> Feed {
+fn feed<E: Edge>(node: &Node<E>, cursor: &Cursor) -> ChangeBatch {
     let mirror = node.mirror.borrow();
-    let known = match followed.life {
-        0 if followed.seq <= mirror.at() => mirror.behind(followed.seq, &control::instances::<E>()),
-        life if life == node.life => mirror.since(followed.seq),
+    let known = match cursor.incarnation {
+        0 if cursor.seq <= mirror.min_known() => {
+            mirror.changes_after(cursor.seq, &control::instances::<E>())
+        }
+        life if life == node.life => mirror.changes_since(cursor.seq),
         _ => None,
     };
-    let is_whole = known.is_none() || followed.seq == 0;
-    let mut changes = known.or_else(|| mirror.since(0)).unwrap_or_default();
+    let is_snapshot = known.is_none() || cursor.seq == 0;
+    let mut changes = known
+        .or_else(|| mirror.changes_since(0))
+        .unwrap_or_default();
     changes.retain(|change| put(change).is_none_or(|item| item.key != E::CATALOG));
-    Feed {
-        life: node.life,
+    ChangeBatch {
+        incarnation: node.life,
         seq: mirror.seq(),
-        at: mirror.at(),
-        is_whole,
+        known: mirror.min_known(),
+        is_snapshot,
         changes,
-        catalog: (node.catalog().version > followed.version)
+        catalog: (node.catalog().version > cursor.version)
             .then(|| node.packed())
             .flatten(),
     }
--- a/crates/proxy/src/remote.rs
+++ b/crates/proxy/src/remote.rs
@@ -23,7 +23,7 @@
     message::{Access, Code, Command, Query, Reply, Shape, State, Statement},
     node::Node,
     outcome::{Cause, Outcome},
-    peers::{self, LOST},
+    peers::{self, LOST_HEARTBEATS},
 };
 
 /// How long a holder may take to take over a session: a hop there and back, and a turn
@@ -63,9 +63,9 @@
             return None;
         }
         for address in &holders {
-            let passed = timeout(HELLO, peers::hand(*address, kept)).await;
+            let passed = timeout(HELLO, peers::forward(*address, kept)).await;
             let Ok(Ok(stream)) = passed else {
-                node.peers.unreached(*address);
+                node.peers.mark_unreachable(*address);
                 continue;
             };
             let mut remote = Self {
@@ -167,7 +167,7 @@
 /// 2,700 of worth on one day of 58 instances.
 async fn silence<E: Edge>(node: &Node<E>, address: SocketAddr, within: Duration) {
     let until = Instant::now() + within;
-    while Instant::now() < until && node.peers.was_heard(address, LOST) {
+    while Instant::now() < until && node.peers.was_heard(address, LOST_HEARTBEATS) {
         sleep(LOOK).await;
     }
 }
--- a/crates/proxy/src/roll.rs
+++ b/crates/proxy/src/roll.rs
@@ -2,15 +2,15 @@
 
 use std::cell::Cell;
 
-use crate::peers::Roll;
+use crate::peers::Changes;
 
 /// Tells who is heard now and was not before, and the other way round.
 ///
 /// One line for all of them: a zone that is lost is one piece of news.
-pub(crate) fn call(mut roll: Roll) {
+pub(crate) fn call(mut roll: Changes) {
     for (names, what) in [
-        (&mut roll.came, "peers heard"),
-        (&mut roll.went, "peers silent"),
+        (&mut roll.joined, "peers heard"),
+        (&mut roll.silent, "peers silent"),
     ] {
         if names.is_empty() {
             continue;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -10,13 +10,12 @@
 };
 
 use crate::{
-    control,
+    assignment, control,
     edge::Edge,
-    holding,
     node::{Node, Stage},
     peers, session,
     settings::Settings,
-    still, work,
+    stall, work,
 };
 
 /// How often a stopping instance looks whether anybody is left.
@@ -75,10 +74,10 @@
         version = env!("CARGO_PKG_VERSION"); "started"
     );
     control::spawn(node);
-    spawn_local(still::watch());
+    spawn_local(stall::watch());
     spawn_local(work::watch(Rc::clone(node)));
-    spawn_local(holding::watch(Rc::clone(node)));
-    spawn_local(peers::beats(Rc::clone(node), sockets.beats));
+    spawn_local(assignment::watch(Rc::clone(node)));
+    spawn_local(peers::run_heartbeats(Rc::clone(node), sockets.beats));
     spawn_local(peers::serve(Rc::clone(node), sockets.passing));
     spawn_local(session::listen(Rc::clone(node), sockets.callers));
 }
@@ -89,7 +88,7 @@
     let since = Boot.now();
     node.stage.set(Stage::Stop(since));
     node.staged.notify_waiters();
-    node.peers.call_all();
+    node.peers.announce_to_all();
     log::info!(sessions = node.sessions.get(); "stopping");
     let grace = node.settings.grace;
     let stay = STAY.min(grace / 2);
--- a/crates/proxy/src/session/statement.rs
+++ b/crates/proxy/src/session/statement.rs
@@ -254,7 +254,7 @@
             _ => None,
         };
         if let Some(account) = &counted
-            && let Err(cause) = shares::count(node, account, self.patience(node)).await
+            && let Err(cause) = shares::charge(node, account, self.patience(node)).await
         {
             return self.refuse(node, query, (Code::Busy, cause), at);
         }
--- a/crates/proxy/src/shares.rs
+++ b/crates/proxy/src/shares.rs
@@ -5,7 +5,7 @@
 //! and the next one if that has none to give or does not answer. Who keeps, and how much of a
 //! quota, stands in a table in the store; the relays that read the catalogue look after it.
 
-mod keeper;
+mod limiter;
 mod table;
 
 use std::{
@@ -30,11 +30,11 @@
     edge::{Edge, Item, era_of},
     node::Node,
     outcome::Cause,
-    peers::beat::Proof,
+    peers::heartbeat::Message,
 };
-pub(crate) use keeper::tell;
-use keeper::{Tally, give};
-pub(crate) use table::keep;
+pub(crate) use limiter::tell;
+use limiter::{Tally, give};
+pub(crate) use table::run;
 
 /// The first byte of the table as it is stored: its format.
 const FORMAT: u8 = 1;
@@ -64,7 +64,7 @@
     /// Over which time operations are counted.
     pub window: Duration,
     /// A part of the quota.
-    pub part: f64,
+    pub fraction: f64,
     /// A number of operations.
     pub count: f64,
 }
@@ -72,7 +72,7 @@
 impl Slack {
     /// How many operations beyond `quota` one window may have.
     fn spare(&self, quota: Quota) -> f64 {
-        self.part * (quota.rate * self.window.as_secs_f64() + quota.burst) + self.count
+        self.fraction * (quota.rate * self.window.as_secs_f64() + quota.burst) + self.count
     }
 }
 
@@ -108,7 +108,7 @@
     /// When the first table was known: what is kept by then was kept before this life.
     first: Cell<Option<Instant>>,
     uses: RefCell<HashMap<Rc<str>, Use>>,
-    stamp: Cell<u64>,
+    last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
     /// Which keepers did not answer, and when.
     silent: RefCell<HashMap<String, Instant>>,
@@ -123,7 +123,7 @@
 }
 
 /// The key of the table.
-pub fn key<E: Edge>() -> String {
+pub fn table_key<E: Edge>() -> String {
     format!("{}shares", E::OWN)
 }
 
@@ -153,7 +153,7 @@
             Some(_) => Boot.now(),
         };
         self.first.set(self.first.get().or(Some(now)));
-        let kept = self.kept(name);
+        let kept = self.owned(name);
         let mut since = self.since.borrow_mut();
         let is_kept = |account: &String| kept.iter().any(|(kept, _)| kept == account);
         since.retain(|account, _| is_kept(account));
@@ -168,8 +168,8 @@
     }
 
     /// Takes in a keeper's answer.
-    pub(crate) fn told(&self, stamp: u64, count: u32, wait: Duration) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&stamp) {
+    pub(crate) fn told(&self, id: u64, count: u32, wait: Duration) {
+        if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
             let _ = waiting.send(Answer { count, wait });
         }
     }
@@ -185,7 +185,7 @@
     }
 
     /// The shares that `instance` has, in thousandths of the accounts' quotas.
-    pub fn kept(&self, instance: &str) -> Vec<(String, u16)> {
+    pub fn owned(&self, instance: &str) -> Vec<(String, u16)> {
         let table = self.table.borrow();
         let rows = table.rows.keys();
         let kept = rows.map(|account| (account.clone(), table.parts(account, instance)));
@@ -272,7 +272,7 @@
 /// # Errors
 ///
 /// The account's quota is used up.
-pub(crate) async fn count<E: Edge>(
+pub(crate) async fn charge<E: Edge>(
     node: &Node<E>,
     account: &Rc<str>,
     patience: Duration,
@@ -367,19 +367,19 @@
 ) -> Option<Answer> {
     let shares = &node.shares;
     let address = node.peers.address(keeper)?;
-    shares.stamp.set(shares.stamp.get() + 1);
+    shares.last_id.set(shares.last_id.get() + 1);
     // A number of this life: an answer to a question of the life before is none to this.
-    let stamp = node.life.wrapping_add(shares.stamp.get());
+    let id = node.life.wrapping_add(shares.last_id.get());
     let (sender, answer) = oneshot::channel();
-    shares.waiting.borrow_mut().insert(stamp, sender);
-    let question = Proof::Take {
-        stamp,
-        answer: node.settings.peers,
+    shares.waiting.borrow_mut().insert(id, sender);
+    let question = Message::QuotaRequest {
+        id,
+        reply_to: node.settings.peers,
         account: account.to_string(),
         count,
     };
     node.proofs.send(&question, address);
     let answer = timeout(ANSWER, answer).await;
-    shares.waiting.borrow_mut().remove(&stamp);
+    shares.waiting.borrow_mut().remove(&id);
     answer.ok()?.ok()
 }
--- a/crates/proxy/src/shares/keeper.rs
+++ b/crates/proxy/src/shares/limiter.rs
@@ -9,7 +9,7 @@
 use clock::Boot;
 
 use super::Answer;
-use crate::{account::Quota, edge::Edge, node::Node, peers::beat::Proof};
+use crate::{account::Quota, edge::Edge, node::Node, peers::heartbeat::Message};
 
 /// The part of what a quota may be exceeded by that all keepers together have at once beside
 /// it: what one refuses that another could give is refused below the limit.
@@ -40,15 +40,15 @@
 }
 
 /// Answers an instance that asks for operations of an account.
-pub(crate) fn tell<E: Edge>(node: &Node<E>, stamp: u64, to: SocketAddr, account: &str, count: u32) {
+pub(crate) fn tell<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr, account: &str, count: u32) {
     // Whoever hears at once that this instance keeps it no more asks the next one.
     let unable = Answer {
         count: 0,
         wait: Duration::MAX,
     };
     let answer = give(node, account, count).unwrap_or(unable);
-    let given = Proof::Given {
-        stamp,
+    let given = Message::QuotaGrant {
+        id,
         count: answer.count,
         wait: answer.wait,
     };
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -8,7 +8,7 @@
 use clock::Boot;
 use tokio::time::{sleep, timeout};
 
-use super::{FORMAT, keeper, key};
+use super::{FORMAT, limiter, table_key};
 use crate::{
     control,
     edge::{Change, Edge, Fault, Item, Store, Swap, Swapped},
@@ -30,14 +30,14 @@
 
 /// Looks after the table while this instance reads the catalogue for all others, and fetches
 /// it while it does not, until the process ends.
-pub(crate) async fn keep<E: Edge>(node: Rc<Node<E>>) {
+pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let began = Boot.now();
     loop {
         let _ = timeout(LOOK, node.shares.behind.notified()).await;
         if node.catalog().accounts.is_empty() {
             continue;
         }
-        keeper::tell_tallies(&node);
+        limiter::tell_tallies(&node);
         let kept = match freshness::source(&node) {
             Source::Relay(address) if is_behind(&node) => fetch(&node, address).await,
             Source::Relay(_) => Ok(()),
@@ -102,7 +102,7 @@
 
 /// Writes the next table, unless the store has another one by now: then that is taken in.
 async fn change<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
-    let key = key::<E>();
+    let key = table_key::<E>();
     let known = node.mark().shares;
     let mut value = vec![FORMAT];
     value.extend(postcard::to_stdvec(next).map_err(|_| Fault::Malformed)?);
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -5,8 +5,8 @@
 
 mod due;
 mod fence;
+mod lock;
 mod record;
-mod right;
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,17 +22,17 @@
 use crate::{
     counted,
     edge::{Edge, Fault, Orders},
-    era::LONELY,
     group::{Group, Known},
     member::Member,
     node::Node,
     probe,
+    proof_lease::UNANIMITY_AFTER,
 };
 use due::{RANK, Reason, due};
 use fence::{Chosen, Fenced, fence, still_holds};
+pub(crate) use lock::OUTLASTED;
+use lock::{Lock, RIGHT, claim, renew, write_duty};
 use record::{announce, end_era, settle};
-pub(crate) use right::OUTLASTED;
-use right::{RIGHT, Right, claim, renew, write_duty};
 
 /// How often primaries are looked at.
 const LOOK: Duration = Duration::from_millis(50);
@@ -58,13 +58,13 @@
 ///
 /// One instance at a time gives orders, for all groups, under one fence. So the
 /// fences of calls that arrive never fall, whichever group they are for.
-pub async fn oversee<E: Edge>(node: Rc<Node<E>>) {
-    let mut held: Option<Rc<Right>> = None;
+pub async fn run<E: Edge>(node: Rc<Node<E>>) {
+    let mut held: Option<Rc<Lock>> = None;
     let mut used = Boot.now();
     loop {
         sleep(LOOK).await;
-        if let Some(right) = held.take_if(|right| !right.holds()) {
-            log::warn!(fence = right.fence; "the right to give orders ran out");
+        if let Some(lock) = held.take_if(|lock| !lock.holds()) {
+            log::warn!(fence = lock.token; "the right to give orders ran out");
         }
         node.has_right.set(held.is_some());
         let due: Vec<_> = node
@@ -73,19 +73,19 @@
             .filter_map(|group| Some((due(&node, &group, held.is_some())?, group)))
             .filter(|(_, group)| !group.replacing.get())
             .collect();
-        if let Some(right) = &held {
-            if !due.is_empty() || right.active.get() > 0 {
+        if let Some(lock) = &held {
+            if !due.is_empty() || lock.active.get() > 0 {
                 used = Boot.now();
             }
             let idle = used + LINGER < Boot.now();
-            let old = Boot.now() + RIGHT * 3 / 4 > right.until.get();
-            if idle || node.is_stopping() && right.active.get() == 0 {
-                let _ = write_duty(&node, right.revision.get(), false).await;
+            let old = Boot.now() + RIGHT * 3 / 4 > lock.until.get();
+            if idle || node.is_stopping() && lock.active.get() == 0 {
+                let _ = write_duty(&node, lock.revision.get(), false).await;
                 held = None;
                 continue;
             }
             if old {
-                renew(&node, right).await;
+                renew(&node, lock).await;
             }
         }
         if due.is_empty() || node.is_stopping() {
@@ -93,7 +93,7 @@
         }
         if held.is_none() {
             held = match claim(&node).await {
-                Ok(right) => Some(Rc::new(right)),
+                Ok(lock) => Some(Rc::new(lock)),
                 Err(failed) => {
                     log::debug!(failed:?; "no right to give orders");
                     let rest = match failed {
@@ -105,22 +105,22 @@
                 }
             };
         }
-        let Some(right) = &held else {
+        let Some(lock) = &held else {
             continue;
         };
         for (reason, group) in due {
             group.replacing.set(true);
-            right.active.set(right.active.get() + 1);
-            let (node, right) = (Rc::clone(&node), Rc::clone(right));
+            lock.active.set(lock.active.get() + 1);
+            let (node, lock) = (Rc::clone(&node), Rc::clone(lock));
             spawn_local(async move {
-                log::info!(service = &*group.service, reason:?, fence = right.fence; "replacing the primary");
-                let ended = replace(&node, &group, &right, reason).await;
+                log::info!(service = &*group.service, reason:?, fence = lock.token; "replacing the primary");
+                let ended = replace(&node, &group, &lock, reason).await;
                 log::info!(service = &*group.service, ended:?; "replacement over");
                 if ended.is_err() {
                     sleep(RANK).await;
                 }
                 group.replacing.set(false);
-                right.active.set(right.active.get() - 1);
+                lock.active.set(lock.active.get() - 1);
             });
         }
     }
@@ -128,7 +128,7 @@
 
 /// Notes who has the right to give orders as soon as a group's primary is being replaced:
 /// if that instance is lost, the right has run out so long after it was seen first.
-pub(crate) fn notice<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
+pub(crate) fn track_replacement<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
     let changes = |known: &Known| known.record.phase == Phase::Changing;
     if !group.known().as_ref().is_some_and(changes) {
         return;
@@ -138,7 +138,7 @@
         return;
     }
     let node = Rc::clone(node);
-    spawn_local(async move { right::look(&node).await });
+    spawn_local(async move { lock::look(&node).await });
 }
 
 /// Why a replacement did not come about.
@@ -157,26 +157,26 @@
 async fn replace<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    right: &Right,
+    lock: &Lock,
     mut reason: Reason,
 ) -> Result<(), Failed> {
     let old = group.known().ok_or(Failed::Overtaken)?.record;
-    let revision = announce(node, group, right).await?;
-    let ended = end_era(node, right).await?;
-    while right.holds() {
+    let revision = announce(node, group, lock).await?;
+    let ended = end_era(node, lock).await?;
+    while lock.holds() {
         let Some(chosen) = fence(node, group, &old, reason).await else {
             sleep(POLL * 4).await;
             continue;
         };
         let (member, fenced, told) = match chosen {
             Chosen::Leads(member, term) => {
-                return settle(node, group, right, revision, &member, term).await;
+                return settle(node, group, lock, revision, &member, term).await;
             }
             // Somebody may still prove the old primary by a majority of the group.
             Chosen::Candidate {
                 fenced: Fenced::InPart,
                 ..
-            } if Boot.now() < ended + LONELY => {
+            } if Boot.now() < ended + UNANIMITY_AFTER => {
                 sleep(POLL * 4).await;
                 continue;
             }
@@ -189,11 +189,11 @@
         let lapsed = proof::all_lapsed(Boot.now(), node.settings.proof);
         let wait = lapsed.since(Boot.now());
         let (back, ()) = join(is_back::<E>(group, &old, reason, wait), sleep(wait)).await;
-        if !right.holds() {
+        if !lock.holds() {
             break;
         }
         if let Some(primary) = back {
-            return settle(node, group, right, revision, &primary, old.term).await;
+            return settle(node, group, lock, revision, &primary, old.term).await;
         }
         if !still_holds::<E>(group, &old, &member, fenced, &told).await {
             log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica holds no more");
@@ -205,7 +205,7 @@
         let order = node
             .edge
             .orders()
-            .promote(&group.service, id, name, right.fence);
+            .promote(&group.service, id, name, lock.token);
         let ordered = timeout(ORDER, order).await;
         node.ordered.set(Some(Boot.now()));
         let answer = match &ordered {
@@ -213,12 +213,12 @@
             Err(_) => "given_up",
         };
         node.figures.called("promote", answer);
-        log::info!(service = &*group.service, upstream = &**id, fence = right.fence, ordered:?; "promote");
+        log::info!(service = &*group.service, upstream = &**id, fence = lock.token, ordered:?; "promote");
         if matches!(ordered, Ok(Err(Fault::Missing | Fault::Refused))) {
             continue;
         }
         if let Some(term) = shown::<E>(&member, old.term).await {
-            return settle(node, group, right, revision, &member, term).await;
+            return settle(node, group, lock, revision, &member, term).await;
         }
     }
     Err(Failed::Expired)
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -6,7 +6,7 @@
 use clock::Boot;
 use lead::{Phase, Verdict, vote};
 
-use super::right::RIGHT;
+use super::lock::RIGHT;
 use crate::{catalog::Stay, edge::Edge, group::Group, node::Node};
 
 /// How much later each further instance tries.
--- a/crates/proxy/src/takeover/right.rs
+++ b/crates/proxy/src/takeover/lock.rs
@@ -62,14 +62,14 @@
 
 /// The right to give orders, while this instance holds it.
 #[derive(Debug)]
-pub(super) struct Right {
-    pub(super) fence: u64,
+pub(super) struct Lock {
+    pub(super) token: u64,
     pub(super) revision: Cell<u64>,
     pub(super) until: Cell<Instant>,
     pub(super) active: Cell<usize>,
 }
 
-impl Right {
+impl Lock {
     /// Whether an order may still be given: it arrives, or is reset, well before
     /// the right ends.
     pub(super) fn holds(&self) -> bool {
@@ -78,7 +78,7 @@
 }
 
 /// Takes the right to give orders.
-pub(super) async fn claim<E: Edge>(node: &Node<E>) -> Result<Right, Failed> {
+pub(super) async fn claim<E: Edge>(node: &Node<E>) -> Result<Lock, Failed> {
     let store = node.store();
     let key = duty_key::<E>();
     let duties = timeout(CALL, store.read(&key, CALL)).await;
@@ -104,7 +104,7 @@
         let own = duty.life == node.life;
         if duty.held && !own && seen + RIGHT + RIGHT / 20 > now {
             if let Some(address) = node.peers.address(&duty.holder) {
-                node.peers.call_one(address);
+                node.peers.announce_to(address);
             }
             return Err(Failed::Held);
         }
@@ -116,8 +116,8 @@
     }
     *node.before.borrow_mut() = duty.map_or_else(Vec::new, |duty| duty.before(name));
     let (revision, until) = write_duty(node, revision, true).await?;
-    Ok(Right {
-        fence: revision,
+    Ok(Lock {
+        token: revision,
         revision: Cell::new(revision),
         until: Cell::new(until),
         active: Cell::new(0),
@@ -137,13 +137,13 @@
 }
 
 /// Keeps the right; it is lost if somebody else has it.
-pub(super) async fn renew<E: Edge>(node: &Node<E>, right: &Right) {
-    match write_duty(node, right.revision.get(), true).await {
+pub(super) async fn renew<E: Edge>(node: &Node<E>, lock: &Lock) {
+    match write_duty(node, lock.revision.get(), true).await {
         Ok((revision, until)) => {
-            right.revision.set(revision);
-            right.until.set(until);
+            lock.revision.set(revision);
+            lock.until.set(until);
         }
-        Err(Failed::Overtaken) => right.until.set(Instant::ZERO),
+        Err(Failed::Overtaken) => lock.until.set(Instant::ZERO),
         Err(_) => {}
     }
 }
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -13,24 +13,24 @@
 
 use super::{
     Failed, POLL,
-    right::{CALL, Right},
+    lock::{CALL, Lock},
 };
 use crate::{
     control::{duty_key, encode, lead_key},
     edge::{Edge, Fault, Store, Swap, Swapped},
-    era::{era_key, era_of},
     group::Group,
     member::Member,
     message::Command,
     node::Node,
     probe,
+    proof_lease::{era_key, era_of},
 };
 
 /// Writes into the record that the primary is being replaced; the new revision.
 pub(super) async fn announce<E: Edge>(
     node: &Node<E>,
     group: &Group,
-    right: &Right,
+    lock: &Lock,
 ) -> Result<u64, Failed> {
     let known = group.known().ok_or(Failed::Overtaken)?;
     let record = Record {
@@ -45,8 +45,8 @@
         puts: vec![(key, encode(&record), 0)],
         deletes: Vec::new(),
     };
-    while right.holds() {
-        let duty = right.revision.get();
+    while lock.holds() {
+        let duty = lock.revision.get();
         swap.expected[1].1 = duty;
         match timeout(CALL, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
@@ -54,7 +54,7 @@
                 return Ok(revision);
             }
             // The right was renewed meanwhile, or an unanswered try was done.
-            Ok(Ok(_)) if duty != right.revision.get() => {}
+            Ok(Ok(_)) if duty != lock.revision.get() => {}
             Ok(Ok(_)) => return announced(node, group, &record).await,
             Ok(Err(_)) | Err(_) => sleep(POLL).await,
         }
@@ -82,9 +82,9 @@
 }
 
 /// Ends the era in which proofs were given before the announcement; when that was.
-pub(super) async fn end_era<E: Edge>(node: &Node<E>, right: &Right) -> Result<Instant, Failed> {
+pub(super) async fn end_era<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
     let store = node.store();
-    while right.holds() {
+    while lock.holds() {
         let items = timeout(CALL, store.read(&era_key::<E>(), CALL)).await;
         let Ok(Ok(items)) = items else {
             sleep(POLL).await;
@@ -105,7 +105,7 @@
 pub(super) async fn settle<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    right: &Right,
+    lock: &Lock,
     revision: u64,
     member: &Rc<Member>,
     term: Term,
@@ -125,7 +125,7 @@
         deletes: Vec::new(),
     };
     loop {
-        if !right.holds() {
+        if !lock.holds() {
             return Err(Failed::Expired);
         }
         match timeout(CALL, node.store().swap(&swap)).await {
--- a/crates/proxy/src/work.rs
+++ b/crates/proxy/src/work.rs
@@ -96,7 +96,7 @@
 
 /// All counts of an instance, by name.
 pub fn counts<E: Edge>(node: &Node<E>) -> Vec<(&'static str, u64)> {
-    let (looks, draws) = node.peers.work();
+    let (looks, draws) = node.peers.counters();
     let own = Kind::ALL.map(|kind| (kind.name(), node.work.of(kind)));
     own.into_iter()
         .chain([("looks", looks), ("draws", draws)])
--- a/crates/proxy/tests/beat.rs
+++ b/crates/proxy/tests/beat.rs
@@ -7,38 +7,41 @@
 use proptest::prelude::*;
 use proxy::{
     node::Service,
-    peers::beat::{self, Beat, Belief, Datagram, FORMAT, Greeting, Hearing, More, Proof},
+    peers::heartbeat::{
+        self, Datagram, Extension, FORMAT, Heartbeat, Message, Observation, ReplyRequest,
+        StoreContact,
+    },
 };
 
 fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7_000))
 }
 
-fn own() -> (Beat, More) {
-    let belief = Belief {
+fn own() -> (Heartbeat, Extension) {
+    let belief = Observation {
         service: "db".to_owned(),
         term: Term(3),
         verdict: Verdict::Failing,
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         name: "one".to_owned(),
         address: address(),
         version: 7,
-        beliefs: vec![belief],
-        starved: vec!["i-1".to_owned()],
+        observations: vec![belief],
+        locked_out: vec!["i-1".to_owned()],
         zone: "zone-1".to_owned(),
         weight: 25,
         service: Service::Able,
         leaving: false,
     };
-    let more = More {
+    let more = Extension {
         format: FORMAT,
         next: Duration::from_millis(300),
-        hearing: Hearing::Hears,
-        relays: true,
-        greeting: Greeting::Answer,
-        silent: vec!["zone-2".to_owned()],
-        near: vec![address()],
+        store: StoreContact::Reachable,
+        is_relay: true,
+        reply_request: ReplyRequest::Answer,
+        unreachable_zones: vec!["zone-2".to_owned()],
+        introduced: vec![address()],
     };
     (beat, more)
 }
@@ -46,9 +49,9 @@
 #[test]
 fn a_beat_is_read_as_it_was_written() {
     let (beat, more) = own();
-    let bytes = beat::encode(&beat, &more).unwrap();
-    let read = beat::decode(&bytes).unwrap();
-    assert_eq!(read, Datagram::Beat(beat, Some(more)));
+    let bytes = heartbeat::encode(&beat, &more).unwrap();
+    let read = heartbeat::decode(&bytes).unwrap();
+    assert_eq!(read, Datagram::Heartbeat(beat, Some(more)));
 }
 
 /// While a release goes on, instances of the version before hear beats of this one. They
@@ -56,25 +59,28 @@
 #[test]
 fn the_version_before_reads_a_beat_of_this_one() {
     let (beat, more) = own();
-    let bytes = beat::encode(&beat, &more).unwrap();
-    assert_eq!(postcard::from_bytes::<Beat>(&bytes).unwrap(), beat);
+    let bytes = heartbeat::encode(&beat, &more).unwrap();
+    assert_eq!(postcard::from_bytes::<Heartbeat>(&bytes).unwrap(), beat);
 }
 
 #[test]
 fn a_beat_of_the_version_before_is_read() {
     let (beat, _) = own();
     let bytes = postcard::to_stdvec(&beat).unwrap();
-    assert_eq!(beat::decode(&bytes), Some(Datagram::Beat(beat, None)));
+    assert_eq!(
+        heartbeat::decode(&bytes),
+        Some(Datagram::Heartbeat(beat, None))
+    );
 }
 
 #[test]
 fn a_question_for_a_proof_is_no_beat() {
-    let ask = Proof::Ask {
-        stamp: 9,
-        answer: address(),
+    let ask = Message::LeaseRequest {
+        id: 9,
+        reply_to: address(),
     };
-    let bytes = beat::encode_proof(&ask).unwrap();
-    assert_eq!(beat::decode(&bytes), Some(Datagram::Proof(ask)));
+    let bytes = heartbeat::encode_message(&ask).unwrap();
+    assert_eq!(heartbeat::decode(&bytes), Some(Datagram::Message(ask)));
 }
 
 proptest! {
@@ -88,9 +94,9 @@
     #[test]
     fn a_beat_that_was_cut_short_names_nobody_else(cut in 0_usize..200) {
         let (beat, more) = own();
-        let mut bytes = beat::encode(&beat, &more).unwrap();
+        let mut bytes = heartbeat::encode(&beat, &more).unwrap();
         bytes.truncate(cut);
-        if let Some(Datagram::Beat(read, _)) = beat::decode(&bytes) {
+        if let Some(Datagram::Heartbeat(read, _)) = heartbeat::decode(&bytes) {
             prop_assert_eq!(read, beat);
         }
     }
