--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -22,21 +22,20 @@
     catalog::{Catalog, Route, Upstream},
     counted::Counted,
     edge::{Edge, Item, Store},
-    era::{self, Lease},
-    freshness::Fresh,
+    freshness,
     group::Group,
     member::Member,
     metrics::{Metrics, Wait},
     mirror::{self, Mirror},
-    peers::{Peers, beat::Hearing, frame::Packed},
+    peers::{Peers, frame::Compressed, heartbeat::StoreContact},
+    proof_lease::{self, Lease},
     proofs::Proofs,
+    registry::Registry,
     relay,
-    roster::Roster,
     settings::Settings,
     shares::{self, Shares},
     work::{Kind, Work},
 };
-
 /// How long the store may be silent until it counts as having been away.
 const AWAY: Duration = Duration::from_millis(1_200);
 
@@ -94,7 +93,7 @@
     /// A number of this life of the process.
     pub incarnation: u64,
     catalog: RefCell<Rc<Catalog>>,
-    registry: Roster,
+    registry: Registry,
     /// Other instances.
     pub peers: Peers,
     /// How far it is with its life.
@@ -151,14 +150,14 @@
     pub mirror: RefCell<Mirror>,
     /// Told when something was learnt of the store.
     pub store_changed: Notify,
-    packed: RefCell<Option<Packed>>,
+    packed: RefCell<Option<Compressed>>,
     /// What those are told who know nothing, and of which state of the mirror and the
     /// catalogue.
-    pub(crate) full_batch: RefCell<Option<((mirror::State, u64), Bytes)>>,
+    pub(crate) full_batch: RefCell<Option<((mirror::Version, u64), Bytes)>>,
     /// Questions for proofs.
     pub proofs: Proofs,
     /// How surely it is known what may be asked for.
-    pub freshness: Fresh,
+    pub freshness: freshness::Tracker,
     /// What each account may ask for here.
     pub shares: Shares,
     /// When the store's watch was answered last.
@@ -186,7 +185,7 @@
             settings,
             incarnation: rand::random(),
             catalog: RefCell::default(),
-            registry: Roster::default(),
+            registry: Registry::default(),
             stage: Cell::new(Stage::Serve),
             stage_changed: Notify::new(),
             proof_wanted: Notify::new(),
@@ -218,7 +217,7 @@
             packed: RefCell::default(),
             full_batch: RefCell::default(),
             proofs: Proofs::default(),
-            freshness: Fresh::default(),
+            freshness: freshness::Tracker::default(),
             shares: Shares::default(),
             watch_answered_at: Cell::default(),
             store_returned: Notify::new(),
@@ -269,9 +268,9 @@
             }
         }
         self.work.add(Kind::Catalogue, 1);
-        self.registry.name(&catalog);
+        self.registry.set_services(&catalog);
         *self.catalog.borrow_mut() = Rc::new(catalog);
-        self.freshness.reach(self.mark());
+        self.freshness.advance(self.mark());
     }
 
     /// How far this instance is with what is agreed on.
@@ -281,7 +280,7 @@
             shares: self
                 .mirror
                 .borrow()
-                .item(&shares::key::<E>())
+                .item(&shares::table_key::<E>())
                 .map_or(0, |item| item.revision),
         }
     }
@@ -308,7 +307,7 @@
 
     /// Whether this instance asks the store for its zone.
     pub fn is_relay(&self) -> bool {
-        relay::is_own(self)
+        relay::is_relay(self)
     }
 
     /// Where to reach the instances that serve sessions on `service`, if this one is to
@@ -383,7 +382,7 @@
 
     /// All groups that the catalogue names, in order of their names.
     pub fn groups(&self) -> Rc<[Rc<Group>]> {
-        self.registry.named()
+        self.registry.catalogued()
     }
 
     /// The groups of the catalogue that something is to be done for, in order of their
@@ -405,7 +404,7 @@
     pub fn put_upstream(&self, upstream: Upstream) {
         let group = self.group_of(&upstream.service);
         let id = Rc::clone(&upstream.id);
-        if let Some(old) = self.registry.list(&id, &upstream.service) {
+        if let Some(old) = self.registry.assign(&id, &upstream.service) {
             old.unlist(&id, Boot.now());
         }
         let catalog = self.catalog();
@@ -418,12 +417,12 @@
 
     /// The upstream with this id, whichever group it is in.
     pub fn member(&self, id: &str) -> Option<Rc<Member>> {
-        self.registry.group_with(id)?.member(id)
+        self.registry.group_of_upstream(id)?.member(id)
     }
 
     /// Takes in that the list lacks the upstream with this id.
     pub fn unlist_upstream(&self, id: &str) {
-        if let Some(group) = self.registry.group_with(id) {
+        if let Some(group) = self.registry.group_of_upstream(id) {
             group.unlist(id, Boot.now());
         }
     }
@@ -462,7 +461,7 @@
     pub(crate) fn note_instances_listed(&self) {
         if self.instances_listed_at.get().is_none() {
             self.instances_listed_at.set(Some(Boot.now()));
-            self.peers.call_all();
+            self.peers.announce_to_all();
         }
     }
 
@@ -492,7 +491,7 @@
     /// Whether it serves, or would.
     pub fn service(&self) -> ServiceState {
         if self.is_idle() {
-            return match self.peers.is_lost() {
+            return match self.peers.is_unserved() {
                 true => ServiceState::Unable,
                 false => ServiceState::Idle,
             };
@@ -518,7 +517,7 @@
     /// Since when this instance can't serve though others may.
     pub fn unable_since(&self) -> Option<Instant> {
         let now = Boot.now();
-        if self.service() != ServiceState::Unable || !self.peers.may_serve() {
+        if self.service() != ServiceState::Unable || !self.peers.may_others_serve() {
             self.able.set(now);
             return None;
         }
@@ -544,7 +543,7 @@
             return Proved::Primary(member);
         }
         // A group that rested was not proved with the others.
-        era::adopt(self, group);
+        proof_lease::adopt_proof(self, group);
         if let Some(member) = self.leader(group, moment) {
             return Proved::Primary(member);
         }
@@ -597,15 +596,15 @@
     }
 
     /// Whether this instance hears the store itself.
-    pub fn store_contact(&self) -> Hearing {
+    pub fn store_contact(&self) -> StoreContact {
         let now = Boot.now();
         let (direct, refused) = (self.store_answered_at.get(), self.refused.get());
         if direct != Instant::ZERO && direct + HEARS > now {
-            return Hearing::Hears;
+            return StoreContact::Reachable;
         }
         match refused > direct && refused + DEAF > now {
-            true => Hearing::Deaf,
-            false => Hearing::Unknown,
+            true => StoreContact::Unreachable,
+            false => StoreContact::Unknown,
         }
     }
 
@@ -615,14 +614,14 @@
     }
 
     /// The same, packed once for all who ask.
-    pub(crate) fn packed(&self) -> Option<Packed> {
+    pub(crate) fn packed(&self) -> Option<Compressed> {
         let item = self.catalog_item()?;
         let mut packed = self.packed.borrow_mut();
         if packed
             .as_ref()
             .is_none_or(|p| p.item.revision != item.revision)
         {
-            *packed = Packed::pack(&item).ok();
+            *packed = Compressed::compress(&item).ok();
         }
         packed.clone()
     }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -169,7 +169,7 @@
             if member.is_failing() && !told {
                 told = true;
                 log::info!(service = &*group.service, upstream = &**id; "upstream fails");
-                node.peers.call();
+                node.peers.announce();
             }
             sleep(AGAIN).await;
         }
@@ -178,7 +178,7 @@
         }
         if told {
             log::info!(service = &*group.service, upstream = &**id, back = accepted > 0; "upstream fails no more");
-            node.peers.call();
+            node.peers.announce();
         }
         member.probed.set(false);
     });
