--- a/crates/failover/src/detector.rs
+++ b/crates/failover/src/detector.rs
@@ -11,78 +11,83 @@
 };
 
 /// Probes that may be under way at once; more would only queue behind a stall.
-const OUTSTANDING: usize = 4;
+const MAX_OUTSTANDING_PROBES: usize = 4;
 
 /// Hard faults in a row that make a view. One may be a listener's hiccup; the
 /// second is asked for at once.
-const CONFIRMING: u32 = 2;
+const CONFIRMING_FAULTS: u32 = 2;
 
 /// What is known of an upstream, and how regularly it answers.
 #[derive(Debug)]
 pub(crate) struct Detector {
-    asked: BTreeMap<Call, Instant>,
-    mean: Duration,
-    deviation: Duration,
-    opened: Instant,
-    answered: Option<Instant>,
-    patience: Instant,
-    refusals: u32,
-    demotions: u32,
+    pending: BTreeMap<Call, Instant>,
+    rtt_mean: Duration,
+    rtt_deviation: Duration,
+    created: Instant,
+    last_answer: Option<Instant>,
+    silence_start: Instant,
+    hard_faults: u32,
+    replica_reports: u32,
     report: Option<Report>,
-    advanced: Option<Instant>,
+    last_advance: Option<Instant>,
 }
 
 impl Detector {
     pub(crate) fn open(now: Instant) -> Self {
         Self {
-            asked: BTreeMap::new(),
-            mean: Duration::ZERO,
-            deviation: Duration::ZERO,
-            opened: now,
-            answered: None,
-            patience: now,
-            refusals: 0,
-            demotions: 0,
+            pending: BTreeMap::new(),
+            rtt_mean: Duration::ZERO,
+            rtt_deviation: Duration::ZERO,
+            created: now,
+            last_answer: None,
+            silence_start: now,
+            hard_faults: 0,
+            replica_reports: 0,
             report: None,
-            advanced: None,
+            last_advance: None,
         }
     }
 
     /// Notes a probe, unless too many are under way.
-    pub(crate) fn ask(&mut self, now: Instant, timing: &Timing, call: Call) -> Option<Call> {
-        self.asked
+    pub(crate) fn begin_probe(
+        &mut self,
+        now: Instant,
+        timing: &Timing,
+        call: Call,
+    ) -> Option<Call> {
+        self.pending
             .retain(|_, asked| now.since(*asked) < timing.max_silence);
-        if self.asked.len() >= OUTSTANDING {
+        if self.pending.len() >= MAX_OUTSTANDING_PROBES {
             return None;
         }
-        self.asked.insert(call, now);
+        self.pending.insert(call, now);
         Some(call)
     }
 
     /// Takes the answer to a probe or to an order.
-    pub(crate) fn answer(
+    pub(crate) fn on_answer(
         &mut self,
         now: Instant,
         timing: &Timing,
         call: Call,
         result: Result<Report, Fault>,
     ) {
-        let asked = self.asked.remove(&call);
+        let asked = self.pending.remove(&call);
         match result {
             Ok(report) => {
                 if let Some(asked) = asked {
-                    self.learn(now.since(asked));
+                    self.update_rtt(now.since(asked));
                 }
-                self.refusals = 0;
-                self.answered = Some(now);
-                self.note(now, report);
+                self.hard_faults = 0;
+                self.last_answer = Some(now);
+                self.update_report(now, report);
             }
             Err(Fault::Fenced(_)) => {
-                self.refusals = 0;
-                self.answered = Some(now);
+                self.hard_faults = 0;
+                self.last_answer = Some(now);
             }
-            Err(Fault::Refused | Fault::Broken) => self.refusals += 1,
-            Err(Fault::Full) => self.crowded(now, timing),
+            Err(Fault::Refused | Fault::Broken) => self.hard_faults += 1,
+            Err(Fault::Full) => self.on_full(now, timing),
             Err(Fault::Timeout) => {}
         }
     }
@@ -94,35 +99,35 @@
     /// replaces a healthy primary and leaves its writes in doubt. But one that
     /// hangs behind connections that nobody can use says the same: without a
     /// report for [`Timing::full_grace`] it counts as silent.
-    fn crowded(&mut self, now: Instant, timing: &Timing) {
-        self.refusals = 0;
-        let known = self.answered.unwrap_or(self.opened);
+    fn on_full(&mut self, now: Instant, timing: &Timing) {
+        self.hard_faults = 0;
+        let known = self.last_answer.unwrap_or(self.created);
         if now.since(known) < timing.full_grace {
-            self.patience = now;
+            self.silence_start = now;
         }
     }
 
-    fn note(&mut self, now: Instant, report: Report) {
+    fn update_report(&mut self, now: Instant, report: Report) {
         let old = self.report.replace(report);
         if old.is_some_and(|old| old.received < report.received) {
-            self.advanced = Some(now);
+            self.last_advance = Some(now);
         }
-        self.demotions = match report.role {
+        self.replica_reports = match report.role {
             Role::Primary => 0,
-            Role::Replica => self.demotions + 1,
+            Role::Replica => self.replica_reports + 1,
         };
     }
 
     /// Jacobson's estimate of the round trip and its spread.
-    fn learn(&mut self, trip: Duration) {
-        let error = trip.abs_diff(self.mean);
-        self.mean = (self.mean * 7 + trip) / 8;
-        self.deviation = (self.deviation * 3 + error) / 4;
+    fn update_rtt(&mut self, rtt: Duration) {
+        let error = rtt.abs_diff(self.rtt_mean);
+        self.rtt_mean = (self.rtt_mean * 7 + rtt) / 8;
+        self.rtt_deviation = (self.rtt_deviation * 3 + error) / 4;
     }
 
     /// How long this upstream may be silent before it is suspected.
-    pub(crate) fn tolerance(&self, timing: &Timing) -> Duration {
-        let usual = timing.probe_interval + self.mean + self.deviation * 4;
+    pub(crate) fn silence_timeout(&self, timing: &Timing) -> Duration {
+        let usual = timing.probe_interval + self.rtt_mean + self.rtt_deviation * 4;
         usual.clamp(timing.min_silence, timing.max_silence)
     }
 
@@ -131,27 +136,30 @@
     /// After a pause of this process every upstream would look silent at once,
     /// and the process would claim a term for its own stall; likewise a new
     /// primary must not inherit the silence from before its promotion.
-    pub(crate) fn forgive(&mut self, now: Instant) {
-        self.patience = now;
-        self.refusals = 0;
-        self.demotions = 0;
+    pub(crate) fn reset_silence(&mut self, now: Instant) {
+        self.silence_start = now;
+        self.hard_faults = 0;
+        self.replica_reports = 0;
     }
 
     /// Whether a hard fault awaits confirmation by a second probe.
-    pub(crate) fn doubtful(&self) -> bool {
-        self.refusals > 0 && self.refusals < CONFIRMING
+    pub(crate) fn needs_confirmation(&self) -> bool {
+        self.hard_faults > 0 && self.hard_faults < CONFIRMING_FAULTS
     }
 
     /// How this upstream is found, whatever its role.
     pub(crate) fn view(&self, now: Instant, timing: &Timing) -> View {
-        if self.refusals >= CONFIRMING {
+        if self.hard_faults >= CONFIRMING_FAULTS {
             return View::Refused;
         }
-        let since = self.answered.unwrap_or(self.patience).max(self.patience);
-        if now.since(since) > self.tolerance(timing) {
+        let since = self
+            .last_answer
+            .unwrap_or(self.silence_start)
+            .max(self.silence_start);
+        if now.since(since) > self.silence_timeout(timing) {
             return View::Silent;
         }
-        match self.answered {
+        match self.last_answer {
             Some(_) => View::Alive,
             None => View::Unsure,
         }
@@ -160,13 +168,13 @@
     /// How this upstream is found as the primary.
     pub(crate) fn primary_view(&self, now: Instant, timing: &Timing) -> View {
         match self.view(now, timing) {
-            View::Alive if self.demotions >= CONFIRMING => View::Refused,
+            View::Alive if self.replica_reports >= CONFIRMING_FAULTS => View::Refused,
             view => view,
         }
     }
 
     /// Whether it answers now.
-    pub(crate) fn alive(&self, now: Instant, timing: &Timing) -> bool {
+    pub(crate) fn is_alive(&self, now: Instant, timing: &Timing) -> bool {
         self.view(now, timing) == View::Alive
     }
 
@@ -176,8 +184,8 @@
     }
 
     /// Whether its log grew a short while ago.
-    pub(crate) fn advancing(&self, now: Instant, timing: &Timing) -> bool {
-        self.advanced
+    pub(crate) fn is_advancing(&self, now: Instant, timing: &Timing) -> bool {
+        self.last_advance
             .is_some_and(|at| now.since(at) < timing.progress_window)
     }
 }
--- a/crates/failover/src/group.rs
+++ b/crates/failover/src/group.rs
@@ -25,7 +25,7 @@
 
 /// A step this much later than the timer asked for means that the process was
 /// paused, and that what it saw before is stale.
-const PAUSE: Duration = Duration::from_millis(150);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
 
 /// What a group must know to open.
 #[derive(Debug, Clone)]
@@ -63,13 +63,13 @@
 #[derive(Debug, Clone, Copy)]
 enum Alarm {
     Probe,
-    Tell,
+    Evidence,
     Due,
 }
 
 /// An order that awaits its answer.
 #[derive(Debug)]
-struct Sent {
+struct PendingOrder {
     at: Instant,
     order: Order,
 }
@@ -84,23 +84,23 @@
     chart: Chart<Machine>,
     state: State,
     timer: Timer<Alarm>,
-    due: Option<clock::Token>,
+    due_timer: Option<clock::Token>,
     wake: Option<Instant>,
     detectors: BTreeMap<name::Upstream, Detector>,
     peers: Peers,
     register: Register,
     primary: Option<Primary>,
-    changes: VecDeque<Instant>,
+    primary_changes: VecDeque<Instant>,
     promotion: Option<Promotion>,
-    claim: Option<u128>,
-    led: Option<Term>,
-    sent: BTreeMap<name::Upstream, Sent>,
-    told: (View, Option<Term>),
-    contested: Option<Instant>,
+    claim_attempt: Option<u128>,
+    promoted_term: Option<Term>,
+    pending_orders: BTreeMap<name::Upstream, PendingOrder>,
+    sent_evidence: (View, Option<Term>),
+    contested_since: Option<Instant>,
     unconfirmed: Option<(Position, Instant)>,
     suspected: bool,
-    stepped: Instant,
-    out: Vec<Action>,
+    last_step: Instant,
+    actions: Vec<Action>,
 }
 
 impl Group {
@@ -121,23 +121,23 @@
             state: chart.initial(),
             chart,
             timer: Timer::default(),
-            due: None,
+            due_timer: None,
             wake: None,
             detectors: detectors.collect(),
             peers: Peers::default(),
             register: Register::open(conf.instance.clone(), conf.seed),
             primary: None,
-            changes: VecDeque::new(),
+            primary_changes: VecDeque::new(),
             promotion: None,
-            claim: None,
-            led: None,
-            sent: BTreeMap::new(),
-            told: (View::Unsure, None),
-            contested: None,
+            claim_attempt: None,
+            promoted_term: None,
+            pending_orders: BTreeMap::new(),
+            sent_evidence: (View::Unsure, None),
+            contested_since: None,
             unconfirmed: None,
             suspected: false,
-            stepped: now,
-            out: Vec::new(),
+            last_step: now,
+            actions: Vec::new(),
             conf,
         })
     }
@@ -162,32 +162,32 @@
 
     /// Takes what happened, and returns what to do.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
-        self.take(now, event);
+        self.detect_pause(now);
+        self.handle(now, event);
         for alarm in self.timer.expired(now) {
-            self.ring(now, alarm);
+            self.on_alarm(now, alarm);
         }
         if let Some(action) = self.register.expire(now, &self.conf.timing) {
-            self.out.push(action);
+            self.actions.push(action);
         }
         self.check(now);
-        self.stepped = now;
+        self.last_step = now;
         self.set_wake();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    fn notice_pause(&mut self, now: Instant) {
-        let expected = self.wake.unwrap_or(now).max(self.stepped);
-        if now.since(expected) < PAUSE {
+    fn detect_pause(&mut self, now: Instant) {
+        let expected = self.wake.unwrap_or(now).max(self.last_step);
+        if now.since(expected) < PAUSE_THRESHOLD {
             return;
         }
-        self.peers.forget();
+        self.peers.clear();
         for detector in self.detectors.values_mut() {
-            detector.forgive(now);
+            detector.reset_silence(now);
         }
     }
 
-    fn take(&mut self, now: Instant, event: Event) {
+    fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Tick => {}
             Event::Members(members) => self.set_members(now, &members),
@@ -196,27 +196,27 @@
                 call,
                 upstream,
                 result,
-            } => self.answer(now, call, &upstream, result),
+            } => self.on_answer(now, call, &upstream, result),
             Event::Evidence {
                 from,
                 zone,
                 evidence,
-            } => self.peers.hear(now, from, zone, evidence),
+            } => self.peers.receive(now, from, zone, evidence),
             Event::Read { call, result } => {
                 let step = self.register.on_read(now, &self.conf.timing, call, result);
-                self.store(now, step);
+                self.on_store_step(now, step);
             }
             Event::Swapped { call, result } => {
                 let step = self
                     .register
                     .on_swapped(now, &self.conf.timing, call, result);
-                self.store(now, step);
+                self.on_store_step(now, step);
             }
             Event::Watched(entry) => {
-                let outcome = self.register.on_seen(entry);
-                self.store(now, (outcome, None));
+                let outcome = self.register.on_watched(entry);
+                self.on_store_step(now, (outcome, None));
             }
-            Event::Announced(entry) => self.announced(now, &entry),
+            Event::Announced(entry) => self.on_announced(now, &entry),
         }
     }
 
@@ -224,15 +224,15 @@
         let conf = &self.conf;
         let zones = conf.upstreams.values().map(|m| m.zone.clone()).collect();
         let ranked = candidates(&conf.database, members, &zones, conf.candidates);
-        let before = self.peers.includes(&conf.instance);
+        let before = self.peers.contains(&conf.instance);
         self.peers.set(ranked);
-        let after = self.peers.includes(&self.conf.instance);
+        let after = self.peers.contains(&self.conf.instance);
         if after && !before {
             self.timer.subscribe(now, Alarm::Probe);
-            self.timer.subscribe(now, Alarm::Tell);
+            self.timer.subscribe(now, Alarm::Evidence);
             if self.state == State::Reading {
                 let read = self.register.read(now, &self.conf.timing);
-                self.out.push(read);
+                self.actions.push(read);
             }
         }
     }
@@ -246,7 +246,7 @@
         self.conf.upstreams = upstreams;
     }
 
-    fn answer(
+    fn on_answer(
         &mut self,
         now: Instant,
         call: Call,
@@ -256,23 +256,23 @@
         let Some(detector) = self.detectors.get_mut(upstream) else {
             return;
         };
-        detector.answer(now, &self.conf.timing, call, result);
-        if detector.doubtful() {
+        detector.on_answer(now, &self.conf.timing, call, result);
+        if detector.needs_confirmation() {
             self.probe(now, upstream);
         }
         let Some(promotion) = &mut self.promotion else {
             return;
         };
         match result {
-            Ok(report) => promotion.note(upstream, &report),
-            Err(Fault::Fenced(term)) => promotion.refuse(term),
+            Ok(report) => promotion.on_report(upstream, &report),
+            Err(Fault::Fenced(term)) => promotion.on_fenced(term),
             Err(Fault::Refused | Fault::Broken | Fault::Timeout | Fault::Full) => {}
         }
     }
 
-    fn store(&mut self, now: Instant, step: (Option<register::Outcome>, Option<Action>)) {
+    fn on_store_step(&mut self, now: Instant, step: (Option<register::Outcome>, Option<Action>)) {
         let (outcome, action) = step;
-        self.out.extend(action);
+        self.actions.extend(action);
         let Some(outcome) = outcome else {
             return;
         };
@@ -283,14 +283,14 @@
         let event = match outcome {
             register::Outcome::Won if swaps => machine::Event::Won,
             register::Outcome::Absent => machine::Event::Absent,
-            _ if !self.register.claimed() => machine::Event::Led,
-            _ if self.unrecorded() => machine::Event::Announced,
+            _ if !self.register.is_claim() => machine::Event::Led,
+            _ if self.is_unrecorded() => machine::Event::Announced,
             _ => machine::Event::Claimed,
         };
-        self.feed(now, event);
+        self.dispatch(now, event);
     }
 
-    fn announced(&mut self, now: Instant, entry: &Entry) {
+    fn on_announced(&mut self, now: Instant, entry: &Entry) {
         if !self.adopt_primary(now, &entry.record) {
             return;
         }
@@ -299,7 +299,7 @@
             .known()
             .is_some_and(|k| k.record.term > entry.record.term);
         if !superseded {
-            self.feed(now, machine::Event::Announced);
+            self.dispatch(now, machine::Event::Announced);
         }
     }
 
@@ -312,12 +312,12 @@
             return false;
         }
         if self.primary.is_some() {
-            self.changes.push_back(now);
+            self.primary_changes.push_back(now);
         }
         if let Some(detector) = self.detectors.get_mut(upstream) {
-            detector.forgive(now);
+            detector.reset_silence(now);
         }
-        self.contested = None;
+        self.contested_since = None;
         self.unconfirmed = None;
         self.primary = Some(Primary {
             term: record.term,
@@ -329,41 +329,41 @@
     }
 
     /// Lets the chart answer an event, until it stands still.
-    fn feed(&mut self, now: Instant, event: machine::Event) {
-        self.judge(now);
-        let holds = |guard| self.holds(now, guard);
+    fn dispatch(&mut self, now: Instant, event: machine::Event) {
+        self.update_suspicion(now);
+        let holds = |guard| self.guard_holds(now, guard);
         let Some((target, actions)) = self.chart.next(self.state, event, holds) else {
             return;
         };
         let actions = actions.to_vec();
         self.state = target;
-        if let Some(token) = self.due.take() {
+        if let Some(token) = self.due_timer.take() {
             self.timer.cancel(token);
         }
         for action in actions {
-            self.act(now, action);
+            self.run_action(now, action);
         }
     }
 
     fn check(&mut self, now: Instant) {
-        if !self.peers.includes(&self.conf.instance) {
+        if !self.peers.contains(&self.conf.instance) {
             return;
         }
         let mut before = None;
         while before != Some(self.state) {
             before = Some(self.state);
-            self.feed(now, machine::Event::Check);
+            self.dispatch(now, machine::Event::Check);
         }
-        self.tell_changes(now);
+        self.send_changed_evidence(now);
     }
 
     fn set_wake(&mut self) {
-        let moments = [self.timer.next(), self.register.due()];
+        let moments = [self.timer.next(), self.register.deadline()];
         let Some(at) = moments.into_iter().flatten().min() else {
             return;
         };
-        if self.wake.replace(at) != Some(at) || at <= self.stepped {
-            self.out.push(Action::Wake { at });
+        if self.wake.replace(at) != Some(at) || at <= self.last_step {
+            self.actions.push(Action::Wake { at });
         }
     }
 }
--- a/crates/failover/src/group/actions.rs
+++ b/crates/failover/src/group/actions.rs
@@ -13,20 +13,20 @@
 };
 
 impl Group {
-    pub(super) fn act(&mut self, now: Instant, action: Action) {
+    pub(super) fn run_action(&mut self, now: Instant, action: Action) {
         match action {
-            Action::AwaitPrimary => self.wait(now, self.conf.timing.adoption_timeout),
+            Action::AwaitPrimary => self.start_wait(now, self.conf.timing.adoption_timeout),
             Action::AwaitClaimant | Action::AwaitRecord => {
-                let turn = self.turn(now);
-                self.wait(now, self.conf.timing.claim_timeout + turn);
+                let turn = self.turn_delay(now);
+                self.start_wait(now, self.conf.timing.claim_timeout + turn);
             }
             Action::AwaitTurn => {
-                let turn = self.turn(now);
-                self.wait(now, turn);
+                let turn = self.turn_delay(now);
+                self.start_wait(now, turn);
             }
             Action::Read => {
                 let read = self.register.read(now, &self.conf.timing);
-                self.out.push(read);
+                self.actions.push(read);
             }
             Action::Adopt => self.adopt(now),
             Action::Claim => self.claim(now),
@@ -36,27 +36,27 @@
             Action::Record => self.record(now),
             Action::StandDown => {
                 self.promotion = None;
-                self.sent.clear();
+                self.pending_orders.clear();
             }
         }
     }
 
-    fn wait(&mut self, now: Instant, span: Duration) {
-        self.due = Some(self.timer.subscribe(now + span, Alarm::Due));
+    fn start_wait(&mut self, now: Instant, span: Duration) {
+        self.due_timer = Some(self.timer.subscribe(now + span, Alarm::Due));
     }
 
     /// How long this candidate leaves the field to those ranked before it.
-    fn turn(&self, now: Instant) -> Duration {
+    fn turn_delay(&self, now: Instant) -> Duration {
         let timing = &self.conf.timing;
         timing.rank_delay * self.peers.rank(now, timing, &self.conf.instance)
     }
 
     /// Records the primary that the group has before it has a record.
     fn adopt(&mut self, now: Instant) {
-        let Some((upstream, term)) = self.found() else {
+        let Some((upstream, term)) = self.unrecorded_primary() else {
             return;
         };
-        let attempt = self.register.attempt();
+        let attempt = self.register.next_attempt();
         let phase = Phase::Led { upstream };
         let fork = Lsn::default();
         let record = Record {
@@ -66,27 +66,27 @@
             attempt,
         };
         let swap = self.register.swap(now, &self.conf.timing, record);
-        self.out.push(swap);
+        self.actions.push(swap);
     }
 
     fn claim(&mut self, now: Instant) {
-        let attempt = self.register.attempt();
+        let attempt = self.register.next_attempt();
         let by = self.conf.instance.clone();
         let record = Record {
-            term: self.highest().next(),
+            term: self.highest_term().next(),
             phase: Phase::Claimed { by },
-            fork: self.furthest().lsn,
+            fork: self.furthest_position().lsn,
             attempt,
         };
-        self.claim = Some(attempt);
+        self.claim_attempt = Some(attempt);
         self.promotion = None;
-        self.sent.clear();
+        self.pending_orders.clear();
         let swap = self.register.swap(now, &self.conf.timing, record);
-        self.out.push(swap);
+        self.actions.push(swap);
     }
 
     /// The highest term that the store, a primary or a fence was seen to have.
-    fn highest(&self) -> Term {
+    fn highest_term(&self) -> Term {
         let reports = self.detectors.values().filter_map(|s| s.report());
         let fenced = reports.map(|r| r.fenced.max(r.received.term));
         let known = self.register.known().map(|e| e.record.term);
@@ -98,27 +98,28 @@
         let Some(term) = self.register.known().map(|e| e.record.term) else {
             return;
         };
-        self.sent.clear();
+        self.pending_orders.clear();
         self.promotion = Some(Promotion::open(term));
-        if self.isolated(now) {
-            self.shun(now);
-        } else if self.primary.is_some() && !self.suspected && self.view(now) == View::Alive {
-            self.hand_over(now);
+        if self.is_isolated(now) {
+            self.exclude_isolated(now);
+        } else if self.primary.is_some() && !self.suspected && self.primary_view(now) == View::Alive
+        {
+            self.start_handover(now);
         }
         self.send_fences(now);
     }
 
     /// Passes over a primary that is isolated from its replicas.
-    fn shun(&mut self, now: Instant) {
+    fn exclude_isolated(&mut self, now: Instant) {
         let until = now + self.conf.timing.exclusion_timeout;
         let isolated = self.primary.as_ref().map(|l| (l.upstream.clone(), until));
         if let Some(promotion) = &mut self.promotion {
-            promotion.shunned = isolated;
+            promotion.excluded = isolated;
         }
     }
 
     /// Gives replicas time to catch up, if the old primary leaves in good health.
-    fn hand_over(&mut self, now: Instant) {
+    fn start_handover(&mut self, now: Instant) {
         let until = now + self.conf.timing.handover_timeout;
         if let Some(promotion) = &mut self.promotion {
             promotion.handover = Some(until);
@@ -127,11 +128,11 @@
 
     fn promote(&mut self, now: Instant) {
         // From here on the claim may have a primary: it can't be resumed.
-        self.claim = None;
-        self.sent.clear();
-        self.wait(now, self.conf.timing.promotion_timeout);
+        self.claim_attempt = None;
+        self.pending_orders.clear();
+        self.start_wait(now, self.conf.timing.promotion_timeout);
         let timing = self.conf.timing.clone();
-        let alive: Vec<name::Upstream> = self.alive(now, &timing);
+        let alive: Vec<name::Upstream> = self.alive_upstreams(now, &timing);
         let Some(promotion) = &mut self.promotion else {
             return;
         };
@@ -144,7 +145,7 @@
             return;
         };
         if known.record.leader().is_some() {
-            self.out.push(event::Action::Announce(known));
+            self.actions.push(event::Action::Announce(known));
             return;
         }
         let Some((term, upstream, fork)) = self.promotion.as_ref().and_then(|p| {
@@ -157,13 +158,13 @@
             term,
             phase: Phase::Led { upstream },
             fork,
-            attempt: self.register.attempt(),
+            attempt: self.register.next_attempt(),
         };
         self.adopt_primary(now, &record);
-        self.led = Some(term);
-        self.sent.clear();
+        self.promoted_term = Some(term);
+        self.pending_orders.clear();
         let revision = known.revision;
-        self.out
+        self.actions
             .push(event::Action::Announce(Entry { revision, record }));
         self.send_follows(now);
     }
@@ -178,27 +179,27 @@
                 upstream: primary.upstream,
             },
             fork: primary.fork,
-            attempt: self.register.attempt(),
+            attempt: self.register.next_attempt(),
         };
         let swap = self.register.swap(now, &self.conf.timing, record);
-        self.out.push(swap);
+        self.actions.push(swap);
     }
 
     /// Sends an order, unless the same one is still within its time to answer.
-    pub(super) fn send(&mut self, now: Instant, upstream: &name::Upstream, order: Order) {
+    pub(super) fn send_order(&mut self, now: Instant, upstream: &name::Upstream, order: Order) {
         let bound = self.conf.timing.order_timeout;
-        let waits = |s: &super::Sent| s.order == order && now.since(s.at) < bound;
-        if self.sent.get(upstream).is_some_and(waits) {
+        let waits = |s: &super::PendingOrder| s.order == order && now.since(s.at) < bound;
+        if self.pending_orders.get(upstream).is_some_and(waits) {
             return;
         }
-        let call = self.register.call();
-        let sent = super::Sent {
+        let call = self.register.next_call();
+        let sent = super::PendingOrder {
             at: now,
             order: order.clone(),
         };
-        self.sent.insert(upstream.clone(), sent);
+        self.pending_orders.insert(upstream.clone(), sent);
         let upstream = upstream.clone();
-        self.out.push(event::Action::Order {
+        self.actions.push(event::Action::Order {
             call,
             upstream,
             order,
--- a/crates/failover/src/group/guards.rs
+++ b/crates/failover/src/group/guards.rs
@@ -14,40 +14,40 @@
 };
 
 impl Group {
-    pub(super) fn holds(&self, now: Instant, guard: Guard) -> bool {
+    pub(super) fn guard_holds(&self, now: Instant, guard: Guard) -> bool {
         match guard {
-            Guard::OwnClaim => self.own_claim(),
-            Guard::PrimaryFound => self.found().is_some(),
-            Guard::Able => self.able(now),
+            Guard::OwnClaim => self.is_own_claim(),
+            Guard::PrimaryFound => self.unrecorded_primary().is_some(),
+            Guard::Able => self.reaches_majority(now),
             Guard::Suspected => self.suspected,
-            Guard::HeldOff => self.held_off(now),
-            Guard::Leaving => self.leaving(now),
-            Guard::Unrecorded => self.unrecorded(),
-            Guard::Needless => self.needless(now),
-            Guard::MajorityFenced => self.majority_fenced(now),
-            Guard::Promoted => self.promotion.as_ref().is_some_and(|p| p.promoted()),
-            Guard::Refused => self.promotion.as_ref().is_some_and(|p| p.refused()),
-            Guard::ClaimantWorks => self.claimant_works(now),
+            Guard::HeldOff => self.is_held_off(now),
+            Guard::Leaving => self.can_hand_over(now),
+            Guard::Unrecorded => self.is_unrecorded(),
+            Guard::Needless => self.is_needless(now),
+            Guard::MajorityFenced => self.is_majority_fenced(now),
+            Guard::Promoted => self.promotion.as_ref().is_some_and(|p| p.is_promoted()),
+            Guard::Refused => self.promotion.as_ref().is_some_and(|p| p.is_refused()),
+            Guard::ClaimantWorks => self.is_claimant_working(now),
         }
     }
 
     /// Judges the primary anew from this zone's view and the peers' evidence.
-    pub(super) fn judge(&mut self, now: Instant) {
-        self.watch_place(now);
+    pub(super) fn update_suspicion(&mut self, now: Instant) {
+        self.track_unconfirmed(now);
         self.suspected = match self.verdict(now) {
             Verdict::Trusted => {
-                self.contested = None;
-                self.isolated(now)
+                self.contested_since = None;
+                self.is_isolated(now)
             }
             Verdict::Suspected => {
-                self.contested.get_or_insert(now);
+                self.contested_since.get_or_insert(now);
                 true
             }
             Verdict::Contested => {
-                let since = *self.contested.get_or_insert(now);
+                let since = *self.contested_since.get_or_insert(now);
                 let ripe = now.since(since) >= self.conf.timing.contested_delay;
-                let stuck = self.stuck(now, self.conf.timing.unconfirmed_timeout);
-                (ripe || stuck) && !self.replicating(now)
+                let stuck = self.is_unconfirmed_for(now, self.conf.timing.unconfirmed_timeout);
+                (ripe || stuck) && !self.is_replicating(now)
             }
         };
     }
@@ -55,23 +55,28 @@
     /// Notes since when a place that the primary reached is missing from a
     /// majority. A primary that is cut off from its replicas goes on to run
     /// writes which never land, and its own zone goes on to vouch for it.
-    fn watch_place(&mut self, now: Instant) {
+    fn track_unconfirmed(&mut self, now: Instant) {
         let Some(primary) = &self.primary else {
             return;
         };
-        if self.unconfirmed.is_some_and(|(place, _)| self.held(place)) {
+        if self
+            .unconfirmed
+            .is_some_and(|(place, _)| self.is_majority_held(place))
+        {
             self.unconfirmed = None;
         }
-        let told = self.peers.place(now, &self.conf.timing, primary.term);
-        let told = told.max(self.place(now));
-        match told.filter(|place| !self.held(*place)) {
+        let told = self
+            .peers
+            .furthest_position(now, &self.conf.timing, primary.term);
+        let told = told.max(self.primary_position(now));
+        match told.filter(|place| !self.is_majority_held(*place)) {
             Some(place) => drop(self.unconfirmed.get_or_insert((place, now))),
             None => self.unconfirmed = None,
         }
     }
 
     /// Whether replicas enough to make a majority with the primary hold this.
-    fn held(&self, place: Position) -> bool {
+    fn is_majority_held(&self, place: Position) -> bool {
         let Some(primary) = &self.primary else {
             return true;
         };
@@ -86,20 +91,20 @@
 
     /// Whether the primary answers here, but its log reaches no majority: only
     /// the ways between the upstreams are cut, and no write lands.
-    pub(super) fn isolated(&self, now: Instant) -> bool {
-        let alive = self.view(now) == View::Alive;
-        let stuck = self.stuck(now, self.conf.timing.isolation_timeout);
-        alive && stuck && self.able(now) && !self.replicating(now)
+    pub(super) fn is_isolated(&self, now: Instant) -> bool {
+        let alive = self.primary_view(now) == View::Alive;
+        let stuck = self.is_unconfirmed_for(now, self.conf.timing.isolation_timeout);
+        alive && stuck && self.reaches_majority(now) && !self.is_replicating(now)
     }
 
-    fn stuck(&self, now: Instant, bound: Duration) -> bool {
+    fn is_unconfirmed_for(&self, now: Instant, bound: Duration) -> bool {
         self.unconfirmed
             .is_some_and(|(_, since)| now.since(since) >= bound)
     }
 
     /// How far the primary's log went, if it answers here.
-    pub(super) fn place(&self, now: Instant) -> Option<Position> {
-        if self.view(now) != View::Alive {
+    pub(super) fn primary_position(&self, now: Instant) -> Option<Position> {
+        if self.primary_view(now) != View::Alive {
             return None;
         }
         let detector = self.detectors.get(&self.primary.as_ref()?.upstream)?;
@@ -110,13 +115,13 @@
         let Some(primary) = &self.primary else {
             return Verdict::Trusted;
         };
-        let own = (&self.conf.zone, self.view(now));
+        let own = (&self.conf.zone, self.primary_view(now));
         self.peers
             .verdict(now, &self.conf.timing, primary.term, own)
     }
 
     /// How this candidate finds the primary.
-    pub(super) fn view(&self, now: Instant) -> View {
+    pub(super) fn primary_view(&self, now: Instant) -> View {
         let detector = self
             .primary
             .as_ref()
@@ -126,7 +131,7 @@
 
     /// Whether a majority still takes in the primary's log. Then writes land
     /// for whoever reaches the primary, and replacing it would only cut them.
-    fn replicating(&self, now: Instant) -> bool {
+    fn is_replicating(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
         };
@@ -134,36 +139,36 @@
             .detectors
             .iter()
             .filter(|(u, _)| **u != primary.upstream);
-        let following = others.filter(|(_, s)| s.advancing(now, &self.conf.timing));
+        let following = others.filter(|(_, s)| s.is_advancing(now, &self.conf.timing));
         following.count() + 1 >= majority(self.detectors.len())
     }
 
     /// Whether a majority of the group answers here, so that a claim could be
     /// carried through. A zone that is cut off must not claim: it could fence
     /// nobody, and its claim would stand in the way of others.
-    fn able(&self, now: Instant) -> bool {
+    fn reaches_majority(&self, now: Instant) -> bool {
         let alive = self
             .detectors
             .values()
-            .filter(|s| s.alive(now, &self.conf.timing));
+            .filter(|s| s.is_alive(now, &self.conf.timing));
         alive.count() >= majority(self.detectors.len())
     }
 
     /// Whether the last change of primary is too recent for another, so that a
     /// fault which every primary meets does not chase the role around.
-    fn held_off(&self, now: Instant) -> bool {
+    fn is_held_off(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
         };
         let timing = &self.conf.timing;
         let counted = |at: &&Instant| now.since(**at) < timing.hold_off_window;
-        let recent = self.changes.iter().filter(counted).count();
+        let recent = self.primary_changes.iter().filter(counted).count();
         now.since(primary.since) < timing.hold_off(recent)
     }
 
     /// Whether the primary is being taken out of service while a staying
     /// replica is close enough behind to take over.
-    fn leaving(&self, now: Instant) -> bool {
+    fn can_hand_over(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
         };
@@ -175,7 +180,7 @@
             let follows = detector
                 .report()
                 .is_some_and(|r| r.received.term == primary.term);
-            follows && detector.alive(now, &self.conf.timing)
+            follows && detector.is_alive(now, &self.conf.timing)
         };
         let others = self.detectors.keys().filter(|u| **u != primary.upstream);
         others.filter(|u| !self.is_leaving(u)).any(ready)
@@ -186,40 +191,40 @@
         member.is_some_and(|m| m.status == Status::Leaving)
     }
 
-    fn own_claim(&self) -> bool {
+    fn is_own_claim(&self) -> bool {
         let attempt = self.register.known().map(|e| e.record.attempt);
-        attempt.is_some() && attempt == self.claim
+        attempt.is_some() && attempt == self.claim_attempt
     }
 
     /// Whether the primary is announced while the store still holds the claim.
-    pub(super) fn unrecorded(&self) -> bool {
+    pub(super) fn is_unrecorded(&self) -> bool {
         let led = self.primary.as_ref().map(|l| l.term);
-        self.register.claimed() && self.register.known().map(|e| e.record.term) == led
+        self.register.is_claim() && self.register.known().map(|e| e.record.term) == led
     }
 
     /// Whether the claim under way has lost its reason.
-    fn needless(&self, now: Instant) -> bool {
-        let claimed = self.register.claimed() && !self.unrecorded();
-        let alive = self.view(now) == View::Alive;
-        self.primary.is_some() && !claimed && !self.suspected && alive && !self.leaving(now)
+    fn is_needless(&self, now: Instant) -> bool {
+        let claimed = self.register.is_claim() && !self.is_unrecorded();
+        let alive = self.primary_view(now) == View::Alive;
+        self.primary.is_some() && !claimed && !self.suspected && alive && !self.can_hand_over(now)
     }
 
-    fn majority_fenced(&self, now: Instant) -> bool {
+    fn is_majority_fenced(&self, now: Instant) -> bool {
         let Some(promotion) = &self.promotion else {
             return false;
         };
-        let enough = promotion.fenced(now) >= majority(self.detectors.len());
-        enough && !self.hands_over(now)
+        let enough = promotion.fenced_count(now) >= majority(self.detectors.len());
+        enough && !self.is_handing_over(now)
     }
 
-    fn claimant_works(&self, now: Instant) -> bool {
+    fn is_claimant_working(&self, now: Instant) -> bool {
         let claimed = self.register.known().map(|e| e.record.term);
-        claimed.is_some_and(|t| self.peers.claiming(now, &self.conf.timing, t))
+        claimed.is_some_and(|t| self.peers.is_claiming(now, &self.conf.timing, t))
     }
 
     /// The primary that a majority of the group follows, when no record names
     /// one: the only one with the highest term, fenced to no higher.
-    pub(super) fn found(&self) -> Option<(name::Upstream, Term)> {
+    pub(super) fn unrecorded_primary(&self) -> Option<(name::Upstream, Term)> {
         let reports = self
             .detectors
             .iter()
@@ -243,13 +248,13 @@
     }
 
     /// The furthest place that any upstream was seen to hold.
-    pub(super) fn furthest(&self) -> Position {
+    pub(super) fn furthest_position(&self) -> Position {
         let reports = self.detectors.values().filter_map(|s| s.report());
         reports.map(|r| r.received).max().unwrap_or_default()
     }
 
     /// The claim that this candidate works on, as its peers are told.
-    pub(super) fn working(&self) -> Option<Term> {
+    pub(super) fn active_claim(&self) -> Option<Term> {
         let works = matches!(
             self.state,
             State::Fencing | State::Promoting | State::Recording
--- a/crates/failover/src/group/periodic.rs
+++ b/crates/failover/src/group/periodic.rs
@@ -11,18 +11,18 @@
 };
 
 impl Group {
-    pub(super) fn ring(&mut self, now: Instant, alarm: Alarm) {
+    pub(super) fn on_alarm(&mut self, now: Instant, alarm: Alarm) {
         if matches!(alarm, Alarm::Due) {
-            self.due = None;
-            self.feed(now, machine::Event::Due);
+            self.due_timer = None;
+            self.dispatch(now, machine::Event::Due);
             return;
         }
-        if !self.peers.includes(&self.conf.instance) {
+        if !self.peers.contains(&self.conf.instance) {
             return;
         }
         match alarm {
             Alarm::Probe => self.probe_all(now),
-            Alarm::Tell => self.attend(now),
+            Alarm::Evidence => self.on_evidence_due(now),
             Alarm::Due => {}
         }
     }
@@ -37,21 +37,21 @@
     }
 
     pub(super) fn probe(&mut self, now: Instant, upstream: &name::Upstream) {
-        let call = self.register.call();
+        let call = self.register.next_call();
         let Some(detector) = self.detectors.get_mut(upstream) else {
             return;
         };
-        let Some(call) = detector.ask(now, &self.conf.timing, call) else {
+        let Some(call) = detector.begin_probe(now, &self.conf.timing, call) else {
             return;
         };
         let upstream = upstream.clone();
-        self.out.push(Action::Probe { call, upstream });
+        self.actions.push(Action::Probe { call, upstream });
     }
 
-    fn attend(&mut self, now: Instant) {
+    fn on_evidence_due(&mut self, now: Instant) {
         self.timer
-            .subscribe(now + self.conf.timing.evidence_interval, Alarm::Tell);
-        self.tell(now);
+            .subscribe(now + self.conf.timing.evidence_interval, Alarm::Evidence);
+        self.send_evidence(now);
         match self.state {
             State::Fencing => self.send_fences(now),
             State::Promoting => self.send_promotion(now),
@@ -61,26 +61,26 @@
     }
 
     /// Tells at once what has changed; the rest waits for its turn.
-    pub(super) fn tell_changes(&mut self, now: Instant) {
-        if self.told != (self.view(now), self.working()) {
-            self.tell(now);
+    pub(super) fn send_changed_evidence(&mut self, now: Instant) {
+        if self.sent_evidence != (self.primary_view(now), self.active_claim()) {
+            self.send_evidence(now);
         }
     }
 
-    fn tell(&mut self, now: Instant) {
-        let view = self.view(now);
-        let claim = self.working();
-        self.told = (view, claim);
+    fn send_evidence(&mut self, now: Instant) {
+        let view = self.primary_view(now);
+        let claim = self.active_claim();
+        self.sent_evidence = (view, claim);
         let evidence = Evidence {
             database: self.conf.database.clone(),
             term: self.primary.as_ref().map(|l| l.term).unwrap_or_default(),
             view,
-            place: self.place(now),
+            place: self.primary_position(now),
             claim,
         };
         for to in self.peers.others(&self.conf.instance) {
             let evidence = evidence.clone();
-            self.out.push(Action::SendEvidence { to, evidence });
+            self.actions.push(Action::SendEvidence { to, evidence });
         }
     }
 
@@ -89,10 +89,10 @@
             return;
         };
         let term = promotion.term;
-        let open = self.detectors.keys().filter(|u| !promotion.has_fenced(u));
+        let open = self.detectors.keys().filter(|u| !promotion.is_fenced(u));
         let open: Vec<_> = open.filter(|u| self.may_fence(now, u)).cloned().collect();
         for upstream in &open {
-            self.send(now, upstream, Order::Fence { term });
+            self.send_order(now, upstream, Order::Fence { term });
         }
     }
 
@@ -105,7 +105,7 @@
         if promotion.handover.is_none_or(|until| now >= until) || *upstream == primary.upstream {
             return true;
         }
-        let Some(last) = promotion.report(&primary.upstream) else {
+        let Some(last) = promotion.fence_report(&primary.upstream) else {
             return false;
         };
         let report = self.detectors.get(upstream).and_then(|s| s.report());
@@ -113,18 +113,18 @@
     }
 
     /// Whether a handover still waits for a staying replica to catch up.
-    pub(super) fn hands_over(&self, now: Instant) -> bool {
+    pub(super) fn is_handing_over(&self, now: Instant) -> bool {
         let (Some(promotion), Some(primary)) = (&self.promotion, &self.primary) else {
             return false;
         };
         if promotion.handover.is_none_or(|until| now >= until) {
             return false;
         }
-        let Some(last) = promotion.report(&primary.upstream) else {
+        let Some(last) = promotion.fence_report(&primary.upstream) else {
             return true;
         };
         let level = |u: &name::Upstream| {
-            let report = promotion.report(u);
+            let report = promotion.fence_report(u);
             report.is_some_and(|r| r.received >= last.received)
         };
         !self
@@ -139,7 +139,7 @@
         };
         let term = promotion.term;
         if let Some((upstream, _)) = promotion.chosen().cloned() {
-            self.send(now, &upstream, Order::Promote { term });
+            self.send_order(now, &upstream, Order::Promote { term });
         }
     }
 
@@ -149,23 +149,23 @@
         let Some(primary) = self.primary.clone() else {
             return;
         };
-        let promoter = self.led == Some(primary.term);
+        let promoter = self.promoted_term == Some(primary.term);
         if !promoter && self.peers.rank(now, &self.conf.timing, &self.conf.instance) > 0 {
             return;
         }
         let strays: Vec<_> = self
             .detectors
             .keys()
-            .filter(|u| self.strays(u))
+            .filter(|u| self.needs_follow(u))
             .cloned()
             .collect();
         for stray in &strays {
             let (term, upstream) = (primary.term, primary.upstream.clone());
-            self.send(now, stray, Order::Follow { term, upstream });
+            self.send_order(now, stray, Order::Follow { term, upstream });
         }
     }
 
-    fn strays(&self, upstream: &name::Upstream) -> bool {
+    fn needs_follow(&self, upstream: &name::Upstream) -> bool {
         let Some(primary) = &self.primary else {
             return false;
         };
@@ -179,8 +179,11 @@
         behind || report.role == Role::Primary
     }
 
-    pub(super) fn alive(&self, now: Instant, timing: &Timing) -> Vec<name::Upstream> {
-        let alive = self.detectors.iter().filter(|(_, s)| s.alive(now, timing));
+    pub(super) fn alive_upstreams(&self, now: Instant, timing: &Timing) -> Vec<name::Upstream> {
+        let alive = self
+            .detectors
+            .iter()
+            .filter(|(_, s)| s.is_alive(now, timing));
         alive.map(|(u, _)| u.clone()).collect()
     }
 }
--- a/crates/failover/src/peers.rs
+++ b/crates/failover/src/peers.rs
@@ -21,7 +21,7 @@
 /// The instances that may promote in a group, best rank first.
 ///
 /// The instance of each zone that rendezvous hashing puts first, zones that
-/// hold upstreams before others, at most `most`.
+/// hold upstreams before others, at most `limit`.
 ///
 /// ```
 /// use std::collections::{BTreeMap, BTreeSet};
@@ -39,19 +39,19 @@
     database: &name::Database,
     members: &BTreeMap<name::Instance, name::Zone>,
     zones: &BTreeSet<name::Zone>,
-    most: usize,
+    limit: usize,
 ) -> Vec<name::Instance> {
     let seed = xxh3_64_with_seed(database.as_str().as_bytes(), 0);
     let weight = |i: &name::Instance| xxh3_64_with_seed(i.as_str().as_bytes(), seed);
-    let mut firsts: BTreeMap<&name::Zone, (u64, &name::Instance)> = BTreeMap::new();
+    let mut best: BTreeMap<&name::Zone, (u64, &name::Instance)> = BTreeMap::new();
     for (instance, zone) in members {
         let this = (weight(instance), instance);
-        let first = firsts.entry(zone).or_insert(this);
+        let first = best.entry(zone).or_insert(this);
         *first = (*first).max(this);
     }
-    let mut ranked: Vec<_> = firsts.into_iter().collect();
+    let mut ranked: Vec<_> = best.into_iter().collect();
     ranked.sort_by_key(|&(zone, first)| Reverse((zones.contains(zone), first)));
-    ranked.truncate(most);
+    ranked.truncate(limit);
     ranked
         .into_iter()
         .map(|(_, (_, instance))| instance.clone())
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct Received {
     at: Instant,
     zone: name::Zone,
     evidence: Evidence,
@@ -80,18 +80,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     ranked: Vec<name::Instance>,
-    heard: BTreeMap<name::Instance, Heard>,
+    received: BTreeMap<name::Instance, Received>,
 }
 
 impl Peers {
     pub(crate) fn set(&mut self, ranked: Vec<name::Instance>) {
-        self.heard.retain(|instance, _| ranked.contains(instance));
+        self.received
+            .retain(|instance, _| ranked.contains(instance));
         self.ranked = ranked;
     }
 
     /// Takes evidence; from instances that are no candidates as well, because
     /// instance lists lag and differ, and what was seen was seen.
-    pub(crate) fn hear(
+    pub(crate) fn receive(
         &mut self,
         now: Instant,
         from: name::Instance,
@@ -99,16 +100,16 @@
         evidence: Evidence,
     ) {
         let at = now;
-        let heard = Heard { at, zone, evidence };
-        self.heard.insert(from, heard);
+        let received = Received { at, zone, evidence };
+        self.received.insert(from, received);
     }
 
     /// Forgets what was heard before a pause of this process.
-    pub(crate) fn forget(&mut self) {
-        self.heard.clear();
+    pub(crate) fn clear(&mut self) {
+        self.received.clear();
     }
 
-    pub(crate) fn includes(&self, instance: &name::Instance) -> bool {
+    pub(crate) fn contains(&self, instance: &name::Instance) -> bool {
         self.ranked.contains(instance)
     }
 
@@ -120,9 +121,9 @@
         &self,
         now: Instant,
         timing: &Timing,
-    ) -> impl Iterator<Item = (&name::Instance, &Heard)> {
+    ) -> impl Iterator<Item = (&name::Instance, &Received)> {
         let bound = timing.evidence_ttl;
-        self.heard
+        self.received
             .iter()
             .filter(move |(_, h)| now.since(h.at) <= bound)
     }
@@ -136,7 +137,12 @@
     }
 
     /// The furthest place that the primary of `term` is told to have reached.
-    pub(crate) fn place(&self, now: Instant, timing: &Timing, term: Term) -> Option<Position> {
+    pub(crate) fn furthest_position(
+        &self,
+        now: Instant,
+        timing: &Timing,
+        term: Term,
+    ) -> Option<Position> {
         let told = self
             .fresh(now, timing)
             .filter(|(_, h)| h.evidence.term == term);
@@ -144,8 +150,8 @@
     }
 
     /// Whether another candidate is heard to work on a claim of this term.
-    pub(crate) fn claiming(&self, now: Instant, timing: &Timing, term: Term) -> bool {
-        let works = |(_, h): (_, &Heard)| h.evidence.claim >= Some(term);
+    pub(crate) fn is_claiming(&self, now: Instant, timing: &Timing, term: Term) -> bool {
+        let works = |(_, h): (_, &Received)| h.evidence.claim >= Some(term);
         self.fresh(now, timing).any(works)
     }
 
@@ -158,13 +164,13 @@
         own: (&name::Zone, View),
     ) -> Verdict {
         let mut zones: BTreeMap<&name::Zone, View> = BTreeMap::from([own]);
-        for (_, heard) in self.fresh(now, timing) {
-            let view = match heard.evidence.term == term {
-                true => heard.evidence.view,
+        for (_, received) in self.fresh(now, timing) {
+            let view = match received.evidence.term == term {
+                true => received.evidence.view,
                 false => View::Unsure,
             };
-            let joint = zones.entry(&heard.zone).or_insert(view);
-            *joint = join(*joint, view);
+            let merged = zones.entry(&received.zone).or_insert(view);
+            *merged = merge(*merged, view);
         }
         let count = |test: fn(&View) -> bool| zones.values().filter(|v| test(v)).count();
         let suspects = count(|v| matches!(v, View::Silent | View::Refused));
@@ -181,7 +187,7 @@
 }
 
 /// One zone's view out of two instances' views: who answers one is alive.
-fn join(one: View, other: View) -> View {
+fn merge(one: View, other: View) -> View {
     match (one, other) {
         (View::Alive, _) | (_, View::Alive) => View::Alive,
         (View::Unsure, view) => view,
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -15,7 +15,7 @@
     /// Until when a handover waits for a replica to catch up.
     pub(crate) handover: Option<Instant>,
     /// The isolated primary, and until when a majority without it is awaited.
-    pub(crate) shunned: Option<(name::Upstream, Instant)>,
+    pub(crate) excluded: Option<(name::Upstream, Instant)>,
     fenced: BTreeMap<name::Upstream, Report>,
     chosen: Option<(name::Upstream, Lsn)>,
     promoted: bool,
@@ -27,7 +27,7 @@
         Self {
             term,
             handover: None,
-            shunned: None,
+            excluded: None,
             fenced: BTreeMap::new(),
             chosen: None,
             promoted: false,
@@ -37,7 +37,7 @@
 
     /// Takes a report; only those fenced to exactly this term count, because
     /// from then on the upstream takes in no log of a lower term.
-    pub(crate) fn note(&mut self, upstream: &name::Upstream, report: &Report) {
+    pub(crate) fn on_report(&mut self, upstream: &name::Upstream, report: &Report) {
         if report.fenced > self.term {
             self.refused = true;
         }
@@ -57,35 +57,37 @@
     }
 
     /// Notes that an order of this claim was refused for a higher term.
-    pub(crate) fn refuse(&mut self, fenced: Term) {
+    pub(crate) fn on_fenced(&mut self, fenced: Term) {
         self.refused |= fenced > self.term;
     }
 
     /// Whether a higher term was met.
-    pub(crate) fn refused(&self) -> bool {
+    pub(crate) fn is_refused(&self) -> bool {
         self.refused
     }
 
     /// How many upstreams are fenced, of those that count yet.
-    pub(crate) fn fenced(&self, now: Instant) -> usize {
-        self.counted(now).count()
+    pub(crate) fn fenced_count(&self, now: Instant) -> usize {
+        self.eligible(now).count()
     }
 
     /// The fenced upstreams; while a majority without the isolated primary may
     /// still answer, it does not count, or its longer log would win it the term
     /// again. Any majority holds all that was acknowledged.
-    fn counted(&self, now: Instant) -> impl Iterator<Item = (&name::Upstream, &Report)> {
-        let shunned = self.shunned.as_ref().filter(|(_, until)| now < *until);
-        let shunned = shunned.map(|(upstream, _)| upstream);
-        self.fenced.iter().filter(move |(u, _)| Some(*u) != shunned)
+    fn eligible(&self, now: Instant) -> impl Iterator<Item = (&name::Upstream, &Report)> {
+        let excluded = self.excluded.as_ref().filter(|(_, until)| now < *until);
+        let excluded = excluded.map(|(upstream, _)| upstream);
+        self.fenced
+            .iter()
+            .filter(move |(u, _)| Some(*u) != excluded)
     }
 
-    pub(crate) fn has_fenced(&self, upstream: &name::Upstream) -> bool {
+    pub(crate) fn is_fenced(&self, upstream: &name::Upstream) -> bool {
         self.fenced.contains_key(upstream)
     }
 
     /// The report with which an upstream answered the fence.
-    pub(crate) fn report(&self, upstream: &name::Upstream) -> Option<&Report> {
+    pub(crate) fn fence_report(&self, upstream: &name::Upstream) -> Option<&Report> {
         self.fenced.get(upstream)
     }
 
@@ -103,7 +105,7 @@
         if self.chosen.is_none() {
             let stays = |u| members.get(u).is_some_and(|m| m.status == Status::Active);
             let best = self
-                .counted(now)
+                .eligible(now)
                 .max_by_key(|(u, r)| (r.received, stays(*u), preferred(u), Reverse(*u)));
             self.chosen = best.map(|(u, r)| (u.clone(), r.received.lsn));
         }
@@ -116,7 +118,7 @@
     }
 
     /// Whether the chosen upstream said that it leads in this term.
-    pub(crate) fn promoted(&self) -> bool {
+    pub(crate) fn is_promoted(&self) -> bool {
         self.promoted
     }
 }
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -17,7 +17,7 @@
 pub struct Id(pub u64);
 
 #[derive(Debug)]
-struct Held {
+struct Holder {
     lsn: Lsn,
     confirmed: Option<Instant>,
 }
@@ -47,7 +47,7 @@
     majority: usize,
     term: Term,
     primary: name::Upstream,
-    held: BTreeMap<name::Upstream, Held>,
+    holders: BTreeMap<name::Upstream, Holder>,
     writes: BTreeSet<(Lsn, Id)>,
     reads: BTreeSet<(Instant, Id)>,
 }
@@ -59,7 +59,7 @@
             majority: majority(size),
             term,
             primary,
-            held: BTreeMap::new(),
+            holders: BTreeMap::new(),
             writes: BTreeSet::new(),
             reads: BTreeSet::new(),
         }
@@ -106,19 +106,19 @@
         if report.fenced > self.term {
             return Vec::new();
         }
-        let held = self.held.entry(upstream.clone()).or_insert(Held {
+        let holder = self.holders.entry(upstream.clone()).or_insert(Holder {
             lsn: Lsn::default(),
             confirmed: None,
         });
         if report.received.term == self.term {
-            held.lsn = held.lsn.max(report.received.lsn);
+            holder.lsn = holder.lsn.max(report.received.lsn);
         }
         let leads = report.role == Role::Primary && report.received.term == self.term;
         if leads || *upstream != self.primary {
-            held.confirmed = held.confirmed.max(Some(asked));
+            holder.confirmed = holder.confirmed.max(Some(asked));
         }
-        let mut done = self.landed();
-        done.extend(self.confirmed());
+        let mut done = self.take_committed();
+        done.extend(self.take_confirmed());
         done
     }
 
@@ -130,7 +130,7 @@
         }
         self.term = term;
         self.primary = primary;
-        self.held.clear();
+        self.holders.clear();
         let writes = std::mem::take(&mut self.writes)
             .into_iter()
             .map(|(_, id)| id);
@@ -146,7 +146,7 @@
     /// at a time, and each change is in force everywhere before the next.
     pub fn set_upstreams(&mut self, upstreams: &[name::Upstream]) {
         self.majority = majority(upstreams.len());
-        self.held.retain(|u, _| upstreams.contains(u));
+        self.holders.retain(|u, _| upstreams.contains(u));
     }
 
     /// Stops waiting for a write whose caller's deadline has passed.
@@ -166,12 +166,12 @@
 
     /// The place up to which a majority holds this term's log.
     pub fn committed(&self) -> Lsn {
-        let mut places: Vec<Lsn> = self.held.values().map(|h| h.lsn).collect();
+        let mut places: Vec<Lsn> = self.holders.values().map(|h| h.lsn).collect();
         places.sort_unstable_by(|a, b| b.cmp(a));
         places.get(self.majority - 1).copied().unwrap_or_default()
     }
 
-    fn landed(&mut self) -> Vec<Id> {
+    fn take_committed(&mut self) -> Vec<Id> {
         let place = self.committed();
         let mut done = Vec::new();
         while let Some(&(lsn, id)) = self.writes.first() {
@@ -184,7 +184,7 @@
         done
     }
 
-    fn confirmed(&mut self) -> Vec<Id> {
+    fn take_confirmed(&mut self) -> Vec<Id> {
         let Some(bound) = self.confirmed_since() else {
             return Vec::new();
         };
@@ -201,8 +201,8 @@
 
     /// The latest moment since which a majority and the primary answered.
     fn confirmed_since(&self) -> Option<Instant> {
-        let primary = self.held.get(&self.primary)?.confirmed?;
-        let mut moments: Vec<Instant> = self.held.values().filter_map(|h| h.confirmed).collect();
+        let primary = self.holders.get(&self.primary)?.confirmed?;
+        let mut moments: Vec<Instant> = self.holders.values().filter_map(|h| h.confirmed).collect();
         moments.sort_unstable_by(|a, b| b.cmp(a));
         moments.get(self.majority - 1).map(|&m| m.min(primary))
     }
--- a/crates/failover/src/register.rs
+++ b/crates/failover/src/register.rs
@@ -17,10 +17,10 @@
 };
 
 /// How often the wait for the store doubles.
-const DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Calls that were given up and whose answers are still of use.
-const OPEN: usize = 32;
+const MAX_OPEN_CALLS: usize = 32;
 
 /// What a step of the ledger showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// Our swap took effect.
     Won,
     /// The record is another's.
-    Learned,
+    Other,
     /// There is no record.
     Absent,
 }
@@ -59,27 +59,27 @@
     known: Option<Entry>,
     swap: Option<Swap>,
     pending: Option<Pending>,
-    open: BTreeMap<Call, Option<u128>>,
-    asked: bool,
+    open_calls: BTreeMap<Call, Option<u128>>,
+    read_requested: bool,
     failures: u32,
     calls: u64,
     attempts: u64,
-    name: name::Instance,
+    instance: name::Instance,
     seed: u64,
 }
 
 impl Register {
-    pub(crate) fn open(name: name::Instance, seed: u64) -> Self {
+    pub(crate) fn open(instance: name::Instance, seed: u64) -> Self {
         Self {
             known: None,
             swap: None,
             pending: None,
-            open: BTreeMap::new(),
-            asked: false,
+            open_calls: BTreeMap::new(),
+            read_requested: false,
             failures: 0,
             calls: 0,
             attempts: 0,
-            name,
+            instance,
             seed,
         }
     }
@@ -90,22 +90,22 @@
     }
 
     /// A fresh number for a call to the store or to an upstream.
-    pub(crate) fn call(&mut self) -> Call {
+    pub(crate) fn next_call(&mut self) -> Call {
         self.calls += 1;
         Call(self.calls)
     }
 
     /// An id that no other attempt of any instance has.
-    pub(crate) fn attempt(&mut self) -> u128 {
+    pub(crate) fn next_attempt(&mut self) -> u128 {
         self.attempts += 1;
-        let text = format!("{}#{}", self.name, self.attempts);
+        let text = format!("{}#{}", self.instance, self.attempts);
         xxh3_128_with_seed(text.as_bytes(), self.seed)
     }
 
     /// Reads the record, dropping a swap whose outcome no longer matters.
     pub(crate) fn read(&mut self, now: Instant, timing: &Timing) -> Action {
         self.swap = None;
-        self.asked = true;
+        self.read_requested = true;
         self.failures = 0;
         self.send_read(now, timing)
     }
@@ -114,13 +114,13 @@
     pub(crate) fn swap(&mut self, now: Instant, timing: &Timing, record: Record) -> Action {
         let expected = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         self.swap = Some(Swap { expected, record });
-        self.asked = false;
+        self.read_requested = false;
         self.failures = 0;
-        self.send(now, timing)
+        self.send_swap(now, timing)
     }
 
     /// When to call [`Register::expire`].
-    pub(crate) fn due(&self) -> Option<Instant> {
+    pub(crate) fn deadline(&self) -> Option<Instant> {
         self.pending.as_ref().map(|p| p.until)
     }
 
@@ -142,7 +142,7 @@
         result: Result<Option<Entry>, StoreFault>,
     ) -> (Option<Outcome>, Option<Action>) {
         let step = self.take_read(now, timing, call, result);
-        self.rest();
+        self.stop_if_idle();
         step
     }
 
@@ -153,7 +153,7 @@
         call: Call,
         result: Result<Option<Entry>, StoreFault>,
     ) -> (Option<Outcome>, Option<Action>) {
-        if self.answered(call).is_none() {
+        if self.close_call(call).is_none() {
             return (None, None);
         }
         let Ok(entry) = result else {
@@ -165,14 +165,14 @@
         if let Some(entry) = entry
             && revision >= known
         {
-            return self.compare(now, timing, entry);
+            return self.apply_entry(now, timing, entry);
         }
         match &self.swap {
-            Some(swap) if swap.expected == revision => (None, Some(self.send(now, timing))),
+            Some(swap) if swap.expected == revision => (None, Some(self.send_swap(now, timing))),
             _ if revision == ABSENT_REVISION => {
                 self.known = None;
                 self.swap = None;
-                self.asked = false;
+                self.read_requested = false;
                 (Some(Outcome::Absent), None)
             }
             // The read was overtaken by a watch or a swap; it shows nothing.
@@ -180,7 +180,7 @@
         }
     }
 
-    fn compare(
+    fn apply_entry(
         &mut self,
         now: Instant,
         timing: &Timing,
@@ -189,22 +189,22 @@
         let revision = entry.revision;
         let attempt = entry.record.attempt;
         let old = self.known.replace(entry).map(|e| e.revision);
-        let asked = std::mem::take(&mut self.asked);
+        let asked = std::mem::take(&mut self.read_requested);
         let Some(swap) = &self.swap else {
             // An answer that came late and shows nothing new must not look as
             // if another had changed the record.
-            let news = asked || old != Some(revision);
-            return (news.then_some(Outcome::Learned), None);
+            let changed = asked || old != Some(revision);
+            return (changed.then_some(Outcome::Other), None);
         };
         if swap.record.attempt == attempt {
             self.swap = None;
             return (Some(Outcome::Won), None);
         }
         if swap.expected == revision {
-            return (None, Some(self.send(now, timing)));
+            return (None, Some(self.send_swap(now, timing)));
         }
         self.swap = None;
-        (Some(Outcome::Learned), None)
+        (Some(Outcome::Other), None)
     }
 
     /// Takes the answer to a swap.
@@ -216,7 +216,7 @@
         result: Result<u64, StoreFault>,
     ) -> (Option<Outcome>, Option<Action>) {
         let step = self.take_swapped(now, timing, call, result);
-        self.rest();
+        self.stop_if_idle();
         step
     }
 
@@ -227,7 +227,7 @@
         call: Call,
         result: Result<u64, StoreFault>,
     ) -> (Option<Outcome>, Option<Action>) {
-        let Some(attempt) = self.answered(call) else {
+        let Some(attempt) = self.close_call(call) else {
             return (None, None);
         };
         match result {
@@ -259,12 +259,12 @@
         if known >= revision {
             return None;
         }
-        self.asked = true;
+        self.read_requested = true;
         Some(self.send_read(now, timing))
     }
 
     /// Takes what a watch showed; `None` if it was known.
-    pub(crate) fn on_seen(&mut self, entry: Entry) -> Option<Outcome> {
+    pub(crate) fn on_watched(&mut self, entry: Entry) -> Option<Outcome> {
         if self
             .known
             .as_ref()
@@ -275,13 +275,13 @@
         let ours = self.swap.as_ref().map(|s| s.record.attempt) == Some(entry.record.attempt);
         self.known = Some(entry);
         self.swap = None;
-        self.asked = false;
+        self.read_requested = false;
         self.pending = None;
-        Some(if ours { Outcome::Won } else { Outcome::Learned })
+        Some(if ours { Outcome::Won } else { Outcome::Other })
     }
 
     /// Whether the known record is a claim without a primary.
-    pub(crate) fn claimed(&self) -> bool {
+    pub(crate) fn is_claim(&self) -> bool {
         let claim = |e: &Entry| matches!(e.record.phase, Phase::Claimed { .. });
         self.known.as_ref().is_some_and(claim)
     }
@@ -292,22 +292,22 @@
     /// An answer counts although its call was given up: while the store takes
     /// longer than any wait, all answers come late, and dropping them would
     /// leave this instance without a record for as long as that lasts.
-    fn answered(&mut self, call: Call) -> Option<Option<u128>> {
-        let attempt = self.open.remove(&call)?;
+    fn close_call(&mut self, call: Call) -> Option<Option<u128>> {
+        let attempt = self.open_calls.remove(&call)?;
         self.pending.take_if(|p| p.call == Some(call));
         Some(attempt)
     }
 
-    fn wait(&self, timing: &Timing) -> Duration {
-        timing.store_timeout * (1 << self.failures.min(DOUBLINGS))
+    fn wait_time(&self, timing: &Timing) -> Duration {
+        timing.store_timeout * (1 << self.failures.min(MAX_DOUBLINGS))
     }
 
     fn back_off(&mut self, now: Instant, timing: &Timing) {
         self.failures += 1;
-        self.set(None, Waiting::Backoff, now + self.wait(timing));
+        self.set_pending(None, Waiting::Backoff, now + self.wait_time(timing));
     }
 
-    fn set(&mut self, call: Option<Call>, waiting: Waiting, until: Instant) {
+    fn set_pending(&mut self, call: Option<Call>, waiting: Waiting, until: Instant) {
         self.pending = Some(Pending {
             call,
             waiting,
@@ -317,34 +317,34 @@
 
     /// Stops waiting once there is nothing to learn, or a slow store would be
     /// asked again and again.
-    fn rest(&mut self) {
-        if self.swap.is_none() && !self.asked {
+    fn stop_if_idle(&mut self) {
+        if self.swap.is_none() && !self.read_requested {
             self.pending = None;
         }
     }
 
     fn open_call(&mut self, attempt: Option<u128>) -> Call {
-        let call = self.call();
-        self.open.insert(call, attempt);
-        if self.open.len() > OPEN {
-            self.open.pop_first();
+        let call = self.next_call();
+        self.open_calls.insert(call, attempt);
+        if self.open_calls.len() > MAX_OPEN_CALLS {
+            self.open_calls.pop_first();
         }
         call
     }
 
     fn send_read(&mut self, now: Instant, timing: &Timing) -> Action {
         let call = self.open_call(None);
-        self.set(Some(call), Waiting::Read, now + self.wait(timing));
+        self.set_pending(Some(call), Waiting::Read, now + self.wait_time(timing));
         Action::Read { call }
     }
 
-    fn send(&mut self, now: Instant, timing: &Timing) -> Action {
+    fn send_swap(&mut self, now: Instant, timing: &Timing) -> Action {
         let Some(swap) = &self.swap else {
             return self.send_read(now, timing);
         };
         let (expected, record) = (swap.expected, swap.record.clone());
         let call = self.open_call(Some(record.attempt));
-        self.set(Some(call), Waiting::Swap, now + self.wait(timing));
+        self.set_pending(Some(call), Waiting::Swap, now + self.wait_time(timing));
         Action::Swap {
             call,
             expected,
--- a/crates/failover/tests/failover/broken.rs
+++ b/crates/failover/tests/failover/broken_variants.rs
@@ -12,13 +12,13 @@
 /// A cut-off primary with callers beside it, and then a healed cut.
 fn cut_off(setup: Setup) -> World {
     let mut world = World::running(setup, 3);
-    let parts = world.setup.clone();
-    world.net.part_zone(&parts, 0);
+    let setup = world.setup.clone();
+    world.net.cut_zone(&setup, 0);
     world.run(SECOND * 3);
     world.net.heal();
     world.store_watch();
     world.run(SECOND * 2);
-    world.check.survived(&world.servers);
+    world.check.check_survival(&world.servers);
     world
 }
 
@@ -28,14 +28,14 @@
 #[test]
 fn acknowledging_without_a_majority() {
     let mut setup = Setup::umurage();
-    setup.majority_of = 1;
+    setup.quorum_size = 1;
     let world = cut_off(setup);
     let lost = |v: &Violation| matches!(v, Violation::Lost { .. });
     let replaced = |v: &Violation| matches!(v, Violation::Replaced { .. });
     assert!(world.check.violations.iter().any(lost));
     assert!(world.check.violations.iter().any(replaced));
-    let whole = cut_off(Setup::umurage());
-    assert_eq!(whole.check.violations, []);
+    let correct = cut_off(Setup::umurage());
+    assert_eq!(correct.check.violations, []);
 }
 
 /// Upstreams that report a term as soon as they are ordered to follow it. A
@@ -46,9 +46,9 @@
 /// comes back with term 1 and all writes: u1 is chosen over it.
 #[test]
 fn reporting_a_term_before_holding_its_log() {
-    let run = |eager| {
+    let run = |reports_term_early| {
         let mut setup = Setup::umurage();
-        setup.eager = eager;
+        setup.reports_term_early = reports_term_early;
         let mut world = World::running(setup, 4);
         world.servers[1].lag = SECOND * 30;
         world.run(SECOND);
@@ -62,7 +62,7 @@
         world.run(SECOND * 3);
         world.servers[2].down = None;
         world.run(SECOND * 3);
-        world.check.survived(&world.servers);
+        world.check.check_survival(&world.servers);
         world
     };
     let broken = run(true);
@@ -72,9 +72,9 @@
         "{:?}",
         broken.check.promotions
     );
-    let whole = run(false);
-    assert_eq!(whole.check.violations, []);
-    assert!(whole.check.promotions.len() >= 2);
+    let correct = run(false);
+    assert_eq!(correct.check.violations, []);
+    assert!(correct.check.promotions.len() >= 2);
 }
 
 /// Counting replicas that are fenced higher, where fencing does not stop the
@@ -84,23 +84,23 @@
 /// the way from u0 to u2 is whole again, and u2 still takes in u0's log. u0
 /// and u2 look like a majority, but what they hold will not survive.
 #[test]
-fn counting_replicas_that_are_fenced_higher() {
-    let run = |blind| {
+fn counting_replicas_fenced_to_a_higher_term() {
+    let run = |ignores_fences| {
         let mut setup = Setup::umurage();
-        setup.lingering = true;
-        setup.blind = blind;
-        setup.promote = SECOND;
+        setup.fence_lingers = true;
+        setup.ignores_fences = ignores_fences;
+        setup.promotion_time = SECOND;
         let mut world = World::running(setup, 5);
-        let parts = world.setup.clone();
-        world.net.part_server(&parts, 0);
+        let setup = world.setup.clone();
+        world.net.cut_server(&setup, 0);
         let cut = world.now;
         while world.entered(State::Promoting, cut).is_none() {
             world.run(Duration::from_millis(1));
         }
-        world.net.join(Host::Server(0), Host::Server(2));
-        world.net.join(Host::Proxy(0), Host::Server(0));
+        world.net.restore(Host::Server(0), Host::Server(2));
+        world.net.restore(Host::Instance(0), Host::Server(0));
         world.run(SECOND * 3);
-        world.check.survived(&world.servers);
+        world.check.check_survival(&world.servers);
         world
     };
     let broken = run(true);
@@ -110,7 +110,7 @@
         "{:?}",
         broken.check.promotions
     );
-    let whole = run(false);
-    assert_eq!(whole.check.violations, []);
-    assert_eq!(whole.check.promotions.len(), 1);
+    let correct = run(false);
+    assert_eq!(correct.check.violations, []);
+    assert_eq!(correct.check.promotions.len(), 1);
 }
--- a/crates/failover/tests/failover/chart.rs
+++ b/crates/failover/tests/failover/chart.rs
@@ -7,7 +7,7 @@
 use model::name;
 
 #[test]
-fn the_chart_is_whole() {
+fn the_chart_parses() {
     let conf = Conf {
         database: name::Database::new("holdings").unwrap(),
         instance: name::Instance::new("i1").unwrap(),
--- a/crates/failover/tests/failover/full.rs
+++ b/crates/failover/tests/failover/full_upstream.rs
@@ -16,7 +16,7 @@
 /// Cause: a refusal by an upstream that lives was taken for no answer, and
 /// silence is what replaces a primary.
 #[test]
-fn a_full_primary_lives() {
+fn a_full_primary_counts_as_alive() {
     let mut world = World::running(Setup::stalgenoot(), 5);
     world.servers[0].full = true;
     world.run(millis(1_500));
--- a/crates/failover/tests/failover/gap.rs
+++ b/crates/failover/tests/failover/gap.rs
@@ -22,11 +22,11 @@
     /// The primary's zone is cut off.
     Zone,
     /// The primary alone is cut off from other zones, its own vouches.
-    Vouched,
+    PrimaryCut,
     /// The primary is cut off from its replicas only.
     Isolated,
     /// The primary's zone is gone: upstream, instance and callers.
-    Lost,
+    ZoneLost,
 }
 
 /// One gap and its phases, in microseconds.
@@ -37,7 +37,7 @@
     fence: u64,
     promote: u64,
     spread: u64,
-    whole: u64,
+    total: u64,
 }
 
 fn measure(setup: Setup, kind: Kind, seed: u64) -> Gap {
@@ -45,30 +45,30 @@
     world.net.lossy = true;
     world.run(SECOND * 2 + Duration::from_micros(seed * 7_919 % 100_000));
     let fault = world.now;
-    let parts = world.setup.clone();
+    let setup = world.setup.clone();
     match kind {
         Kind::Process => world.servers[0].down = Some(Down::Process),
         Kind::Host => world.servers[0].down = Some(Down::Host),
-        Kind::Zone => world.net.part_zone(&parts, 0),
-        Kind::Vouched => world.net.part_server(&parts, 0),
+        Kind::Zone => world.net.cut_zone(&setup, 0),
+        Kind::PrimaryCut => world.net.cut_server(&setup, 0),
         Kind::Isolated => {
-            for u in 1..parts.upstreams {
-                world.net.part(Host::Server(0), Host::Server(u));
+            for u in 1..setup.upstreams {
+                world.net.cut(Host::Server(0), Host::Server(u));
             }
         }
-        Kind::Lost => {
+        Kind::ZoneLost => {
             world.servers[0].down = Some(Down::Host);
-            world.proxies[0].group = None;
+            world.instances[0].group = None;
         }
     }
     world.run(world.setup.timing.probe_interval * 12 + SECOND * 4);
     world.verify();
     let first = match kind {
-        Kind::Zone | Kind::Lost => 1,
-        Kind::Process | Kind::Host | Kind::Vouched | Kind::Isolated => 0,
+        Kind::Zone | Kind::ZoneLost => 1,
+        Kind::Process | Kind::Host | Kind::PrimaryCut | Kind::Isolated => 0,
     };
     let served: Vec<usize> = (first..world.setup.zones).collect();
-    let whole = world.gap(&served, fault).expect("writes land again");
+    let total = world.gap(&served, fault).expect("writes land again");
     let mut last = fault;
     let mut phase = |state| {
         let (at, _) = world.entered(state, fault).expect("each state is passed");
@@ -81,8 +81,8 @@
         claim: phase(State::Fencing),
         fence: phase(State::Promoting),
         promote: phase(State::Recording),
-        spread: micros(whole.saturating_sub(last.since(fault))),
-        whole: micros(whole),
+        spread: micros(total.saturating_sub(last.since(fault))),
+        total: micros(total),
     }
 }
 
@@ -98,35 +98,35 @@
 
 /// Measures a kind of failure and prints its phases; gives back the median
 /// and the 99th percentile of the gap.
-fn gaps(name: &str, setup: fn() -> Setup, kind: Kind) -> (u64, u64) {
+fn measure_gaps(name: &str, setup: fn() -> Setup, kind: Kind) -> (u64, u64) {
     let runs = (0..RUNS).map(|seed| measure(setup(), kind, seed));
     let gaps: Vec<Gap> = runs.collect();
-    let show = |of: fn(&Gap) -> u64| (quantile(&gaps, of, 50), quantile(&gaps, of, 99));
+    let percentiles = |of: fn(&Gap) -> u64| (quantile(&gaps, of, 50), quantile(&gaps, of, 99));
     println!(
         "{name} {kind:?}: detect {:?} claim {:?} fence {:?} promote {:?} spread {:?} gap {:?}",
-        show(|g| g.detect),
-        show(|g| g.claim),
-        show(|g| g.fence),
-        show(|g| g.promote),
-        show(|g| g.spread),
-        show(|g| g.whole),
+        percentiles(|g| g.detect),
+        percentiles(|g| g.claim),
+        percentiles(|g| g.fence),
+        percentiles(|g| g.promote),
+        percentiles(|g| g.spread),
+        percentiles(|g| g.total),
     );
-    show(|g| g.whole)
+    percentiles(|g| g.total)
 }
 
 /// Holds the median and the 99th percentile to bounds in milliseconds, which
 /// are the measured figures rounded up.
-fn bound((median, high): (u64, u64), bounds: (u64, u64)) {
+fn assert_bounds((median, high): (u64, u64), bounds: (u64, u64)) {
     let met = median <= bounds.0 * 1_000 && high <= bounds.1 * 1_000;
     assert!(met, "gap {median} and {high} us, bounds {bounds:?} ms");
 }
 
 fn umurage(kind: Kind, bounds: (u64, u64)) {
-    bound(gaps("umurage", Setup::umurage, kind), bounds);
+    assert_bounds(measure_gaps("umurage", Setup::umurage, kind), bounds);
 }
 
 fn stalgenoot(kind: Kind, bounds: (u64, u64)) {
-    bound(gaps("stalgenoot", Setup::stalgenoot, kind), bounds);
+    assert_bounds(measure_gaps("stalgenoot", Setup::stalgenoot, kind), bounds);
 }
 
 #[test]
@@ -145,8 +145,8 @@
 }
 
 #[test]
-fn cut_off_primary_with_a_voucher_at_umurage() {
-    umurage(Kind::Vouched, (615, 664));
+fn cut_off_primary_reachable_from_its_zone_at_umurage() {
+    umurage(Kind::PrimaryCut, (615, 664));
 }
 
 #[test]
@@ -161,18 +161,21 @@
     let sparse = || {
         let mut setup = Setup::umurage();
         setup.timing = Timing::with_probe_interval(SECOND);
-        setup.write_every = SECOND / 20;
+        setup.write_interval = SECOND / 20;
         setup
     };
-    bound(gaps("sparse", sparse, Kind::Host), (4113, 5150));
-    bound(gaps("sparse", sparse, Kind::Zone), (4125, 5152));
-    bound(gaps("sparse", sparse, Kind::Vouched), (6155, 7149));
-    bound(gaps("sparse", sparse, Kind::Isolated), (7124, 7198));
+    assert_bounds(measure_gaps("sparse", sparse, Kind::Host), (4113, 5150));
+    assert_bounds(measure_gaps("sparse", sparse, Kind::Zone), (4125, 5152));
+    assert_bounds(
+        measure_gaps("sparse", sparse, Kind::PrimaryCut),
+        (6155, 7149),
+    );
+    assert_bounds(measure_gaps("sparse", sparse, Kind::Isolated), (7124, 7198));
 }
 
 #[test]
 fn lost_zone_at_umurage() {
-    umurage(Kind::Lost, (349, 414));
+    umurage(Kind::ZoneLost, (349, 414));
 }
 
 #[test]
@@ -189,14 +192,14 @@
 /// instances for up to 200 ms every other minute, and one message in two
 /// thousand comes 200 ms late. Nobody may be promoted.
 #[test]
-fn an_hour_of_jitter_promotes_nobody() {
+fn an_hour_of_jitter_causes_no_promotion() {
     const HOUR: Duration = Duration::from_secs(3_600);
     let mut setup = Setup::umurage();
-    setup.write_every = SECOND / 2;
+    setup.write_interval = SECOND / 2;
     let mut world = World::open(setup, 7);
     world.net.lossy = true;
     world.run(SECOND);
-    world.stalls(HOUR);
+    world.schedule_stalls(HOUR);
     world.run(HOUR);
     world.verify();
     println!("claims in an hour of jitter: {}", world.store.swaps);
--- a/crates/failover/tests/failover/main.rs
+++ b/crates/failover/tests/failover/main.rs
@@ -1,9 +1,9 @@
 //! The failover machine against a small fake group, in virtual time.
 
-mod broken;
+mod broken_variants;
 mod chart;
-mod full;
+mod full_upstream;
 mod gap;
-mod hunt;
-mod story;
+mod random_faults;
+mod scenarios;
 mod world;
--- a/crates/failover/tests/failover/hunt.rs
+++ b/crates/failover/tests/failover/random_faults.rs
@@ -14,24 +14,24 @@
 const SEEDS: u64 = 60;
 
 /// How long faults come, and how long the group has to recover from all.
-const TROUBLE: u64 = 20_000;
+const FAULT_PHASE_MS: u64 = 20_000;
 const RECOVERY: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Crash(usize, Down),
     Return(usize),
-    Cut(usize),
+    CutZone(usize),
     CutServer(usize),
-    Part(usize, usize),
+    CutLink(usize, usize),
     Isolate(usize),
-    OneWay(usize, usize),
+    CutOneWay(usize, usize),
     Heal,
     Pause(Host, Duration),
     Lag(usize, Duration),
     Restart(usize),
     Kill(usize),
-    Split(usize),
+    SplitZones(usize),
     Leave(Option<usize>),
     StoreDown,
     StoreUp,
@@ -41,27 +41,27 @@
 
 fn fault(rng: &mut ChaCha8Rng, setup: &Setup) -> Fault {
     let zone = rng.random_range(0..setup.zones);
-    let proxy = rng.random_range(0..setup.instances);
+    let instance = rng.random_range(0..setup.instances);
     let server = rng.random_range(0..setup.upstreams);
     let span = Duration::from_millis(rng.random_range(1..3_000));
     match rng.random_range(0..25) {
         0 => Fault::Crash(server, Down::Process),
         1 => Fault::Crash(server, Down::Host),
         2..5 => Fault::Return(server),
-        5 => Fault::Cut(zone),
+        5 => Fault::CutZone(zone),
         6 => Fault::CutServer(server),
-        7 => Fault::Part(proxy, server),
-        8 => Fault::OneWay(proxy, server),
+        7 => Fault::CutLink(instance, server),
+        8 => Fault::CutOneWay(instance, server),
         9 | 10 => Fault::Heal,
-        11 => Fault::Pause(Host::Proxy(proxy), span),
+        11 => Fault::Pause(Host::Instance(instance), span),
         12 => Fault::Pause(Host::Server(server), span),
         13 => Fault::Lag(server, span),
-        14 => Fault::Restart(proxy),
+        14 => Fault::Restart(instance),
         15 => Fault::StoreDown,
         16 | 17 => Fault::StoreUp,
         18 => Fault::StoreSlow(span / 4),
-        19 => Fault::Kill(proxy),
-        20 => Fault::Split(zone),
+        19 => Fault::Kill(instance),
+        20 => Fault::SplitZones(zone),
         21 => Fault::Leave(Some(server)),
         22 => Fault::Leave(None),
         23 => Fault::Isolate(server),
@@ -69,34 +69,34 @@
     }
 }
 
-fn strike(world: &mut World, fault: Fault) {
+fn apply_fault(world: &mut World, fault: Fault) {
     let setup = world.setup.clone();
     match fault {
         Fault::Crash(u, down) => world.servers[u].down = Some(down),
         Fault::Return(u) => world.servers[u].down = None,
-        Fault::Cut(z) => world.net.part_zone(&setup, z),
-        Fault::CutServer(u) => world.net.part_server(&setup, u),
-        Fault::Part(i, u) => world.net.part(Host::Proxy(i), Host::Server(u)),
+        Fault::CutZone(z) => world.net.cut_zone(&setup, z),
+        Fault::CutServer(u) => world.net.cut_server(&setup, u),
+        Fault::CutLink(i, u) => world.net.cut(Host::Instance(i), Host::Server(u)),
         Fault::Isolate(u) => (0..setup.upstreams)
             .filter(|other| *other != u)
-            .for_each(|other| world.net.part(Host::Server(u), Host::Server(other))),
-        Fault::OneWay(i, u) => world.net.part_one_way(Host::Server(u), Host::Proxy(i)),
+            .for_each(|other| world.net.cut(Host::Server(u), Host::Server(other))),
+        Fault::CutOneWay(i, u) => world.net.cut_one_way(Host::Server(u), Host::Instance(i)),
         Fault::Heal => world.net.heal(),
         Fault::Pause(host, span) => world.pause(host, span),
         Fault::Lag(u, lag) => world.servers[u].lag = lag,
         Fault::Restart(i) => world.restart(i),
         Fault::Kill(i) => world.kill(i),
-        Fault::Split(below) => world.net.split(&setup, below),
-        Fault::Leave(leaving) => leave(world, leaving),
+        Fault::SplitZones(below) => world.net.split_zones(&setup, below),
+        Fault::Leave(leaving) => set_leaving(world, leaving),
         Fault::StoreDown => world.store.down = true,
-        Fault::StoreUp => world.store_up(),
+        Fault::StoreUp => world.restore_store(),
         Fault::StoreSlow(slow) => world.store.slow = slow,
-        Fault::LoseAnswers(answers) => world.store.lose = answers,
+        Fault::LoseAnswers(answers) => world.store.answers_to_lose = answers,
     }
 }
 
-fn leave(world: &mut World, leaving: Option<usize>) {
-    for i in 0..world.proxies.len() {
+fn set_leaving(world: &mut World, leaving: Option<usize>) {
+    for i in 0..world.instances.len() {
         let members = members(&world.setup, leaving);
         world.step(i, Event::Upstreams(members));
     }
@@ -108,35 +108,35 @@
         server.lag = Duration::ZERO;
     }
     world.net.heal();
-    world.store.lose = 0;
-    for i in 0..world.proxies.len() {
-        if world.proxies[i].group.is_none() {
+    world.store.answers_to_lose = 0;
+    for i in 0..world.instances.len() {
+        if world.instances[i].group.is_none() {
             world.restart(i);
         }
     }
-    leave(world, None);
-    world.store_up();
+    set_leaving(world, None);
+    world.restore_store();
 }
 
 /// Runs one seed; the faults it met, if a promise was broken.
-pub(crate) fn hunt(setup: Setup, seed: u64) -> Result<World, String> {
+pub(crate) fn run_seed(setup: Setup, seed: u64) -> Result<World, String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let pace = rng.random_range(200..3_000);
+    let max_wait_ms = rng.random_range(200..3_000);
     let mut world = World::running(setup, seed);
     world.net.lossy = true;
     let mut faults = Vec::new();
     let start = world.now;
-    while world.now.since(start) < Duration::from_millis(TROUBLE) {
+    while world.now.since(start) < Duration::from_millis(FAULT_PHASE_MS) {
         let fault = fault(&mut rng, &world.setup);
         faults.push((world.now.as_micros(), fault));
-        strike(&mut world, fault);
-        world.run(Duration::from_millis(rng.random_range(1..pace)));
+        apply_fault(&mut world, fault);
+        world.run(Duration::from_millis(rng.random_range(1..max_wait_ms)));
     }
     recover(&mut world);
     world.run(RECOVERY);
     let healed = world.now;
     world.run(RECOVERY);
-    world.check.survived(&world.servers);
+    world.check.check_survival(&world.servers);
     let all: Vec<usize> = (0..world.setup.instances).collect();
     if world.check.violations.is_empty() && world.gap(&all, healed).is_some() {
         return Ok(world);
@@ -150,7 +150,7 @@
     ))
 }
 
-fn number(name: &str) -> u64 {
+fn env_number(name: &str) -> u64 {
     env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -158,10 +158,10 @@
 }
 
 /// Hunts every fourth seed, so that the four tests run side by side.
-fn hunt_share(share: u64) {
-    let first = number("DANDELIONLINK_SEED");
-    let seeds = first..first + SEEDS + number("DANDELIONLINK_HUNT");
-    let mut acks = 0;
+fn run_share(share: u64) {
+    let first = env_number("DANDELIONLINK_SEED");
+    let seeds = first..first + SEEDS + env_number("DANDELIONLINK_HUNT");
+    let mut ack_count = 0;
     for seed in seeds.filter(|seed| seed % 4 == share) {
         let mut setup = match seed % 3 {
             0 => Setup::stalgenoot(),
@@ -170,30 +170,30 @@
         if seed % 2 == 1 {
             setup.instances = setup.zones * 2;
         }
-        match hunt(setup, seed) {
-            Ok(world) => acks += world.check.acks(),
-            Err(story) => panic!("{story}"),
+        match run_seed(setup, seed) {
+            Ok(world) => ack_count += world.check.ack_count(),
+            Err(report) => panic!("{report}"),
         }
     }
-    assert!(acks > 0);
+    assert!(ack_count > 0);
 }
 
 #[test]
-fn random_faults_break_no_promise_first_share() {
-    hunt_share(0);
+fn random_faults_violate_no_invariant_first_share() {
+    run_share(0);
 }
 
 #[test]
-fn random_faults_break_no_promise_second_share() {
-    hunt_share(1);
+fn random_faults_violate_no_invariant_second_share() {
+    run_share(1);
 }
 
 #[test]
-fn random_faults_break_no_promise_third_share() {
-    hunt_share(2);
+fn random_faults_violate_no_invariant_third_share() {
+    run_share(2);
 }
 
 #[test]
-fn random_faults_break_no_promise_fourth_share() {
-    hunt_share(3);
+fn random_faults_violate_no_invariant_fourth_share() {
+    run_share(3);
 }
--- a/crates/failover/tests/failover/story.rs
+++ b/crates/failover/tests/failover/scenarios.rs
@@ -7,7 +7,7 @@
 use model::Term;
 
 use crate::world::{
-    Setup, Spring, Trap, World,
+    InjectedFault, Injection, Setup, World,
     instance::members,
     net::Host,
     upstream::{Down, Server},
@@ -19,16 +19,21 @@
     Duration::from_millis(millis)
 }
 
-fn trap(state: State, spring: Spring) -> Vec<Trap> {
-    vec![Trap { state, spring }]
+fn injection(state: State, fault: InjectedFault) -> Vec<Injection> {
+    vec![Injection { state, fault }]
 }
 
 /// Runs on for `span` and checks every promise; gives back how long writes
 /// could not land at `proxies`.
-fn outlast(world: &mut World, span: Duration, proxies: &[usize], since: Instant) -> Duration {
+fn run_and_verify(
+    world: &mut World,
+    span: Duration,
+    instances: &[usize],
+    since: Instant,
+) -> Duration {
     world.run(span);
     world.verify();
-    let gap = world.gap(proxies, since);
+    let gap = world.gap(instances, since);
     gap.unwrap_or_else(|| panic!("writes do not land: {:?}", world.trace))
 }
 
@@ -39,7 +44,7 @@
     let mut world = World::running(Setup::umurage(), 1);
     let fault = world.now;
     world.servers[0].down = Some(Down::Process);
-    let gap = outlast(&mut world, SECOND, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND, &[0, 1, 2], fault);
     assert!(gap < millis(200), "{gap:?}");
     assert_eq!(world.check.promotions.len(), 1);
 }
@@ -51,7 +56,7 @@
     let mut world = World::running(Setup::umurage(), 2);
     let fault = world.now;
     world.servers[0].down = Some(Down::Host);
-    let gap = outlast(&mut world, SECOND, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND, &[0, 1, 2], fault);
     assert!(gap < millis(500), "{gap:?}");
     assert_eq!(world.check.promotions.len(), 1);
 }
@@ -62,19 +67,19 @@
 /// cut-off zone may be acknowledged, and once the cut heals the old primary
 /// drops its tail and follows.
 #[test]
-fn cut_off_with_callers_beside() {
+fn cut_off_zone_with_callers() {
     let mut world = World::running(Setup::umurage(), 3);
     let setup = world.setup.clone();
-    world.net.part_zone(&setup, 0);
+    world.net.cut_zone(&setup, 0);
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 3, &[1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 3, &[1, 2], fault);
     assert!(gap < millis(600), "{gap:?}");
-    assert_eq!(world.landed(0, fault), None);
+    assert_eq!(world.first_ack(0, fault), None);
     let tail = world.servers[0].log.len();
     world.net.heal();
     world.store_watch();
     let healed = world.now;
-    outlast(&mut world, SECOND * 2, &[0, 1, 2], healed);
+    run_and_verify(&mut world, SECOND * 2, &[0, 1, 2], healed);
     assert_eq!(world.servers[0].leads, Term(1));
     assert!(world.servers[0].follows.is_some());
     assert!(
@@ -91,25 +96,25 @@
 /// because no replica takes in its log: what the voucher tells of its place
 /// proves that, and the vouching counts no more.
 #[test]
-fn cut_off_with_an_instance_that_vouches() {
+fn cut_off_primary_reachable_from_its_zone() {
     let mut world = World::running(Setup::umurage(), 4);
     let setup = world.setup.clone();
-    world.net.part_server(&setup, 0);
+    world.net.cut_server(&setup, 0);
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 3, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 3, &[0, 1, 2], fault);
     assert!(gap > millis(500) && gap < millis(700), "{gap:?}");
 }
 
 /// As before, but nobody writes, so that no place of the primary's log can
 /// prove anything. The vouching delays the claim, but only for its bound.
 #[test]
-fn cut_off_and_idle_with_an_instance_that_vouches() {
+fn cut_off_idle_primary_reachable_from_its_zone() {
     let mut setup = Setup::umurage();
-    setup.write_every = SECOND * 600;
+    setup.write_interval = SECOND * 600;
     let mut world = World::running(setup, 4);
     world.run(SECOND);
     let setup = world.setup.clone();
-    world.net.part_server(&setup, 0);
+    world.net.cut_server(&setup, 0);
     let fault = world.now;
     world.run(SECOND * 3);
     world.verify();
@@ -122,12 +127,12 @@
 /// reaches it and finds it well, but no write lands. It must be replaced, and
 /// not by itself, although its log is the longest.
 #[test]
-fn isolated_from_its_replicas() {
+fn a_primary_isolated_from_its_replicas_is_replaced() {
     let mut world = World::running(Setup::umurage(), 9);
-    world.net.part(Host::Server(0), Host::Server(1));
-    world.net.part(Host::Server(0), Host::Server(2));
+    world.net.cut(Host::Server(0), Host::Server(1));
+    world.net.cut(Host::Server(0), Host::Server(2));
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 4, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 4, &[0, 1, 2], fault);
     assert!(gap < millis(2_000), "{gap:?}");
     assert_eq!(world.check.promotions.len(), 1);
     assert_ne!(world.check.promotions[0].2, 0);
@@ -138,19 +143,19 @@
 #[test]
 fn one_replica_is_cut_from_the_primary() {
     let mut world = World::running(Setup::umurage(), 10);
-    world.net.part(Host::Server(0), Host::Server(1));
+    world.net.cut(Host::Server(0), Host::Server(1));
     let fault = world.now;
-    outlast(&mut world, SECOND * 10, &[0, 1, 2], fault);
+    run_and_verify(&mut world, SECOND * 10, &[0, 1, 2], fault);
     assert_eq!(world.check.promotions, []);
 }
 
 /// One zone can't reach the primary, the others can. It is blind, not the
 /// primary dead: nobody may claim, however long it lasts.
 #[test]
-fn one_blind_zone_is_no_dead_primary() {
+fn a_zone_that_cannot_reach_the_primary_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 5);
-    world.net.part(Host::Proxy(1), Host::Server(0));
-    world.net.part(Host::Server(1), Host::Server(0));
+    world.net.cut(Host::Instance(1), Host::Server(0));
+    world.net.cut(Host::Server(1), Host::Server(0));
     world.run(SECOND * 30);
     world.verify();
     assert_eq!(world.check.promotions, []);
@@ -161,10 +166,10 @@
 /// still take in its log: writes land through the third. Replacing the primary
 /// would cut writes that land.
 #[test]
-fn a_primary_that_replicates_is_left_alone() {
+fn a_replicating_primary_is_not_replaced() {
     let mut world = World::running(Setup::umurage(), 6);
-    world.net.part(Host::Proxy(1), Host::Server(0));
-    world.net.part(Host::Proxy(2), Host::Server(0));
+    world.net.cut(Host::Instance(1), Host::Server(0));
+    world.net.cut(Host::Instance(2), Host::Server(0));
     world.run(SECOND * 10);
     world.verify();
     assert_eq!(world.check.promotions, []);
@@ -176,10 +181,10 @@
 fn a_cut_off_zone_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 7);
     let setup = world.setup.clone();
-    world.net.part_zone(&setup, 2);
-    world.net.join(Host::Proxy(2), Host::Store);
+    world.net.cut_zone(&setup, 2);
+    world.net.restore(Host::Instance(2), Host::Store);
     let fault = world.now;
-    outlast(&mut world, SECOND * 10, &[0, 1], fault);
+    run_and_verify(&mut world, SECOND * 10, &[0, 1], fault);
     assert_eq!(world.store.swaps, 0);
 }
 
@@ -189,7 +194,7 @@
 fn a_paused_candidate_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 8);
     for i in 0..3 {
-        world.pause(Host::Proxy(i), SECOND * 3);
+        world.pause(Host::Instance(i), SECOND * 3);
     }
     world.run(SECOND * 10);
     world.verify();
@@ -208,18 +213,18 @@
         State::Recording,
     ];
     for (seed, state) in (0..).zip(steps) {
-        for spring in [Spring::DieBefore, Spring::DieAfter] {
+        for fault in [InjectedFault::DieBefore, InjectedFault::DieAfter] {
             let mut world = World::running(Setup::umurage(), 20 + seed);
             world.servers[0].down = Some(Down::Host);
-            world.traps = trap(state, spring);
+            world.injections = injection(state, fault);
             let fault = world.now;
             world.run(SECOND * 4);
             let alive: Vec<_> = (0..3)
-                .filter(|&i| world.proxies[i].group.is_some())
+                .filter(|&i| world.instances[i].group.is_some())
                 .collect();
-            assert_eq!(alive.len(), 2, "{state:?} {spring:?}");
-            let gap = outlast(&mut world, SECOND, &alive, fault);
-            assert!(gap < millis(2_000), "{state:?} {spring:?} {gap:?}");
+            assert_eq!(alive.len(), 2, "{state:?} {fault:?}");
+            let gap = run_and_verify(&mut world, SECOND, &alive, fault);
+            assert!(gap < millis(2_000), "{state:?} {fault:?} {gap:?}");
         }
     }
 }
@@ -228,7 +233,7 @@
 /// and wakes with its orders and its swap still to come. They carry a term
 /// that is fenced or a revision that has passed, and must change nothing.
 #[test]
-fn promoter_pauses_and_wakes() {
+fn promoter_pauses_and_resumes() {
     let steps = [
         State::Claiming,
         State::Fencing,
@@ -238,10 +243,10 @@
     for (seed, state) in (0..).zip(steps) {
         let mut world = World::running(Setup::umurage(), 30 + seed);
         world.servers[0].down = Some(Down::Host);
-        world.traps = trap(state, Spring::Pause(SECOND * 3));
+        world.injections = injection(state, InjectedFault::Pause(SECOND * 3));
         let fault = world.now;
         world.run(SECOND * 6);
-        let gap = outlast(&mut world, SECOND, &[0, 1, 2], fault + SECOND * 4);
+        let gap = run_and_verify(&mut world, SECOND, &[0, 1, 2], fault + SECOND * 4);
         assert!(gap < millis(500), "{state:?} {gap:?}");
     }
 }
@@ -253,9 +258,9 @@
     for lost in 1..6 {
         let mut world = World::running(Setup::umurage(), 40);
         world.servers[0].down = Some(Down::Host);
-        world.traps = trap(State::Claiming, Spring::LoseAnswers(lost));
+        world.injections = injection(State::Claiming, InjectedFault::LoseAnswers(lost));
         let fault = world.now;
-        let gap = outlast(&mut world, SECOND * 4, &[0, 1, 2], fault);
+        let gap = run_and_verify(&mut world, SECOND * 4, &[0, 1, 2], fault);
         assert!(gap < millis(3_000), "{lost} {gap:?}");
     }
 }
@@ -273,9 +278,9 @@
     world.servers[0].down = Some(Down::Host);
     world.run(SECOND * 5);
     assert_eq!(world.check.promotions, []);
-    world.store_up();
+    world.restore_store();
     let back = world.now;
-    let gap = outlast(&mut world, SECOND * 3, &[0, 1, 2], back);
+    let gap = run_and_verify(&mut world, SECOND * 3, &[0, 1, 2], back);
     assert!(gap < millis(1_500), "{gap:?}");
 }
 
@@ -287,11 +292,11 @@
     for state in [State::Fencing, State::Promoting, State::Recording] {
         let mut world = World::running(Setup::umurage(), 51);
         world.servers[0].down = Some(Down::Host);
-        world.traps = trap(state, Spring::StoreDown);
+        world.injections = injection(state, InjectedFault::StoreDown);
         let fault = world.now;
-        let gap = outlast(&mut world, SECOND * 5, &[0, 1, 2], fault);
+        let gap = run_and_verify(&mut world, SECOND * 5, &[0, 1, 2], fault);
         assert!(gap < millis(600), "{state:?} {gap:?}");
-        world.store_up();
+        world.restore_store();
         world.run(SECOND * 5);
         world.verify();
         let entry = world.store.entry.clone().unwrap();
@@ -307,10 +312,12 @@
 fn announced_primary_is_recorded_by_another() {
     let mut world = World::running(Setup::umurage(), 52);
     world.servers[0].down = Some(Down::Host);
-    world.traps = trap(State::Promoting, Spring::StoreDown);
-    world.traps.extend(trap(State::Recording, Spring::DieAfter));
+    world.injections = injection(State::Promoting, InjectedFault::StoreDown);
+    world
+        .injections
+        .extend(injection(State::Recording, InjectedFault::DieAfter));
     world.run(SECOND * 3);
-    world.store_up();
+    world.restore_store();
     world.run(SECOND * 5);
     world.verify();
     let entry = world.store.entry.clone().unwrap();
@@ -330,7 +337,7 @@
     world.store.slow = millis(1_500);
     world.servers[0].down = Some(Down::Host);
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 20, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 20, &[0, 1, 2], fault);
     assert!(gap < millis(8_000), "{gap:?}");
     assert!(world.store.swaps <= 4, "{}", world.store.swaps);
 }
@@ -359,11 +366,11 @@
     for seed in 60..80 {
         let mut world = World::running(Setup::umurage(), seed);
         for (one, other) in [(0, 1), (0, 2), (1, 2)] {
-            world.net.part(Host::Proxy(one), Host::Proxy(other));
+            world.net.cut(Host::Instance(one), Host::Instance(other));
         }
         world.servers[0].down = Some(Down::Process);
         let fault = world.now;
-        let gap = outlast(&mut world, SECOND * 4, &[0, 1, 2], fault);
+        let gap = run_and_verify(&mut world, SECOND * 4, &[0, 1, 2], fault);
         assert!(gap < millis(2_500), "{seed} {gap:?}");
     }
 }
@@ -372,7 +379,7 @@
 /// soon as it leads. The second change is held off a little, and loses
 /// nothing.
 #[test]
-fn same_fault_twice() {
+fn two_crashes_in_a_row() {
     let mut world = World::running(Setup::umurage(), 81);
     world.servers[0].down = Some(Down::Host);
     world.run(SECOND);
@@ -381,7 +388,7 @@
     let (_, _, second) = *world.check.promotions.last().unwrap();
     world.servers[second].down = Some(Down::Host);
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 3, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 3, &[0, 1, 2], fault);
     assert!(gap < millis(1_000), "{gap:?}");
     world.servers[second].down = None;
     world.run(SECOND);
@@ -392,7 +399,7 @@
 /// Every primary fails soon after its promotion and comes back after a
 /// second, over and over. The changes of primary must thin out.
 #[test]
-fn flapping_is_damped() {
+fn repeated_failures_are_held_off() {
     let mut world = World::running(Setup::umurage(), 82);
     let mut before = 0;
     let mut counts = Vec::new();
@@ -421,7 +428,7 @@
         let members = members(&world.setup, Some(0));
         world.step(i, Event::Upstreams(members));
     }
-    let gap = outlast(&mut world, SECOND * 2, &[0, 1, 2], fault);
+    let gap = run_and_verify(&mut world, SECOND * 2, &[0, 1, 2], fault);
     assert!(gap < millis(200), "{gap:?}");
     let (_, term, upstream) = *world.check.promotions.last().unwrap();
     assert!(
@@ -437,7 +444,7 @@
 #[test]
 fn a_first_record_adopts_the_primary() {
     let mut setup = Setup::umurage();
-    setup.recorded = false;
+    setup.has_record = false;
     let mut world = World::running(setup, 84);
     world.verify();
     assert!(world.gap(&[0, 1, 2], Instant::ZERO).is_some());
@@ -457,7 +464,7 @@
         let fault = world.now;
         world.run(millis(500));
         world.servers[late].lag = Duration::ZERO;
-        outlast(&mut world, SECOND * 3, &[0, 1, 2], fault);
+        run_and_verify(&mut world, SECOND * 3, &[0, 1, 2], fault);
         assert_eq!(world.check.promotions[0].2, level);
     }
 }
@@ -465,11 +472,11 @@
 /// A zone with the primary, an instance and callers is gone altogether, so
 /// that nobody refuses and the dead zone's last evidence still vouches.
 #[test]
-fn a_zone_is_gone() {
+fn a_lost_zone_does_not_delay_the_claim() {
     let mut world = World::running(Setup::stalgenoot(), 86);
     world.servers[0].down = Some(Down::Host);
-    world.proxies[0].group = None;
+    world.instances[0].group = None;
     let fault = world.now;
-    let gap = outlast(&mut world, SECOND * 2, &[1, 2, 3], fault);
+    let gap = run_and_verify(&mut world, SECOND * 2, &[1, 2, 3], fault);
     assert!(gap < millis(700), "{gap:?}");
 }
--- a/crates/failover/tests/failover/world.rs
+++ b/crates/failover/tests/failover/world.rs
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use check::Check;
-use instance::Proxy;
+use instance::Instance;
 use net::{Host, Net};
 use store::Store;
 use upstream::Server;
@@ -30,15 +30,15 @@
     pub(crate) zones: usize,
     pub(crate) instances: usize,
     pub(crate) upstreams: usize,
-    pub(crate) between: Duration,
-    pub(crate) store: Duration,
-    pub(crate) promote: Duration,
-    pub(crate) write_every: Duration,
-    pub(crate) recorded: bool,
-    pub(crate) majority_of: usize,
-    pub(crate) eager: bool,
-    pub(crate) lingering: bool,
-    pub(crate) blind: bool,
+    pub(crate) zone_latency: Duration,
+    pub(crate) store_latency: Duration,
+    pub(crate) promotion_time: Duration,
+    pub(crate) write_interval: Duration,
+    pub(crate) has_record: bool,
+    pub(crate) quorum_size: usize,
+    pub(crate) reports_term_early: bool,
+    pub(crate) fence_lingers: bool,
+    pub(crate) ignores_fences: bool,
     pub(crate) timing: Timing,
 }
 
@@ -48,15 +48,15 @@
             zones: 3,
             instances: 3,
             upstreams: 3,
-            between: Duration::from_micros(500),
-            store: Duration::from_millis(3),
-            promote: Duration::from_millis(50),
-            write_every: Duration::from_millis(5),
-            recorded: true,
-            majority_of: 3,
-            eager: false,
-            lingering: false,
-            blind: false,
+            zone_latency: Duration::from_micros(500),
+            store_latency: Duration::from_millis(3),
+            promotion_time: Duration::from_millis(50),
+            write_interval: Duration::from_millis(5),
+            has_record: true,
+            quorum_size: 3,
+            reports_term_early: false,
+            fence_lingers: false,
+            ignores_fences: false,
             timing: Timing::default(),
         }
     }
@@ -65,25 +65,25 @@
         Self {
             zones: 4,
             instances: 4,
-            between: Duration::from_micros(1_500),
+            zone_latency: Duration::from_micros(1_500),
             ..Self::umurage()
         }
     }
 }
 
 /// How far the platform's list of instances lags.
-const LIST_LAG: Duration = Duration::from_secs(2);
+const MEMBERS_LAG: Duration = Duration::from_secs(2);
 
 /// What can be due.
 #[derive(Debug, Clone)]
-pub(crate) enum Happening {
+pub(crate) enum Task {
     Step(usize, Event),
     Wake(usize, Instant, u32),
-    Ask(usize, usize, Call, Option<Order>),
+    Request(usize, usize, Call, Option<Order>),
     Promoted(usize, usize, Call, model::Term),
     Read(usize, Call),
     Swap(usize, Call, u64, Record),
-    Caller(usize, u32),
+    IssueWrite(usize, u32),
     Write(usize, usize, u64, model::Term),
     Written(
         usize,
@@ -94,22 +94,22 @@
     ),
     Poll(usize, usize, Instant),
     Polled(usize, usize, Instant, Report),
-    Beat(usize),
-    Log(usize, usize, model::Term, usize),
+    PushLog(usize),
+    ReceiveLog(usize, usize, model::Term, usize),
     Stall(Host, Duration),
-    List,
+    UpdateMembers,
 }
 
 /// What to do to an instance when its machine enters a state.
 #[derive(Debug, Clone)]
-pub(crate) struct Trap {
+pub(crate) struct Injection {
     pub(crate) state: State,
-    pub(crate) spring: Spring,
+    pub(crate) fault: InjectedFault,
 }
 
 /// What springs, and whether the state's messages still leave.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Spring {
+pub(crate) enum InjectedFault {
     DieBefore,
     DieAfter,
     Pause(Duration),
@@ -120,24 +120,24 @@
 pub(crate) struct World {
     pub(crate) setup: Setup,
     pub(crate) now: Instant,
-    due: BTreeMap<(Instant, u64), Happening>,
+    due: BTreeMap<(Instant, u64), Task>,
     sequence: u64,
     rng: ChaCha8Rng,
     pub(crate) net: Net,
     pub(crate) store: Store,
     pub(crate) servers: Vec<Server>,
-    pub(crate) proxies: Vec<Proxy>,
+    pub(crate) instances: Vec<Instance>,
     pub(crate) check: Check,
-    pub(crate) traps: Vec<Trap>,
+    pub(crate) injections: Vec<Injection>,
     pub(crate) trace: Vec<(Instant, usize, State)>,
     writes: u64,
 }
 
-pub(crate) fn upstream(u: usize) -> name::Upstream {
+pub(crate) fn upstream_name(u: usize) -> name::Upstream {
     name::Upstream::new(&format!("u{u}")).unwrap()
 }
 
-pub(crate) fn zone(z: usize) -> name::Zone {
+pub(crate) fn zone_name(z: usize) -> name::Zone {
     name::Zone::new(&format!("z{z}")).unwrap()
 }
 
@@ -149,22 +149,22 @@
             sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             net: Net::default(),
-            store: Store::open(setup.recorded),
+            store: Store::open(setup.has_record),
             servers: (0..setup.upstreams).map(Server::open).collect(),
-            proxies: Vec::new(),
+            instances: Vec::new(),
             check: Check::default(),
-            traps: Vec::new(),
+            injections: Vec::new(),
             trace: Vec::new(),
             writes: 0,
             setup,
         };
         for i in 0..world.setup.instances {
-            let proxy = Proxy::open(&world.setup, i, seed, world.now);
-            world.proxies.push(proxy);
+            let instance = Instance::open(&world.setup, i, seed, world.now);
+            world.instances.push(instance);
             world.start(i);
         }
         for u in 0..world.setup.upstreams {
-            world.after(Duration::ZERO, Happening::Beat(u));
+            world.schedule(Duration::ZERO, Task::PushLog(u));
         }
         world
     }
@@ -172,65 +172,62 @@
     /// Lets an instance begin, or begin anew after its predecessor died.
     pub(crate) fn start(&mut self, i: usize) {
         let members = self.members();
-        self.after(Duration::ZERO, Happening::Step(i, Event::Members(members)));
-        self.after(LIST_LAG, Happening::List);
-        let life = self.proxies[i].life;
+        self.schedule(Duration::ZERO, Task::Step(i, Event::Members(members)));
+        self.schedule(MEMBERS_LAG, Task::UpdateMembers);
+        let incarnation = self.instances[i].incarnation;
         let offset = self.rng.random_range(0..5_000);
-        self.after(Duration::from_micros(offset), Happening::Caller(i, life));
+        self.schedule(
+            Duration::from_micros(offset),
+            Task::IssueWrite(i, incarnation),
+        );
     }
 
     /// The instances that the platform lists as live.
     fn members(&self) -> BTreeMap<name::Instance, name::Zone> {
-        let live = |i: &usize| self.proxies.get(*i).is_none_or(|p| p.group.is_some());
+        let live = |i: &usize| self.instances.get(*i).is_none_or(|p| p.group.is_some());
         let listed = (0..self.setup.instances).filter(live);
         listed
-            .map(|i| (instance::instance(i), zone(i % self.setup.zones)))
+            .map(|i| (instance::instance_name(i), zone_name(i % self.setup.zones)))
             .collect()
     }
 
     /// Shows the list to all; it lags behind deaths and starts.
-    fn list(&mut self) {
+    fn update_members(&mut self) {
         let members = self.members();
-        for i in 0..self.proxies.len() {
+        for i in 0..self.instances.len() {
             self.step(i, Event::Members(members.clone()));
         }
     }
 
     pub(crate) fn kill(&mut self, i: usize) {
-        self.proxies[i].group = None;
-        self.after(LIST_LAG, Happening::List);
+        self.instances[i].group = None;
+        self.schedule(MEMBERS_LAG, Task::UpdateMembers);
     }
 
     pub(crate) fn restart(&mut self, i: usize) {
         let seed = self.rng.random();
-        let life = self.proxies[i].life + 1;
-        self.proxies[i] = Proxy::open(&self.setup, i, seed, self.now);
-        self.proxies[i].life = life;
+        let incarnation = self.instances[i].incarnation + 1;
+        self.instances[i] = Instance::open(&self.setup, i, seed, self.now);
+        self.instances[i].incarnation = incarnation;
         self.start(i);
     }
 
-    pub(crate) fn after(&mut self, wait: Duration, happening: Happening) {
+    pub(crate) fn schedule(&mut self, wait: Duration, task: Task) {
         self.sequence += 1;
-        self.due.insert((self.now + wait, self.sequence), happening);
+        self.due.insert((self.now + wait, self.sequence), task);
     }
 
     /// Sends a message, unless the way is cut.
-    pub(crate) fn send(&mut self, from: Host, to: Host, happening: Happening) {
-        self.send_later(Duration::ZERO, from, to, happening);
+    pub(crate) fn send(&mut self, from: Host, to: Host, task: Task) {
+        self.send_later(Duration::ZERO, from, to, task);
     }
 
-    pub(crate) fn send_later(
-        &mut self,
-        wait: Duration,
-        from: Host,
-        to: Host,
-        happening: Happening,
-    ) {
-        if self.net.cut(from, to) {
+    pub(crate) fn send_later(&mut self, wait: Duration, from: Host, to: Host, task: Task) {
+        if self.net.is_cut(from, to) {
             return;
         }
         let latency = self.net.latency(&self.setup, &mut self.rng, from, to);
-        self.after(wait + latency, happening);
+        self.schedule(wait + latency, task);
     }
 
     pub(crate) fn run_until(&mut self, end: Instant) {
@@ -239,9 +236,9 @@
             if at > end {
                 break;
             }
-            let happening = entry.remove();
+            let task = entry.remove();
             self.now = at;
-            self.happen(happening);
+            self.run_task(task);
         }
         self.now = end;
     }
@@ -250,47 +247,47 @@
         self.run_until(self.now + span);
     }
 
-    fn happen(&mut self, happening: Happening) {
-        if let Some(until) = self.paused(&happening) {
-            self.after(until.since(self.now), happening);
+    fn run_task(&mut self, task: Task) {
+        if let Some(until) = self.paused(&task) {
+            self.schedule(until.since(self.now), task);
             return;
         }
-        match happening {
-            Happening::Step(i, event) => self.step(i, event),
-            Happening::Wake(i, at, life) => self.wake(i, at, life),
-            Happening::Ask(i, u, call, order) => self.ask(i, u, call, order),
-            Happening::Promoted(i, u, call, term) => self.promoted(i, u, call, term),
-            Happening::Read(i, call) => self.store_read(i, call),
-            Happening::Swap(i, call, expected, record) => {
+        match task {
+            Task::Step(i, event) => self.step(i, event),
+            Task::Wake(i, at, incarnation) => self.wake(i, at, incarnation),
+            Task::Request(i, u, call, order) => self.on_request(i, u, call, order),
+            Task::Promoted(i, u, call, term) => self.promoted(i, u, call, term),
+            Task::Read(i, call) => self.store_read(i, call),
+            Task::Swap(i, call, expected, record) => {
                 self.store_swap(i, call, expected, record);
             }
-            Happening::Caller(i, life) => self.caller(i, life),
-            Happening::Write(i, u, id, term) => self.write(i, u, id, term),
-            Happening::Written(i, u, id, asked, result) => self.written(i, u, id, asked, result),
-            Happening::Poll(i, u, asked) => self.poll(i, u, asked),
-            Happening::Polled(i, u, asked, report) => self.polled(i, u, asked, &report),
-            Happening::Beat(u) => self.beat(u),
-            Happening::Log(from, to, term, len) => self.log(from, to, term, len),
-            Happening::Stall(host, span) => self.pause(host, span),
-            Happening::List => self.list(),
+            Task::IssueWrite(i, incarnation) => self.issue_write(i, incarnation),
+            Task::Write(i, u, id, term) => self.write(i, u, id, term),
+            Task::Written(i, u, id, asked, result) => self.written(i, u, id, asked, result),
+            Task::Poll(i, u, asked) => self.poll(i, u, asked),
+            Task::Polled(i, u, asked, report) => self.polled(i, u, asked, &report),
+            Task::PushLog(u) => self.push_periodically(u),
+            Task::ReceiveLog(from, to, term, len) => self.receive_log(from, to, term, len),
+            Task::Stall(host, span) => self.pause(host, span),
+            Task::UpdateMembers => self.update_members(),
         }
     }
 
     /// Until when the host to which this happens is paused.
-    fn paused(&self, happening: &Happening) -> Option<Instant> {
-        let host = match happening {
-            Happening::Step(i, _)
-            | Happening::Wake(i, ..)
-            | Happening::Caller(i, _)
-            | Happening::Written(i, ..)
-            | Happening::Polled(i, ..) => Host::Proxy(*i),
-            Happening::Ask(_, u, ..)
-            | Happening::Promoted(_, u, ..)
-            | Happening::Write(_, u, ..)
-            | Happening::Poll(_, u, _)
-            | Happening::Beat(u)
-            | Happening::Log(_, u, ..) => Host::Server(*u),
-            Happening::Read(..) | Happening::Swap(..) | Happening::Stall(..) | Happening::List => {
+    fn paused(&self, task: &Task) -> Option<Instant> {
+        let host = match task {
+            Task::Step(i, _)
+            | Task::Wake(i, ..)
+            | Task::IssueWrite(i, _)
+            | Task::Written(i, ..)
+            | Task::Polled(i, ..) => Host::Instance(*i),
+            Task::Request(_, u, ..)
+            | Task::Promoted(_, u, ..)
+            | Task::Write(_, u, ..)
+            | Task::Poll(_, u, _)
+            | Task::PushLog(u)
+            | Task::ReceiveLog(_, u, ..) => Host::Server(*u),
+            Task::Read(..) | Task::Swap(..) | Task::Stall(..) | Task::UpdateMembers => {
                 return None;
             }
         };
@@ -302,11 +299,11 @@
     }
 
     /// Ordinary jitter: now and then a host stalls for a moment.
-    pub(crate) fn stalls(&mut self, span: Duration) {
+    pub(crate) fn schedule_stalls(&mut self, span: Duration) {
         let end = self.now + span;
-        let proxies = (0..self.proxies.len()).map(|i| (Host::Proxy(i), 120.0, 200));
+        let instances = (0..self.instances.len()).map(|i| (Host::Instance(i), 120.0, 200));
         let servers = (0..self.servers.len()).map(|u| (Host::Server(u), 60.0, 250));
-        for (host, every, longest) in proxies.chain(servers).collect::<Vec<_>>() {
+        for (host, every, longest) in instances.chain(servers).collect::<Vec<_>>() {
             let mut at = self.now;
             loop {
                 let wait = -f64::ln(1.0 - self.rng.random::<f64>()) * every;
@@ -315,20 +312,20 @@
                     break;
                 }
                 let span = Duration::from_millis(self.rng.random_range(10..longest));
-                self.after(at.since(self.now), Happening::Stall(host, span));
+                self.schedule(at.since(self.now), Task::Stall(host, span));
             }
         }
     }
 
-    fn wake(&mut self, i: usize, at: Instant, life: u32) {
-        if self.proxies[i].life == life && self.proxies[i].wake == Some(at) {
+    fn wake(&mut self, i: usize, at: Instant, incarnation: u32) {
+        if self.instances[i].incarnation == incarnation && self.instances[i].wake == Some(at) {
             self.step(i, Event::Tick);
         }
     }
 
     pub(crate) fn step(&mut self, i: usize, event: Event) {
         let now = self.now;
-        let Some(group) = self.proxies[i].group.as_mut() else {
+        let Some(group) = self.instances[i].group.as_mut() else {
             return;
         };
         let before = group.state();
@@ -336,90 +333,90 @@
         let after = group.state();
         if before != after {
             self.trace.push((now, i, after));
-            if self.spring(i, after) {
+            if self.inject(i, after) {
                 return;
             }
         }
-        self.primary(i);
+        self.update_quorum(i);
         for action in actions {
             self.act(i, action);
         }
     }
 
     /// Springs the first trap set for a state; true if nothing may leave.
-    fn spring(&mut self, i: usize, state: State) -> bool {
-        let Some(at) = self.traps.iter().position(|t| t.state == state) else {
+    fn inject(&mut self, i: usize, state: State) -> bool {
+        let Some(at) = self.injections.iter().position(|t| t.state == state) else {
             return false;
         };
-        match self.traps.remove(at).spring {
-            Spring::DieBefore => {
-                self.proxies[i].group = None;
+        match self.injections.remove(at).fault {
+            InjectedFault::DieBefore => {
+                self.instances[i].group = None;
                 return true;
             }
-            Spring::DieAfter => {
-                let life = self.proxies[i].life;
-                self.proxies[i].dying = Some(life);
+            InjectedFault::DieAfter => {
+                let incarnation = self.instances[i].incarnation;
+                self.instances[i].dies_after_step = Some(incarnation);
             }
-            Spring::Pause(span) => self.pause(Host::Proxy(i), span),
-            Spring::StoreDown => self.store.down = true,
-            Spring::LoseAnswers(answers) => self.store.lose = answers,
+            InjectedFault::Pause(span) => self.pause(Host::Instance(i), span),
+            InjectedFault::StoreDown => self.store.down = true,
+            InjectedFault::LoseAnswers(answers) => self.store.answers_to_lose = answers,
         }
         false
     }
 
     fn act(&mut self, i: usize, action: Action) {
-        let me = Host::Proxy(i);
+        let me = Host::Instance(i);
         match action {
             Action::Probe { call, upstream } => {
-                let u = upstream::number(&upstream);
-                self.send(me, Host::Server(u), Happening::Ask(i, u, call, None));
+                let u = upstream::index(&upstream);
+                self.send(me, Host::Server(u), Task::Request(i, u, call, None));
             }
             Action::Order {
                 call,
                 upstream,
                 order,
             } => {
-                let u = upstream::number(&upstream);
-                self.send(me, Host::Server(u), Happening::Ask(i, u, call, Some(order)));
+                let u = upstream::index(&upstream);
+                self.send(me, Host::Server(u), Task::Request(i, u, call, Some(order)));
             }
             Action::SendEvidence { to, evidence } => {
-                let j = instance::number(&to);
+                let j = instance::index(&to);
                 let event = Event::Evidence {
-                    from: instance::instance(i),
-                    zone: zone(i % self.setup.zones),
+                    from: instance::instance_name(i),
+                    zone: zone_name(i % self.setup.zones),
                     evidence,
                 };
-                self.send(me, Host::Proxy(j), Happening::Step(j, event));
+                self.send(me, Host::Instance(j), Task::Step(j, event));
             }
-            Action::Read { call } => self.send(me, Host::Store, Happening::Read(i, call)),
+            Action::Read { call } => self.send(me, Host::Store, Task::Read(i, call)),
             Action::Swap {
                 call,
                 expected,
                 record,
-            } => self.send(me, Host::Store, Happening::Swap(i, call, expected, record)),
+            } => self.send(me, Host::Store, Task::Swap(i, call, expected, record)),
             Action::Announce(entry) => self.announce(i, &entry),
             Action::Wake { at } => {
-                let life = self.proxies[i].life;
-                self.proxies[i].wake = Some(at);
-                self.after(at.since(self.now), Happening::Wake(i, at, life));
+                let incarnation = self.instances[i].incarnation;
+                self.instances[i].wake = Some(at);
+                self.schedule(at.since(self.now), Task::Wake(i, at, incarnation));
             }
         }
-        if self.proxies[i].dying == Some(self.proxies[i].life) {
+        if self.instances[i].dies_after_step == Some(self.instances[i].incarnation) {
             // Dies once the messages of this step have left.
-            self.proxies[i].dying = None;
-            self.proxies[i].doomed = true;
+            self.instances[i].dies_after_step = None;
+            self.instances[i].dies_on_next_write = true;
         }
     }
 
     fn announce(&mut self, i: usize, entry: &Entry) {
-        for j in (0..self.proxies.len()).filter(|j| *j != i) {
+        for j in (0..self.instances.len()).filter(|j| *j != i) {
             let event = Event::Announced(entry.clone());
-            self.send(Host::Proxy(i), Host::Proxy(j), Happening::Step(j, event));
+            self.send(Host::Instance(i), Host::Instance(j), Task::Step(j, event));
         }
     }
 
     /// A number for a new write.
-    fn number(&mut self) -> u64 {
+    fn next_write(&mut self) -> u64 {
         self.writes += 1;
         self.writes
     }
@@ -440,8 +437,8 @@
 
     /// When the first write issued at an instance since a moment was
     /// acknowledged.
-    pub(crate) fn landed(&self, i: usize, since: Instant) -> Option<Instant> {
-        let later = self.proxies[i]
+    pub(crate) fn first_ack(&self, i: usize, since: Instant) -> Option<Instant> {
+        let later = self.instances[i]
             .acked
             .iter()
             .filter(|(issued, _)| *issued >= since);
@@ -449,10 +446,10 @@
     }
 
     /// How long after a moment writes landed at each of these instances again.
-    pub(crate) fn gap(&self, proxies: &[usize], since: Instant) -> Option<Duration> {
-        let landed = proxies.iter().map(|&i| self.landed(i, since));
-        let landed: Option<Vec<Instant>> = landed.collect();
-        Some(landed?.into_iter().max()?.since(since))
+    pub(crate) fn gap(&self, instances: &[usize], since: Instant) -> Option<Duration> {
+        let first_ack = instances.iter().map(|&i| self.first_ack(i, since));
+        let first_ack: Option<Vec<Instant>> = first_ack.collect();
+        Some(first_ack?.into_iter().max()?.since(since))
     }
 
     /// When a state was first entered since a moment, and by whom.
@@ -466,7 +463,7 @@
 
     /// Checks that nothing acknowledged was lost and no promise was broken.
     pub(crate) fn verify(&mut self) {
-        self.check.survived(&self.servers);
+        self.check.check_survival(&self.servers);
         assert_eq!(self.check.violations, []);
     }
 }
--- a/crates/failover/tests/failover/world/check.rs
+++ b/crates/failover/tests/failover/world/check.rs
@@ -16,7 +16,7 @@
     /// not have the write.
     Replaced { write: u64, term: Term, by: Term },
     /// Two upstreams were promoted in one term.
-    Twice { term: Term },
+    TwoPrimaries { term: Term },
 }
 
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     pub(crate) promotions: Vec<(Instant, Term, usize)>,
     leaders: BTreeMap<Term, usize>,
     acked: Vec<(u64, Position)>,
-    highest: Term,
+    highest_term: Term,
     pub(crate) violations: Vec<Violation>,
 }
 
@@ -32,17 +32,17 @@
     pub(crate) fn promoted(&mut self, now: Instant, term: Term, u: usize) {
         self.promotions.push((now, term, u));
         if self.leaders.insert(term, u).is_some_and(|other| other != u) {
-            self.violations.push(Violation::Twice { term });
+            self.violations.push(Violation::TwoPrimaries { term });
         }
     }
 
     pub(crate) fn acknowledged(&mut self, servers: &[Server], write: u64, position: Position) {
         let term = position.term;
-        if term > self.highest {
-            self.highest = term;
-            self.survived(servers);
+        if term > self.highest_term {
+            self.highest_term = term;
+            self.check_survival(servers);
         }
-        let by = self.highest;
+        let by = self.highest_term;
         if term < by && !self.leader(servers, by).holds(write) {
             self.violations
                 .push(Violation::Replaced { write, term, by });
@@ -55,8 +55,8 @@
     }
 
     /// Whether all that was acknowledged is in the highest primary's log.
-    pub(crate) fn survived(&mut self, servers: &[Server]) {
-        let term = self.highest;
+    pub(crate) fn check_survival(&mut self, servers: &[Server]) {
+        let term = self.highest_term;
         let leader = self.leader(servers, term);
         let held: std::collections::BTreeSet<u64> = leader.log.iter().map(|(_, w)| *w).collect();
         for (write, _) in &self.acked {
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(crate) fn acks(&self) -> usize {
+    pub(crate) fn ack_count(&self) -> usize {
         self.acked.len()
     }
 }
--- a/crates/failover/tests/failover/world/instance.rs
+++ b/crates/failover/tests/failover/world/instance.rs
@@ -6,15 +6,15 @@
 use failover::{CANDIDATES, Conf, Group, Member, Primary, Quorum, Status};
 use model::{Position, Report, name};
 
-use super::{Happening, Host, Setup, World, id, upstream, zone};
+use super::{Host, Setup, Task, World, id, upstream_name, zone_name};
 
-pub(crate) struct Proxy {
+pub(crate) struct Instance {
     pub(crate) group: Option<Group>,
     pub(crate) wake: Option<Instant>,
     /// Counts restarts, so that nothing from a former life is taken.
-    pub(crate) life: u32,
-    pub(crate) dying: Option<u32>,
-    pub(crate) doomed: bool,
+    pub(crate) incarnation: u32,
+    pub(crate) dies_after_step: Option<u32>,
+    pub(crate) dies_on_next_write: bool,
     primary: Option<Primary>,
     quorum: Option<Quorum>,
     issued: BTreeMap<u64, (Instant, Position)>,
@@ -22,11 +22,11 @@
     pub(crate) acked: Vec<(Instant, Instant)>,
 }
 
-pub(crate) fn instance(i: usize) -> name::Instance {
+pub(crate) fn instance_name(i: usize) -> name::Instance {
     name::Instance::new(&format!("i{i}")).unwrap()
 }
 
-pub(crate) fn number(name: &name::Instance) -> usize {
+pub(crate) fn index(name: &name::Instance) -> usize {
     name.as_str()[1..].parse().unwrap()
 }
 
@@ -36,18 +36,18 @@
             true => Status::Leaving,
             false => Status::Active,
         };
-        let zone = zone(u);
-        (upstream(u), Member { zone, status })
+        let zone = zone_name(u);
+        (upstream_name(u), Member { zone, status })
     };
     (0..setup.upstreams).map(member).collect()
 }
 
-impl Proxy {
+impl Instance {
     pub(crate) fn open(setup: &Setup, i: usize, seed: u64, now: Instant) -> Self {
         let conf = Conf {
             database: name::Database::new("holdings").unwrap(),
-            instance: instance(i),
-            zone: zone(i % setup.zones),
+            instance: instance_name(i),
+            zone: zone_name(i % setup.zones),
             upstreams: members(setup, None),
             candidates: CANDIDATES,
             seed,
@@ -56,9 +56,9 @@
         Self {
             group: Some(Group::open(conf, now).unwrap()),
             wake: None,
-            life: 0,
-            dying: None,
-            doomed: false,
+            incarnation: 0,
+            dies_after_step: None,
+            dies_on_next_write: false,
             primary: None,
             quorum: None,
             issued: BTreeMap::new(),
@@ -69,56 +69,56 @@
 
 impl World {
     /// Lets the instance's write quorum know who leads.
-    pub(crate) fn primary(&mut self, i: usize) {
-        let size = self.setup.majority_of;
-        let proxy = &mut self.proxies[i];
-        let primary = proxy.group.as_ref().and_then(Group::primary);
-        if primary == proxy.primary.as_ref() {
+    pub(crate) fn update_quorum(&mut self, i: usize) {
+        let size = self.setup.quorum_size;
+        let instance = &mut self.instances[i];
+        let primary = instance.group.as_ref().and_then(Group::primary);
+        if primary == instance.primary.as_ref() {
             return;
         }
-        proxy.primary = primary.cloned();
-        let Some(primary) = &proxy.primary else {
+        instance.primary = primary.cloned();
+        let Some(primary) = &instance.primary else {
             return;
         };
-        proxy.issued.clear();
-        match &mut proxy.quorum {
+        instance.issued.clear();
+        match &mut instance.quorum {
             Some(quorum) => drop(quorum.replace_primary(primary.term, primary.upstream.clone())),
             quorum => *quorum = Some(Quorum::open(size, primary.term, primary.upstream.clone())),
         }
     }
 
-    pub(crate) fn caller(&mut self, i: usize, life: u32) {
-        if self.proxies[i].life != life {
+    pub(crate) fn issue_write(&mut self, i: usize, incarnation: u32) {
+        if self.instances[i].incarnation != incarnation {
             return;
         }
-        if std::mem::take(&mut self.proxies[i].doomed) {
-            self.proxies[i].group = None;
+        if std::mem::take(&mut self.instances[i].dies_on_next_write) {
+            self.instances[i].group = None;
         }
-        if self.proxies[i].group.is_none() {
+        if self.instances[i].group.is_none() {
             return;
         }
-        let every = self.setup.write_every;
-        self.after(every, Happening::Caller(i, life));
+        let every = self.setup.write_interval;
+        self.schedule(every, Task::IssueWrite(i, incarnation));
         let now = self.now;
-        if self.proxies[i]
+        if self.instances[i]
             .quorum
             .as_ref()
             .is_some_and(|q| q.waiting() > 0)
         {
             for u in 0..self.servers.len() {
-                self.send(Host::Proxy(i), Host::Server(u), Happening::Poll(i, u, now));
+                self.send(Host::Instance(i), Host::Server(u), Task::Poll(i, u, now));
             }
         }
-        let Some(primary) = self.proxies[i].primary.clone() else {
+        let Some(primary) = self.instances[i].primary.clone() else {
             return;
         };
-        let write = self.number();
-        let u = super::upstream::number(&primary.upstream);
-        self.proxies[i]
+        let write = self.next_write();
+        let u = super::upstream::index(&primary.upstream);
+        self.instances[i]
             .issued
             .insert(write, (now, Position::default()));
-        let happening = Happening::Write(i, u, write, primary.term);
-        self.send(Host::Proxy(i), Host::Server(u), happening);
+        let task = Task::Write(i, u, write, primary.term);
+        self.send(Host::Instance(i), Host::Server(u), task);
     }
 
     pub(crate) fn written(
@@ -129,41 +129,41 @@
         asked: Instant,
         result: Option<(Position, Report)>,
     ) {
-        let proxy = &mut self.proxies[i];
-        let (Some((position, report)), Some(quorum)) = (result, proxy.quorum.as_mut()) else {
-            proxy.issued.remove(&write);
+        let instance = &mut self.instances[i];
+        let (Some((position, report)), Some(quorum)) = (result, instance.quorum.as_mut()) else {
+            instance.issued.remove(&write);
             return;
         };
-        let Some(issued) = proxy.issued.get_mut(&write) else {
+        let Some(issued) = instance.issued.get_mut(&write) else {
             return;
         };
         issued.1 = position;
         let mut done = Vec::new();
-        if let Ok(Some(landed)) = quorum.add_write(id(write), position) {
-            done.push(landed);
+        if let Ok(Some(first_ack)) = quorum.add_write(id(write), position) {
+            done.push(first_ack);
         }
-        done.extend(quorum.report(&upstream(u), asked, &report));
+        done.extend(quorum.report(&upstream_name(u), asked, &report));
         self.acknowledge(i, done);
     }
 
     pub(crate) fn polled(&mut self, i: usize, u: usize, asked: Instant, report: &Report) {
-        let Some(quorum) = &mut self.proxies[i].quorum else {
+        let Some(quorum) = &mut self.instances[i].quorum else {
             return;
         };
         let mut report = *report;
-        if self.setup.blind {
+        if self.setup.ignores_fences {
             report.fenced = report.fenced.min(quorum.term());
         }
-        let done = quorum.report(&upstream(u), asked, &report);
+        let done = quorum.report(&upstream_name(u), asked, &report);
         self.acknowledge(i, done);
     }
 
     fn acknowledge(&mut self, i: usize, done: Vec<failover::quorum::Id>) {
         for done in done {
-            let Some((at, position)) = self.proxies[i].issued.remove(&done.0) else {
+            let Some((at, position)) = self.instances[i].issued.remove(&done.0) else {
                 continue;
             };
-            self.proxies[i].acked.push((at, self.now));
+            self.instances[i].acked.push((at, self.now));
             self.check.acknowledged(&self.servers, done.0, position);
         }
     }
--- a/crates/failover/tests/failover/world/net.rs
+++ b/crates/failover/tests/failover/world/net.rs
@@ -13,7 +13,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Host {
-    Proxy(usize),
+    Instance(usize),
     Server(usize),
     Store,
 }
@@ -29,7 +29,7 @@
 impl Host {
     fn zone(self, setup: &Setup) -> Option<usize> {
         match self {
-            Self::Proxy(at) => Some(at % setup.zones),
+            Self::Instance(at) => Some(at % setup.zones),
             Self::Server(at) => Some(at),
             Self::Store => None,
         }
@@ -37,36 +37,36 @@
 }
 
 impl Net {
-    pub(crate) fn cut(&self, one: Host, other: Host) -> bool {
+    pub(crate) fn is_cut(&self, one: Host, other: Host) -> bool {
         self.cuts.contains(&(one, other))
     }
 
-    pub(crate) fn part(&mut self, one: Host, other: Host) {
+    pub(crate) fn cut(&mut self, one: Host, other: Host) {
         self.cuts.insert((one, other));
         self.cuts.insert((other, one));
     }
 
-    pub(crate) fn part_one_way(&mut self, from: Host, to: Host) {
+    pub(crate) fn cut_one_way(&mut self, from: Host, to: Host) {
         self.cuts.insert((from, to));
     }
 
-    pub(crate) fn join(&mut self, one: Host, other: Host) {
+    pub(crate) fn restore(&mut self, one: Host, other: Host) {
         self.cuts.remove(&(one, other));
         self.cuts.remove(&(other, one));
     }
 
     /// Cuts a zone from all others and from the store.
-    pub(crate) fn part_zone(&mut self, setup: &Setup, zone: usize) {
+    pub(crate) fn cut_zone(&mut self, setup: &Setup, zone: usize) {
         let hosts = hosts(setup);
         for one in hosts.iter().filter(|h| h.zone(setup) == Some(zone)) {
             for other in hosts.iter().filter(|h| h.zone(setup) != Some(zone)) {
-                self.part(*one, *other);
+                self.cut(*one, *other);
             }
         }
     }
 
     /// Parts the zones below one from the others; the store stays with either.
-    pub(crate) fn split(&mut self, setup: &Setup, below: usize) {
+    pub(crate) fn split_zones(&mut self, setup: &Setup, below: usize) {
         let hosts = hosts(setup);
         for one in hosts
             .iter()
@@ -76,15 +76,15 @@
                 .iter()
                 .filter(|h| h.zone(setup).is_some_and(|z| z >= below))
             {
-                self.part(*one, *other);
+                self.cut(*one, *other);
             }
         }
     }
 
     /// Cuts an upstream from everything, its own zone's hosts excepted.
-    pub(crate) fn part_server(&mut self, setup: &Setup, u: usize) {
+    pub(crate) fn cut_server(&mut self, setup: &Setup, u: usize) {
         for other in hosts(setup).iter().filter(|h| h.zone(setup) != Some(u)) {
-            self.part(Host::Server(u), *other);
+            self.cut(Host::Server(u), *other);
         }
     }
 
@@ -109,8 +109,8 @@
     ) -> Duration {
         let base = match (from.zone(setup), to.zone(setup)) {
             (Some(one), Some(other)) if one == other => Duration::from_micros(100),
-            (Some(_), Some(_)) => setup.between,
-            _ => setup.store / 2,
+            (Some(_), Some(_)) => setup.zone_latency,
+            _ => setup.store_latency / 2,
         };
         let spread = -f64::ln(1.0 - rng.random::<f64>()) * 0.2;
         let mut latency = base.mul_f64(1.0 + spread);
@@ -123,7 +123,7 @@
 }
 
 pub(crate) fn hosts(setup: &Setup) -> Vec<Host> {
-    let proxies = (0..setup.instances).map(Host::Proxy);
+    let instances = (0..setup.instances).map(Host::Instance);
     let servers = (0..setup.upstreams).map(Host::Server);
-    proxies.chain(servers).chain([Host::Store]).collect()
+    instances.chain(servers).chain([Host::Store]).collect()
 }
--- a/crates/failover/tests/failover/world/store.rs
+++ b/crates/failover/tests/failover/world/store.rs
@@ -5,7 +5,7 @@
 use failover::{ABSENT_REVISION, Call, Entry, Event, StoreFault};
 use model::{Lsn, Phase, Record, Term};
 
-use super::{Happening, Host, World, upstream};
+use super::{Host, Task, World, upstream_name};
 
 #[derive(Debug)]
 pub(crate) struct Store {
@@ -13,14 +13,14 @@
     pub(crate) down: bool,
     pub(crate) slow: Duration,
     /// How many of the next answers are lost after the call took effect.
-    pub(crate) lose: u32,
+    pub(crate) answers_to_lose: u32,
     pub(crate) swaps: u32,
 }
 
 impl Store {
-    pub(crate) fn open(recorded: bool) -> Self {
+    pub(crate) fn open(has_record: bool) -> Self {
         let phase = Phase::Led {
-            upstream: upstream(0),
+            upstream: upstream_name(0),
         };
         let record = Record {
             term: Term(1),
@@ -33,10 +33,10 @@
             record,
         };
         Self {
-            entry: recorded.then_some(entry),
+            entry: has_record.then_some(entry),
             down: false,
             slow: Duration::ZERO,
-            lose: 0,
+            answers_to_lose: 0,
             swaps: 0,
         }
     }
@@ -73,12 +73,12 @@
     }
 
     fn store_answer(&mut self, i: usize, event: Event) {
-        if self.store.lose > 0 {
-            self.store.lose -= 1;
+        if self.store.answers_to_lose > 0 {
+            self.store.answers_to_lose -= 1;
             return;
         }
         let slow = self.store.slow;
-        self.send_later(slow, Host::Store, Host::Proxy(i), Happening::Step(i, event));
+        self.send_later(slow, Host::Store, Host::Instance(i), Task::Step(i, event));
     }
 
     /// Shows the record to all watches.
@@ -87,13 +87,13 @@
             return;
         };
         let slow = self.store.slow;
-        for j in 0..self.proxies.len() {
+        for j in 0..self.instances.len() {
             let event = Event::Watched(entry.clone());
-            self.send_later(slow, Host::Store, Host::Proxy(j), Happening::Step(j, event));
+            self.send_later(slow, Host::Store, Host::Instance(j), Task::Step(j, event));
         }
     }
 
-    pub(crate) fn store_up(&mut self) {
+    pub(crate) fn restore_store(&mut self) {
         self.store.down = false;
         self.store.slow = Duration::ZERO;
         self.store_watch();
--- a/crates/failover/tests/failover/world/upstream.rs
+++ b/crates/failover/tests/failover/world/upstream.rs
@@ -5,7 +5,7 @@
 use failover::{Call, Event, Fault, Order};
 use model::{Lsn, Position, Report, Role, Term, name};
 
-use super::{Happening, Host, World};
+use super::{Host, Task, World};
 
 /// How an upstream is down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,10 +17,10 @@
 }
 
 /// Between two pushes of the log when nothing is written.
-const BEAT: Duration = Duration::from_millis(20);
+const PUSH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a replica takes to connect to a new primary.
-const CONNECT: Duration = Duration::from_millis(10);
+const CONNECT_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 pub(crate) struct Server {
@@ -41,7 +41,7 @@
     pub(crate) lag: Duration,
 }
 
-pub(crate) fn number(name: &name::Upstream) -> usize {
+pub(crate) fn index(name: &name::Upstream) -> usize {
     name.as_str()[1..].parse().unwrap()
 }
 
@@ -66,9 +66,9 @@
         }
     }
 
-    pub(crate) fn report(&self, eager: bool) -> Report {
+    pub(crate) fn report(&self, reports_term_early: bool) -> Report {
         let mut term = self.log.last().map_or(Term(0), |(term, _)| *term);
-        if eager {
+        if reports_term_early {
             term = term.max(self.ordered);
         }
         let lsn = Lsn(self.log.len() as u64);
@@ -84,13 +84,13 @@
         self.log.iter().any(|(_, w)| *w == write)
     }
 
-    fn takes_writes(&self, term: Term) -> bool {
+    fn accepts_writes(&self, term: Term) -> bool {
         self.role == Role::Primary && self.leads == term && self.fenced == term
     }
 }
 
 impl World {
-    pub(crate) fn ask(&mut self, i: usize, u: usize, call: Call, order: Option<Order>) {
+    pub(crate) fn on_request(&mut self, i: usize, u: usize, call: Call, order: Option<Order>) {
         match self.servers[u].down {
             Some(Down::Process) => return self.reply(i, u, call, Err(Fault::Refused)),
             Some(Down::Host) => return,
@@ -113,31 +113,31 @@
             None => {}
             Some(Order::Fence { .. }) => self.fence(u, term),
             Some(Order::Promote { .. }) => {
-                let happening = Happening::Promoted(i, u, call, term);
-                let took = self.setup.promote;
-                return self.after(took, happening);
+                let task = Task::Promoted(i, u, call, term);
+                let took = self.setup.promotion_time;
+                return self.schedule(took, task);
             }
-            Some(Order::Follow { upstream, .. }) => self.follow(u, term, number(&upstream)),
+            Some(Order::Follow { upstream, .. }) => self.follow(u, term, index(&upstream)),
         }
-        let report = self.servers[u].report(self.setup.eager);
+        let report = self.servers[u].report(self.setup.reports_term_early);
         self.reply(i, u, call, Ok(report));
     }
 
     fn reply(&mut self, i: usize, u: usize, call: Call, result: Result<Report, Fault>) {
         let event = Event::Answer {
             call,
-            upstream: super::upstream(u),
+            upstream: super::upstream_name(u),
             result,
         };
-        self.send(Host::Server(u), Host::Proxy(i), Happening::Step(i, event));
+        self.send(Host::Server(u), Host::Instance(i), Task::Step(i, event));
     }
 
     fn fence(&mut self, u: usize, term: Term) {
-        let lingering = self.setup.lingering;
+        let fence_lingers = self.setup.fence_lingers;
         let server = &mut self.servers[u];
         if server.fenced < term {
             server.fenced = term;
-            if !lingering {
+            if !fence_lingers {
                 server.follows = None;
             }
         }
@@ -160,7 +160,7 @@
             server.log.push((term, 0));
             self.check.promoted(self.now, term, u);
         }
-        let report = self.servers[u].report(self.setup.eager);
+        let report = self.servers[u].report(self.setup.reports_term_early);
         self.reply(i, u, call, Ok(report));
     }
 
@@ -174,10 +174,10 @@
         server.follows = Some((leader, term));
         server.ordered = term;
         server.synced = false;
-        let wait = CONNECT + server.lag;
+        let wait = CONNECT_TIME + server.lag;
         let len = self.servers[leader].log.len();
-        let happening = Happening::Log(leader, u, term, len);
-        self.send_later(wait, Host::Server(leader), Host::Server(u), happening);
+        let task = Task::ReceiveLog(leader, u, term, len);
+        self.send_later(wait, Host::Server(leader), Host::Server(u), task);
     }
 
     pub(crate) fn write(&mut self, i: usize, u: usize, id: u64, term: Term) {
@@ -187,7 +187,7 @@
             Some(Down::Process) => return self.answer_write(i, u, id, asked, false),
             None => {}
         }
-        let taken = self.servers[u].takes_writes(term);
+        let taken = self.servers[u].accepts_writes(term);
         if taken {
             self.servers[u].log.push((term, id));
             self.push(u);
@@ -196,10 +196,10 @@
     }
 
     fn answer_write(&mut self, i: usize, u: usize, id: u64, asked: clock::Instant, taken: bool) {
-        let report = self.servers[u].report(self.setup.eager);
+        let report = self.servers[u].report(self.setup.reports_term_early);
         let result = taken.then_some((report.received, report));
-        let happening = Happening::Written(i, u, id, asked, result);
-        self.send(Host::Server(u), Host::Proxy(i), happening);
+        let task = Task::Written(i, u, id, asked, result);
+        self.send(Host::Server(u), Host::Instance(i), task);
     }
 
     /// Sends the log to every replica; one that follows another drops it.
@@ -207,19 +207,19 @@
         let (term, len) = (self.servers[u].leads, self.servers[u].log.len());
         for to in (0..self.servers.len()).filter(|to| *to != u) {
             let lag = self.servers[to].lag;
-            let happening = Happening::Log(u, to, term, len);
-            self.send_later(lag, Host::Server(u), Host::Server(to), happening);
+            let task = Task::ReceiveLog(u, to, term, len);
+            self.send_later(lag, Host::Server(u), Host::Server(to), task);
         }
     }
 
-    pub(crate) fn beat(&mut self, u: usize) {
-        self.after(BEAT, Happening::Beat(u));
+    pub(crate) fn push_periodically(&mut self, u: usize) {
+        self.schedule(PUSH_INTERVAL, Task::PushLog(u));
         if self.servers[u].down.is_none() && self.servers[u].role == Role::Primary {
             self.push(u);
         }
     }
 
-    pub(crate) fn log(&mut self, from: usize, to: usize, term: Term, len: usize) {
+    pub(crate) fn receive_log(&mut self, from: usize, to: usize, term: Term, len: usize) {
         let current = self.servers[from].leads == term && self.servers[from].role == Role::Primary;
         let server = &self.servers[to];
         if server.down.is_some() || server.follows != Some((from, term)) || !current {
@@ -243,8 +243,8 @@
         if self.servers[u].down.is_some() {
             return;
         }
-        let report = self.servers[u].report(self.setup.eager);
-        let happening = Happening::Polled(i, u, asked, report);
-        self.send(Host::Server(u), Host::Proxy(i), happening);
+        let report = self.servers[u].report(self.setup.reports_term_early);
+        let task = Task::Polled(i, u, asked, report);
+        self.send(Host::Server(u), Host::Instance(i), task);
     }
 }
--- a/crates/failover/tests/quorum.rs
+++ b/crates/failover/tests/quorum.rs
@@ -25,7 +25,7 @@
     report(Role::Replica, 4, 4, lsn)
 }
 
-fn open() -> Quorum {
+fn new_quorum() -> Quorum {
     Quorum::open(3, Term(4), upstream("a"))
 }
 
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_write_lands_with_the_second_holder() {
-    let mut quorum = open();
+fn a_write_is_acknowledged_with_the_second_holder() {
+    let mut quorum = new_quorum();
     for id in 1..=3 {
         assert_eq!(
             quorum.add_write(Id(id), Position::new(4, id * 10)),
@@ -61,7 +61,7 @@
 /// term's log and must not count.
 #[test]
 fn a_place_in_another_terms_log_does_not_count() {
-    let mut quorum = open();
+    let mut quorum = new_quorum();
     quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
     quorum.report(&upstream("a"), at(1), &primary(10));
     let older = report(Role::Replica, 4, 3, 99);
@@ -72,7 +72,7 @@
 /// answered a promoter before the write reached it.
 #[test]
 fn a_replica_that_is_fenced_higher_does_not_count() {
-    let mut quorum = open();
+    let mut quorum = new_quorum();
     quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
     quorum.report(&upstream("a"), at(1), &primary(10));
     let fenced = report(Role::Replica, 5, 4, 10);
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn a_change_of_primary_gives_back_all_that_waits() {
-    let mut quorum = open();
+fn a_change_of_primary_returns_all_waiting() {
+    let mut quorum = new_quorum();
     quorum.add_write(Id(1), Position::new(4, 10)).unwrap();
     quorum.add_read(Id(2), at(1));
     assert_eq!(quorum.replace_primary(Term(4), upstream("b")), []);
@@ -103,7 +103,7 @@
 /// began; answers to earlier probes may predate a change of primary.
 #[test]
 fn a_read_is_confirmed_only_by_later_probes() {
-    let mut quorum = open();
+    let mut quorum = new_quorum();
     quorum.add_read(Id(1), at(10));
     quorum.report(&upstream("a"), at(9), &primary(1));
     assert_eq!(quorum.report(&upstream("b"), at(9), &replica(1)), []);
@@ -114,7 +114,7 @@
 /// Both replicas answer, the primary does not, or is no primary any more.
 #[test]
 fn a_read_needs_the_primary_itself() {
-    let mut quorum = open();
+    let mut quorum = new_quorum();
     quorum.add_read(Id(1), at(1));
     quorum.report(&upstream("b"), at(2), &replica(1));
     assert_eq!(quorum.report(&upstream("c"), at(2), &replica(1)), []);
@@ -126,8 +126,8 @@
 }
 
 #[test]
-fn what_is_cancelled_is_not_given_back() {
-    let mut quorum = open();
+fn cancelled_writes_and_reads_are_not_returned() {
+    let mut quorum = new_quorum();
     let position = Position::new(4, 10);
     quorum.add_write(Id(1), position).unwrap();
     quorum.add_read(Id(2), at(1));
--- a/crates/pool/examples/cost.rs
+++ b/crates/pool/examples/cost.rs
@@ -23,7 +23,7 @@
 
 struct Bench {
     pool: Pool,
-    made: u64,
+    sequence: u64,
     entry: name::Entry,
     tenants: Vec<name::Tenant>,
     running: Option<Handle>,
@@ -41,7 +41,7 @@
         let tenant = |it| name::Tenant::new(&format!("t{it}")).expect("a valid name");
         let mut bench = Self {
             pool: Pool::open(conf, 1),
-            made: 0,
+            sequence: 0,
             entry: name::Entry::new("pay").expect("a valid name"),
             tenants: (0..TENANTS).map(tenant).collect(),
             running: None,
@@ -55,7 +55,7 @@
     }
 
     /// Has `length` requests of another entry wait for its only connection.
-    fn stick(&mut self, now: Instant, length: u64) {
+    fn queue_blocked(&mut self, now: Instant, length: u64) {
         let entry = name::Entry::new("narrow").expect("a valid name");
         for _ in 0..=length {
             self.request(now, entry.clone(), 1);
@@ -71,15 +71,15 @@
     }
 
     fn request(&mut self, now: Instant, entry: name::Entry, connections: u16) {
-        self.made += 1;
+        self.sequence += 1;
         let request = Request {
-            ticket: Ticket(self.made),
+            ticket: Ticket(self.sequence),
             entry,
             limits: Limits {
                 connections,
                 queue: 10_000,
             },
-            tenant: self.tenants[(self.made % TENANTS) as usize].clone(),
+            tenant: self.tenants[(self.sequence % TENANTS) as usize].clone(),
             weight: NonZeroU32::MIN,
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(10_000),
@@ -118,7 +118,7 @@
     }
     for length in LENGTHS {
         let mut bench = Bench::open();
-        bench.stick(Instant::ZERO, length);
+        bench.queue_blocked(Instant::ZERO, length);
         print("stuck", length, &mut bench, Instant::ZERO);
     }
 }
--- a/crates/pool/examples/load/main.rs
+++ b/crates/pool/examples/load/main.rs
@@ -34,15 +34,15 @@
     );
     let kinds = KINDS.iter().zip(&report.kinds).zip(&report.tenants);
     for ((kind, tally), tenants) in kinds {
-        let share = |count: u64| count as f64 / tally.asked.max(1) as f64;
+        let share = |count: u64| count as f64 / tally.first_attempts.max(1) as f64;
         println!(
             "  {:<6} asked {:>6}  in time {:.4}  at first {:.4}  refused {:>6}  cut {:>5}  refusal after mean {:.1} ms, p99 {:.1} ms; by tenant {:?}",
             format!("{:?}", kind.priority),
-            tally.asked,
+            tally.first_attempts,
             share(tally.done),
             share(tally.first),
             tally.refusals.len(),
-            tally.cut,
+            tally.timed_out,
             tally.mean_refusal() as f64 / 1_000.0,
             tally.p99_refusal() as f64 / 1_000.0,
             tenants,
--- a/crates/pool/examples/load/sim.rs
+++ b/crates/pool/examples/load/sim.rs
@@ -17,11 +17,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const CONNECT: Duration = Duration::from_millis(10);
-const WIRE: Duration = Duration::from_micros(100);
+const CONNECT_TIME: Duration = Duration::from_millis(10);
+const LATENCY: Duration = Duration::from_micros(100);
 const SLOTS: u16 = 2;
-const ATTEMPTS: u32 = 4;
-const QUEUE: u32 = 1_000;
+const MAX_ATTEMPTS: u32 = 4;
+const QUEUE_LIMIT: u32 = 1_000;
 
 /// A kind of request: who goes first, its share of the load, its mean work
 /// and its deadline in microseconds.
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Tally {
     /// First attempts made while measuring.
-    pub(crate) asked: u64,
+    pub(crate) first_attempts: u64,
     /// Requests done in time, on any attempt.
     pub(crate) done: u64,
     /// Requests done in time on the first attempt.
@@ -76,7 +76,7 @@
     /// not run, in microseconds.
     pub(crate) refusals: Vec<u64>,
     /// Attempts cut by their deadline after they were sent.
-    pub(crate) cut: u64,
+    pub(crate) timed_out: u64,
 }
 
 impl Tally {
@@ -111,16 +111,16 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct Pending {
     kind: usize,
     tenant: usize,
     attempt: u32,
-    came: Instant,
+    arrived: Instant,
     deadline: Instant,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Task {
     Arrival,
     Retry(u64),
     Opened(Generation),
@@ -132,15 +132,15 @@
 
 struct World {
     now: Instant,
-    heap: BinaryHeap<Reverse<(Instant, u64, Happening)>>,
-    made: u64,
+    heap: BinaryHeap<Reverse<(Instant, u64, Task)>>,
+    sequence: u64,
     rng: ChaCha8Rng,
     pool: Pool,
     policy: Policy,
     rate: f64,
     measured: (Instant, Instant),
-    asked: BTreeMap<Ticket, Asked>,
-    retries: BTreeMap<u64, Asked>,
+    pending: BTreeMap<Ticket, Pending>,
+    retries: BTreeMap<u64, Pending>,
     handles: BTreeMap<Handle, Ticket>,
     waiting: VecDeque<Handle>,
     running: BTreeMap<Handle, ()>,
@@ -170,13 +170,13 @@
     let mut world = World {
         now: Instant::ZERO,
         heap: BinaryHeap::new(),
-        made: 0,
+        sequence: 0,
         rng: ChaCha8Rng::seed_from_u64(seed),
         pool: Pool::open(conf, 1),
         policy,
         rate: load * CAPACITY,
         measured: (begin, begin + Duration::from_secs(seconds)),
-        asked: BTreeMap::new(),
+        pending: BTreeMap::new(),
         retries: BTreeMap::new(),
         handles: BTreeMap::new(),
         waiting: VecDeque::new(),
@@ -188,50 +188,50 @@
             tenants: ["t1", "t2", "t3", "t4"].map(|it| name::Tenant::new(it).unwrap()),
         },
     };
-    world.at(Duration::ZERO, Happening::Arrival);
+    world.schedule(Duration::ZERO, Task::Arrival);
     world.step(Event::Tick);
-    while let Some(Reverse((at, _, happening))) = world.heap.pop() {
+    while let Some(Reverse((at, _, task))) = world.heap.pop() {
         if at >= world.measured.1 {
             break;
         }
         world.now = at;
-        world.happen(happening);
+        world.run_task(task);
     }
     world.report
 }
 
 impl World {
-    fn at(&mut self, after: Duration, happening: Happening) {
-        self.made += 1;
+    fn schedule(&mut self, after: Duration, task: Task) {
+        self.sequence += 1;
         self.heap
-            .push(Reverse((self.now + after, self.made, happening)));
+            .push(Reverse((self.now + after, self.sequence, task)));
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => self.arrive(),
-            Happening::Retry(id) => {
-                if let Some(asked) = self.retries.remove(&id) {
-                    self.submit(asked);
+    fn run_task(&mut self, task: Task) {
+        match task {
+            Task::Arrival => self.arrive(),
+            Task::Retry(id) => {
+                if let Some(pending) = self.retries.remove(&id) {
+                    self.submit(pending);
                 }
             }
-            Happening::Opened(generation) => self.step(Event::Opened(generation)),
-            Happening::Landed(handle) => {
+            Task::Opened(generation) => self.step(Event::Opened(generation)),
+            Task::Landed(handle) => {
                 self.waiting.push_back(handle);
                 self.serve();
             }
-            Happening::Ended(handle) => {
+            Task::Ended(handle) => {
                 if self.running.remove(&handle).is_some() {
-                    self.at(WIRE, Happening::Answered(handle));
+                    self.schedule(LATENCY, Task::Answered(handle));
                 }
                 self.serve();
             }
-            Happening::Answered(handle) => self.answer(handle),
-            Happening::Tick => {
+            Task::Answered(handle) => self.answer(handle),
+            Task::Tick => {
                 if self.tick == Some(self.now) {
                     self.tick = None;
                     self.step(Event::Tick);
@@ -242,7 +242,7 @@
 
     fn arrive(&mut self) {
         let gap = self.exponential(1e6 / self.rate);
-        self.at(Duration::from_micros(gap as u64), Happening::Arrival);
+        self.schedule(Duration::from_micros(gap as u64), Task::Arrival);
         let draw = self.rng.random::<f64>();
         let kind = match draw {
             x if x < KINDS[0].share => 0,
@@ -254,43 +254,43 @@
             0..7 => 0,
             other => other - 6,
         };
-        let asked = Asked {
+        let pending = Pending {
             kind,
             tenant,
             attempt: 1,
-            came: self.now,
+            arrived: self.now,
             deadline: self.now,
         };
         if self.measuring() {
-            self.report.kinds[kind].asked += 1;
+            self.report.kinds[kind].first_attempts += 1;
         }
-        self.submit(asked);
+        self.submit(pending);
     }
 
     fn measuring(&self) -> bool {
         self.now >= self.measured.0
     }
 
-    fn submit(&mut self, asked: Asked) {
-        let kind = &KINDS[asked.kind];
+    fn submit(&mut self, pending: Pending) {
+        let kind = &KINDS[pending.kind];
         let deadline = self.now + Duration::from_micros(kind.deadline);
-        self.made += 1;
-        let ticket = Ticket(self.made);
-        let asked = Asked {
-            came: self.now,
+        self.sequence += 1;
+        let ticket = Ticket(self.sequence);
+        let pending = Pending {
+            arrived: self.now,
             deadline,
-            ..asked
+            ..pending
         };
-        self.asked.insert(ticket, asked);
+        self.pending.insert(ticket, pending);
         let fair = self.policy == Policy::Pool;
         let request = Request {
             ticket,
-            entry: self.names.entries[asked.kind].clone(),
+            entry: self.names.entries[pending.kind].clone(),
             limits: Limits {
                 connections: 15,
-                queue: QUEUE,
+                queue: QUEUE_LIMIT,
             },
-            tenant: self.names.tenants[if fair { asked.tenant } else { 0 }].clone(),
+            tenant: self.names.tenants[if fair { pending.tenant } else { 0 }].clone(),
             weight: NonZeroU32::MIN,
             priority: if fair { kind.priority } else { Priority::High },
             // The naive policy is the same code without any deadline.
@@ -314,33 +314,33 @@
         let wake = wake.max(self.now + Duration::from_micros(1));
         if self.tick.is_none_or(|at| wake < at) {
             self.tick = Some(wake);
-            self.at(wake.since(self.now), Happening::Tick);
+            self.schedule(wake.since(self.now), Task::Tick);
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Open(generation) => self.at(CONNECT, Happening::Opened(generation)),
+            Action::Open(generation) => self.schedule(CONNECT_TIME, Task::Opened(generation)),
             Action::Close(_) => {}
             Action::Run(ticket, handle) => {
                 self.handles.insert(handle, ticket);
-                self.at(WIRE, Happening::Landed(handle));
+                self.schedule(LATENCY, Task::Landed(handle));
             }
             Action::Refuse {
                 ticket,
                 retry_after,
                 ..
             } => {
-                let Some(asked) = self.asked.remove(&ticket) else {
+                let Some(pending) = self.pending.remove(&ticket) else {
                     return;
                 };
                 if self.measuring() {
-                    let tally = &mut self.report.kinds[asked.kind];
+                    let tally = &mut self.report.kinds[pending.kind];
                     tally
                         .refusals
-                        .push(self.now.since(asked.came).as_micros() as u64);
+                        .push(self.now.since(pending.arrived).as_micros() as u64);
                 }
-                self.retry(asked, retry_after);
+                self.retry(pending, retry_after);
             }
             Action::Cancel(handle) => {
                 self.waiting.retain(|it| *it != handle);
@@ -349,30 +349,30 @@
                 self.serve();
             }
             Action::Abort(ticket, _) => {
-                let Some(asked) = self.asked.remove(&ticket) else {
+                let Some(pending) = self.pending.remove(&ticket) else {
                     return;
                 };
                 if self.measuring() {
-                    self.report.kinds[asked.kind].cut += 1;
+                    self.report.kinds[pending.kind].timed_out += 1;
                 }
-                self.retry(asked, Duration::ZERO);
+                self.retry(pending, Duration::ZERO);
             }
         }
     }
 
-    fn retry(&mut self, asked: Asked, after: Duration) {
-        if asked.attempt >= ATTEMPTS {
+    fn retry(&mut self, pending: Pending, after: Duration) {
+        if pending.attempt >= MAX_ATTEMPTS {
             return;
         }
-        self.made += 1;
-        let id = self.made;
-        let asked = Asked {
-            attempt: asked.attempt + 1,
-            ..asked
+        self.sequence += 1;
+        let id = self.sequence;
+        let pending = Pending {
+            attempt: pending.attempt + 1,
+            ..pending
         };
-        self.retries.insert(id, asked);
+        self.retries.insert(id, pending);
         let jitter = Duration::from_micros(self.rng.random_range(1..2_000));
-        self.at(after + jitter, Happening::Retry(id));
+        self.schedule(after + jitter, Task::Retry(id));
     }
 
     fn serve(&mut self) {
@@ -383,36 +383,36 @@
             let kind = self
                 .handles
                 .get(&handle)
-                .and_then(|it| self.asked.get(it))
+                .and_then(|it| self.pending.get(it))
                 .map_or(2, |it| it.kind);
             let mean = KINDS[kind].work as f64;
             let work = mean / 2.0 + self.exponential(mean / 2.0);
             self.running.insert(handle, ());
-            self.at(Duration::from_micros(work as u64), Happening::Ended(handle));
+            self.schedule(Duration::from_micros(work as u64), Task::Ended(handle));
         }
     }
 
     fn answer(&mut self, handle: Handle) {
         if let Some(ticket) = self.handles.remove(&handle) {
-            self.credit(ticket);
+            self.record_completion(ticket);
         }
         self.step(Event::Answered(handle, Condition::Idle));
     }
 
-    fn credit(&mut self, ticket: Ticket) {
-        let Some(asked) = self.asked.remove(&ticket) else {
+    fn record_completion(&mut self, ticket: Ticket) {
+        let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
-        let late = self.now > asked.deadline;
+        let late = self.now > pending.deadline;
         if self.measuring() {
-            let tally = &mut self.report.kinds[asked.kind];
+            let tally = &mut self.report.kinds[pending.kind];
             tally.done += u64::from(!late);
-            tally.first += u64::from(!late && asked.attempt == 1);
-            tally.cut += u64::from(late);
-            self.report.tenants[asked.kind][asked.tenant] += u64::from(!late);
+            tally.first += u64::from(!late && pending.attempt == 1);
+            tally.timed_out += u64::from(late);
+            self.report.tenants[pending.kind][pending.tenant] += u64::from(!late);
         }
         if late {
-            self.retry(asked, Duration::ZERO);
+            self.retry(pending, Duration::ZERO);
         }
     }
 }
--- a/crates/pool/src/conn.rs
+++ b/crates/pool/src/conn.rs
@@ -95,7 +95,7 @@
     conns: BTreeMap<Generation, Conn>,
     /// Closed under a statement, and when.
     ending: BTreeMap<Generation, Instant>,
-    made: u64,
+    last_generation: u64,
 }
 
 impl Table {
@@ -105,14 +105,14 @@
         Self {
             conns: BTreeMap::new(),
             ending: BTreeMap::new(),
-            made: u64::from(epoch) << 32,
+            last_generation: u64::from(epoch) << 32,
         }
     }
 
     /// Adds a connection that is being opened.
     pub fn open(&mut self) -> Generation {
-        self.made += 1;
-        let generation = Generation(self.made);
+        self.last_generation += 1;
+        let generation = Generation(self.last_generation);
         self.conns.insert(
             generation,
             Conn {
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -12,9 +12,9 @@
 pub const WINDOW: Duration = Duration::from_secs(1);
 
 /// A tenant whose work occupies less of a slot than this is forgotten.
-const NEGLIGIBLE: f64 = 1e-3;
+const MIN_TENANT_SLOTS: f64 = 1e-3;
 /// Tenants of one priority that are kept before any is looked at again.
-const FEW: usize = 64;
+const MIN_PRUNE_LEN: usize = 64;
 
 /// Work per time, as the number of slots that it keeps occupied.
 #[derive(Debug, Clone, Copy, Default)]
@@ -39,7 +39,7 @@
 struct Lane {
     total: Rate,
     tenants: HashMap<name::Tenant, Rate>,
-    crowded: usize,
+    prune_len: usize,
 }
 
 impl Lane {
@@ -49,9 +49,10 @@
             rate.add(now, cost);
             return;
         }
-        if self.tenants.len() >= self.crowded.max(FEW) {
-            self.tenants.retain(|_, rate| rate.value(now) > NEGLIGIBLE);
-            self.crowded = self.tenants.len() * 2;
+        if self.tenants.len() >= self.prune_len.max(MIN_PRUNE_LEN) {
+            self.tenants
+                .retain(|_, rate| rate.value(now) > MIN_TENANT_SLOTS);
+            self.prune_len = self.tenants.len() * 2;
         }
         let mut rate = Rate::default();
         rate.add(now, cost);
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -11,7 +11,7 @@
 /// could correct it, and the entry would be refused for ever.
 pub const HALF_LIFE: Duration = Duration::from_secs(1);
 
-const FIRST: Duration = Duration::from_millis(5);
+const INITIAL: Duration = Duration::from_millis(5);
 const GAIN_MEAN: f64 = 1.0 / 16.0;
 const GAIN_DEVIATION: f64 = 1.0 / 8.0;
 
@@ -33,15 +33,15 @@
 pub struct Estimate {
     mean: f64,
     deviation: f64,
-    learned: Instant,
+    updated: Instant,
 }
 
 impl Default for Estimate {
     fn default() -> Self {
         Self {
-            mean: FIRST.as_secs_f64(),
-            deviation: FIRST.as_secs_f64() / 2.0,
-            learned: Instant::ZERO,
+            mean: INITIAL.as_secs_f64(),
+            deviation: INITIAL.as_secs_f64() / 2.0,
+            updated: Instant::ZERO,
         }
     }
 }
@@ -54,21 +54,21 @@
         let error = span.as_secs_f64() - self.mean;
         self.mean += error * GAIN_MEAN;
         self.deviation += (error.abs() - self.deviation) * GAIN_DEVIATION;
-        self.learned = now;
+        self.updated = now;
     }
 
     /// The time that a statement takes on average.
     pub fn mean(&self, now: Instant) -> Duration {
-        self.faded(now, self.mean)
+        self.decayed(now, self.mean)
     }
 
     /// A time within which nearly all statements end.
     pub fn tail(&self, now: Instant) -> Duration {
-        self.faded(now, self.mean + 2.0 * self.deviation)
+        self.decayed(now, self.mean + 2.0 * self.deviation)
     }
 
-    fn faded(&self, now: Instant, seconds: f64) -> Duration {
-        let halvings = now.since(self.learned).as_secs() / HALF_LIFE.as_secs();
+    fn decayed(&self, now: Instant, seconds: f64) -> Duration {
+        let halvings = now.since(self.updated).as_secs() / HALF_LIFE.as_secs();
         let halvings = i32::try_from(halvings).unwrap_or(i32::MAX);
         Duration::from_secs_f64((seconds * 0.5_f64.powi(halvings)).max(0.0))
     }
--- a/crates/pool/src/lease.rs
+++ b/crates/pool/src/lease.rs
@@ -87,9 +87,9 @@
     interval: Duration,
     /// What the store was asked for; a lease keeps it when the fleet grows.
     ttl: Duration,
-    held: Option<(Id, Instant)>,
+    granted: Option<(Id, Instant)>,
     call: Option<Call>,
-    made: u64,
+    attempts: u64,
 }
 
 impl Lease {
@@ -99,9 +99,9 @@
         Self {
             interval,
             ttl: interval * TTL_INTERVALS,
-            held: None,
+            granted: None,
             call: None,
-            made: 0,
+            attempts: 0,
         }
     }
 
@@ -110,23 +110,23 @@
         match event {
             Event::Tick => {}
             Event::Granted(attempt, id) => {
-                if let Some(sent) = self.answered(attempt) {
-                    self.held = Some((id, sent));
+                if let Some(sent) = self.take_call(attempt) {
+                    self.granted = Some((id, sent));
                 }
             }
             Event::Renewed(attempt) => {
-                if let (Some(sent), Some((id, _))) = (self.answered(attempt), self.held) {
-                    self.held = Some((id, sent));
+                if let (Some(sent), Some((id, _))) = (self.take_call(attempt), self.granted) {
+                    self.granted = Some((id, sent));
                 }
             }
             Event::Gone(attempt) => {
-                if self.answered(attempt).is_some() {
-                    self.held = None;
+                if self.take_call(attempt).is_some() {
+                    self.granted = None;
                 }
             }
             Event::Fleet(instances) => self.interval = interval(instances),
         }
-        self.call(now)
+        self.call_if_due(now)
     }
 
     /// What may be believed at `now`.
@@ -135,7 +135,7 @@
     /// sent. Counted from the answer, a holder would believe in it longer than
     /// the store does, by as long as the answer took.
     pub fn status(&self, now: Instant) -> Status {
-        let Some((id, sent)) = self.held else {
+        let Some((id, sent)) = self.granted else {
             return Status::Absent;
         };
         let until = sent + self.ttl * (1_000 - CLOCK_DRIFT_PERMILLE) / 1_000;
@@ -148,27 +148,27 @@
 
     /// When to step next at the latest.
     pub fn wake(&self, now: Instant) -> Instant {
-        match (self.call, self.held) {
+        match (self.call, self.granted) {
             (Some(call), _) => call.sent + CALL_TIMEOUT,
             (None, Some((_, sent))) => sent + self.interval,
             (None, None) => now,
         }
     }
 
-    fn answered(&mut self, attempt: Attempt) -> Option<Instant> {
+    fn take_call(&mut self, attempt: Attempt) -> Option<Instant> {
         let call = self.call.filter(|it| it.attempt == attempt)?;
         self.call = None;
         Some(call.sent)
     }
 
-    fn call(&mut self, now: Instant) -> Vec<Action> {
+    fn call_if_due(&mut self, now: Instant) -> Vec<Action> {
         if now < self.wake(now) {
             return Vec::new();
         }
-        self.made += 1;
-        let attempt = Attempt(self.made);
+        self.attempts += 1;
+        let attempt = Attempt(self.attempts);
         self.call = Some(Call { attempt, sent: now });
-        match self.held {
+        match self.granted {
             Some((id, _)) => vec![Action::Renew(attempt, id)],
             None => {
                 self.ttl = self.interval * TTL_INTERVALS;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -163,7 +163,7 @@
     retries: Schedule,
     demand: Demand,
     review: Review,
-    stepped: Instant,
+    last_step: Instant,
 }
 
 impl Pool {
@@ -181,23 +181,27 @@
             retries: Schedule::default(),
             demand: Demand::default(),
             review: Review::default(),
-            stepped: Instant::ZERO,
+            last_step: Instant::ZERO,
         }
     }
 
     /// Decides what to do about `event`.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.stepped = now;
+        self.last_step = now;
         self.conns.expire(now);
         match event {
             Event::Submit(request) => self.submit(now, request, &mut actions),
-            Event::Next(ticket, deadline) => self.next(now, ticket, deadline, &mut actions),
+            Event::Next(ticket, deadline) => {
+                self.next_statement(now, ticket, deadline, &mut actions)
+            }
             Event::Withdraw(ticket) => self.withdraw(now, ticket, &mut actions),
             Event::Opened(generation) => self.opened(now, generation, &mut actions),
             Event::Lost(generation) => self.lost(now, generation, &mut actions),
             Event::Closed(generation) => self.conns.ended(generation),
-            Event::Answered(handle, after) => self.answered(now, handle, after, &mut actions),
+            Event::Answered(handle, condition) => {
+                self.answered(now, handle, condition, &mut actions)
+            }
             Event::Conf(conf) => self.configure(conf, &mut actions),
             Event::Status(status) => self.status = status,
             Event::Revoked => self.revoke(&mut actions),
@@ -205,8 +209,8 @@
         }
         self.shed(now, &mut actions);
         self.dispatch(now, &mut actions);
-        self.trim(now, &mut actions);
-        self.warm(now, &mut actions);
+        self.close_idle(now, &mut actions);
+        self.keep_warm(now, &mut actions);
         actions
     }
 
@@ -250,8 +254,8 @@
     /// When a request that came now would be through, for the choice between
     /// holders and replicas.
     pub fn expected(&self, now: Instant, entry: &name::Entry) -> Duration {
-        let ahead = self.queue.work() + self.remaining();
-        ahead / self.slots() + self.mean(now, entry)
+        let ahead = self.queue.work() + self.remaining_work();
+        ahead / self.slot_count() + self.mean(now, entry)
     }
 
     /// The next moment at which [`Event::Tick`] may change anything, `now` if
@@ -274,21 +278,27 @@
         let places = self.conns.expires();
         let moments = waits.into_iter().chain(ends).chain(places);
         let moments = moments.chain(self.breaker.retry_at());
-        let next = moments.filter(|&at| at > self.stepped).min();
+        let next = moments.filter(|&at| at > self.last_step).min();
         next.map(|at| at.max(now))
     }
 
-    fn next(&mut self, now: Instant, ticket: Ticket, deadline: Instant, actions: &mut Vec<Action>) {
+    fn next_statement(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        deadline: Instant,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(active) = self.active.get_mut(&ticket) else {
             actions.push(Action::Abort(ticket, Cause::ConnectionLost));
             return;
         };
         let generation = active.generation;
-        let held = |state: &State| matches!(state, State::IdleInTransaction { .. });
+        let idle = |state: &State| matches!(state, State::IdleInTransaction { .. });
         if !self
             .conns
             .find(generation)
-            .is_some_and(|it| held(&it.state))
+            .is_some_and(|it| idle(&it.state))
         {
             return;
         }
@@ -366,7 +376,7 @@
         &mut self,
         now: Instant,
         handle: Handle,
-        after: Condition,
+        condition: Condition,
         actions: &mut Vec<Action>,
     ) {
         if !self.conns.in_flight(handle) {
@@ -379,25 +389,25 @@
         let State::Busy { ticket, since, .. } = conn.state else {
             return;
         };
-        conn.state = match after {
+        conn.state = match condition {
             Condition::Transaction => State::IdleInTransaction { ticket, since: now },
             Condition::Idle | Condition::Unusable => State::Idle { since: now },
         };
         // A connection that came to grief says nothing good of its upstream:
         // taken for a success, it would keep the breaker closed on one that
         // takes connections and breaks each.
-        if after != Condition::Unusable {
+        if condition != Condition::Unusable {
             self.breaker.success();
         }
         if let Some(active) = self.active.get(&ticket) {
             let entry = active.request.entry.clone();
             self.learn(now, &entry, now.since(since));
         }
-        if after == Condition::Transaction {
+        if condition == Condition::Transaction {
             return;
         }
         self.release(ticket);
-        if after == Condition::Unusable {
+        if condition == Condition::Unusable {
             self.conns.remove(generation);
             actions.push(Action::Close(generation));
         }
@@ -419,7 +429,7 @@
     fn configure(&mut self, conf: Conf, actions: &mut Vec<Action>) {
         self.conf = conf;
         if self.conf.connections == 0 {
-            self.refuse_each(Duration::ZERO, actions);
+            self.refuse_waiting(Duration::ZERO, actions);
         }
     }
 
@@ -434,7 +444,7 @@
                 actions.push(Action::Abort(ticket, Cause::ConnectionLost));
             }
         }
-        self.refuse_each(Duration::ZERO, actions);
+        self.refuse_waiting(Duration::ZERO, actions);
     }
 
     /// Takes back connections whose owners left them: the instance that
@@ -478,7 +488,7 @@
     }
 
     /// The work left of what is in flight: half of each on average.
-    fn remaining(&self) -> Duration {
+    fn remaining_work(&self) -> Duration {
         let busy = self.conns.iter().filter_map(|(_, conn)| match conn.state {
             State::Busy { ticket, .. } => Some(self.active.get(&ticket)?.cost / 2),
             _ => None,
@@ -487,7 +497,7 @@
     }
 
     /// The slots as a divisor.
-    fn slots(&self) -> u32 {
+    fn slot_count(&self) -> u32 {
         u32::from(self.conf.slots.max(1))
     }
 }
