--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -11,16 +11,16 @@
 /// How much of its time a request may be expected to wait to be let in, in
 /// hundredths. The rest is for statements that take longer than expected:
 /// without it half of those let in last are refused later.
-const ADMITTED: u32 = 50;
+const MAX_WAIT_PERCENT: u32 = 50;
 /// The part of the slots that any priority is taken to get, in hundredths:
 /// demand is an estimate and must not say "never".
-const LEAST: f64 = 0.01;
+const MIN_SLOT_FRACTION: f64 = 0.01;
 /// How long the queue is left alone after it was walked. Refusals come later
 /// by that much, and a long queue under a flood costs a bounded share of a
 /// core.
-pub(super) const REST: Duration = Duration::from_millis(1);
+pub(super) const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(1);
 /// How long the queue may be left alone at most: estimates change.
-const REVIEW: Duration = Duration::from_millis(20);
+const MAX_REVIEW_INTERVAL: Duration = Duration::from_millis(20);
 
 /// When the waiting requests are looked at again.
 #[derive(Debug, Default)]
@@ -31,29 +31,29 @@
 
 impl Review {
     /// A request with `slack` left came in.
-    fn join(&mut self, now: Instant, slack: Duration) {
+    fn on_queued(&mut self, now: Instant, slack: Duration) {
         self.due = self.due.min(now + slack);
     }
 
     /// Those behind a place wait longer by `span`.
-    fn delay(&mut self, span: Duration) {
+    fn on_overtaken(&mut self, span: Duration) {
         self.due = self.due - span;
     }
 
     /// When to walk the queue.
     pub(super) fn due(&self) -> Instant {
-        self.due.max(self.walked + REST)
+        self.due.max(self.walked + MIN_REVIEW_INTERVAL)
     }
 
-    fn walked(&mut self, now: Instant, slack: Duration) {
+    fn on_walked(&mut self, now: Instant, slack: Duration) {
         self.walked = now;
-        self.due = now + slack.min(REVIEW);
+        self.due = now + slack.min(MAX_REVIEW_INTERVAL);
     }
 }
 
 /// The expected times of the entries met in one walk.
 #[derive(Default)]
-struct Spans {
+struct SpanCache {
     known: Vec<(name::Entry, Span)>,
 }
 
@@ -63,7 +63,7 @@
     tail: Duration,
 }
 
-impl Spans {
+impl SpanCache {
     fn find(&mut self, pool: &Pool, now: Instant, entry: &name::Entry) -> Span {
         if let Some((_, span)) = self.known.iter().find(|(known, _)| known == entry) {
             return *span;
@@ -83,7 +83,7 @@
         let closed = (self.conf.connections == 0).then_some((Cause::NoUpstream, Duration::ZERO));
         let refusal = closed
             .or_else(|| self.refusal(now, &request))
-            .or_else(|| self.hopeless(now, &request, place));
+            .or_else(|| self.late_refusal(now, &request, place));
         if let Some((cause, retry_after)) = refusal {
             actions.push(Action::Refuse {
                 ticket: request.ticket,
@@ -97,18 +97,18 @@
             .add(now, request.priority, &request.tenant, cost);
         // Whatever waits while a slot and a connection are free waits for its
         // entry's own connections.
-        if let Some(generation) = self.free(&request) {
+        if let Some(generation) = self.free_connection(&request) {
             self.queue.bypass(&request, cost);
             self.start(now, request, generation, cost, actions);
             return;
         }
         if self.queue.is_empty() {
-            self.review.walked(now, REVIEW);
+            self.review.on_walked(now, MAX_REVIEW_INTERVAL);
         } else if !self.queue.is_last(place) {
-            self.review.delay(cost / self.slots());
+            self.review.on_overtaken(cost / self.slot_count());
         }
         let slack = self.slack(now, &request, place);
-        self.review.join(now, slack);
+        self.review.on_queued(now, slack);
         self.queue.push(request, cost);
     }
 
@@ -133,29 +133,29 @@
     /// It is told now. Let in by its place alone, it would be pushed back by
     /// what comes after it and goes before it, and be refused when most of its
     /// time is over; a caller told at once can still go elsewhere.
-    fn hopeless(
+    fn late_refusal(
         &mut self,
         now: Instant,
         request: &Request,
         place: Place,
     ) -> Option<(Cause, Duration)> {
-        let ahead = self.remaining() + self.runnable_ahead(request, place);
+        let ahead = self.remaining_work() + self.runnable_ahead(request, place);
         // With nothing ahead the request runs even if the estimate speaks
         // against it: only running something can correct an estimate.
         if ahead.is_zero() {
             return None;
         }
-        let room = request.deadline.since(now);
+        let time_left = request.deadline.since(now);
         let tail = self.tail(now, &request.entry);
-        if tail > room {
+        if tail > time_left {
             return Some((Cause::Deadline, self.retry_after(now, request)));
         }
-        if self.free(request).is_some() {
+        if self.free_connection(request).is_some() {
             return None;
         }
-        let wait = ahead.as_secs_f64() / self.speed(now, request, place);
-        let patience = (room - tail) * ADMITTED / 100;
-        if wait <= patience.as_secs_f64() {
+        let wait = ahead.as_secs_f64() / self.available_slots(now, request, place);
+        let max_wait = (time_left - tail) * MAX_WAIT_PERCENT / 100;
+        if wait <= max_wait.as_secs_f64() {
             return None;
         }
         Some((Cause::Overload, self.retry_after(now, request)))
@@ -163,15 +163,15 @@
 
     /// How many slots work off what is ahead of a place, net of what will come
     /// later and go first.
-    fn speed(&self, now: Instant, request: &Request, place: Place) -> f64 {
-        let slots = f64::from(self.slots());
+    fn available_slots(&self, now: Instant, request: &Request, place: Place) -> f64 {
+        let slots = f64::from(self.slot_count());
         let higher = self.demand.above(now, request.priority);
-        let free = slots - higher - self.overtaking(now, request, place);
-        free.max(slots * LEAST)
+        let free = slots - higher - self.overtaking_slots(now, request, place);
+        free.max(slots * MIN_SLOT_FRACTION)
     }
 
     /// How many slots the tenants occupy that would overtake the request.
-    fn overtaking(&self, now: Instant, request: &Request, place: Place) -> f64 {
+    fn overtaking_slots(&self, now: Instant, request: &Request, place: Place) -> f64 {
         if !self.queue.is_overtaken(place) {
             return 0.0;
         }
@@ -187,8 +187,8 @@
 
     /// How much longer a request could wait than its place says.
     fn slack(&self, now: Instant, request: &Request, place: Place) -> Duration {
-        let ahead = self.remaining() + self.runnable_ahead(request, place);
-        let needed = ahead / self.slots() + self.tail(now, &request.entry);
+        let ahead = self.remaining_work() + self.runnable_ahead(request, place);
+        let needed = ahead / self.slot_count() + self.tail(now, &request.entry);
         request.deadline.since(now).saturating_sub(needed)
     }
 
@@ -201,51 +201,55 @@
             return;
         }
         if self.status == Status::Leaving || !self.breaker.is_closed() {
-            self.refuse_all(now, actions);
+            self.refuse_unavailable(now, actions);
             return;
         }
         if now < self.review.due() {
             return;
         }
-        for (ticket, cause) in self.doomed(now) {
+        for (ticket, cause) in self.unservable(now) {
             self.refuse(now, ticket, cause, actions);
         }
     }
 
     /// Walks the queue: those that can no longer end in time.
-    fn doomed(&mut self, now: Instant) -> Vec<(Ticket, Cause)> {
-        let mut spans = Spans::default();
+    fn unservable(&mut self, now: Instant) -> Vec<(Ticket, Cause)> {
+        let mut spans = SpanCache::default();
         let mut queue = std::mem::take(&mut self.queue);
         queue.refresh(|entry| spans.find(self, now, entry).mean);
         self.queue = queue;
-        let slots = self.slots();
-        let mut ahead = self.remaining();
-        let mut least = REVIEW;
-        let mut doomed = Vec::new();
-        let stuck: Vec<_> = self.stuck().iter().map(|it| it.entry.clone()).collect();
+        let slots = self.slot_count();
+        let mut ahead = self.remaining_work();
+        let mut min_slack = MAX_REVIEW_INTERVAL;
+        let mut unservable = Vec::new();
+        let blocked: Vec<_> = self
+            .blocked_entries()
+            .iter()
+            .map(|it| it.entry.clone())
+            .collect();
         for waiting in self.queue.iter() {
             let request = &waiting.request;
             let tail = spans.find(self, now, &request.entry).tail;
-            let room = request.deadline.since(now);
+            let time_left = request.deadline.since(now);
             let needed = ahead / slots + tail;
-            let stuck = stuck.contains(&request.entry);
+            let blocked = blocked.contains(&request.entry);
             // With nothing ahead it runs, as on arrival.
-            if ahead.is_zero() && !room.is_zero() && !stuck {
-                least = least.min(room);
+            if ahead.is_zero() && !time_left.is_zero() && !blocked {
+                min_slack = min_slack.min(time_left);
                 ahead += waiting.cost;
-            } else if tail > room {
-                doomed.push((request.ticket, Cause::Deadline));
-            } else if needed > room {
-                doomed.push((request.ticket, Cause::Overload));
+            } else if tail > time_left {
+                unservable.push((request.ticket, Cause::Deadline));
+            } else if needed > time_left {
+                unservable.push((request.ticket, Cause::Overload));
             } else {
-                least = least.min(room - needed);
-                if !stuck {
+                min_slack = min_slack.min(time_left - needed);
+                if !blocked {
                     ahead += waiting.cost;
                 }
             }
         }
-        self.review.walked(now, least);
-        doomed
+        self.review.on_walked(now, min_slack);
+        unservable
     }
 
     /// The entries all of whose connections are in open transactions that
@@ -253,7 +257,7 @@
     ///
     /// What waits of them occupies no slot before one of those ends. Counted
     /// as work ahead, it would get others refused while the slots are free.
-    fn stuck(&self) -> Vec<&Request> {
+    fn blocked_entries(&self) -> Vec<&Request> {
         let mut held: Vec<(&Request, u16)> = Vec::new();
         for (_, conn) in self.conns.iter() {
             let State::IdleInTransaction { ticket, .. } = conn.state else {
@@ -268,10 +272,10 @@
                 None => held.push((request, 1)),
             }
         }
-        let stuck = held
+        let blocked = held
             .into_iter()
             .filter(|(it, count)| *count >= it.limits.connections);
-        stuck.map(|(request, _)| request).collect()
+        blocked.map(|(request, _)| request).collect()
     }
 
     /// The work ahead of a place that can run before it.
@@ -280,21 +284,21 @@
         if ahead.is_zero() {
             return ahead;
         }
-        let stuck = self.stuck();
-        let others = stuck
+        let blocked = self.blocked_entries();
+        let others = blocked
             .iter()
             .filter(|it| it.priority <= request.priority && it.entry != request.entry);
         let idle = others.map(|it| self.queue.entry_work(&it.entry)).sum();
         ahead.saturating_sub(idle)
     }
 
-    fn refuse_all(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn refuse_unavailable(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let retry_after = self.breaker.retry_at().unwrap_or(now).since(now);
-        self.refuse_each(retry_after, actions);
+        self.refuse_waiting(retry_after, actions);
     }
 
     /// Refuses all that wait, because there is no upstream for them.
-    pub(super) fn refuse_each(&mut self, retry_after: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn refuse_waiting(&mut self, retry_after: Duration, actions: &mut Vec<Action>) {
         let waiting: Vec<_> = self.queue.iter().map(|it| it.request.ticket).collect();
         for ticket in waiting {
             self.queue.withdraw(ticket);
@@ -319,8 +323,8 @@
     }
 
     fn retry_after(&mut self, now: Instant, request: &Request) -> Duration {
-        let backlog = (self.queue.work() + self.remaining()) / self.slots();
-        let cost = self.mean(now, &request.entry) / self.slots();
+        let backlog = (self.queue.work() + self.remaining_work()) / self.slot_count();
+        let cost = self.mean(now, &request.entry) / self.slot_count();
         self.retries.next(now, request.priority, backlog, cost)
     }
 }
--- a/crates/pool/src/pool/dispatch.rs
+++ b/crates/pool/src/pool/dispatch.rs
@@ -14,11 +14,11 @@
     pub(super) fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let slots = usize::from(self.conf.slots);
         while self.running() < slots {
-            let Some(ticket) = self.runnable() else {
+            let Some(ticket) = self.next_runnable() else {
                 return;
             };
             let Some(generation) = self.conns.idle() else {
-                self.grow(now, actions);
+                self.open_for_waiting(now, actions);
                 return;
             };
             let Some(request) = self.queue.take(ticket) else {
@@ -30,7 +30,7 @@
     }
 
     /// The connection on which a request can run without waiting.
-    pub(super) fn free(&self, request: &Request) -> Option<Generation> {
+    pub(super) fn free_connection(&self, request: &Request) -> Option<Generation> {
         let slot = self.running() < usize::from(self.conf.slots);
         (slot && self.has_connection(request)).then(|| self.conns.idle())?
     }
@@ -70,21 +70,21 @@
     }
 
     /// The next request whose entry has a connection left.
-    fn runnable(&self) -> Option<Ticket> {
+    fn next_runnable(&self) -> Option<Ticket> {
         self.queue.first(|it| self.has_connection(it))
     }
 
     /// Opens a connection for each request that could run now but for it.
-    fn grow(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn open_for_waiting(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let opening = self.conns.count(|state| *state == State::Opening);
         let free = usize::from(self.conf.slots).saturating_sub(self.running());
         let wanted = self.queue.len().min(free);
         for _ in opening..wanted {
-            self.open_one(now, actions);
+            self.open_connection(now, actions);
         }
     }
 
-    fn open_one(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn open_connection(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.conns.counted() >= usize::from(self.conf.connections) {
             return;
         }
@@ -96,22 +96,22 @@
 
     /// Keeps the warm connections open; after a failure one of them is the
     /// breaker's probe.
-    pub(super) fn warm(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn keep_warm(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.status == Status::Leaving {
             return;
         }
         if !self.breaker.is_closed() {
-            self.open_one(now, actions);
+            self.open_connection(now, actions);
             return;
         }
         let warm = usize::from(self.conf.warm.min(self.conf.connections));
         for _ in self.conns.len()..warm {
-            self.open_one(now, actions);
+            self.open_connection(now, actions);
         }
     }
 
     /// Closes idle connections that are too many, too old or not wanted.
-    pub(super) fn trim(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn close_idle(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let leaving = self.status == Status::Leaving;
         let ends = |since: Instant| leaving || now >= since + self.conf.idle_timeout;
         let crowded = self.conns.len() > usize::from(self.conf.connections);
--- a/crates/pool/src/pool/retry.rs
+++ b/crates/pool/src/pool/retry.rs
@@ -6,7 +6,7 @@
 use model::Priority;
 
 /// The latest moment that a refused caller is sent to.
-const HORIZON: Duration = Duration::from_secs(2);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Hands out moments to come back at, one service time apart.
 ///
@@ -28,12 +28,12 @@
         backlog: Duration,
         cost: Duration,
     ) -> Duration {
-        let earliest = now + backlog.min(HORIZON);
+        let earliest = now + backlog.min(MAX_RETRY_AFTER);
         let last = self.last.entry(priority).or_insert(earliest);
         *last = (*last).max(earliest) + cost;
         // Past the horizon the promises start over: a caller sent further away
         // than overloads last would find an idle upstream when it returns.
-        if *last > now + HORIZON {
+        if *last > now + MAX_RETRY_AFTER {
             *last = earliest + cost;
         }
         last.since(now)
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -15,7 +15,7 @@
 use crate::{Request, Ticket};
 
 /// Tenants remembered beyond those that wait before the others are forgotten.
-const REMEMBERED: usize = 64;
+const MAX_IDLE_TENANTS: usize = 64;
 
 /// A request's place: the order of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,20 +41,24 @@
 struct Lane {
     work: Duration,
     /// Virtual time.
-    now: u64,
-    ends: HashMap<name::Tenant, u64>,
+    virtual_time: u64,
+    tenant_ends: HashMap<name::Tenant, u64>,
 }
 
 impl Lane {
     fn start(&self, tenant: &name::Tenant) -> u64 {
-        self.ends.get(tenant).copied().unwrap_or(0).max(self.now)
+        self.tenant_ends
+            .get(tenant)
+            .copied()
+            .unwrap_or(0)
+            .max(self.virtual_time)
     }
 
     fn charge(&mut self, tenant: &name::Tenant, end: u64) {
-        match self.ends.get_mut(tenant) {
+        match self.tenant_ends.get_mut(tenant) {
             Some(last) => *last = end,
             None => {
-                self.ends.insert(tenant.clone(), end);
+                self.tenant_ends.insert(tenant.clone(), end);
             }
         }
     }
@@ -63,11 +67,11 @@
     ///
     /// A tenant whose last end has passed needs no memory: one who comes back
     /// would start at the virtual time anyway.
-    fn pass(&mut self, start: u64, crowded: usize) {
-        self.now = self.now.max(start);
-        if self.ends.len() > crowded {
-            let now = self.now;
-            self.ends.retain(|_, end| *end > now);
+    fn advance(&mut self, start: u64, max_tenants: usize) {
+        self.virtual_time = self.virtual_time.max(start);
+        if self.tenant_ends.len() > max_tenants {
+            let now = self.virtual_time;
+            self.tenant_ends.retain(|_, end| *end > now);
         }
     }
 }
@@ -80,12 +84,12 @@
 
 /// What waits of one entry.
 #[derive(Debug, Default)]
-struct Line {
+struct Backlog {
     places: BTreeSet<Place>,
     work: Duration,
 }
 
-impl Line {
+impl Backlog {
     fn length(&self) -> u32 {
         u32::try_from(self.places.len()).unwrap_or(u32::MAX)
     }
@@ -96,7 +100,7 @@
 pub struct Queue {
     items: BTreeMap<Place, Waiting>,
     places: HashMap<Ticket, Place>,
-    lines: HashMap<name::Entry, Line>,
+    backlogs: HashMap<name::Entry, Backlog>,
     lanes: BTreeMap<Priority, Lane>,
 }
 
@@ -118,12 +122,13 @@
         let lane = self.lanes.entry(request.priority).or_default();
         lane.charge(&request.tenant, place.start.saturating_add(charge));
         lane.work += cost;
-        if !self.lines.contains_key(&request.entry) {
-            self.lines.insert(request.entry.clone(), Line::default());
+        if !self.backlogs.contains_key(&request.entry) {
+            self.backlogs
+                .insert(request.entry.clone(), Backlog::default());
         }
-        if let Some(line) = self.lines.get_mut(&request.entry) {
-            line.places.insert(place);
-            line.work += cost;
+        if let Some(backlog) = self.backlogs.get_mut(&request.entry) {
+            backlog.places.insert(place);
+            backlog.work += cost;
         }
         self.places.insert(request.ticket, place);
         let waiting = Waiting {
@@ -141,7 +146,7 @@
         let start = lane.start(&request.tenant);
         let end = start.saturating_add(charge(request, cost));
         lane.charge(&request.tenant, end);
-        lane.pass(start, REMEMBERED);
+        lane.advance(start, MAX_IDLE_TENANTS);
     }
 
     /// The waiting requests, the next to run first.
@@ -159,7 +164,7 @@
         if test(&waiting.request) {
             return Some(place.ticket);
         }
-        let firsts = self.lines.values().filter_map(|it| it.places.first());
+        let firsts = self.backlogs.values().filter_map(|it| it.places.first());
         let runnable = firsts.filter(|it| self.items.get(it).is_some_and(|it| test(&it.request)));
         runnable.min().map(|it| it.ticket)
     }
@@ -203,15 +208,16 @@
     /// future of virtual time, and behind it too if not.
     pub fn tenants_behind(&self, place: Place) -> impl Iterator<Item = &name::Tenant> {
         let lane = self.lanes.get(&place.priority);
-        let ends = lane.into_iter().flat_map(|it| &it.ends);
-        ends.filter(move |(_, end)| **end >= place.start)
+        let tenant_ends = lane.into_iter().flat_map(|it| &it.tenant_ends);
+        tenant_ends
+            .filter(move |(_, end)| **end >= place.start)
             .map(|(tenant, _)| tenant)
     }
 
     /// Whether requests of tenants that have none waiting would go before it.
     pub fn is_overtaken(&self, place: Place) -> bool {
         let lane = self.lanes.get(&place.priority);
-        lane.is_some_and(|it| place.start > it.now)
+        lane.is_some_and(|it| place.start > it.virtual_time)
     }
 
     /// Whether nothing of its priority or a lower one waits behind the place.
@@ -224,8 +230,8 @@
         for lane in self.lanes.values_mut() {
             lane.work = Duration::ZERO;
         }
-        for (entry, line) in &mut self.lines {
-            line.work = cost(entry) * line.length();
+        for (entry, backlog) in &mut self.backlogs {
+            backlog.work = cost(entry) * backlog.length();
         }
         for (place, waiting) in &mut self.items {
             waiting.cost = cost(&waiting.request.entry);
@@ -239,9 +245,9 @@
     pub fn take(&mut self, ticket: Ticket) -> Option<Request> {
         let place = *self.places.get(&ticket)?;
         let waiting = self.remove(ticket)?;
-        let crowded = self.items.len() + REMEMBERED;
+        let max_tenants = self.items.len() + MAX_IDLE_TENANTS;
         if let Some(lane) = self.lanes.get_mut(&place.priority) {
-            lane.pass(place.start, crowded);
+            lane.advance(place.start, max_tenants);
         }
         Some(waiting.request)
     }
@@ -252,7 +258,7 @@
         let waiting = self.remove(ticket)?;
         let request = waiting.request;
         let lane = self.lanes.get_mut(&request.priority)?;
-        if let Some(end) = lane.ends.get_mut(&request.tenant) {
+        if let Some(end) = lane.tenant_ends.get_mut(&request.tenant) {
             *end = end.saturating_sub(waiting.charge);
         }
         Some(request)
@@ -264,11 +270,11 @@
         if let Some(lane) = self.lanes.get_mut(&place.priority) {
             lane.work = lane.work.saturating_sub(waiting.cost);
         }
-        if let Some(line) = self.lines.get_mut(&waiting.request.entry) {
-            line.places.remove(&place);
-            line.work = line.work.saturating_sub(waiting.cost);
-            if line.places.is_empty() {
-                self.lines.remove(&waiting.request.entry);
+        if let Some(backlog) = self.backlogs.get_mut(&waiting.request.entry) {
+            backlog.places.remove(&place);
+            backlog.work = backlog.work.saturating_sub(waiting.cost);
+            if backlog.places.is_empty() {
+                self.backlogs.remove(&waiting.request.entry);
             }
         }
         Some(waiting)
@@ -276,12 +282,14 @@
 
     /// How many requests of an entry wait.
     pub fn entry_length(&self, entry: &name::Entry) -> u32 {
-        self.lines.get(entry).map_or(0, Line::length)
+        self.backlogs.get(entry).map_or(0, Backlog::length)
     }
 
     /// The work of an entry that waits.
     pub fn entry_work(&self, entry: &name::Entry) -> Duration {
-        self.lines.get(entry).map_or(Duration::ZERO, |it| it.work)
+        self.backlogs
+            .get(entry)
+            .map_or(Duration::ZERO, |it| it.work)
     }
 
     /// How many requests wait.
--- a/crates/pool/src/seat.rs
+++ b/crates/pool/src/seat.rs
@@ -153,7 +153,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// The seat is not held.
-    Out,
+    NotHeld,
     /// A claim is on its way; `Kept::Connections` when it is to win back a
     /// seat whose connections are still open.
     Claiming { since: Instant, kept: Kept },
@@ -166,7 +166,7 @@
     /// Held under a proved lease.
     Held { epoch: Epoch, until: Instant },
     /// Held as far as the upstream shows; the store is silent.
-    Unproved { epoch: Epoch, look: Look },
+    Unconfirmed { epoch: Epoch, check: Check },
     /// Closing all connections, then deleting the key if it is still ours.
     Closing { epoch: Option<Epoch> },
 }
@@ -179,39 +179,39 @@
 
 /// A look at the upstream's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Look {
+struct Check {
     attempt: Attempt,
     sent: Instant,
     /// When the last look that found nobody else was *sent*.
-    alone: Option<Instant>,
+    last_alone: Option<Instant>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wish {
-    In,
-    Out,
+enum Goal {
+    Hold,
+    Release,
 }
 
 /// One seat at one instance.
 #[derive(Debug)]
 pub struct Seat {
     state: State,
-    wish: Wish,
+    goal: Goal,
     lease: Status,
     record: Option<Record>,
     dead: Option<Epoch>,
-    made: u64,
+    attempts: u64,
 }
 
 impl Default for Seat {
     fn default() -> Self {
         Self {
-            state: State::Out,
-            wish: Wish::Out,
+            state: State::NotHeld,
+            goal: Goal::Release,
             lease: Status::Absent,
             record: None,
             dead: None,
-            made: 0,
+            attempts: 0,
         }
     }
 }
@@ -221,18 +221,18 @@
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Wanted => self.wish = Wish::In,
-            Event::Unwanted => self.wish = Wish::Out,
-            Event::Lease(status) => self.leased(now, status, &mut actions),
-            Event::Record(record) => self.read(now, record, &mut actions),
+            Event::Wanted => self.goal = Goal::Hold,
+            Event::Unwanted => self.goal = Goal::Release,
+            Event::Lease(status) => self.on_lease(now, status, &mut actions),
+            Event::Record(record) => self.on_record(now, record, &mut actions),
             Event::Dead(epoch) => self.dead = self.dead.max(Some(epoch)),
-            Event::Fenced(attempt) => self.fenced(attempt),
-            Event::Checked(attempt, seen) => self.checked(attempt, seen, &mut actions),
-            Event::Terminated => self.terminated(&mut actions),
-            Event::Closed => self.closed(&mut actions),
+            Event::Fenced(attempt) => self.on_fenced(attempt),
+            Event::Checked(attempt, occupancy) => self.on_checked(attempt, occupancy, &mut actions),
+            Event::Terminated => self.on_terminated(&mut actions),
+            Event::Closed => self.on_closed(&mut actions),
             Event::Tick => {}
         }
-        self.settle(now, &mut actions);
+        self.advance(now, &mut actions);
         actions
     }
 
@@ -241,8 +241,8 @@
     pub fn permit(&self, now: Instant) -> Permit {
         match self.state {
             State::Held { until, .. } if now < until => Permit::Full,
-            State::Unproved { look, .. }
-                if look.alone.is_some_and(|at| now < at + CHECK_VALIDITY) =>
+            State::Unconfirmed { check, .. }
+                if check.last_alone.is_some_and(|at| now < at + CHECK_VALIDITY) =>
             {
                 Permit::Replace
             }
@@ -255,46 +255,46 @@
         match self.state {
             State::Fencing { epoch, .. }
             | State::Held { epoch, .. }
-            | State::Unproved { epoch, .. } => Some(epoch),
-            State::Out | State::Claiming { .. } | State::Closing { .. } => None,
+            | State::Unconfirmed { epoch, .. } => Some(epoch),
+            State::NotHeld | State::Claiming { .. } | State::Closing { .. } => None,
         }
     }
 
     /// When to step next at the latest.
     pub fn wake(&self) -> Option<Instant> {
         match self.state {
-            State::Out | State::Closing { .. } => None,
+            State::NotHeld | State::Closing { .. } => None,
             State::Claiming { since, .. } | State::Fencing { since, .. } => {
                 Some(since + CALL_TIMEOUT)
             }
             State::Held { until, .. } => Some(until),
-            State::Unproved { look, .. } => Some(look.sent + CHECK_VALIDITY / 2),
+            State::Unconfirmed { check, .. } => Some(check.sent + CHECK_VALIDITY / 2),
         }
     }
 
-    fn read(&mut self, now: Instant, record: Record, actions: &mut Vec<Action>) {
+    fn on_record(&mut self, now: Instant, record: Record, actions: &mut Vec<Action>) {
         self.record = Some(record);
         match (self.state, record) {
             (State::Claiming { .. }, Record::Mine(epoch)) => self.fence(now, epoch, actions),
             (State::Claiming { kept, .. }, Record::Other(_)) => match kept {
-                Kept::Nothing => self.state = State::Out,
+                Kept::Nothing => self.state = State::NotHeld,
                 Kept::Connections => self.close(None, actions),
             },
             (State::Claiming { kept, .. }, Record::Absent) => self.claim(now, kept, actions),
             (
-                State::Fencing { .. } | State::Held { .. } | State::Unproved { .. },
+                State::Fencing { .. } | State::Held { .. } | State::Unconfirmed { .. },
                 Record::Other(_),
             ) => self.close(None, actions),
             // The lease that the key rode on has lapsed; others may claim it.
             (
-                State::Fencing { .. } | State::Held { .. } | State::Unproved { .. },
+                State::Fencing { .. } | State::Held { .. } | State::Unconfirmed { .. },
                 Record::Absent,
             ) => self.claim(now, Kept::Connections, actions),
             _ => {}
         }
     }
 
-    fn leased(&mut self, now: Instant, status: Status, actions: &mut Vec<Action>) {
+    fn on_lease(&mut self, now: Instant, status: Status, actions: &mut Vec<Action>) {
         self.lease = status;
         // A claim may have waited for the lease.
         if let (State::Claiming { kept, .. }, Some(Record::Absent)) = (self.state, self.record) {
@@ -312,7 +312,7 @@
         actions.push(Action::Fence(attempt));
     }
 
-    fn fenced(&mut self, answer: Attempt) {
+    fn on_fenced(&mut self, answer: Attempt) {
         let State::Fencing { epoch, attempt, .. } = self.state else {
             return;
         };
@@ -326,31 +326,31 @@
         };
     }
 
-    fn checked(&mut self, answer: Attempt, seen: Occupancy, actions: &mut Vec<Action>) {
-        let State::Unproved { epoch, look } = self.state else {
+    fn on_checked(&mut self, answer: Attempt, occupancy: Occupancy, actions: &mut Vec<Action>) {
+        let State::Unconfirmed { epoch, check } = self.state else {
             return;
         };
-        if answer != look.attempt {
+        if answer != check.attempt {
             return;
         }
-        match seen {
+        match occupancy {
             Occupancy::Later => self.close(None, actions),
             // A former holder woke up. Given up for it, the seat would be
             // nobody's until the store is back; it is ended, and the next look
             // shows whether this one is alone.
             Occupancy::Earlier => actions.push(Action::Fence(answer)),
             Occupancy::Alone => {
-                let look = Look {
-                    alone: Some(look.sent),
-                    ..look
+                let check = Check {
+                    last_alone: Some(check.sent),
+                    ..check
                 };
-                self.state = State::Unproved { epoch, look };
+                self.state = State::Unconfirmed { epoch, check };
             }
         }
     }
 
-    fn terminated(&mut self, actions: &mut Vec<Action>) {
-        if !matches!(self.state, State::Out | State::Closing { .. }) {
+    fn on_terminated(&mut self, actions: &mut Vec<Action>) {
+        if !matches!(self.state, State::NotHeld | State::Closing { .. }) {
             self.record = None;
             self.close(None, actions);
         }
@@ -361,11 +361,11 @@
         actions.push(Action::Close);
     }
 
-    fn closed(&mut self, actions: &mut Vec<Action>) {
+    fn on_closed(&mut self, actions: &mut Vec<Action>) {
         let State::Closing { epoch } = self.state else {
             return;
         };
-        self.state = State::Out;
+        self.state = State::NotHeld;
         // The key goes last. Deleted earlier, it would let the next holder in
         // while connections of this one are open.
         if let Some(epoch) = epoch {
@@ -374,17 +374,17 @@
         }
     }
 
-    fn settle(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        match (self.state, self.wish) {
-            (State::Out, Wish::In) => self.claim(now, Kept::Nothing, actions),
-            (State::Out | State::Closing { .. }, _) => {}
+    fn advance(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        match (self.state, self.goal) {
+            (State::NotHeld, Goal::Hold) => self.claim(now, Kept::Nothing, actions),
+            (State::NotHeld | State::Closing { .. }, _) => {}
             (
                 State::Claiming {
                     kept: Kept::Nothing,
                     ..
                 },
-                Wish::Out,
-            ) => self.state = State::Out,
+                Goal::Release,
+            ) => self.state = State::NotHeld,
             (State::Claiming { since, kept }, _) if now >= since + CALL_TIMEOUT => {
                 self.record = None;
                 self.claim(now, kept, actions);
@@ -393,22 +393,22 @@
             (
                 State::Fencing { epoch, .. }
                 | State::Held { epoch, .. }
-                | State::Unproved { epoch, .. },
-                Wish::Out,
+                | State::Unconfirmed { epoch, .. },
+                Goal::Release,
             ) => self.close(Some(epoch), actions),
-            (State::Fencing { epoch, since, .. }, Wish::In) => {
+            (State::Fencing { epoch, since, .. }, Goal::Hold) => {
                 if now >= since + CALL_TIMEOUT {
                     self.fence(now, epoch, actions);
                 }
             }
-            (State::Held { epoch, .. } | State::Unproved { epoch, .. }, Wish::In) => {
-                self.prove(now, epoch, actions);
+            (State::Held { epoch, .. } | State::Unconfirmed { epoch, .. }, Goal::Hold) => {
+                self.confirm_hold(now, epoch, actions);
             }
         }
     }
 
     /// Holds the seat under the lease, or by looking at the upstream.
-    fn prove(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
+    fn confirm_hold(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
         match self.lease {
             Status::Valid(_, until) if now < until => {
                 self.state = State::Held { epoch, until };
@@ -419,32 +419,32 @@
                 self.record = None;
                 self.claim(now, Kept::Connections, actions);
             }
-            Status::Valid(..) | Status::Unconfirmed(_) => self.look(now, epoch, actions),
+            Status::Valid(..) | Status::Unconfirmed(_) => self.check(now, epoch, actions),
         }
     }
 
-    fn look(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
+    fn check(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
         let before = match self.state {
-            State::Unproved { look, .. } => Some(look),
+            State::Unconfirmed { check, .. } => Some(check),
             _ => None,
         };
         if before.is_some_and(|it| now < it.sent + CHECK_VALIDITY / 2) {
             return;
         }
         let attempt = self.attempt();
-        let look = Look {
+        let check = Check {
             attempt,
             sent: now,
-            alone: before.and_then(|it| it.alone),
+            last_alone: before.and_then(|it| it.last_alone),
         };
-        self.state = State::Unproved { epoch, look };
+        self.state = State::Unconfirmed { epoch, check };
         actions.push(Action::Check(attempt));
     }
 
     fn claim(&mut self, now: Instant, kept: Kept, actions: &mut Vec<Action>) {
         let over = match self.record {
             None => {
-                self.await_record(now, kept, actions);
+                self.request_record(now, kept, actions);
                 return;
             }
             Some(Record::Absent) => None,
@@ -462,13 +462,13 @@
         actions.push(Action::Claim(id, over));
     }
 
-    fn await_record(&mut self, now: Instant, kept: Kept, actions: &mut Vec<Action>) {
+    fn request_record(&mut self, now: Instant, kept: Kept, actions: &mut Vec<Action>) {
         self.state = State::Claiming { since: now, kept };
         actions.push(Action::Read);
     }
 
     fn attempt(&mut self) -> Attempt {
-        self.made += 1;
-        Attempt(self.made)
+        self.attempts += 1;
+        Attempt(self.attempts)
     }
 }
--- a/crates/pool/tests/blocked.rs
+++ b/crates/pool/tests/blocked.rs
@@ -58,7 +58,7 @@
 /// Events: another entry of the same class waits for its own transaction to
 /// end. Cause: its queue was counted as work ahead, though it can't run.
 #[test]
-fn entry_at_its_limit_holds_up_no_other() {
+fn entry_at_its_limit_does_not_block_others() {
     let mut pool = blocked();
     let now = Instant::from_millis(1);
     let actions = pool.step(now, Event::Submit(request(100, "wide", 2)));
--- a/crates/pool/tests/conn.rs
+++ b/crates/pool/tests/conn.rs
@@ -53,7 +53,7 @@
 /// connection goes back, the old answer arrives. Cause: the connection was
 /// pooled with an unread answer.
 #[test]
-fn given_up_statement_takes_its_connection_along() {
+fn withdrawn_statement_closes_its_connection() {
     let (mut pool, handle) = running();
     let now = Instant::from_millis(1);
     let actions = pool.step(now, Event::Withdraw(Ticket(1)));
@@ -133,7 +133,7 @@
 /// statements time out, their connections are closed and replaced, the server
 /// is still at the statements. Cause: a closed connection was taken for gone.
 #[test]
-fn connection_closed_under_a_statement_keeps_its_place() {
+fn connection_closed_under_a_statement_counts_against_the_limit() {
     let conf = Conf {
         connections: 1,
         ..CONF
@@ -155,7 +155,7 @@
 /// Symptom: the pool stays without a connection. Events: the end of a closed
 /// connection is never told. Cause: its place was kept for ever.
 #[test]
-fn place_of_a_closed_connection_is_free_in_the_end() {
+fn closed_connection_stops_counting_after_the_linger_time() {
     let conf = Conf {
         connections: 1,
         ..CONF
--- a/crates/pool/tests/overload.rs
+++ b/crates/pool/tests/overload.rs
@@ -12,14 +12,20 @@
 #[test]
 fn goodput_and_high_priority_survive_five_times_capacity() {
     let peak = run(Policy::Pool, 2.0, 3, 1).done();
-    let storm = run(Policy::Pool, 5.0, 3, 1);
+    let overload = run(Policy::Pool, 5.0, 3, 1);
     assert!(
-        storm.done() * 100 >= peak * 95,
+        overload.done() * 100 >= peak * 95,
         "{} of {peak}",
-        storm.done()
+        overload.done()
     );
-    assert_eq!((storm.kinds[0].refusals.len(), storm.kinds[0].cut), (0, 0));
-    assert!(storm.connections <= 15);
+    assert_eq!(
+        (
+            overload.kinds[0].refusals.len(),
+            overload.kinds[0].timed_out
+        ),
+        (0, 0)
+    );
+    assert!(overload.connections <= 15);
 }
 
 /// Symptom: a calendar view is refused 110 ms after it came, when half its
--- a/crates/pool/tests/seat.rs
+++ b/crates/pool/tests/seat.rs
@@ -30,12 +30,12 @@
 /// is paused past its lease, another takes the seat, the first wakes. Cause:
 /// it went on without looking.
 #[test]
-fn paused_holder_looks_before_it_uses_anything() {
+fn paused_holder_checks_the_upstream_before_use() {
     let mut seat = held();
     let woke = UNTIL + Duration::from_secs(60);
     assert_eq!(seat.permit(woke), Permit::Nothing);
-    let look = seat.step(woke, Event::Tick);
-    assert_eq!(look, [Action::Check(Attempt(2))]);
+    let check = seat.step(woke, Event::Tick);
+    assert_eq!(check, [Action::Check(Attempt(2))]);
     assert_eq!(seat.permit(woke), Permit::Nothing);
     let other = seat.step(woke, Event::Checked(Attempt(2), Occupancy::Later));
     assert_eq!(other, [Action::Close]);
@@ -45,7 +45,7 @@
 /// Symptom: a zone that is cut off from the store stops serving. Cause: its
 /// holders gave up their seats though nobody else could use them.
 #[test]
-fn holder_cut_off_from_the_store_goes_on_while_alone() {
+fn holder_without_the_store_continues_while_alone() {
     let mut seat = held();
     seat.step(UNTIL, Event::Tick);
     seat.step(UNTIL, Event::Checked(Attempt(2), Occupancy::Alone));
@@ -101,7 +101,7 @@
 /// Symptom: a live holder loses its seat. Events: an old report of its
 /// predecessor's death comes late. Cause: the report named no epoch.
 #[test]
-fn old_report_of_death_takes_nothing() {
+fn stale_death_report_is_ignored() {
     let now = Instant::ZERO;
     let mut seat = Seat::default();
     seat.step(now, Event::Lease(Status::Valid(Id(2), UNTIL)));
@@ -114,7 +114,7 @@
 /// free and claim it at once; the answer that the other won reaches the loser
 /// when it has waited for it. Cause: the loser took its claim for granted.
 #[test]
-fn loser_of_two_claims_opens_nothing() {
+fn loser_of_two_claims_opens_no_connection() {
     let now = Instant::ZERO;
     let mut loser = Seat::default();
     loser.step(now, Event::Lease(Status::Valid(Id(2), UNTIL)));
@@ -135,7 +135,7 @@
 /// lease lapses, nobody else claims, the holder claims again. Cause: it closed
 /// its connections although nobody had taken the seat.
 #[test]
-fn lapsed_seat_is_won_back_with_its_connections() {
+fn lapsed_seat_is_reclaimed_with_its_connections() {
     let mut seat = held();
     let now = Instant::from_millis(10);
     let again = seat.step(now, Event::Lease(Status::Absent));
@@ -178,7 +178,7 @@
 /// down, the holder goes on alone, the former holder wakes from a pause and a
 /// login of its lands. Cause: any other connection made the holder give up.
 #[test]
-fn former_holder_does_not_oust_the_present_one() {
+fn former_holder_does_not_displace_the_present_one() {
     let mut seat = held();
     assert_eq!(seat.step(UNTIL, Event::Tick), [Action::Check(Attempt(2))]);
     let fence = seat.step(UNTIL, Event::Checked(Attempt(2), Occupancy::Earlier));
--- a/crates/pool/tests/seats/fakes.rs
+++ b/crates/pool/tests/seats/fakes.rs
@@ -43,7 +43,7 @@
     }
 
     /// Drops the leases that have run out, with their keys.
-    pub(crate) fn lapse(&mut self, now: Instant) {
+    pub(crate) fn expire_leases(&mut self, now: Instant) {
         self.leases.retain(|_, until| now < *until);
         for key in &mut self.keys {
             *key = key.filter(|it| self.leases.contains_key(&it.lease));
@@ -138,7 +138,12 @@
     }
 
     /// Ends other holders' connections of the seat, of epochs below a bound.
-    pub(crate) fn end(&mut self, holder: Holder, seat: usize, below: Epoch) -> Vec<(u64, Conn)> {
+    pub(crate) fn end_others(
+        &mut self,
+        holder: Holder,
+        seat: usize,
+        below: Epoch,
+    ) -> Vec<(u64, Conn)> {
         let ends = |it: &Conn| it.seat == seat && it.holder != holder && it.epoch < below;
         self.conns.extract_if(.., |_, it| ends(it)).collect()
     }
--- a/crates/pool/tests/seats/main.rs
+++ b/crates/pool/tests/seats/main.rs
@@ -22,18 +22,18 @@
 }
 
 /// The seeds of a broken variant in which the check found two holders.
-fn caught(variant: Variant) -> usize {
+fn runs_with_two_holders(variant: Variant) -> usize {
     let two = |it: &Violation| matches!(it, Violation::Two { .. });
     let reports = reports(variant);
-    let caught = reports
+    let count = reports
         .iter()
         .filter(|it| it.upstream.violations.iter().any(two));
-    let caught = caught.count();
+    let count = count.count();
     println!(
-        "{variant:?}: two holders in {caught} of {} runs",
+        "{variant:?}: two holders in {count} of {} runs",
         reports.len()
     );
-    caught
+    count
 }
 
 /// Symptom: statements of two holders reach an upstream through one seat, and
@@ -58,19 +58,19 @@
 /// connections open.
 #[test]
 fn check_finds_a_missing_fence() {
-    assert!(caught(Variant::NoFence) > 0);
+    assert!(runs_with_two_holders(Variant::NoFence) > 0);
 }
 
 /// Symptom: as above. Events: a login is under way when the seat is fenced.
 /// Cause: it was used without a look at who else is there.
 #[test]
-fn check_finds_a_missing_look() {
-    assert!(caught(Variant::NoLook) > 0);
+fn check_finds_a_missing_connection_check() {
+    assert!(runs_with_two_holders(Variant::NoCheck) > 0);
 }
 
 /// Symptom: as above. Events: a holder wakes from a pause longer than its
 /// lease. Cause: it went on as if no time had passed.
 #[test]
-fn check_finds_trust_in_the_clock() {
-    assert!(caught(Variant::TrustsItsClock) > 0);
+fn check_finds_use_after_a_pause() {
+    assert!(runs_with_two_holders(Variant::IgnoresPauses) > 0);
 }
--- a/crates/pool/tests/seats/world.rs
+++ b/crates/pool/tests/seats/world.rs
@@ -18,7 +18,7 @@
 
 use crate::fakes::{Holder, LIMIT, SEATS, Store, Upstream};
 
-mod edges;
+mod endpoints;
 mod faults;
 
 const HOLDERS: usize = 4;
@@ -32,9 +32,9 @@
     /// A new holder starts without ending its predecessor's connections.
     NoFence,
     /// New connections are used without a look at who else is there.
-    NoLook,
+    NoCheck,
     /// A holder that was paused goes on with what it was permitted before.
-    TrustsItsClock,
+    IgnoresPauses,
 }
 
 /// What a run came to.
@@ -57,8 +57,8 @@
 #[derive(Debug, Clone, Copy)]
 enum Op {
     Open(u64, Epoch),
-    Look(u64, Epoch),
-    End(u64, Epoch),
+    ListOthers(u64, Epoch),
+    EndOthers(u64, Epoch),
     Run(u64),
     Close(u64),
     Fence(Attempt, Epoch),
@@ -66,20 +66,20 @@
 }
 
 #[derive(Debug, Clone)]
-enum News {
+enum Message {
     Lease(lease::Event),
     Seat(usize, Event),
     Opened(usize, u64, Epoch),
-    Looked(usize, u64, Epoch, Vec<Epoch>),
+    OthersListed(usize, u64, Epoch, Vec<Epoch>),
     Gone(usize, u64),
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum Task {
     Step(Holder),
     Store(Holder, Call),
     Upstream(Holder, usize, Op),
-    News(Holder, News),
+    Message(Holder, Message),
     Fault,
 }
 
@@ -97,7 +97,7 @@
     conns: [BTreeMap<u64, Open>; SEATS],
     permits: [Permit; SEATS],
     paused: Instant,
-    woken: bool,
+    resumed: bool,
     cut: Instant,
     dead: bool,
 }
@@ -110,7 +110,7 @@
             conns: Default::default(),
             permits: [Permit::Nothing; SEATS],
             paused: Instant::ZERO,
-            woken: false,
+            resumed: false,
             cut: Instant::ZERO,
             dead: false,
         }
@@ -120,8 +120,8 @@
 pub(crate) struct World {
     now: Instant,
     heap: BinaryHeap<Reverse<(Instant, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
-    made: u64,
+    tasks: BTreeMap<u64, Task>,
+    sequence: u64,
     rng: ChaCha8Rng,
     variant: Variant,
     store: Store,
@@ -136,8 +136,8 @@
     let mut world = World {
         now: Instant::ZERO,
         heap: BinaryHeap::new(),
-        happenings: BTreeMap::new(),
-        made: 0,
+        tasks: BTreeMap::new(),
+        sequence: 0,
         rng: ChaCha8Rng::seed_from_u64(seed),
         variant,
         store: Store::default(),
@@ -149,7 +149,7 @@
     for _ in 0..HOLDERS {
         world.start();
     }
-    world.at(FAULT, Happening::Fault);
+    world.schedule(FAULT, Task::Fault);
     let end = world.quiet + Duration::from_secs(30);
     let mut before = None;
     while let Some(Reverse((at, id))) = world.heap.pop() {
@@ -160,8 +160,8 @@
             before = Some(world.upstream.statements);
         }
         world.now = at;
-        if let Some(happening) = world.happenings.remove(&id) {
-            world.happen(happening);
+        if let Some(task) = world.tasks.remove(&id) {
+            world.run_task(task);
         }
     }
     let before = before.unwrap_or_default();
@@ -173,14 +173,14 @@
 }
 
 impl World {
-    fn at(&mut self, after: Duration, happening: Happening) {
-        self.made += 1;
-        self.heap.push(Reverse((self.now + after, self.made)));
-        self.happenings.insert(self.made, happening);
+    fn schedule(&mut self, after: Duration, task: Task) {
+        self.sequence += 1;
+        self.heap.push(Reverse((self.now + after, self.sequence)));
+        self.tasks.insert(self.sequence, task);
     }
 
     /// A message's way: mostly short, at times as long as a pause.
-    fn way(&mut self) -> Duration {
+    fn latency(&mut self) -> Duration {
         let slow = self.now < self.quiet && self.rng.random_bool(0.03);
         let most = if slow { 12_000 } else { 20 };
         Duration::from_micros(self.rng.random_range(100..most * 1_000))
@@ -188,78 +188,93 @@
 
     fn start(&mut self) {
         self.processes.push(Process::open());
-        self.at(STEP, Happening::Step(self.processes.len() - 1));
+        self.schedule(STEP, Task::Step(self.processes.len() - 1));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Fault => self.fault(),
-            Happening::Store(holder, call) => self.call(holder, call),
-            Happening::Upstream(holder, seat, op) => self.serve(holder, seat, op),
-            Happening::Step(holder) => self.wait_or(holder, happening, |it| it.step(holder)),
-            Happening::News(holder, ref news) => {
-                let news = news.clone();
-                self.wait_or(holder, happening, |it| it.hear(holder, news));
+    fn run_task(&mut self, task: Task) {
+        match task {
+            Task::Fault => self.fault(),
+            Task::Store(holder, call) => self.call(holder, call),
+            Task::Upstream(holder, seat, op) => self.serve(holder, seat, op),
+            Task::Step(holder) => self.run_when_awake(holder, task, |it| it.step(holder)),
+            Task::Message(holder, ref message) => {
+                let message = message.clone();
+                self.run_when_awake(holder, task, |it| it.on_message(holder, message));
             }
         }
     }
 
     /// A paused process hears and does everything when it wakes.
-    fn wait_or(&mut self, holder: Holder, happening: Happening, act: impl FnOnce(&mut Self)) {
+    fn run_when_awake(&mut self, holder: Holder, task: Task, act: impl FnOnce(&mut Self)) {
         let process = &self.processes[holder];
         if process.dead {
             return;
         }
         match process.paused {
-            paused if self.now < paused => self.at(paused.since(self.now), happening),
+            paused if self.now < paused => self.schedule(paused.since(self.now), task),
             _ => act(self),
         }
     }
 
-    fn hear(&mut self, holder: Holder, news: News) {
+    fn on_message(&mut self, holder: Holder, message: Message) {
         let now = self.now;
-        match news {
-            News::Lease(event) => {
+        match message {
+            Message::Lease(event) => {
                 let actions = self.processes[holder].lease.step(now, event);
                 self.renew(holder, actions);
                 self.step_seats(holder);
             }
-            News::Seat(seat, event) => self.step_seat(holder, seat, event),
-            News::Opened(seat, id, epoch) => {
-                let way = self.way();
-                self.at(way, Happening::Upstream(holder, seat, Op::Look(id, epoch)));
+            Message::Seat(seat, event) => self.step_seat(holder, seat, event),
+            Message::Opened(seat, id, epoch) => {
+                let latency = self.latency();
+                self.schedule(
+                    latency,
+                    Task::Upstream(holder, seat, Op::ListOthers(id, epoch)),
+                );
             }
-            News::Looked(seat, id, epoch, others) => self.looked(holder, seat, id, epoch, others),
-            News::Gone(seat, id) => {
+            Message::OthersListed(seat, id, epoch, others) => {
+                self.on_others_listed(holder, seat, id, epoch, others)
+            }
+            Message::Gone(seat, id) => {
                 self.processes[holder].conns[seat].remove(&id);
             }
         }
     }
 
-    fn looked(&mut self, holder: Holder, seat: usize, id: u64, epoch: Epoch, others: Vec<Epoch>) {
-        let way = self.way();
+    fn on_others_listed(
+        &mut self,
+        holder: Holder,
+        seat: usize,
+        id: u64,
+        epoch: Epoch,
+        others: Vec<Epoch>,
+    ) {
+        let latency = self.latency();
         let Some(conn) = self.processes[holder].conns[seat].get_mut(&id) else {
             // The seat was given up while it opened.
-            self.at(way, Happening::Upstream(holder, seat, Op::Close(id)));
+            self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
             return;
         };
-        let trusting = self.variant != Variant::Real;
+        let unchecked = self.variant != Variant::Real;
         match admit(epoch, others) {
-            _ if trusting => *conn = Open::Usable,
+            _ if unchecked => *conn = Open::Usable,
             Admission::Use => *conn = Open::Usable,
-            Admission::Fence => self.at(way, Happening::Upstream(holder, seat, Op::End(id, epoch))),
+            Admission::Fence => self.schedule(
+                latency,
+                Task::Upstream(holder, seat, Op::EndOthers(id, epoch)),
+            ),
             Admission::Close => {
                 self.processes[holder].conns[seat].remove(&id);
-                self.at(way, Happening::Upstream(holder, seat, Op::Close(id)));
+                self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
                 self.step_seat(holder, seat, Event::Terminated);
             }
         }
     }
 
     fn step(&mut self, holder: Holder) {
-        self.at(STEP, Happening::Step(holder));
-        let trusts = self.variant == Variant::TrustsItsClock;
-        if std::mem::take(&mut self.processes[holder].woken) && trusts {
+        self.schedule(STEP, Task::Step(holder));
+        let ignores_pauses = self.variant == Variant::IgnoresPauses;
+        if std::mem::take(&mut self.processes[holder].resumed) && ignores_pauses {
             for seat in 0..SEATS {
                 self.work(holder, seat, self.processes[holder].permits[seat]);
             }
@@ -271,11 +286,11 @@
         self.step_seats(holder);
         for seat in 0..SEATS {
             if self.rng.random_bool(0.02) {
-                let wish = match self.rng.random_bool(0.8) || self.now >= self.quiet {
+                let goal = match self.rng.random_bool(0.8) || self.now >= self.quiet {
                     true => Event::Wanted,
                     false => Event::Unwanted,
                 };
-                self.step_seat(holder, seat, wish);
+                self.step_seat(holder, seat, goal);
             }
             // What the watch of the store shows.
             if self.rng.random_bool(0.1) {
@@ -306,15 +321,15 @@
             return;
         };
         for id in usable {
-            let way = self.way();
-            self.at(way, Happening::Upstream(holder, seat, Op::Run(id)));
+            let latency = self.latency();
+            self.schedule(latency, Task::Upstream(holder, seat, Op::Run(id)));
         }
         for _ in 0..more {
-            self.made += 1;
-            let id = self.made;
+            self.sequence += 1;
+            let id = self.sequence;
             self.processes[holder].conns[seat].insert(id, Open::Pending);
-            let way = self.way();
-            self.at(way, Happening::Upstream(holder, seat, Op::Open(id, epoch)));
+            let latency = self.latency();
+            self.schedule(latency, Task::Upstream(holder, seat, Op::Open(id, epoch)));
         }
     }
 
@@ -331,8 +346,8 @@
     }
 
     fn send(&mut self, holder: Holder, call: Call) {
-        let way = self.way();
-        self.at(way, Happening::Store(holder, call));
+        let latency = self.latency();
+        self.schedule(latency, Task::Store(holder, call));
     }
 
     fn step_seats(&mut self, holder: Holder) {
@@ -351,7 +366,7 @@
     }
 
     fn act(&mut self, holder: Holder, seat: usize, action: Action) {
-        let way = self.way();
+        let latency = self.latency();
         match action {
             Action::Claim(id, over) => self.send(holder, Call::Claim(seat, id, over)),
             Action::Read => self.send(holder, Call::Read(seat)),
@@ -360,27 +375,27 @@
                 let epoch = self.processes[holder].seats[seat].epoch();
                 if let Some(epoch) = epoch {
                     let op = Op::Fence(attempt, epoch);
-                    self.at(way, Happening::Upstream(holder, seat, op));
+                    self.schedule(latency, Task::Upstream(holder, seat, op));
                 }
             }
             Action::Check(attempt) => {
                 let epoch = self.processes[holder].seats[seat].epoch();
                 if let Some(epoch) = epoch {
                     let op = Op::Check(attempt, epoch);
-                    self.at(way, Happening::Upstream(holder, seat, op));
+                    self.schedule(latency, Task::Upstream(holder, seat, op));
                 }
             }
             Action::Close => {
                 let conns = std::mem::take(&mut self.processes[holder].conns[seat]);
                 let mut last = Duration::ZERO;
                 for (id, _) in conns {
-                    let way = self.way();
-                    last = last.max(way);
-                    self.at(way, Happening::Upstream(holder, seat, Op::Close(id)));
+                    let latency = self.latency();
+                    last = last.max(latency);
+                    self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
                 }
                 // The process waits until the upstream has ended them all.
-                let closed = News::Seat(seat, Event::Closed);
-                self.at(last + way, Happening::News(holder, closed));
+                let closed = Message::Seat(seat, Event::Closed);
+                self.schedule(last + latency, Task::Message(holder, closed));
             }
         }
     }
--- a/crates/pool/tests/seats/world/edges.rs
+++ b/crates/pool/tests/seats/world/endpoints.rs
@@ -7,24 +7,24 @@
 };
 use rand::Rng;
 
-use super::{Call, Happening, News, Op, Variant, World};
+use super::{Call, Message, Op, Task, Variant, World};
 use crate::fakes::{Conn, Holder, LIMIT};
 
 impl World {
     pub(super) fn call(&mut self, holder: Holder, call: Call) {
-        self.store.lapse(self.now);
+        self.store.expire_leases(self.now);
         let process = &self.processes[holder];
         if self.now < self.outage || self.now < process.cut {
             return;
         }
-        let news = match call {
+        let message = match call {
             Call::Grant(attempt, ttl) => {
                 let id = self.store.grant(self.now + ttl);
-                News::Lease(lease::Event::Granted(attempt, id))
+                Message::Lease(lease::Event::Granted(attempt, id))
             }
             Call::Renew(attempt, id) => {
                 let until = self.now + lease::MIN_INTERVAL * lease::TTL_INTERVALS;
-                News::Lease(match self.store.renew(id, until) {
+                Message::Lease(match self.store.renew(id, until) {
                     true => lease::Event::Renewed(attempt),
                     false => lease::Event::Gone(attempt),
                 })
@@ -41,17 +41,17 @@
         };
         // The answer may be lost after the call took effect.
         if self.now >= self.quiet || !self.rng.random_bool(0.1) {
-            self.tell(holder, news);
+            self.send_to_holder(holder, message);
         }
     }
 
-    fn record(&self, holder: Holder, seat: usize) -> News {
-        News::Seat(seat, Event::Record(self.store.read(holder, seat)))
+    fn record(&self, holder: Holder, seat: usize) -> Message {
+        Message::Seat(seat, Event::Record(self.store.read(holder, seat)))
     }
 
-    pub(super) fn tell(&mut self, holder: Holder, news: News) {
-        let way = self.way();
-        self.at(way, Happening::News(holder, news));
+    pub(super) fn send_to_holder(&mut self, holder: Holder, message: Message) {
+        let latency = self.latency();
+        self.schedule(latency, Task::Message(holder, message));
     }
 
     pub(super) fn serve(&mut self, holder: Holder, seat: usize, op: Op) {
@@ -63,26 +63,26 @@
                     epoch,
                     used: false,
                 };
-                let news = match self.upstream.open(id, conn) {
-                    true => News::Opened(seat, id, epoch),
-                    false => News::Gone(seat, id),
+                let message = match self.upstream.open(id, conn) {
+                    true => Message::Opened(seat, id, epoch),
+                    false => Message::Gone(seat, id),
                 };
-                self.tell(holder, news);
+                self.send_to_holder(holder, message);
             }
-            Op::Look(id, epoch) => {
+            Op::ListOthers(id, epoch) => {
                 let others = self.upstream.others(holder, seat);
                 if self.upstream.conns.contains_key(&id) {
-                    self.tell(holder, News::Looked(seat, id, epoch, others));
+                    self.send_to_holder(holder, Message::OthersListed(seat, id, epoch, others));
                 }
             }
-            Op::End(id, epoch) => {
-                self.end(holder, seat, epoch);
-                self.serve(holder, seat, Op::Look(id, epoch));
+            Op::EndOthers(id, epoch) => {
+                self.end_others(holder, seat, epoch);
+                self.serve(holder, seat, Op::ListOthers(id, epoch));
             }
             Op::Run(id) => {
                 let share = share(LIMIT as u16, 2, seats(2), seat as u16);
                 if !self.upstream.run(id, usize::from(share.connections)) {
-                    self.tell(holder, News::Gone(seat, id));
+                    self.send_to_holder(holder, Message::Gone(seat, id));
                 }
             }
             Op::Close(id) => {
@@ -90,9 +90,9 @@
             }
             Op::Fence(attempt, epoch) => {
                 if self.variant != Variant::NoFence {
-                    self.end(holder, seat, epoch);
+                    self.end_others(holder, seat, epoch);
                 }
-                self.tell(holder, News::Seat(seat, Event::Fenced(attempt)));
+                self.send_to_holder(holder, Message::Seat(seat, Event::Fenced(attempt)));
             }
             Op::Check(attempt, epoch) => {
                 let others = self.upstream.others(holder, seat);
@@ -101,15 +101,15 @@
                     Admission::Fence => Occupancy::Earlier,
                     Admission::Close => Occupancy::Later,
                 };
-                self.tell(holder, News::Seat(seat, Event::Checked(attempt, seen)));
+                self.send_to_holder(holder, Message::Seat(seat, Event::Checked(attempt, seen)));
             }
         }
     }
 
-    fn end(&mut self, holder: Holder, seat: usize, below: Epoch) {
-        for (id, conn) in self.upstream.end(holder, seat, below) {
-            self.tell(conn.holder, News::Gone(seat, id));
-            self.tell(conn.holder, News::Seat(seat, Event::Terminated));
+    fn end_others(&mut self, holder: Holder, seat: usize, below: Epoch) {
+        for (id, conn) in self.upstream.end_others(holder, seat, below) {
+            self.send_to_holder(conn.holder, Message::Gone(seat, id));
+            self.send_to_holder(conn.holder, Message::Seat(seat, Event::Terminated));
         }
     }
 }
--- a/crates/pool/tests/seats/world/faults.rs
+++ b/crates/pool/tests/seats/world/faults.rs
@@ -5,7 +5,7 @@
 use pool::seat::Event;
 use rand::Rng;
 
-use super::{FAULT, Happening, News, Op, World};
+use super::{FAULT, Message, Op, Task, World};
 use crate::fakes::{Holder, SEATS};
 
 impl World {
@@ -14,8 +14,8 @@
             return;
         }
         let pause = Duration::from_millis(FAULT.as_millis() as u64 / 2);
-        let way = self.way();
-        self.at(pause + way, Happening::Fault);
+        let latency = self.latency();
+        self.schedule(pause + latency, Task::Fault);
         let span = Duration::from_millis(self.rng.random_range(10..15_000));
         let until = (self.now + span).min(self.quiet);
         let holder = self.rng.random_range(0..self.processes.len());
@@ -24,10 +24,10 @@
             1 => self.processes[holder].cut = until,
             2 | 3 => {
                 self.processes[holder].paused = until;
-                self.processes[holder].woken = true;
+                self.processes[holder].resumed = true;
             }
             4 => self.kill(holder),
-            _ => self.suspect(),
+            _ => self.report_dead(),
         }
     }
 
@@ -42,22 +42,22 @@
             .map(|(&id, it)| (id, it.seat))
             .collect();
         for (id, seat) in mine {
-            let way = self.way();
-            self.at(way, Happening::Upstream(holder, seat, Op::Close(id)));
+            let latency = self.latency();
+            self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
         }
         self.start();
     }
 
     /// Peers take a holder for dead, rightly or not.
-    fn suspect(&mut self) {
+    fn report_dead(&mut self) {
         let seat = self.rng.random_range(0..SEATS);
         let Some(epoch) = self.store.epoch(seat) else {
             return;
         };
         for holder in 0..self.processes.len() {
-            let way = self.way();
-            let news = News::Seat(seat, Event::Dead(epoch));
-            self.at(way, Happening::News(holder, news));
+            let latency = self.latency();
+            let message = Message::Seat(seat, Event::Dead(epoch));
+            self.schedule(latency, Task::Message(holder, message));
         }
     }
 }
--- a/crates/pool/tests/share.rs
+++ b/crates/pool/tests/share.rs
@@ -30,7 +30,7 @@
 }
 
 /// The requests that were told that there is no way to the upstream from here.
-fn turned_away(actions: &[Action]) -> Vec<u64> {
+fn refused_without_upstream(actions: &[Action]) -> Vec<u64> {
     let ticket = |action: &Action| match action {
         Action::Refuse {
             ticket: Ticket(ticket),
@@ -49,12 +49,12 @@
 /// to them. Cause: what waited went on to wait for connections that nobody
 /// opens. It has not begun, and another holder can run it at once.
 #[test]
-fn what_waits_for_a_share_that_goes_is_turned_away() {
+fn waiting_requests_are_refused_when_the_share_is_lost() {
     let mut pool = Pool::open(CONF, 1);
     let now = Instant::ZERO;
     pool.step(now, Event::Tick);
     let waits = pool.step(now, Event::Submit(request(1)));
-    assert_eq!(turned_away(&waits), []);
+    assert_eq!(refused_without_upstream(&waits), []);
     let none = Conf {
         connections: 0,
         slots: 0,
@@ -62,9 +62,9 @@
         ..CONF
     };
     let actions = pool.step(now, Event::Conf(none));
-    assert_eq!(turned_away(&actions), [1]);
+    assert_eq!(refused_without_upstream(&actions), [1]);
     // Nor does one wait that comes a moment later.
     let actions = pool.step(now, Event::Submit(request(2)));
-    assert_eq!(turned_away(&actions), [2]);
+    assert_eq!(refused_without_upstream(&actions), [2]);
     assert_eq!(pool.waiting(), 0);
 }
--- a/crates/pool/tests/wake.rs
+++ b/crates/pool/tests/wake.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn opened(pool: &mut Pool, now: Instant) {
+fn open_connections(pool: &mut Pool, now: Instant) {
     for action in pool.step(now, Event::Tick) {
         if let Action::Open(generation) = action {
             pool.step(now, Event::Opened(generation));
@@ -45,7 +45,7 @@
 fn blocked() -> Pool {
     let mut pool = Pool::open(CONF, 1);
     let now = Instant::ZERO;
-    opened(&mut pool, now);
+    open_connections(&mut pool, now);
     let actions = pool.step(now, Event::Submit(request(1, 100)));
     let [Action::Run(_, handle)] = actions[..] else {
         panic!("it did not run: {actions:?}");
@@ -57,7 +57,7 @@
 }
 
 /// Steps a pool whose upstream refuses every connection.
-fn tick_down(pool: &mut Pool, now: Instant) {
+fn tick_refusing(pool: &mut Pool, now: Instant) {
     let mut actions = pool.step(now, Event::Tick);
     while let Some(action) = actions.pop() {
         if let Action::Open(generation) = action {
@@ -74,7 +74,7 @@
     while let Some(at) = pool.wake(now).filter(|&at| at <= end) {
         assert!(at > now || ticks == 0, "{at:?} was named at {now:?}");
         now = at;
-        tick_down(pool, now);
+        tick_refusing(pool, now);
         ticks += 1;
     }
     ticks
@@ -86,9 +86,9 @@
 /// the timer asks again and is told the same moment. Cause: `wake` named
 /// moments that had passed.
 #[test]
-fn passed_moment_is_not_named_again() {
+fn past_wake_time_is_not_returned_again() {
     let mut pool = Pool::open(CONF, 1);
-    tick_down(&mut pool, Instant::ZERO);
+    tick_refusing(&mut pool, Instant::ZERO);
     pool.step(Instant::ZERO, Event::Status(Status::Leaving));
     assert_eq!(ticks(&mut pool), 1);
 }
@@ -96,7 +96,7 @@
 /// Symptom: as above. Events: a request waits for its entry's only connection,
 /// which a transaction holds, and the queue is looked at for it all the time.
 #[test]
-fn queue_that_can_not_move_is_looked_at_rarely() {
+fn blocked_queue_is_reviewed_rarely() {
     let mut pool = blocked();
     let ticks = ticks(&mut pool);
     assert!((3..20).contains(&ticks), "{ticks}");
@@ -106,9 +106,9 @@
 /// Symptom: an upstream that is back stays unused. Cause: its breaker was not
 /// probed, or all the time.
 #[test]
-fn open_breaker_is_probed_and_not_spun_on() {
+fn open_breaker_is_probed_without_busy_looping() {
     let mut pool = Pool::open(CONF, 1);
-    tick_down(&mut pool, Instant::ZERO);
+    tick_refusing(&mut pool, Instant::ZERO);
     let ticks = ticks(&mut pool);
     assert!((2..20).contains(&ticks), "{ticks}");
 }
@@ -117,7 +117,7 @@
 /// passes between a step and the question for the next one. Cause: `wake`
 /// left out what lay before the question, though no step had seen it.
 #[test]
-fn moment_that_passed_since_the_last_step_is_named() {
+fn wake_time_missed_since_the_last_step_is_returned() {
     let pool = blocked();
     let asked = Instant::from_millis(500);
     assert_eq!(pool.wake(asked), Some(asked));
