--- a/crates/failover/src/group.rs
+++ b/crates/failover/src/group.rs
@@ -279,9 +279,9 @@
         if let Some(entry) = self.register.known().cloned() {
             self.adopt_primary(now, &entry.record);
         }
-        let swaps = matches!(self.state, State::Claiming | State::Recording);
+        let is_swapping = matches!(self.state, State::Claiming | State::Recording);
         let event = match outcome {
-            register::Outcome::Won if swaps => machine::Event::Won,
+            register::Outcome::Won if is_swapping => machine::Event::Won,
             register::Outcome::Absent => machine::Event::Absent,
             _ if !self.register.is_claim() => machine::Event::Led,
             _ if self.is_unrecorded() => machine::Event::Announced,
@@ -358,8 +358,8 @@
     }
 
     fn set_wake(&mut self) {
-        let moments = [self.timer.next(), self.register.deadline()];
-        let Some(at) = moments.into_iter().flatten().min() else {
+        let times = [self.timer.next(), self.register.deadline()];
+        let Some(at) = times.into_iter().flatten().min() else {
             return;
         };
         if self.wake.replace(at) != Some(at) || at <= self.last_step {
--- a/crates/failover/src/group/actions.rs
+++ b/crates/failover/src/group/actions.rs
@@ -188,8 +188,8 @@
     /// Sends an order, unless the same one is still within its time to answer.
     pub(super) fn send_order(&mut self, now: Instant, upstream: &name::Upstream, order: Order) {
         let bound = self.conf.timing.order_timeout;
-        let waits = |s: &super::PendingOrder| s.order == order && now.since(s.at) < bound;
-        if self.pending_orders.get(upstream).is_some_and(waits) {
+        let is_pending = |s: &super::PendingOrder| s.order == order && now.since(s.at) < bound;
+        if self.pending_orders.get(upstream).is_some_and(is_pending) {
             return;
         }
         let call = self.register.next_call();
--- a/crates/failover/src/group/guards.rs
+++ b/crates/failover/src/group/guards.rs
@@ -45,9 +45,9 @@
             }
             Verdict::Contested => {
                 let since = *self.contested_since.get_or_insert(now);
-                let ripe = now.since(since) >= self.conf.timing.contested_delay;
+                let expired = now.since(since) >= self.conf.timing.contested_delay;
                 let stuck = self.is_unconfirmed_for(now, self.conf.timing.unconfirmed_timeout);
-                (ripe || stuck) && !self.is_replicating(now)
+                (expired || stuck) && !self.is_replicating(now)
             }
         };
     }
@@ -61,22 +61,22 @@
         };
         if self
             .unconfirmed
-            .is_some_and(|(place, _)| self.is_majority_held(place))
+            .is_some_and(|(position, _)| self.is_majority_held(position))
         {
             self.unconfirmed = None;
         }
-        let told = self
+        let furthest = self
             .peers
             .furthest_position(now, &self.conf.timing, primary.term);
-        let told = told.max(self.primary_position(now));
-        match told.filter(|place| !self.is_majority_held(*place)) {
-            Some(place) => drop(self.unconfirmed.get_or_insert((place, now))),
+        let furthest = furthest.max(self.primary_position(now));
+        match furthest.filter(|position| !self.is_majority_held(*position)) {
+            Some(position) => drop(self.unconfirmed.get_or_insert((position, now))),
             None => self.unconfirmed = None,
         }
     }
 
     /// Whether replicas enough to make a majority with the primary hold this.
-    fn is_majority_held(&self, place: Position) -> bool {
+    fn is_majority_held(&self, position: Position) -> bool {
         let Some(primary) = &self.primary else {
             return true;
         };
@@ -84,7 +84,7 @@
             .detectors
             .iter()
             .filter(|(u, _)| **u != primary.upstream);
-        let holds = |r: &model::Report| r.received.covers(place);
+        let holds = |r: &model::Report| r.received.covers(position);
         let holding = others.filter(|(_, s)| s.report().is_some_and(holds));
         holding.count() + 1 >= majority(self.detectors.len())
     }
@@ -198,8 +198,8 @@
 
     /// Whether the primary is announced while the store still holds the claim.
     pub(super) fn is_unrecorded(&self) -> bool {
-        let led = self.primary.as_ref().map(|l| l.term);
-        self.register.is_claim() && self.register.known().map(|e| e.record.term) == led
+        let primary_term = self.primary.as_ref().map(|l| l.term);
+        self.register.is_claim() && self.register.known().map(|e| e.record.term) == primary_term
     }
 
     /// Whether the claim under way has lost its reason.
--- a/crates/failover/src/group/periodic.rs
+++ b/crates/failover/src/group/periodic.rs
@@ -123,14 +123,14 @@
         let Some(last) = promotion.fence_report(&primary.upstream) else {
             return true;
         };
-        let level = |u: &name::Upstream| {
+        let caught_up = |u: &name::Upstream| {
             let report = promotion.fence_report(u);
             report.is_some_and(|r| r.received >= last.received)
         };
         !self
             .detectors
             .keys()
-            .any(|u| !self.is_leaving(u) && level(u))
+            .any(|u| !self.is_leaving(u) && caught_up(u))
     }
 
     pub(super) fn send_promotion(&mut self, now: Instant) {
@@ -153,15 +153,15 @@
         if !promoter && self.peers.rank(now, &self.conf.timing, &self.conf.instance) > 0 {
             return;
         }
-        let strays: Vec<_> = self
+        let targets: Vec<_> = self
             .detectors
             .keys()
             .filter(|u| self.needs_follow(u))
             .cloned()
             .collect();
-        for stray in &strays {
+        for target in &targets {
             let (term, upstream) = (primary.term, primary.upstream.clone());
-            self.send_order(now, stray, Order::Follow { term, upstream });
+            self.send_order(now, target, Order::Follow { term, upstream });
         }
     }
 
--- a/crates/failover/src/peers.rs
+++ b/crates/failover/src/peers.rs
@@ -130,9 +130,9 @@
 
     /// How many candidates that are heard rank before this one.
     pub(crate) fn rank(&self, now: Instant, timing: &Timing, me: &name::Instance) -> u32 {
-        let heard: BTreeSet<_> = self.fresh(now, timing).map(|(i, _)| i).collect();
+        let fresh_peers: BTreeSet<_> = self.fresh(now, timing).map(|(i, _)| i).collect();
         let before = self.ranked.iter().take_while(|i| *i != me);
-        let live = before.filter(|i| heard.contains(i)).count();
+        let live = before.filter(|i| fresh_peers.contains(i)).count();
         u32::try_from(live).unwrap_or(u32::MAX)
     }
 
@@ -143,10 +143,10 @@
         timing: &Timing,
         term: Term,
     ) -> Option<Position> {
-        let told = self
+        let reported = self
             .fresh(now, timing)
             .filter(|(_, h)| h.evidence.term == term);
-        told.filter_map(|(_, h)| h.evidence.place).max()
+        reported.filter_map(|(_, h)| h.evidence.place).max()
     }
 
     /// Whether another candidate is heard to work on a claim of this term.
@@ -174,12 +174,12 @@
         }
         let count = |test: fn(&View) -> bool| zones.values().filter(|v| test(v)).count();
         let suspects = count(|v| matches!(v, View::Silent | View::Refused));
-        let vouchers = count(|v| *v == View::Alive);
+        let alive_zones = count(|v| *v == View::Alive);
         if !matches!(own.1, View::Silent | View::Refused) || suspects * 2 <= zones.len() {
             return Verdict::Trusted;
         }
         let alone = zones.len() == 1 && self.ranked.len() > 1;
-        if vouchers > 0 || alone {
+        if alive_zones > 0 || alone {
             return Verdict::Contested;
         }
         Verdict::Suspected
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -166,16 +166,19 @@
 
     /// The place up to which a majority holds this term's log.
     pub fn committed(&self) -> Lsn {
-        let mut places: Vec<Lsn> = self.holders.values().map(|h| h.lsn).collect();
-        places.sort_unstable_by(|a, b| b.cmp(a));
-        places.get(self.majority - 1).copied().unwrap_or_default()
+        let mut positions: Vec<Lsn> = self.holders.values().map(|h| h.lsn).collect();
+        positions.sort_unstable_by(|a, b| b.cmp(a));
+        positions
+            .get(self.majority - 1)
+            .copied()
+            .unwrap_or_default()
     }
 
     fn take_committed(&mut self) -> Vec<Id> {
-        let place = self.committed();
+        let committed = self.committed();
         let mut done = Vec::new();
         while let Some(&(lsn, id)) = self.writes.first() {
-            if lsn > place {
+            if lsn > committed {
                 break;
             }
             self.writes.pop_first();
@@ -202,9 +205,9 @@
     /// The latest moment since which a majority and the primary answered.
     fn confirmed_since(&self) -> Option<Instant> {
         let primary = self.holders.get(&self.primary)?.confirmed?;
-        let mut moments: Vec<Instant> = self.holders.values().filter_map(|h| h.confirmed).collect();
-        moments.sort_unstable_by(|a, b| b.cmp(a));
-        moments.get(self.majority - 1).map(|&m| m.min(primary))
+        let mut times: Vec<Instant> = self.holders.values().filter_map(|h| h.confirmed).collect();
+        times.sort_unstable_by(|a, b| b.cmp(a));
+        times.get(self.majority - 1).map(|&m| m.min(primary))
     }
 }
 
--- a/crates/failover/tests/failover/full_upstream.rs
+++ b/crates/failover/tests/failover/full_upstream.rs
@@ -25,7 +25,10 @@
     let since = world.now;
     world.run(SECOND);
     world.verify();
-    assert!(world.gap(&[0, 1, 2], since).is_some(), "writes land again");
+    assert!(
+        world.gap(&[0, 1, 2], since).is_some(),
+        "writes are acknowledged again"
+    );
     assert_eq!(world.check.promotions, []);
 }
 
--- a/crates/failover/tests/failover/gap.rs
+++ b/crates/failover/tests/failover/gap.rs
@@ -68,10 +68,12 @@
         Kind::Process | Kind::Host | Kind::PrimaryCut | Kind::Isolated => 0,
     };
     let served: Vec<usize> = (first..world.setup.zones).collect();
-    let total = world.gap(&served, fault).expect("writes land again");
+    let total = world
+        .gap(&served, fault)
+        .expect("writes are acknowledged again");
     let mut last = fault;
     let mut phase = |state| {
-        let (at, _) = world.entered(state, fault).expect("each state is passed");
+        let (at, _) = world.entered(state, fault).expect("each state is entered");
         let span = at.since(last);
         last = at;
         micros(span)
--- a/crates/failover/tests/failover/scenarios.rs
+++ b/crates/failover/tests/failover/scenarios.rs
@@ -34,7 +34,7 @@
     world.run(span);
     world.verify();
     let gap = world.gap(instances, since);
-    gap.unwrap_or_else(|| panic!("writes do not land: {:?}", world.trace))
+    gap.unwrap_or_else(|| panic!("no write is acknowledged: {:?}", world.trace))
 }
 
 /// A primary's process ends. Its host refuses connections, which every zone
@@ -50,7 +50,7 @@
 }
 
 /// A primary's host is gone and nothing refuses: only silence tells. The
-/// silence must be noticed by a majority of the zones, and writes land again.
+/// silence must be noticed by a majority of the zones, and writes are acknowledged again.
 #[test]
 fn primary_host_is_gone() {
     let mut world = World::running(Setup::umurage(), 2);
@@ -274,7 +274,7 @@
     world.run(SECOND);
     let fault = world.now;
     let served = world.gap(&[0, 1, 2], fault - SECOND);
-    assert!(served.is_some(), "an outage of the store stops no writes");
+    assert!(served.is_some(), "writes continue without the store");
     world.servers[0].down = Some(Down::Host);
     world.run(SECOND * 5);
     assert_eq!(world.check.promotions, []);
@@ -456,16 +456,16 @@
 /// fails. The one that holds the acknowledged writes must be chosen.
 #[test]
 fn a_lagging_replica_is_not_chosen() {
-    for (late, level) in [(1, 2), (2, 1)] {
+    for (lagging, caught_up) in [(1, 2), (2, 1)] {
         let mut world = World::running(Setup::umurage(), 85);
-        world.servers[late].lag = SECOND * 60;
+        world.servers[lagging].lag = SECOND * 60;
         world.run(SECOND);
         world.servers[0].down = Some(Down::Host);
         let fault = world.now;
         world.run(millis(500));
-        world.servers[late].lag = Duration::ZERO;
+        world.servers[lagging].lag = Duration::ZERO;
         run_and_verify(&mut world, SECOND * 3, &[0, 1, 2], fault);
-        assert_eq!(world.check.promotions[0].2, level);
+        assert_eq!(world.check.promotions[0].2, caught_up);
     }
 }
 
--- a/crates/failover/tests/failover/world/instance.rs
+++ b/crates/failover/tests/failover/world/instance.rs
@@ -159,12 +159,12 @@
     }
 
     fn acknowledge(&mut self, i: usize, done: Vec<failover::quorum::Id>) {
-        for done in done {
-            let Some((at, position)) = self.instances[i].issued.remove(&done.0) else {
+        for id in done {
+            let Some((at, position)) = self.instances[i].issued.remove(&id.0) else {
                 continue;
             };
             self.instances[i].acked.push((at, self.now));
-            self.check.acknowledged(&self.servers, done.0, position);
+            self.check.acknowledged(&self.servers, id.0, position);
         }
     }
 }
--- a/crates/pool/tests/blocked.rs
+++ b/crates/pool/tests/blocked.rs
@@ -44,7 +44,7 @@
     }
     let actions = pool.step(now, Event::Submit(request(1, "narrow", 1)));
     let [Action::Run(_, handle)] = actions[..] else {
-        panic!("it did not run: {actions:?}");
+        panic!("the request did not run: {actions:?}");
     };
     pool.step(now, Event::Answered(handle, Condition::Transaction));
     for ticket in 2..52 {
@@ -63,7 +63,7 @@
     let now = Instant::from_millis(1);
     let actions = pool.step(now, Event::Submit(request(100, "wide", 2)));
     let [Action::Run(Ticket(100), first)] = actions[..] else {
-        panic!("it did not run: {actions:?}");
+        panic!("the request did not run: {actions:?}");
     };
     // The slot is taken: the next waits, and is not refused for the others.
     let waits = pool.step(now, Event::Submit(request(101, "wide", 2)));
--- a/crates/pool/tests/conn.rs
+++ b/crates/pool/tests/conn.rs
@@ -142,9 +142,9 @@
     pool.step(Instant::ZERO, Event::Conf(conf));
     let now = Instant::from_millis(1);
     pool.step(now, Event::Submit(request(2, Priority::High)));
-    let cut = pool.step(now, Event::Withdraw(Ticket(1)));
+    let withdrawn = pool.step(now, Event::Withdraw(Ticket(1)));
     let close = Action::Close(handle.generation);
-    assert_eq!(cut, [Action::Cancel(handle), close]);
+    assert_eq!(withdrawn, [Action::Cancel(handle), close]);
     assert_eq!(pool.connections(), 1);
     let ended = Event::Closed(handle.generation);
     let replaced = pool.step(Instant::from_millis(5), ended);
@@ -186,7 +186,7 @@
         pool.step(now, Event::Opened(generation));
         let ran = pool.step(now, Event::Submit(request(round, Priority::Low)));
         let [Action::Run(_, handle)] = ran[..] else {
-            panic!("it did not run: {ran:?}");
+            panic!("the request did not run: {ran:?}");
         };
         let end = match round {
             2 => Event::Answered(handle, Condition::Unusable),
--- a/crates/pool/tests/seat.rs
+++ b/crates/pool/tests/seat.rs
@@ -32,14 +32,14 @@
 #[test]
 fn paused_holder_checks_the_upstream_before_use() {
     let mut seat = held();
-    let woke = UNTIL + Duration::from_secs(60);
-    assert_eq!(seat.permit(woke), Permit::Nothing);
-    let check = seat.step(woke, Event::Tick);
+    let resumed = UNTIL + Duration::from_secs(60);
+    assert_eq!(seat.permit(resumed), Permit::Nothing);
+    let check = seat.step(resumed, Event::Tick);
     assert_eq!(check, [Action::Check(Attempt(2))]);
-    assert_eq!(seat.permit(woke), Permit::Nothing);
-    let other = seat.step(woke, Event::Checked(Attempt(2), Occupancy::Later));
+    assert_eq!(seat.permit(resumed), Permit::Nothing);
+    let other = seat.step(resumed, Event::Checked(Attempt(2), Occupancy::Later));
     assert_eq!(other, [Action::Close]);
-    assert_eq!(seat.permit(woke), Permit::Nothing);
+    assert_eq!(seat.permit(resumed), Permit::Nothing);
 }
 
 /// Symptom: a zone that is cut off from the store stops serving. Cause: its
--- a/crates/pool/tests/seats/main.rs
+++ b/crates/pool/tests/seats/main.rs
@@ -48,7 +48,10 @@
         // The faults did change holders, and the seats work after them.
         assert!(upstream.changes > 4, "seed {seed}: {}", upstream.changes);
         assert!(upstream.statements.iter().all(|&it| it > 1_000));
-        assert!(report.quiet.iter().all(|&it| it > 1_000), "seed {seed}");
+        assert!(
+            report.quiet_statements.iter().all(|&it| it > 1_000),
+            "seed {seed}"
+        );
         refused += upstream.refused;
     }
     println!("connections that the upstream had to refuse: {refused}");
--- a/crates/pool/tests/seats/world.rs
+++ b/crates/pool/tests/seats/world.rs
@@ -42,7 +42,7 @@
 pub(crate) struct Report {
     pub(crate) upstream: Upstream,
     /// Statements at each seat in the quiet time at the end.
-    pub(crate) quiet: [u64; SEATS],
+    pub(crate) quiet_statements: [u64; SEATS],
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -96,9 +96,9 @@
     seats: [Seat; SEATS],
     conns: [BTreeMap<u64, Open>; SEATS],
     permits: [Permit; SEATS],
-    paused: Instant,
+    paused_until: Instant,
     resumed: bool,
-    cut: Instant,
+    cut_until: Instant,
     dead: bool,
 }
 
@@ -109,9 +109,9 @@
             seats: Default::default(),
             conns: Default::default(),
             permits: [Permit::Nothing; SEATS],
-            paused: Instant::ZERO,
+            paused_until: Instant::ZERO,
             resumed: false,
-            cut: Instant::ZERO,
+            cut_until: Instant::ZERO,
             dead: false,
         }
     }
@@ -125,10 +125,10 @@
     rng: ChaCha8Rng,
     variant: Variant,
     store: Store,
-    outage: Instant,
+    outage_until: Instant,
     upstream: Upstream,
     processes: Vec<Process>,
-    quiet: Instant,
+    faults_end: Instant,
 }
 
 /// Runs faults for `seconds`, and then half a minute without.
@@ -141,22 +141,22 @@
         rng: ChaCha8Rng::seed_from_u64(seed),
         variant,
         store: Store::default(),
-        outage: Instant::ZERO,
+        outage_until: Instant::ZERO,
         upstream: Upstream::default(),
         processes: Vec::new(),
-        quiet: Instant::from_millis(seconds * 1_000),
+        faults_end: Instant::from_millis(seconds * 1_000),
     };
     for _ in 0..HOLDERS {
         world.start();
     }
     world.schedule(FAULT, Task::Fault);
-    let end = world.quiet + Duration::from_secs(30);
+    let end = world.faults_end + Duration::from_secs(30);
     let mut before = None;
     while let Some(Reverse((at, id))) = world.heap.pop() {
         if at >= end {
             break;
         }
-        if at >= world.quiet + Duration::from_secs(20) && before.is_none() {
+        if at >= world.faults_end + Duration::from_secs(20) && before.is_none() {
             before = Some(world.upstream.statements);
         }
         world.now = at;
@@ -167,7 +167,7 @@
     let before = before.unwrap_or_default();
     let after = world.upstream.statements;
     Report {
-        quiet: std::array::from_fn(|seat| after[seat] - before[seat]),
+        quiet_statements: std::array::from_fn(|seat| after[seat] - before[seat]),
         upstream: world.upstream,
     }
 }
@@ -181,7 +181,7 @@
 
     /// A message's way: mostly short, at times as long as a pause.
     fn latency(&mut self) -> Duration {
-        let slow = self.now < self.quiet && self.rng.random_bool(0.03);
+        let slow = self.now < self.faults_end && self.rng.random_bool(0.03);
         let most = if slow { 12_000 } else { 20 };
         Duration::from_micros(self.rng.random_range(100..most * 1_000))
     }
@@ -210,7 +210,7 @@
         if process.dead {
             return;
         }
-        match process.paused {
+        match process.paused_until {
             paused if self.now < paused => self.schedule(paused.since(self.now), task),
             _ => act(self),
         }
@@ -286,7 +286,7 @@
         self.step_seats(holder);
         for seat in 0..SEATS {
             if self.rng.random_bool(0.02) {
-                let goal = match self.rng.random_bool(0.8) || self.now >= self.quiet {
+                let goal = match self.rng.random_bool(0.8) || self.now >= self.faults_end {
                     true => Event::Wanted,
                     false => Event::Unwanted,
                 };
--- a/crates/pool/tests/seats/world/endpoints.rs
+++ b/crates/pool/tests/seats/world/endpoints.rs
@@ -14,7 +14,7 @@
     pub(super) fn call(&mut self, holder: Holder, call: Call) {
         self.store.expire_leases(self.now);
         let process = &self.processes[holder];
-        if self.now < self.outage || self.now < process.cut {
+        if self.now < self.outage_until || self.now < process.cut_until {
             return;
         }
         let message = match call {
@@ -40,7 +40,7 @@
             }
         };
         // The answer may be lost after the call took effect.
-        if self.now >= self.quiet || !self.rng.random_bool(0.1) {
+        if self.now >= self.faults_end || !self.rng.random_bool(0.1) {
             self.send_to_holder(holder, message);
         }
     }
--- a/crates/pool/tests/seats/world/faults.rs
+++ b/crates/pool/tests/seats/world/faults.rs
@@ -10,20 +10,20 @@
 
 impl World {
     pub(super) fn fault(&mut self) {
-        if self.now >= self.quiet {
+        if self.now >= self.faults_end {
             return;
         }
         let pause = Duration::from_millis(FAULT.as_millis() as u64 / 2);
         let latency = self.latency();
         self.schedule(pause + latency, Task::Fault);
         let span = Duration::from_millis(self.rng.random_range(10..15_000));
-        let until = (self.now + span).min(self.quiet);
+        let until = (self.now + span).min(self.faults_end);
         let holder = self.rng.random_range(0..self.processes.len());
         match self.rng.random_range(0..8) {
-            0 => self.outage = until,
-            1 => self.processes[holder].cut = until,
+            0 => self.outage_until = until,
+            1 => self.processes[holder].cut_until = until,
             2 | 3 => {
-                self.processes[holder].paused = until;
+                self.processes[holder].paused_until = until;
                 self.processes[holder].resumed = true;
             }
             4 => self.kill(holder),
--- a/crates/pool/tests/wake.rs
+++ b/crates/pool/tests/wake.rs
@@ -48,7 +48,7 @@
     open_connections(&mut pool, now);
     let actions = pool.step(now, Event::Submit(request(1, 100)));
     let [Action::Run(_, handle)] = actions[..] else {
-        panic!("it did not run: {actions:?}");
+        panic!("the request did not run: {actions:?}");
     };
     pool.step(now, Event::Answered(handle, Condition::Transaction));
     pool.step(now, Event::Submit(request(2, 100)));
@@ -72,7 +72,7 @@
     let mut now = Instant::ZERO;
     let mut ticks = 0;
     while let Some(at) = pool.wake(now).filter(|&at| at <= end) {
-        assert!(at > now || ticks == 0, "{at:?} was named at {now:?}");
+        assert!(at > now || ticks == 0, "{at:?} was returned at {now:?}");
         now = at;
         tick_refusing(pool, now);
         ticks += 1;
