--- a/crates/failover/src/detector.rs
+++ b/crates/failover/src/detector.rs
@@ -1,4 +1,4 @@
-//! One upstream as this candidate sees it.
+//! Failure detector of one upstream at one candidate.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,14 +10,15 @@
     timing::Timing,
 };
 
-/// Probes that may be under way at once; more would only queue behind a stall.
+/// Maximum number of probes in flight; more would only queue behind a stalled
+/// upstream.
 const MAX_OUTSTANDING_PROBES: usize = 4;
 
-/// Hard faults in a row that make a view. One may be a listener's hiccup; the
-/// second is asked for at once.
+/// Consecutive hard faults after which the view changes. A single fault may be
+/// transient; a second probe is sent at once.
 const CONFIRMING_FAULTS: u32 = 2;
 
-/// What is known of an upstream, and how regularly it answers.
+/// Last report of an upstream and the regularity of its answers.
 #[derive(Debug)]
 pub(crate) struct Detector {
     pending: BTreeMap<Call, Instant>,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Notes a probe, unless too many are under way.
+    /// Registers a probe, unless too many are in flight.
     pub(crate) fn begin_probe(
         &mut self,
         now: Instant,
@@ -64,7 +65,7 @@
         Some(call)
     }
 
-    /// Takes the answer to a probe or to an order.
+    /// Handles the answer to a probe or to an order.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
@@ -92,13 +93,14 @@
         }
     }
 
-    /// Takes the word that there is no room for another connection.
+    /// Handles an answer that no connection is free.
     ///
-    /// Something must run there to say so. Taken for silence, a restart of the
-    /// instances, whose old and new connections fill an upstream for a while,
-    /// replaces a healthy primary and leaves its writes in doubt. But one that
-    /// hangs behind connections that nobody can use says the same: without a
-    /// report for [`Timing::full_grace`] it counts as silent.
+    /// Such an answer shows that the upstream runs. Treated as silence, it
+    /// would cause the promotion of a replica while the primary is healthy and
+    /// leave writes in doubt when instances restart, because their old and new
+    /// connections fill an upstream for a while. But an upstream that hangs
+    /// behind unusable connections gives the same answer: without a report for
+    /// [`Timing::full_grace`] it counts as silent.
     fn on_full(&mut self, now: Instant, timing: &Timing) {
         self.hard_faults = 0;
         let known = self.last_answer.unwrap_or(self.created);
@@ -118,36 +120,36 @@
         };
     }
 
-    /// Jacobson's estimate of the round trip and its spread.
+    /// Updates Jacobson's estimate of the round-trip time and its deviation.
     fn update_rtt(&mut self, rtt: Duration) {
         let error = rtt.abs_diff(self.rtt_mean);
         self.rtt_mean = (self.rtt_mean * 7 + rtt) / 8;
         self.rtt_deviation = (self.rtt_deviation * 3 + error) / 4;
     }
 
-    /// How long this upstream may be silent before it is suspected.
+    /// Time without an answer after which this upstream is suspected.
     pub(crate) fn silence_timeout(&self, timing: &Timing) -> Duration {
         let usual = timing.probe_interval + self.rtt_mean + self.rtt_deviation * 4;
         usual.clamp(timing.min_silence, timing.max_silence)
     }
 
-    /// Starts to count silence anew.
+    /// Restarts the measurement of silence.
     ///
     /// After a pause of this process every upstream would look silent at once,
-    /// and the process would claim a term for its own stall; likewise a new
-    /// primary must not inherit the silence from before its promotion.
+    /// and the process would claim a term because of its own stall. Likewise,
+    /// the silence before a promotion must not count against the new primary.
     pub(crate) fn reset_silence(&mut self, now: Instant) {
         self.silence_start = now;
         self.hard_faults = 0;
         self.replica_reports = 0;
     }
 
-    /// Whether a hard fault awaits confirmation by a second probe.
+    /// Returns true if a hard fault must be confirmed by a second probe.
     pub(crate) fn needs_confirmation(&self) -> bool {
         self.hard_faults > 0 && self.hard_faults < CONFIRMING_FAULTS
     }
 
-    /// How this upstream is found, whatever its role.
+    /// View of this upstream, whatever its role.
     pub(crate) fn view(&self, now: Instant, timing: &Timing) -> View {
         if self.hard_faults >= CONFIRMING_FAULTS {
             return View::Refused;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// How this upstream is found as the primary.
+    /// View of this upstream as the primary.
     pub(crate) fn primary_view(&self, now: Instant, timing: &Timing) -> View {
         match self.view(now, timing) {
             View::Alive if self.replica_reports >= CONFIRMING_FAULTS => View::Refused,
@@ -173,17 +175,18 @@
         }
     }
 
-    /// Whether it answers now.
+    /// Returns true if the upstream answers now.
     pub(crate) fn is_alive(&self, now: Instant, timing: &Timing) -> bool {
         self.view(now, timing) == View::Alive
     }
 
-    /// Its last report.
+    /// Last report of the upstream.
     pub(crate) fn report(&self) -> Option<&Report> {
         self.report.as_ref()
     }
 
-    /// Whether its log grew a short while ago.
+    /// Returns true if the upstream's log grew within
+    /// [`Timing::progress_window`].
     pub(crate) fn is_advancing(&self, now: Instant, timing: &Timing) -> bool {
         self.last_advance
             .is_some_and(|at| now.since(at) < timing.progress_window)
--- a/crates/failover/src/event.rs
+++ b/crates/failover/src/event.rs
@@ -1,4 +1,4 @@
-//! What a group is told, and what it asks for in return.
+//! Events, actions and messages of a group.
 
 use std::collections::BTreeMap;
 
@@ -6,217 +6,221 @@
 use model::{Position, Record, Report, Term, name};
 use serde::{Deserialize, Serialize};
 
-/// Ties an answer to what was asked.
+/// Number of a call, which matches an answer to its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Call(pub u64);
 
-/// An upstream of the group, as the catalogue has it.
+/// An upstream of the group as listed in the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: name::Zone,
-    /// Whether it is leaving, and can't become primary if another can.
+    /// Service status; a leaving upstream becomes primary only if no active one
+    /// can.
     pub status: Status,
 }
 
-/// Whether an upstream stays in service.
+/// Service status of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It stays.
+    /// The upstream stays in service.
     Active,
-    /// It is being taken out of service.
+    /// The upstream is being taken out of service.
     Leaving,
 }
 
-/// The store's record with the revision that a swap must expect.
+/// A record of the store with the revision that a compare-and-swap must expect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The store's revision of the record.
+    /// Store revision of the record.
     pub revision: u64,
-    /// The record.
+    /// Record in the store.
     pub record: Record,
 }
 
-/// The revision to expect when there must be no record yet.
+/// Revision to expect when no record exists yet.
 pub const ABSENT_REVISION: u64 = 0;
 
-/// Why an upstream gave no report.
+/// Reason for which an upstream gave no report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Fault {
     /// The host refuses connections.
     #[error("connection refused")]
     Refused,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     #[error("connection broken")]
     Broken,
-    /// No answer came in time.
+    /// No answer arrived before the time-out.
     #[error("no answer in time")]
     Timeout,
-    /// The upstream runs and has no room for another connection.
+    /// The upstream runs, but all of its connections are taken.
     #[error("no room for another connection")]
     Full,
-    /// It is fenced to a higher term than the order's.
+    /// The upstream is fenced to this term, which is higher than the order's.
     #[error("fenced to term {0}")]
     Fenced(Term),
 }
 
-/// Why the store gave no result.
+/// Reason for which the store gave no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFault {
     /// The record is not at the expected revision.
     #[error("the record has changed")]
     Conflict,
-    /// No answer came; a swap may have taken effect or may yet do so.
+    /// No answer arrived; a swap may have taken effect or may do so later.
     #[error("no answer from the store")]
     Unanswered,
 }
 
-/// What one candidate tells the others.
+/// What one candidate reports to the others about the primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The group.
+    /// Database of the group.
     pub database: name::Database,
-    /// The term whose primary `view` is about.
+    /// Term of the primary that `view` describes.
     pub term: Term,
-    /// How the teller finds that primary.
+    /// The sender's view of that primary.
     pub view: View,
-    /// How far that primary's log went when it answered the teller last.
+    /// End of that primary's log in its last answer to the sender.
     pub place: Option<Position>,
-    /// The claim that the teller is working on.
+    /// Term of the claim on which the sender is working.
     pub claim: Option<Term>,
 }
 
-/// How a candidate finds an upstream.
+/// State of an upstream as seen by a candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum View {
-    /// It can't tell yet.
+    /// The candidate cannot tell yet: no answer has arrived.
     Unsure,
-    /// It answers.
+    /// The upstream answers.
     Alive,
-    /// It has not answered for too long.
+    /// The upstream has not answered within its time-out.
     Silent,
-    /// It refuses connections, or says that it is no primary.
+    /// The upstream refuses connections, or reports that it is not a primary.
     Refused,
 }
 
-/// What an upstream is ordered; each order may be repeated without harm.
+/// An order to an upstream; orders are idempotent.
 ///
 /// An upstream refuses with [`Fault::Fenced`] every order whose term is below
-/// the one it is fenced to, and keeps that term over restarts.
+/// the one to which it is fenced, and keeps that term over restarts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Take no write and follow no log of a lower term; then report.
+    /// Accept no write and no log of a lower term, then report.
     Fence {
-        /// The claimed term.
+        /// Term of the claim.
         term: Term,
     },
     /// Become the primary of this term.
     Promote {
-        /// The claimed term.
+        /// Term of the claim.
         term: Term,
     },
-    /// Follow the primary of this term, dropping log that it does not have.
+    /// Follow the primary of this term and drop log that the primary does not
+    /// have.
     Follow {
-        /// The primary's term.
+        /// Term of the primary.
         term: Term,
-        /// The primary.
+        /// Upstream to follow.
         upstream: name::Upstream,
     },
 }
 
-/// What a group is told.
+/// Input of a group.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A moment that was asked for with [`Action::Wake`] has come.
+    /// The time requested by [`Action::Wake`] has come.
     Tick,
-    /// The live instances, with their zones.
+    /// Live instances and their zones.
     Members(BTreeMap<name::Instance, name::Zone>),
-    /// The group's upstreams, as the catalogue has them now.
+    /// Upstreams of the group as the catalogue lists them now.
     Upstreams(BTreeMap<name::Upstream, Member>),
-    /// An upstream answered a probe or an order, or failed to.
+    /// An upstream answered a probe or an order, or failed to answer.
     Answer {
-        /// What was asked.
+        /// Call of the request.
         call: Call,
-        /// The upstream.
+        /// Upstream concerned.
         upstream: name::Upstream,
-        /// Its report.
+        /// Report of the upstream.
         result: Result<Report, Fault>,
     },
-    /// Another candidate told its evidence.
+    /// Evidence of another candidate arrived.
     Evidence {
-        /// The teller.
+        /// Sending instance.
         from: name::Instance,
-        /// The teller's zone.
+        /// Zone of the sending instance.
         zone: name::Zone,
-        /// What it tells.
+        /// Content of the message.
         evidence: Evidence,
     },
-    /// The store answered an [`Action::Read`]; `None` means no record.
+    /// The store answered an [`Action::Read`]; `None` means that no record
+    /// exists.
     Read {
-        /// What was asked.
+        /// Call of the request.
         call: Call,
-        /// The record.
+        /// Record in the store.
         result: Result<Option<Entry>, StoreFault>,
     },
     /// The store answered an [`Action::Swap`] with the new revision.
     Swapped {
-        /// What was asked.
+        /// Call of the request.
         call: Call,
-        /// The record's new revision.
+        /// New revision of the record.
         result: Result<u64, StoreFault>,
     },
-    /// A watch of the store showed the record.
+    /// A store watch delivered the record.
     Watched(Entry),
-    /// Another instance announced the record.
+    /// Another instance announced this record.
     Announced(Entry),
 }
 
-/// What a group asks for.
+/// Output of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask an upstream for its report.
+    /// Request a report from an upstream.
     Probe {
-        /// To answer with.
+        /// Call to answer.
         call: Call,
-        /// The upstream.
+        /// Upstream concerned.
         upstream: name::Upstream,
     },
-    /// Send an upstream an order, and answer with the report that follows it.
+    /// Send an order to an upstream and answer with the report that follows the
+    /// order.
     Order {
-        /// To answer with.
+        /// Call to answer.
         call: Call,
-        /// The upstream.
+        /// Upstream concerned.
         upstream: name::Upstream,
-        /// The order.
+        /// Order to send.
         order: Order,
     },
-    /// Tell another candidate, without confirmation.
+    /// Send evidence to another candidate, without acknowledgement.
     SendEvidence {
-        /// The candidate.
+        /// Receiving candidate.
         to: name::Instance,
-        /// What to tell.
+        /// Evidence to send.
         evidence: Evidence,
     },
-    /// Read the record.
+    /// Read the record from the store.
     Read {
-        /// To answer with.
+        /// Call to answer.
         call: Call,
     },
-    /// Replace the record if it is still at a revision.
+    /// Replace the record if its revision is the expected one.
     Swap {
-        /// To answer with.
+        /// Call to answer.
         call: Call,
-        /// The revision it must have, or [`ABSENT_REVISION`].
+        /// Expected revision, or [`ABSENT_REVISION`].
         expected: u64,
-        /// The new record.
+        /// Record to write.
         record: Record,
     },
-    /// Spread to all instances who leads. The revision is that of the claim
-    /// while the record of the promotion is still on its way to the store.
+    /// Announce the primary to all instances. The revision is that of the claim
+    /// until the record of the promotion is in the store.
     Announce(Entry),
-    /// Send [`Event::Tick`] at this moment; replaces earlier wishes.
+    /// Send [`Event::Tick`] at this time; replaces an earlier `Wake`.
     Wake {
-        /// The moment.
+        /// Time of the tick.
         at: Instant,
     },
 }
--- a/crates/failover/src/group.rs
+++ b/crates/failover/src/group.rs
@@ -1,4 +1,4 @@
-//! The failover machine of one database at one candidate instance.
+//! Failover state machine of one database at one candidate instance.
 
 mod actions;
 mod guards;
@@ -23,40 +23,40 @@
     timing::Timing,
 };
 
-/// A step this much later than the timer asked for means that the process was
-/// paused, and that what it saw before is stale.
+/// Delay of a step after its timer from which the process counts as paused and
+/// its earlier observations as stale.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// What a group must know to open.
+/// Configuration of a [`Group`].
 #[derive(Debug, Clone)]
 pub struct Conf {
-    /// The database.
+    /// Database whose primary the group manages.
     pub database: name::Database,
-    /// This instance.
+    /// Name of this instance.
     pub instance: name::Instance,
-    /// This instance's availability zone.
+    /// Availability zone of this instance.
     pub zone: name::Zone,
-    /// The group's upstreams.
+    /// Upstreams of the group.
     pub upstreams: BTreeMap<name::Upstream, Member>,
-    /// How many candidates the group has, [`crate::CANDIDATES`] or fewer in a
-    /// fleet with thousands of groups; the same at all instances.
+    /// Number of candidates of the group: [`crate::CANDIDATES`], or fewer in a
+    /// fleet with thousands of groups. All instances must use the same number.
     pub candidates: usize,
-    /// Differs between any two starts of any instance, for attempt ids.
+    /// Seed of attempt ids; must differ between any two starts of any instance.
     pub seed: u64,
-    /// The waits.
+    /// Intervals and time-outs.
     pub timing: Timing,
 }
 
-/// Who leads.
+/// The known primary of the database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Primary {
-    /// The term.
+    /// Term of the primary.
     pub term: Term,
-    /// The primary.
+    /// Upstream that is the primary.
     pub upstream: name::Upstream,
-    /// The place at which its log left the term before.
+    /// Log position at which this term branches off from the previous one.
     pub fork: Lsn,
-    /// When this instance learned of it.
+    /// Time at which this instance learned of the primary.
     pub since: Instant,
 }
 
@@ -67,17 +67,18 @@
     Due,
 }
 
-/// An order that awaits its answer.
+/// An order without an answer yet.
 #[derive(Debug)]
 struct PendingOrder {
     at: Instant,
     order: Order,
 }
 
-/// A machine that decides when a database's primary is replaced, and does it.
+/// State machine that detects the failure of a database's primary and replaces
+/// it.
 ///
-/// It is told of the world by [`Group::step`], which returns what to do. While
-/// the instance is no candidate it only learns who leads.
+/// [`Group::step`] takes each event and returns the actions to carry out. At an
+/// instance that is not a candidate, the group only tracks the primary.
 #[derive(Debug)]
 pub struct Group {
     conf: Conf,
@@ -104,13 +105,13 @@
 }
 
 impl Group {
-    /// Opens the group; feed it [`Event::Members`] next, and [`Event::Tick`]
-    /// whenever [`Action::Wake`] asks for it.
+    /// Creates the group. The caller passes [`Event::Members`] next, and
+    /// [`Event::Tick`] whenever [`Action::Wake`] asks for it.
     ///
     /// # Errors
     ///
-    /// [`chart::Error`] if the chart that this crate carries is faulty, which
-    /// the crate's tests rule out.
+    /// [`chart::Error`] if the built-in chart is invalid, which the tests of
+    /// the crate rule out.
     pub fn open(conf: Conf, now: Instant) -> Result<Self, chart::Error> {
         let chart = machine::chart()?;
         let detectors = conf
@@ -142,25 +143,25 @@
         })
     }
 
-    /// Who leads, as far as this instance knows.
+    /// The primary, as far as this instance knows.
     pub fn primary(&self) -> Option<&Primary> {
         self.primary.as_ref()
     }
 
-    /// The latest term that the store's record is known to have opened; above
-    /// that of [`Group::primary`] while it is only claimed.
+    /// Latest term known from the store's record; above the term of
+    /// [`Group::primary`] while the newer term is only claimed.
     pub fn term(&self) -> Option<Term> {
         let known = self.register.known().map(|entry| entry.record.term);
         let primary = self.primary.as_ref().map(|primary| primary.term);
         known.max(primary)
     }
 
-    /// Where the machine stands.
+    /// Current state of the state machine.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Takes what happened, and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         self.handle(now, event);
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Takes a record's primary as the one that leads, if its term is higher.
+    /// Adopts the primary of a record if its term is higher than the known one.
     fn adopt_primary(&mut self, now: Instant, record: &Record) -> bool {
         let Phase::Led { upstream } = &record.phase else {
             return false;
@@ -328,7 +329,8 @@
         true
     }
 
-    /// Lets the chart answer an event, until it stands still.
+    /// Takes the transition of the chart for an event, if one applies, and runs
+    /// its actions.
     fn dispatch(&mut self, now: Instant, event: machine::Event) {
         self.update_suspicion(now);
         let holds = |guard| self.guard_holds(now, guard);
--- a/crates/failover/src/group/actions.rs
+++ b/crates/failover/src/group/actions.rs
@@ -1,4 +1,4 @@
-//! What a group does on its way: the chart's actions.
+//! Actions of the state chart.
 
 use std::time::Duration;
 
@@ -45,13 +45,15 @@
         self.due_timer = Some(self.timer.subscribe(now + span, Alarm::Due));
     }
 
-    /// How long this candidate leaves the field to those ranked before it.
+    /// Delay of this candidate's claim, in which candidates of better rank go
+    /// first.
     fn turn_delay(&self, now: Instant) -> Duration {
         let timing = &self.conf.timing;
         timing.rank_delay * self.peers.rank(now, timing, &self.conf.instance)
     }
 
-    /// Records the primary that the group has before it has a record.
+    /// Records the primary that the group already follows while no record
+    /// exists.
     fn adopt(&mut self, now: Instant) {
         let Some((upstream, term)) = self.unrecorded_primary() else {
             return;
@@ -85,7 +87,7 @@
         self.actions.push(swap);
     }
 
-    /// The highest term that the store, a primary or a fence was seen to have.
+    /// Highest term seen in the store, in a log or in a fence.
     fn highest_term(&self) -> Term {
         let reports = self.detectors.values().filter_map(|s| s.report());
         let fenced = reports.map(|r| r.fenced.max(r.received.term));
@@ -109,7 +111,7 @@
         self.send_fences(now);
     }
 
-    /// Passes over a primary that is isolated from its replicas.
+    /// Excludes a primary that is isolated from its replicas from the choice.
     fn exclude_isolated(&mut self, now: Instant) {
         let until = now + self.conf.timing.exclusion_timeout;
         let isolated = self.primary.as_ref().map(|l| (l.upstream.clone(), until));
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Gives replicas time to catch up, if the old primary leaves in good health.
+    /// Gives replicas time to catch up with a healthy primary that is leaving.
     fn start_handover(&mut self, now: Instant) {
         let until = now + self.conf.timing.handover_timeout;
         if let Some(promotion) = &mut self.promotion {
@@ -127,7 +129,7 @@
     }
 
     fn promote(&mut self, now: Instant) {
-        // From here on the claim may have a primary: it can't be resumed.
+        // From here on the claim may have a primary, so it must not be resumed.
         self.claim_attempt = None;
         self.pending_orders.clear();
         self.start_wait(now, self.conf.timing.promotion_timeout);
@@ -185,7 +187,8 @@
         self.actions.push(swap);
     }
 
-    /// Sends an order, unless the same one is still within its time to answer.
+    /// Sends an order, unless the same order to this upstream is still within
+    /// its time-out.
     pub(super) fn send_order(&mut self, now: Instant, upstream: &name::Upstream, order: Order) {
         let bound = self.conf.timing.order_timeout;
         let is_pending = |s: &super::PendingOrder| s.order == order && now.since(s.at) < bound;
--- a/crates/failover/src/group/guards.rs
+++ b/crates/failover/src/group/guards.rs
@@ -1,4 +1,4 @@
-//! What a group concludes from what it knows: the chart's guards.
+//! Guards of the state chart and the conditions behind them.
 
 use std::time::Duration;
 
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Judges the primary anew from this zone's view and the peers' evidence.
+    /// Updates the suspicion of the primary from this zone's view and the
+    /// peers' evidence.
     pub(super) fn update_suspicion(&mut self, now: Instant) {
         self.track_unconfirmed(now);
         self.suspected = match self.verdict(now) {
@@ -52,9 +53,9 @@
         };
     }
 
-    /// Notes since when a place that the primary reached is missing from a
-    /// majority. A primary that is cut off from its replicas goes on to run
-    /// writes which never land, and its own zone goes on to vouch for it.
+    /// Tracks since when a position that the primary reached is missing from a
+    /// majority. A primary that is cut off from its replicas still accepts
+    /// writes that never commit, while its own zone still reports it alive.
     fn track_unconfirmed(&mut self, now: Instant) {
         let Some(primary) = &self.primary else {
             return;
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Whether replicas enough to make a majority with the primary hold this.
+    /// Returns true if enough replicas hold this position to form a majority
+    /// with the primary.
     fn is_majority_held(&self, position: Position) -> bool {
         let Some(primary) = &self.primary else {
             return true;
@@ -89,8 +91,8 @@
         holding.count() + 1 >= majority(self.detectors.len())
     }
 
-    /// Whether the primary answers here, but its log reaches no majority: only
-    /// the ways between the upstreams are cut, and no write lands.
+    /// Returns true if the primary answers here, but no majority receives its
+    /// log: only the links between the upstreams are cut, and no write commits.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         let alive = self.primary_view(now) == View::Alive;
         let stuck = self.is_unconfirmed_for(now, self.conf.timing.isolation_timeout);
@@ -102,7 +104,7 @@
             .is_some_and(|(_, since)| now.since(since) >= bound)
     }
 
-    /// How far the primary's log went, if it answers here.
+    /// End of the primary's log, if the primary answers this instance.
     pub(super) fn primary_position(&self, now: Instant) -> Option<Position> {
         if self.primary_view(now) != View::Alive {
             return None;
@@ -120,7 +122,7 @@
             .verdict(now, &self.conf.timing, primary.term, own)
     }
 
-    /// How this candidate finds the primary.
+    /// This candidate's view of the primary.
     pub(super) fn primary_view(&self, now: Instant) -> View {
         let detector = self
             .primary
@@ -129,8 +131,9 @@
         detector.map_or(View::Unsure, |s| s.primary_view(now, &self.conf.timing))
     }
 
-    /// Whether a majority still takes in the primary's log. Then writes land
-    /// for whoever reaches the primary, and replacing it would only cut them.
+    /// Returns true if a majority still receives the primary's log. Writes then
+    /// commit for every instance that reaches the primary, and replacing it
+    /// would only interrupt them.
     fn is_replicating(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
@@ -143,9 +146,9 @@
         following.count() + 1 >= majority(self.detectors.len())
     }
 
-    /// Whether a majority of the group answers here, so that a claim could be
-    /// carried through. A zone that is cut off must not claim: it could fence
-    /// nobody, and its claim would stand in the way of others.
+    /// Returns true if a majority of the group answers here, so that a claim
+    /// could be completed. A zone that is cut off must not claim: it could
+    /// fence no upstream, and its claim would delay the claims of others.
     fn reaches_majority(&self, now: Instant) -> bool {
         let alive = self
             .detectors
@@ -154,8 +157,9 @@
         alive.count() >= majority(self.detectors.len())
     }
 
-    /// Whether the last change of primary is too recent for another, so that a
-    /// fault which every primary meets does not chase the role around.
+    /// Returns true if the last change of primary is too recent for another, so
+    /// that a fault that hits every primary does not cause one promotion after
+    /// another.
     fn is_held_off(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
@@ -166,8 +170,8 @@
         now.since(primary.since) < timing.hold_off(recent)
     }
 
-    /// Whether the primary is being taken out of service while a staying
-    /// replica is close enough behind to take over.
+    /// Returns true if the primary is leaving while an active replica of its
+    /// term answers and could take over.
     fn can_hand_over(&self, now: Instant) -> bool {
         let Some(primary) = &self.primary else {
             return false;
@@ -196,13 +200,14 @@
         attempt.is_some() && attempt == self.claim_attempt
     }
 
-    /// Whether the primary is announced while the store still holds the claim.
+    /// Returns true if the primary is announced while the store still holds the
+    /// claim.
     pub(super) fn is_unrecorded(&self) -> bool {
         let primary_term = self.primary.as_ref().map(|l| l.term);
         self.register.is_claim() && self.register.known().map(|e| e.record.term) == primary_term
     }
 
-    /// Whether the claim under way has lost its reason.
+    /// Returns true if the reason for the claim in progress no longer holds.
     fn is_needless(&self, now: Instant) -> bool {
         let claimed = self.register.is_claim() && !self.is_unrecorded();
         let alive = self.primary_view(now) == View::Alive;
@@ -222,8 +227,8 @@
         claimed.is_some_and(|t| self.peers.is_claiming(now, &self.conf.timing, t))
     }
 
-    /// The primary that a majority of the group follows, when no record names
-    /// one: the only one with the highest term, fenced to no higher.
+    /// The primary that a majority of the group follows while no record exists:
+    /// the only primary of the highest term, if no upstream is fenced higher.
     pub(super) fn unrecorded_primary(&self) -> Option<(name::Upstream, Term)> {
         let reports = self
             .detectors
@@ -247,13 +252,14 @@
         (followers >= majority(self.detectors.len())).then(|| ((*upstream).clone(), term))
     }
 
-    /// The furthest place that any upstream was seen to hold.
+    /// Furthest log position reported by any upstream.
     pub(super) fn furthest_position(&self) -> Position {
         let reports = self.detectors.values().filter_map(|s| s.report());
         reports.map(|r| r.received).max().unwrap_or_default()
     }
 
-    /// The claim that this candidate works on, as its peers are told.
+    /// Term of the claim on which this candidate is working, as sent to its
+    /// peers.
     pub(super) fn active_claim(&self) -> Option<Term> {
         let works = matches!(
             self.state,
--- a/crates/failover/src/group/periodic.rs
+++ b/crates/failover/src/group/periodic.rs
@@ -1,4 +1,4 @@
-//! What a group does again and again: probing, telling, repeating orders.
+//! Periodic work of a group: probes, evidence and repeated orders.
 
 use clock::Instant;
 use model::{Role, name};
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Tells at once what has changed; the rest waits for its turn.
+    /// Sends evidence at once if the view or the claim has changed, without
+    /// waiting for the interval.
     pub(super) fn send_changed_evidence(&mut self, now: Instant) {
         if self.sent_evidence != (self.primary_view(now), self.active_claim()) {
             self.send_evidence(now);
@@ -96,8 +97,9 @@
         }
     }
 
-    /// Whether an upstream's turn to be fenced has come: in a handover the old
-    /// primary is fenced first, and replicas once they hold all of its log.
+    /// Returns true if an upstream may be fenced now. In a handover the old
+    /// primary is fenced first, and each replica once it holds all of the old
+    /// primary's log.
     fn may_fence(&self, now: Instant, upstream: &name::Upstream) -> bool {
         let (Some(promotion), Some(primary)) = (&self.promotion, &self.primary) else {
             return true;
@@ -112,7 +114,7 @@
         report.is_some_and(|r| r.received >= last.received)
     }
 
-    /// Whether a handover still waits for a staying replica to catch up.
+    /// Returns true while a handover waits for an active replica to catch up.
     pub(super) fn is_handing_over(&self, now: Instant) -> bool {
         let (Some(promotion), Some(primary)) = (&self.promotion, &self.primary) else {
             return false;
@@ -144,7 +146,7 @@
     }
 
     /// Orders every upstream that is not yet in the primary's term to follow
-    /// it, among them an old primary that has come back.
+    /// the primary, including an old primary that has come back.
     pub(super) fn send_follows(&mut self, now: Instant) {
         let Some(primary) = self.primary.clone() else {
             return;
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,14 +1,17 @@
-//! Who leads a database: detection, promotion, and acknowledgement.
+//! Failure detection, promotion and write acknowledgement for the primary of a
+//! database.
 //!
-//! [`Group`] decides at each candidate instance of a database when its primary
-//! has failed and carries a change of primary through; [`quorum::Quorum`]
-//! decides at each instance when a write may be acknowledged. Both are pure:
-//! they are told what happened and when, and say what to do. How a group moves
-//! is written in `charts/failover.toml`; `docs/design/failover.md` argues it.
+//! [`Group`] runs at each candidate instance of a database, detects the failure
+//! of its primary and carries out the promotion of a replica.
+//! [`quorum::Quorum`] runs at each instance and decides when a write may be
+//! acknowledged. Both are free of I/O: events and times go in, actions come
+//! out. The state chart of a group is `charts/failover.toml`; the design is in
+//! `docs/design/failover.md`.
 //!
-//! Upstreams are assumed to refuse orders below the term they are fenced to,
-//! to keep that term over restarts, and to report a term as received only once
-//! they hold log of that term, not as soon as they are ordered to follow it.
+//! Upstreams must refuse orders below the term to which they are fenced, must
+//! keep that term over restarts, and must report a term as received only once
+//! they hold log of that term, not as soon as they are ordered to follow its
+//! primary.
 
 mod detector;
 pub mod event;
--- a/crates/failover/src/machine.rs
+++ b/crates/failover/src/machine.rs
@@ -1,7 +1,7 @@
-//! The words of `charts/failover.toml`.
+//! Vocabulary of the state chart `charts/failover.toml`.
 
 chart::words! {
-    /// Where a group stands.
+    /// State of a group.
     pub enum State {
         Reading = "reading",
         Unrecorded = "unrecorded",
@@ -16,7 +16,7 @@
 }
 
 chart::words! {
-    /// What moves it.
+    /// Event that triggers a transition.
     pub(crate) enum Event {
         Absent = "absent",
         Led = "led",
@@ -29,7 +29,7 @@
 }
 
 chart::words! {
-    /// What is asked before it moves.
+    /// Condition of a transition.
     pub(crate) enum Guard {
         OwnClaim = "own-claim",
         PrimaryFound = "primary-found",
@@ -47,7 +47,7 @@
 }
 
 chart::words! {
-    /// What it does on the way.
+    /// Action of a transition.
     pub(crate) enum Action {
         AwaitPrimary = "await-primary",
         AwaitClaimant = "await-claimant",
@@ -64,7 +64,7 @@
     }
 }
 
-/// The failover's vocabulary.
+/// Vocabulary of the failover state machine.
 #[derive(Debug)]
 pub(crate) struct Machine;
 
@@ -75,10 +75,10 @@
     type Action = Action;
 }
 
-/// The chart's text.
+/// Source of the chart.
 const TEXT: &str = include_str!("../charts/failover.toml");
 
-/// Reads the chart.
+/// Parses the chart.
 pub(crate) fn chart() -> Result<chart::Chart<Machine>, chart::Error> {
     chart::Chart::parse(TEXT)
 }
--- a/crates/failover/src/peers.rs
+++ b/crates/failover/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other candidates: who they are, and what they tell.
+//! The candidates of a group and their evidence on the primary.
 
 use std::{
     cmp::Reverse,
@@ -14,14 +14,15 @@
     timing::Timing,
 };
 
-/// The usual number of candidates of a group: enough zones to outvote a blind
-/// one, few enough that probing costs an upstream little.
+/// Default number of candidates of a group: enough zones to outvote one that
+/// cannot reach the primary, few enough to keep the probing load on an upstream
+/// low.
 pub const CANDIDATES: usize = 5;
 
-/// The instances that may promote in a group, best rank first.
+/// Returns the instances that may promote in a group, best rank first.
 ///
-/// The instance of each zone that rendezvous hashing puts first, zones that
-/// hold upstreams before others, at most `limit`.
+/// One instance of each zone is chosen by rendezvous hashing. Zones that hold
+/// upstreams rank before others, and at most `limit` instances are returned.
 ///
 /// ```
 /// use std::collections::{BTreeMap, BTreeSet};
@@ -65,18 +66,19 @@
     evidence: Evidence,
 }
 
-/// What the zones' evidence on the primary adds up to.
+/// Sum of the zones' evidence on the primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// No majority suspects it.
+    /// No majority of the zones suspects the primary.
     Trusted,
-    /// A majority suspects it, but a zone vouches for it or no other is heard.
+    /// A majority suspects the primary, but one zone reports it alive or no
+    /// other zone is heard.
     Contested,
-    /// A majority suspects it and nobody vouches for it.
+    /// A majority suspects the primary, and no zone reports it alive.
     Suspected,
 }
 
-/// The candidates of a group.
+/// Candidates of a group and the evidence received.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     ranked: Vec<name::Instance>,
@@ -90,8 +92,8 @@
         self.ranked = ranked;
     }
 
-    /// Takes evidence; from instances that are no candidates as well, because
-    /// instance lists lag and differ, and what was seen was seen.
+    /// Stores evidence. Evidence from an instance that is not a candidate
+    /// counts as well, because instance lists lag and differ between instances.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
@@ -104,7 +106,7 @@
         self.received.insert(from, received);
     }
 
-    /// Forgets what was heard before a pause of this process.
+    /// Drops all evidence received before a pause of this process.
     pub(crate) fn clear(&mut self) {
         self.received.clear();
     }
@@ -128,7 +130,7 @@
             .filter(move |(_, h)| now.since(h.at) <= bound)
     }
 
-    /// How many candidates that are heard rank before this one.
+    /// Number of candidates ranked before this one whose evidence is fresh.
     pub(crate) fn rank(&self, now: Instant, timing: &Timing, me: &name::Instance) -> u32 {
         let fresh_peers: BTreeSet<_> = self.fresh(now, timing).map(|(i, _)| i).collect();
         let before = self.ranked.iter().take_while(|i| *i != me);
@@ -136,7 +138,7 @@
         u32::try_from(live).unwrap_or(u32::MAX)
     }
 
-    /// The furthest place that the primary of `term` is told to have reached.
+    /// Furthest log position reported for the primary of `term`.
     pub(crate) fn furthest_position(
         &self,
         now: Instant,
@@ -149,13 +151,15 @@
         reported.filter_map(|(_, h)| h.evidence.place).max()
     }
 
-    /// Whether another candidate is heard to work on a claim of this term.
+    /// Returns true if another candidate reports that it is working on a claim
+    /// of at least this term.
     pub(crate) fn is_claiming(&self, now: Instant, timing: &Timing, term: Term) -> bool {
         let works = |(_, h): (_, &Received)| h.evidence.claim >= Some(term);
         self.fresh(now, timing).any(works)
     }
 
-    /// Adds up the zones' views of the primary of `term`; `own` is this zone's.
+    /// Combines the zones' views of the primary of `term`; `own` is the view of
+    /// this zone.
     pub(crate) fn verdict(
         &self,
         now: Instant,
@@ -186,7 +190,8 @@
     }
 }
 
-/// One zone's view out of two instances' views: who answers one is alive.
+/// Combines the views of two instances of one zone: an upstream that answers
+/// either of them is alive.
 fn merge(one: View, other: View) -> View {
     match (one, other) {
         (View::Alive, _) | (_, View::Alive) => View::Alive,
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -1,4 +1,4 @@
-//! One claim's way from fencing to a promoted primary.
+//! Progress of one claim from fencing to the promoted primary.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -7,14 +7,15 @@
 
 use crate::event::{Member, Status};
 
-/// A claim of ours that the store granted.
+/// A claim of this instance that the store accepted.
 #[derive(Debug)]
 pub(crate) struct Promotion {
-    /// The claimed term.
+    /// Term of the claim.
     pub(crate) term: Term,
-    /// Until when a handover waits for a replica to catch up.
+    /// Time until which a handover waits for a replica to catch up.
     pub(crate) handover: Option<Instant>,
-    /// The isolated primary, and until when a majority without it is awaited.
+    /// The isolated primary, and the time until which it is excluded from the
+    /// majority.
     pub(crate) excluded: Option<(name::Upstream, Instant)>,
     fenced: BTreeMap<name::Upstream, Report>,
     chosen: Option<(name::Upstream, Lsn)>,
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Takes a report; only those fenced to exactly this term count, because
-    /// from then on the upstream takes in no log of a lower term.
+    /// Handles a report. Only a report fenced to exactly this term counts,
+    /// because from then on the upstream accepts no log of a lower term.
     pub(crate) fn on_report(&mut self, upstream: &name::Upstream, report: &Report) {
         if report.fenced > self.term {
             self.refused = true;
@@ -56,24 +57,25 @@
         }
     }
 
-    /// Notes that an order of this claim was refused for a higher term.
+    /// Handles the refusal of an order by an upstream that is fenced to another
+    /// term.
     pub(crate) fn on_fenced(&mut self, fenced: Term) {
         self.refused |= fenced > self.term;
     }
 
-    /// Whether a higher term was met.
+    /// Returns true if an upstream is fenced to a higher term.
     pub(crate) fn is_refused(&self) -> bool {
         self.refused
     }
 
-    /// How many upstreams are fenced, of those that count yet.
+    /// Number of fenced upstreams that are eligible.
     pub(crate) fn fenced_count(&self, now: Instant) -> usize {
         self.eligible(now).count()
     }
 
-    /// The fenced upstreams; while a majority without the isolated primary may
-    /// still answer, it does not count, or its longer log would win it the term
-    /// again. Any majority holds all that was acknowledged.
+    /// Fenced upstreams that may be chosen. The isolated primary does not count
+    /// while a majority without it may still answer; otherwise its longer log
+    /// would make it primary again. Any majority holds all acknowledged writes.
     fn eligible(&self, now: Instant) -> impl Iterator<Item = (&name::Upstream, &Report)> {
         let excluded = self.excluded.as_ref().filter(|(_, until)| now < *until);
         let excluded = excluded.map(|(upstream, _)| upstream);
@@ -86,16 +88,16 @@
         self.fenced.contains_key(upstream)
     }
 
-    /// The report with which an upstream answered the fence.
+    /// Report with which an upstream answered the fence.
     pub(crate) fn fence_report(&self, upstream: &name::Upstream) -> Option<&Report> {
         self.fenced.get(upstream)
     }
 
-    /// Chooses the upstream that received most, by term first; among equals
-    /// one that stays, then one that `preferred` names.
+    /// Chooses the upstream with the furthest received position, compared by
+    /// term first; among equals an active one, then one that `preferred` names.
     ///
-    /// The choice is made once: a claim that promoted two upstreams would put
-    /// two primaries into one term.
+    /// The choice is final: a claim that promoted two upstreams would put two
+    /// primaries into one term.
     pub(crate) fn choose(
         &mut self,
         now: Instant,
@@ -112,12 +114,13 @@
         self.chosen.as_ref().map(|(upstream, _)| upstream)
     }
 
-    /// The chosen upstream and its last place in the term before.
+    /// The chosen upstream and the end of its log in the previous term.
     pub(crate) fn chosen(&self) -> Option<&(name::Upstream, Lsn)> {
         self.chosen.as_ref()
     }
 
-    /// Whether the chosen upstream said that it leads in this term.
+    /// Returns true if the chosen upstream reported itself as primary of this
+    /// term.
     pub(crate) fn is_promoted(&self) -> bool {
         self.promoted
     }
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -1,18 +1,19 @@
-//! When a write is acknowledged, and when a current read may run.
+//! Acknowledgement of writes and confirmation of current reads by a majority.
 //!
 //! A write that the primary ran at term t and position p is acknowledged once
-//! a majority of the group has each said, in one answer, that it holds p of
+//! each member of a majority has reported, in one answer, that it holds p of
 //! term t's log and is fenced to no more than t. A promotion to a higher term
-//! fences a majority before it chooses, so one of its answers comes from an
-//! upstream that held p when it was fenced: p is in the new primary's log.
-//! Counting a replica that is already fenced higher would break the overlap.
+//! fences a majority before it chooses, so at least one of its answers comes
+//! from an upstream that held p when it was fenced: p is in the new primary's
+//! log. Counting a replica that is already fenced higher would break this
+//! overlap.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use clock::Instant;
 use model::{Lsn, Position, Report, Role, Term, name};
 
-/// What waits for a majority; the daemon's own number for it.
+/// Number of a waiting write or read, assigned by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
@@ -22,7 +23,7 @@
     confirmed: Option<Instant>,
 }
 
-/// The writes and reads of one database that wait at one instance.
+/// Writes and reads of one database that wait for a majority at one instance.
 ///
 /// ```
 /// use clock::Instant;
@@ -53,7 +54,8 @@
 }
 
 impl Quorum {
-    /// Opens for a group of `size` upstreams led by `primary` in `term`.
+    /// Creates the quorum of a group of `size` upstreams led by `primary` in
+    /// `term`.
     pub fn open(size: usize, term: Term, primary: name::Upstream) -> Self {
         Self {
             majority: majority(size),
@@ -65,17 +67,17 @@
         }
     }
 
-    /// The term whose writes are acknowledged.
+    /// Term whose writes are acknowledged.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Lets a write wait that the primary ran at `position`; `Some` if it needs
-    /// no wait, because a majority was already seen to hold it.
+    /// Adds a write that the primary ran at `position`; `Some` if a majority is
+    /// already known to hold it.
     ///
     /// # Errors
     ///
-    /// [`Replaced`] if the position is not of this term: the outcome of the
+    /// [`Replaced`] if the position is of another term: the outcome of the
     /// write is unknown here.
     pub fn add_write(&mut self, id: Id, position: Position) -> Result<Option<Id>, Replaced> {
         if position.term != self.term {
@@ -89,14 +91,15 @@
         Ok(None)
     }
 
-    /// Lets a read wait that began at `began` until a majority, the primary
-    /// among it, has confirmed this term in answers to probes sent since then.
+    /// Adds a read that began at `began`. The read waits until a majority that
+    /// includes the primary has confirmed this term in answers to probes sent
+    /// since then.
     pub fn add_read(&mut self, id: Id, began: Instant) {
         self.reads.insert((began, id));
     }
 
-    /// Takes the report of an upstream to a probe sent at `asked`, and gives
-    /// back the writes to acknowledge and the reads that may run.
+    /// Handles the report of an upstream to a probe sent at `asked`, and
+    /// returns the writes to acknowledge and the reads that may run.
     pub fn report(
         &mut self,
         upstream: &name::Upstream,
@@ -122,8 +125,9 @@
         done
     }
 
-    /// Gives back all that waits, because a higher term has a primary: the
-    /// outcome of each write is unknown, and each read starts anew.
+    /// Switches to the primary of a higher term and returns all waiting writes
+    /// and reads: the outcome of each write is unknown, and each read must
+    /// start again.
     pub fn replace_primary(&mut self, term: Term, primary: name::Upstream) -> Vec<Id> {
         if term <= self.term {
             return Vec::new();
@@ -140,31 +144,31 @@
         writes.chain(reads).collect()
     }
 
-    /// Takes the group's upstreams as the catalogue has them now.
+    /// Sets the group's upstreams as the catalogue lists them now.
     ///
-    /// Majorities before and after overlap only if one upstream joins or leaves
+    /// Majorities before and after overlap only if upstreams join or leave one
     /// at a time, and each change is in force everywhere before the next.
     pub fn set_upstreams(&mut self, upstreams: &[name::Upstream]) {
         self.majority = majority(upstreams.len());
         self.holders.retain(|u, _| upstreams.contains(u));
     }
 
-    /// Stops waiting for a write whose caller's deadline has passed.
+    /// Removes a write whose deadline has passed.
     pub fn cancel_write(&mut self, id: Id, position: Position) {
         self.writes.remove(&(position.lsn, id));
     }
 
-    /// Stops waiting for the confirmation of a read that began at `began`.
+    /// Removes a read that began at `began`.
     pub fn cancel_read(&mut self, id: Id, began: Instant) {
         self.reads.remove(&(began, id));
     }
 
-    /// How many writes and reads wait.
+    /// Number of waiting writes and reads.
     pub fn waiting(&self) -> usize {
         self.writes.len() + self.reads.len()
     }
 
-    /// The place up to which a majority holds this term's log.
+    /// Position up to which a majority holds this term's log.
     pub fn committed(&self) -> Lsn {
         let mut positions: Vec<Lsn> = self.holders.values().map(|h| h.lsn).collect();
         positions.sort_unstable_by(|a, b| b.cmp(a));
@@ -202,7 +206,8 @@
         done
     }
 
-    /// The latest moment since which a majority and the primary answered.
+    /// Latest time since which a majority that includes the primary has
+    /// answered.
     fn confirmed_since(&self) -> Option<Instant> {
         let primary = self.holders.get(&self.primary)?.confirmed?;
         let mut times: Vec<Instant> = self.holders.values().filter_map(|h| h.confirmed).collect();
@@ -211,15 +216,15 @@
     }
 }
 
-/// A write's position is not of the term that is acknowledged here.
+/// Error: the position of a write is not of the current term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the primary was replaced; term {term} leads")]
 pub struct Replaced {
-    /// The term that leads.
+    /// Term of the current primary.
     pub term: Term,
 }
 
-/// The smallest number that is more than half of `size`.
+/// Returns the smallest number that is more than half of `size`.
 pub fn majority(size: usize) -> usize {
     size / 2 + 1
 }
--- a/crates/failover/src/register.rs
+++ b/crates/failover/src/register.rs
@@ -1,9 +1,10 @@
-//! The store's record: reading it, and swapping it until the outcome is known.
+//! The compare-and-swap register in the store that holds the record of a
+//! database.
 //!
-//! An answer of the store can be lost after the swap took effect, or the swap
-//! can take effect long after it was given up. A swap is therefore repeated
-//! with the same expected revision and the same attempt id, so that it takes
-//! effect at most once, and is recognised by that id when it is read back.
+//! The answer to a swap can be lost after the swap took effect, and a swap can
+//! take effect long after its time-out. A swap is therefore repeated with the
+//! same expected revision and the same attempt id: it takes effect at most
+//! once, and a read recognises it by the id.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,20 +17,20 @@
     timing::Timing,
 };
 
-/// How often the wait for the store doubles.
+/// Number of times that the time-out of a store call doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Calls that were given up and whose answers are still of use.
+/// Maximum number of timed-out calls whose late answers are still accepted.
 const MAX_OPEN_CALLS: usize = 32;
 
-/// What a step of the ledger showed.
+/// Result of a step of the register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Our swap took effect.
+    /// The swap of this instance took effect.
     Won,
-    /// The record is another's.
+    /// The record was written by another instance.
     Other,
-    /// There is no record.
+    /// No record exists.
     Absent,
 }
 
@@ -53,7 +54,7 @@
     record: Record,
 }
 
-/// What is known of the store's record, and the one call under way.
+/// The known record, and the one call in progress.
 #[derive(Debug)]
 pub(crate) struct Register {
     known: Option<Entry>,
@@ -84,25 +85,25 @@
         }
     }
 
-    /// The record as last read, seen or written.
+    /// The record as last read, watched or written.
     pub(crate) fn known(&self) -> Option<&Entry> {
         self.known.as_ref()
     }
 
-    /// A fresh number for a call to the store or to an upstream.
+    /// Returns a new number for a call to the store or to an upstream.
     pub(crate) fn next_call(&mut self) -> Call {
         self.calls += 1;
         Call(self.calls)
     }
 
-    /// An id that no other attempt of any instance has.
+    /// Returns an id that no other attempt of any instance has.
     pub(crate) fn next_attempt(&mut self) -> u128 {
         self.attempts += 1;
         let text = format!("{}#{}", self.instance, self.attempts);
         xxh3_128_with_seed(text.as_bytes(), self.seed)
     }
 
-    /// Reads the record, dropping a swap whose outcome no longer matters.
+    /// Reads the record and drops a swap whose outcome no longer matters.
     pub(crate) fn read(&mut self, now: Instant, timing: &Timing) -> Action {
         self.swap = None;
         self.read_requested = true;
@@ -110,7 +111,7 @@
         self.send_read(now, timing)
     }
 
-    /// Swaps the known record for `record`.
+    /// Replaces the known record by `record`.
     pub(crate) fn swap(&mut self, now: Instant, timing: &Timing, record: Record) -> Action {
         let expected = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         self.swap = Some(Swap { expected, record });
@@ -119,12 +120,12 @@
         self.send_swap(now, timing)
     }
 
-    /// When to call [`Register::expire`].
+    /// Time at which to call [`Register::expire`].
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.pending.as_ref().map(|p| p.until)
     }
 
-    /// Gives up a call that was not answered, and makes the next one.
+    /// Times out a call without an answer and makes the next one.
     pub(crate) fn expire(&mut self, now: Instant, timing: &Timing) -> Option<Action> {
         let pending = self.pending.take_if(|p| p.until <= now)?;
         if pending.waiting != Waiting::Backoff {
@@ -133,7 +134,7 @@
         Some(self.send_read(now, timing))
     }
 
-    /// Takes the answer to a read.
+    /// Handles the answer to a read.
     pub(crate) fn on_read(
         &mut self,
         now: Instant,
@@ -175,7 +176,8 @@
                 self.read_requested = false;
                 (Some(Outcome::Absent), None)
             }
-            // The read was overtaken by a watch or a swap; it shows nothing.
+            // A watch or a swap was faster than this read, which shows nothing
+            // new.
             _ => (None, None),
         }
     }
@@ -191,8 +193,8 @@
         let old = self.known.replace(entry).map(|e| e.revision);
         let asked = std::mem::take(&mut self.read_requested);
         let Some(swap) = &self.swap else {
-            // An answer that came late and shows nothing new must not look as
-            // if another had changed the record.
+            // A late answer with nothing new must not look like a change by
+            // another instance.
             let changed = asked || old != Some(revision);
             return (changed.then_some(Outcome::Other), None);
         };
@@ -207,7 +209,7 @@
         (Some(Outcome::Other), None)
     }
 
-    /// Takes the answer to a swap.
+    /// Handles the answer to a swap.
     pub(crate) fn on_swapped(
         &mut self,
         now: Instant,
@@ -240,7 +242,8 @@
                 self.known = Some(Entry { revision, record });
                 (Some(Outcome::Won), None)
             }
-            // The conflict may be with our own earlier, unanswered swap.
+            // The conflict may be with an earlier, unanswered swap of this
+            // instance.
             Err(StoreFault::Conflict) if self.swap.is_some() => {
                 (None, Some(self.send_read(now, timing)))
             }
@@ -252,8 +255,8 @@
         }
     }
 
-    /// Reads again if a swap that was dropped has taken effect after all, and
-    /// no watch has shown it.
+    /// Reads again if a dropped swap took effect after all and no watch has
+    /// delivered it.
     fn catch_up(&mut self, now: Instant, timing: &Timing, revision: u64) -> Option<Action> {
         let known = self.known.as_ref().map_or(ABSENT_REVISION, |e| e.revision);
         if known >= revision {
@@ -263,7 +266,7 @@
         Some(self.send_read(now, timing))
     }
 
-    /// Takes what a watch showed; `None` if it was known.
+    /// Handles a record delivered by a watch; `None` if it was known.
     pub(crate) fn on_watched(&mut self, entry: Entry) -> Option<Outcome> {
         if self
             .known
@@ -280,18 +283,18 @@
         Some(if ours { Outcome::Won } else { Outcome::Other })
     }
 
-    /// Whether the known record is a claim without a primary.
+    /// Returns true if the known record is a claim without a primary.
     pub(crate) fn is_claim(&self) -> bool {
         let claim = |e: &Entry| matches!(e.record.phase, Phase::Claimed { .. });
         self.known.as_ref().is_some_and(claim)
     }
 
-    /// Takes a call off the open ones: `Some` with the attempt that it swapped
-    /// in, if any.
+    /// Removes a call from the open calls; `Some` with the attempt that it
+    /// wrote, if any.
     ///
-    /// An answer counts although its call was given up: while the store takes
-    /// longer than any wait, all answers come late, and dropping them would
-    /// leave this instance without a record for as long as that lasts.
+    /// The answer to a timed-out call counts as well: while the store is slower
+    /// than every time-out, all answers are late, and dropping them would leave
+    /// this instance without a record for as long.
     fn close_call(&mut self, call: Call) -> Option<Option<u128>> {
         let attempt = self.open_calls.remove(&call)?;
         self.pending.take_if(|p| p.call == Some(call));
@@ -315,8 +318,8 @@
         });
     }
 
-    /// Stops waiting once there is nothing to learn, or a slow store would be
-    /// asked again and again.
+    /// Stops the timer once nothing is outstanding; otherwise a slow store
+    /// would be read again and again.
     fn stop_if_idle(&mut self) {
         if self.swap.is_none() && !self.read_requested {
             self.pending = None;
--- a/crates/failover/src/timing.rs
+++ b/crates/failover/src/timing.rs
@@ -1,58 +1,65 @@
-//! Every wait of the failover, each with the part of the gap it costs.
+//! Intervals and time-outs of the failover.
 
 use std::time::Duration;
 
-/// The waits of one group.
+/// Intervals and time-outs of one group.
 ///
 /// The defaults suit groups whose availability zones are a few milliseconds
 /// apart; a fleet with thousands of groups probes less often.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Between two probes of one upstream by one candidate.
+    /// Interval between two probes of one upstream by one candidate.
     pub probe_interval: Duration,
-    /// An upstream is never called silent before this long without an answer.
+    /// Minimum time without an answer before an upstream counts as silent.
     pub min_silence: Duration,
-    /// An upstream is always called silent after this long without an answer.
+    /// Time without an answer after which an upstream always counts as silent.
     pub max_silence: Duration,
-    /// For how long an upstream without room for a connection counts as alive
-    /// without a report.
+    /// Time for which an upstream without a free connection counts as alive
+    /// although it gives no report.
     pub full_grace: Duration,
-    /// Between two tellings of evidence to the other candidates.
+    /// Interval between two messages of evidence to the other candidates.
     pub evidence_interval: Duration,
-    /// How long a peer's evidence counts after it was heard.
+    /// Validity of a peer's evidence after its arrival.
     pub evidence_ttl: Duration,
-    /// By how much each candidate waits longer than the one ranked before it.
+    /// Additional delay of a claim per rank of a candidate.
     pub rank_delay: Duration,
-    /// How long a minority that still vouches for the primary delays a claim.
+    /// Delay of a claim while a minority of the zones reports the primary
+    /// alive.
     pub contested_delay: Duration,
-    /// How long a place of the primary's log that a voucher told may be missing
-    /// from a majority before the vouching counts no more.
+    /// Time for which a reported position of the primary's log may be missing
+    /// from a majority before reports that the primary is alive no longer delay
+    /// a claim.
     pub unconfirmed_timeout: Duration,
-    /// How long a majority may miss a place of a primary that everybody reaches
-    /// before the primary counts as isolated from its replicas.
+    /// Time for which a majority may lack a position of a primary that all
+    /// zones reach before the primary counts as isolated from its replicas.
     pub isolation_timeout: Duration,
-    /// How long a claim on an isolated primary waits for a majority without it.
+    /// Time for which a claim against an isolated primary waits for a majority
+    /// without the primary.
     pub exclusion_timeout: Duration,
-    /// How recent an advance of the replicas shows that the primary replicates.
+    /// Age up to which an advance of the replicas shows that the primary
+    /// replicates.
     pub progress_window: Duration,
-    /// How long a claim may stand still before another candidate overtakes it.
+    /// Time without progress after which another candidate overtakes a claim.
     pub claim_timeout: Duration,
-    /// Until an order that was not answered is sent again.
+    /// Time after which an order without an answer is sent again.
     pub order_timeout: Duration,
-    /// How long a promotion order may take before the claim is given up.
+    /// Time after which a claim is abandoned if the promotion has not
+    /// completed.
     pub promotion_timeout: Duration,
-    /// How long a handover waits for a replica to catch up with the old primary.
+    /// Maximum time for which a handover waits for a replica to catch up with
+    /// the old primary.
     pub handover_timeout: Duration,
-    /// Until a store call that was not answered is given up; doubles up to
-    /// eight times this.
+    /// Time-out of a store call; doubles with each failure, up to eight times
+    /// this.
     pub store_timeout: Duration,
-    /// How long a group without a record may be without any primary.
+    /// Time without any primary after which a group without a record claims a
+    /// term.
     pub adoption_timeout: Duration,
-    /// The hold-off after a first promotion; doubles with each further one.
+    /// Hold-off after a first promotion; doubles with each further one.
     pub hold_off: Duration,
-    /// The longest hold-off.
+    /// Maximum hold-off.
     pub max_hold_off: Duration,
-    /// How long a promotion counts towards the next one's hold-off.
+    /// Time for which a promotion counts towards the hold-off of the next one.
     pub hold_off_window: Duration,
 }
 
@@ -85,11 +92,11 @@
 }
 
 impl Timing {
-    /// The waits when probes are `probe` apart, for fleets whose thousands of
-    /// groups can't be probed as often as the default has it.
+    /// Returns the timing for a given probe interval, for fleets whose
+    /// thousands of groups cannot be probed at the default interval.
     ///
-    /// What depends on how often probes and evidence come grows with `probe`;
-    /// the waits for the store and for orders stay.
+    /// Values that depend on the frequency of probes and evidence grow with the
+    /// interval; the time-outs for the store and for orders do not.
     ///
     /// ```
     /// use std::time::Duration;
@@ -116,7 +123,7 @@
         }
     }
 
-    /// How long after a change of primary the next one is held off, when
+    /// Time after a change of primary for which the next one is held off, when
     /// `recent` changes were seen within [`Timing::hold_off_window`].
     pub(crate) fn hold_off(&self, recent: usize) -> Duration {
         let Some(doublings) = recent.checked_sub(1) else {
--- a/crates/failover/tests/failover/broken_variants.rs
+++ b/crates/failover/tests/failover/broken_variants.rs
@@ -1,5 +1,5 @@
-//! Deliberately broken variants: the checks must fire on each, or they would
-//! prove nothing about the real one.
+//! Deliberately broken variants: each must violate the checked invariants,
+//! which shows that the checks detect the fault.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A cut-off primary with callers beside it, and then a healed cut.
+/// Cuts off the primary's zone, which has callers, and then heals the cut.
 fn cut_off(setup: Setup) -> World {
     let mut world = World::running(setup, 3);
     let setup = world.setup.clone();
@@ -22,9 +22,9 @@
     world
 }
 
-/// Acknowledging as soon as one upstream holds a write, which is the primary
-/// itself: the cut-off primary acknowledges after it was replaced, and what it
-/// acknowledged is lost.
+/// A write is acknowledged as soon as the primary alone holds it. The cut-off
+/// primary then acknowledges writes after a new one was promoted, and these
+/// writes are lost.
 #[test]
 fn acknowledging_without_a_majority() {
     let mut setup = Setup::umurage();
@@ -38,12 +38,10 @@
     assert_eq!(correct.check.violations, []);
 }
 
-/// Upstreams that report a term as soon as they are ordered to follow it. A
-/// replica far behind then outranks one that holds every acknowledged write.
-///
-/// u1 lags, u0 and u2 hold the writes. u0 fails, u2 is promoted, u1 is ordered
-/// to follow it and claims term 2 before it has any of its log. u2 fails, u0
-/// comes back with term 1 and all writes: u1 is chosen over it.
+/// Upstreams report a term as soon as they are ordered to follow its primary:
+/// u1, which lags, is ordered to follow u2 and reports term 2 without its log.
+/// When u2 fails and u0 comes back with all writes of term 1, u1 is chosen over
+/// u0.
 #[test]
 fn reporting_a_term_before_holding_its_log() {
     let run = |reports_term_early| {
@@ -77,12 +75,10 @@
     assert!(correct.check.promotions.len() >= 2);
 }
 
-/// Counting replicas that are fenced higher, where fencing does not stop the
-/// log at once: a walreceiver ends only some time after the reload.
-///
-/// u0 is cut off; u1 and u2 are fenced and u1 is chosen. Before u1 is promoted
-/// the way from u0 to u2 is whole again, and u2 still takes in u0's log. u0
-/// and u2 look like a majority, but what they hold will not survive.
+/// Replicas fenced to a higher term are counted, and a fenced walreceiver still
+/// takes in the old log for some time. u0 is cut off, u1 and u2 are fenced, u1
+/// is chosen, and the link from u0 to u2 is restored: u0 and u2 look like a
+/// majority.
 #[test]
 fn counting_replicas_fenced_to_a_higher_term() {
     let run = |ignores_fences| {
--- a/crates/failover/tests/failover/chart.rs
+++ b/crates/failover/tests/failover/chart.rs
@@ -1,4 +1,4 @@
-//! The chart that the crate carries can be read, so that opening never fails.
+//! The built-in chart is valid, so that opening a group never fails.
 
 use std::collections::BTreeMap;
 
--- a/crates/failover/tests/failover/full_upstream.rs
+++ b/crates/failover/tests/failover/full_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have no room for another connection.
+//! Upstreams without a free connection.
 
 use std::time::Duration;
 
@@ -10,11 +10,9 @@
     Duration::from_millis(millis)
 }
 
-/// Symptom: a rolling restart of more instances than an upstream has seats
-/// replaces a healthy primary. Events: connections of former and of new holders
-/// fill it for a while, and each status probe is refused for want of room.
-/// Cause: a refusal by an upstream that lives was taken for no answer, and
-/// silence is what replaces a primary.
+/// A rolling restart fills an upstream with connections of former and new
+/// holders, so status probes are refused for lack of a free connection. Taken
+/// for silence, such refusals would replace a healthy primary.
 #[test]
 fn a_full_primary_counts_as_alive() {
     let mut world = World::running(Setup::stalgenoot(), 5);
@@ -32,8 +30,8 @@
     assert_eq!(world.check.promotions, []);
 }
 
-/// A primary that lets nobody in for longer than that may as well hang behind
-/// its full list of connections, and can't be told its orders: it is replaced.
+/// A primary that has no free connection for longer may hang behind its
+/// connections and cannot receive orders, so it must be replaced.
 #[test]
 fn a_primary_that_stays_full_is_replaced() {
     let mut world = World::running(Setup::stalgenoot(), 6);
--- a/crates/failover/tests/failover/gap.rs
+++ b/crates/failover/tests/failover/gap.rs
@@ -1,5 +1,6 @@
-//! How long writes can't land after a failure, phase by phase, and how often
-//! a healthy primary is replaced. Exact counts of seeded runs in virtual time.
+//! Time without acknowledged writes after a failure, per phase, and the number
+//! of needless promotions. Seeded runs in virtual time, so all values are
+//! exact.
 
 use std::time::Duration;
 
@@ -8,28 +9,29 @@
 
 use crate::world::{Setup, World, net::Host, upstream::Down};
 
-/// Failures measured of each kind.
+/// Number of runs per kind of failure.
 const RUNS: u64 = 200;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 enum Kind {
-    /// The primary's process ends and its host refuses.
+    /// The primary's process ends, and its host refuses connections.
     Process,
-    /// The primary's host is gone.
+    /// The primary's host is down.
     Host,
-    /// The primary's zone is cut off.
+    /// The primary's zone is cut off from the others.
     Zone,
-    /// The primary alone is cut off from other zones, its own vouches.
+    /// The primary alone is cut off from other zones; the instance of its own
+    /// zone reports it alive.
     PrimaryCut,
-    /// The primary is cut off from its replicas only.
+    /// The primary is cut off only from its replicas.
     Isolated,
-    /// The primary's zone is gone: upstream, instance and callers.
+    /// The primary's zone is down: upstream, instance and callers.
     ZoneLost,
 }
 
-/// One gap and its phases, in microseconds.
+/// Duration of one gap and of its phases in microseconds.
 #[derive(Debug, Clone, Copy, Default)]
 struct Gap {
     detect: u64,
@@ -98,8 +100,8 @@
     values[(values.len() - 1) * percent / 100]
 }
 
-/// Measures a kind of failure and prints its phases; gives back the median
-/// and the 99th percentile of the gap.
+/// Measures a kind of failure, prints its phases and returns the median and the
+/// 99th percentile of the gap.
 fn measure_gaps(name: &str, setup: fn() -> Setup, kind: Kind) -> (u64, u64) {
     let runs = (0..RUNS).map(|seed| measure(setup(), kind, seed));
     let gaps: Vec<Gap> = runs.collect();
@@ -116,8 +118,8 @@
     percentiles(|g| g.total)
 }
 
-/// Holds the median and the 99th percentile to bounds in milliseconds, which
-/// are the measured figures rounded up.
+/// Asserts upper bounds in milliseconds for the median and the 99th percentile:
+/// the results of these seeds, rounded up.
 fn assert_bounds((median, high): (u64, u64), bounds: (u64, u64)) {
     let met = median <= bounds.0 * 1_000 && high <= bounds.1 * 1_000;
     assert!(met, "gap {median} and {high} us, bounds {bounds:?} ms");
@@ -156,8 +158,8 @@
     umurage(Kind::Isolated, (1307, 1364));
 }
 
-/// At the target size probes are a second apart, and a change of primary must
-/// be through within 11 s.
+/// With the full number of databases probes are one second apart, and a change
+/// of primary must complete within 11 s.
 #[test]
 fn crashes_and_cuts_with_sparse_probes() {
     let sparse = || {
@@ -190,9 +192,9 @@
     stalgenoot(Kind::Zone, (358, 409));
 }
 
-/// An hour of ordinary jitter: upstreams stall for up to 250 ms once a minute,
-/// instances for up to 200 ms every other minute, and one message in two
-/// thousand comes 200 ms late. Nobody may be promoted.
+/// Jitter must not be taken for failures. For an hour upstreams stall for up to
+/// 250 ms once a minute, instances for up to 200 ms every other minute, and one
+/// message in two thousand is 200 ms late.
 #[test]
 fn an_hour_of_jitter_causes_no_promotion() {
     const HOUR: Duration = Duration::from_secs(3_600);
--- a/crates/failover/tests/failover/main.rs
+++ b/crates/failover/tests/failover/main.rs
@@ -1,4 +1,4 @@
-//! The failover machine against a small fake group, in virtual time.
+//! The failover state machine against a simulated group in virtual time.
 
 mod broken_variants;
 mod chart;
--- a/crates/failover/tests/failover/random_faults.rs
+++ b/crates/failover/tests/failover/random_faults.rs
@@ -1,6 +1,6 @@
-//! Seeded runs with random faults, singly, together and twice.
+//! Seeded runs with random faults, one at a time, combined and repeated.
 //!
-//! `DANDELIONLINK_HUNT=N` runs N seeds more, from `DANDELIONLINK_SEED` on.
+//! `DANDELIONLINK_HUNT=N` runs N more seeds, starting at `DANDELIONLINK_SEED`.
 
 use std::{env, time::Duration};
 
@@ -10,10 +10,10 @@
 
 use crate::world::{Setup, World, instance::members, net::Host, upstream::Down};
 
-/// The seeds that always run.
+/// Number of seeds that always run.
 const SEEDS: u64 = 60;
 
-/// How long faults come, and how long the group has to recover from all.
+/// Duration of the faults in milliseconds, and the time to recover afterwards.
 const FAULT_PHASE_MS: u64 = 20_000;
 const RECOVERY: Duration = Duration::from_secs(10);
 
@@ -118,7 +118,7 @@
     world.restore_store();
 }
 
-/// Runs one seed; the faults it met, if a promise was broken.
+/// Runs one seed; returns the injected faults if an invariant was violated.
 pub(crate) fn run_seed(setup: Setup, seed: u64) -> Result<World, String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let max_wait_ms = rng.random_range(200..3_000);
@@ -157,7 +157,7 @@
         .unwrap_or(0)
 }
 
-/// Hunts every fourth seed, so that the four tests run side by side.
+/// Runs every fourth seed, so that the four tests run in parallel.
 fn run_share(share: u64) {
     let first = env_number("DANDELIONLINK_SEED");
     let seeds = first..first + SEEDS + env_number("DANDELIONLINK_HUNT");
--- a/crates/failover/tests/failover/scenarios.rs
+++ b/crates/failover/tests/failover/scenarios.rs
@@ -1,4 +1,4 @@
-//! Failures, one story each: what fails, in which order, and what must hold.
+//! Single failure scenarios and the invariants that must hold in each.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     vec![Injection { state, fault }]
 }
 
-/// Runs on for `span` and checks every promise; gives back how long writes
-/// could not land at `proxies`.
+/// Runs for `span` and checks every invariant; returns the time for which no
+/// write was acknowledged at `instances`.
 fn run_and_verify(
     world: &mut World,
     span: Duration,
@@ -37,8 +37,8 @@
     gap.unwrap_or_else(|| panic!("no write is acknowledged: {:?}", world.trace))
 }
 
-/// A primary's process ends. Its host refuses connections, which every zone
-/// meets within a probe's interval, so nobody waits for silence.
+/// The primary's process ends and its host refuses connections. Every zone sees
+/// the refusal within a probe interval, so no silence time-out is needed.
 #[test]
 fn primary_process_ends() {
     let mut world = World::running(Setup::umurage(), 1);
@@ -49,8 +49,9 @@
     assert_eq!(world.check.promotions.len(), 1);
 }
 
-/// A primary's host is gone and nothing refuses: only silence tells. The
-/// silence must be noticed by a majority of the zones, and writes are acknowledged again.
+/// The primary's host is down and nothing refuses connections: a majority of
+/// the zones must detect the silence, after which writes are acknowledged
+/// again.
 #[test]
 fn primary_host_is_gone() {
     let mut world = World::running(Setup::umurage(), 2);
@@ -61,11 +62,9 @@
     assert_eq!(world.check.promotions.len(), 1);
 }
 
-/// The primary's zone is cut off with callers and an instance beside it. The
-/// primary believes that it leads and runs their writes, but no majority
-/// confirms them; the other zones replace it meanwhile. Not one write of the
-/// cut-off zone may be acknowledged, and once the cut heals the old primary
-/// drops its tail and follows.
+/// The primary's zone is cut off together with an instance and callers. The old
+/// primary still runs their writes: none may be acknowledged, and after the cut
+/// heals the old primary must drop its tail and follow the new one.
 #[test]
 fn cut_off_zone_with_callers() {
     let mut world = World::running(Setup::umurage(), 3);
@@ -91,10 +90,9 @@
     );
 }
 
-/// The primary alone is cut from the other zones; its own zone's instance
-/// still reaches it, vouches for it, and is heard by all. Writes do not land,
-/// because no replica takes in its log: what the voucher tells of its place
-/// proves that, and the vouching counts no more.
+/// The primary is cut off from the other zones, and the instance of its own
+/// zone reports it alive. No replica receives its log: the reported log
+/// position proves it, and the report must stop delaying the claim.
 #[test]
 fn cut_off_primary_reachable_from_its_zone() {
     let mut world = World::running(Setup::umurage(), 4);
@@ -105,8 +103,8 @@
     assert!(gap > millis(500) && gap < millis(700), "{gap:?}");
 }
 
-/// As before, but nobody writes, so that no place of the primary's log can
-/// prove anything. The vouching delays the claim, but only for its bound.
+/// As above, but without writes: no log position can prove that the primary is
+/// cut off. The report may delay the claim only for a bounded time.
 #[test]
 fn cut_off_idle_primary_reachable_from_its_zone() {
     let mut setup = Setup::umurage();
@@ -123,9 +121,9 @@
     assert!(gap > millis(1_000) && gap < millis(2_000), "{gap:?}");
 }
 
-/// Only the ways from the primary to its replicas are cut: every instance
-/// reaches it and finds it well, but no write lands. It must be replaced, and
-/// not by itself, although its log is the longest.
+/// Only the links from the primary to its replicas are cut: every instance sees
+/// the primary alive, but no write commits. The primary must be replaced by
+/// another upstream, although its own log is the longest.
 #[test]
 fn a_primary_isolated_from_its_replicas_is_replaced() {
     let mut world = World::running(Setup::umurage(), 9);
@@ -138,8 +136,8 @@
     assert_ne!(world.check.promotions[0].2, 0);
 }
 
-/// One of two replicas is cut from the primary. The other makes a majority
-/// with it, so nothing needs replacing.
+/// One of two replicas is cut off from the primary. The other one forms a
+/// majority with it, so no promotion may happen.
 #[test]
 fn one_replica_is_cut_from_the_primary() {
     let mut world = World::running(Setup::umurage(), 10);
@@ -149,8 +147,8 @@
     assert_eq!(world.check.promotions, []);
 }
 
-/// One zone can't reach the primary, the others can. It is blind, not the
-/// primary dead: nobody may claim, however long it lasts.
+/// One zone cannot reach the primary, the others can: no candidate may claim,
+/// however long the cut lasts.
 #[test]
 fn a_zone_that_cannot_reach_the_primary_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 5);
@@ -162,9 +160,9 @@
     assert_eq!(world.store.swaps, 0);
 }
 
-/// Two of three zones' instances can't reach the primary, but the replicas
-/// still take in its log: writes land through the third. Replacing the primary
-/// would cut writes that land.
+/// The instances of two of three zones cannot reach the primary, but the
+/// replicas still receive its log and writes commit through the third.
+/// Replacing the primary would interrupt these writes.
 #[test]
 fn a_replicating_primary_is_not_replaced() {
     let mut world = World::running(Setup::umurage(), 6);
@@ -175,8 +173,8 @@
     assert_eq!(world.check.promotions, []);
 }
 
-/// A zone without the primary is cut off. It suspects everybody, yet reaches
-/// no majority, so it must not claim, not even through a store that it reaches.
+/// A zone without the primary is cut off. It suspects all upstreams but reaches
+/// no majority, so it must not claim, even if it reaches the store.
 #[test]
 fn a_cut_off_zone_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 7);
@@ -188,8 +186,8 @@
     assert_eq!(world.store.swaps, 0);
 }
 
-/// A candidate is paused for seconds. On waking all its evidence is old; it
-/// must not take its own pause for the primary's silence.
+/// A candidate is paused for seconds and resumes with stale evidence. It must
+/// not take its own pause for silence of the primary.
 #[test]
 fn a_paused_candidate_does_not_claim() {
     let mut world = World::running(Setup::umurage(), 8);
@@ -201,9 +199,9 @@
     assert_eq!(world.store.swaps, 0);
 }
 
-/// The promoter dies at each step in turn, before or after the messages of
-/// that step have left. Another candidate overtakes its claim with a higher
-/// term, or completes its record, within a bounded time.
+/// The promoter dies at each step, before or after the messages of that step
+/// have left. Another candidate must overtake its claim with a higher term, or
+/// complete its record, within a bounded time.
 #[test]
 fn promoter_dies_at_each_step() {
     let steps = [
@@ -229,9 +227,9 @@
     }
 }
 
-/// The promoter pauses at each step for longer than it takes to overtake it,
-/// and wakes with its orders and its swap still to come. They carry a term
-/// that is fenced or a revision that has passed, and must change nothing.
+/// The promoter pauses at each step for longer than the claim time-out, and
+/// resumes with orders and a swap still to come. These carry a fenced term or
+/// an old revision and must have no effect.
 #[test]
 fn promoter_pauses_and_resumes() {
     let steps = [
@@ -251,8 +249,8 @@
     }
 }
 
-/// The claim's swap takes effect and its answer is lost, once and more often.
-/// The promoter must recognise its own claim when it reads it back.
+/// The swap of the claim takes effect and its answer is lost, once or several
+/// times. The promoter must recognise its own claim when it reads the record.
 #[test]
 fn answers_of_the_store_are_lost() {
     for lost in 1..6 {
@@ -265,8 +263,9 @@
     }
 }
 
-/// The store is down before the primary fails. Nobody may promote without the
-/// claim, so writes wait for the store, and land soon after it is back.
+/// The store is down when the primary fails. No candidate may promote without a
+/// claim, so writes wait for the store and must be acknowledged soon after the
+/// store is back.
 #[test]
 fn store_is_down_before_the_crash() {
     let mut world = World::running(Setup::umurage(), 50);
@@ -284,9 +283,9 @@
     assert!(gap < millis(1_500), "{gap:?}");
 }
 
-/// The store goes down between the claim and the record of the new primary.
-/// The claim settles who may promote, so the new primary is announced and
-/// serves; its record follows when the store is back.
+/// The store goes down between the claim and the record of the new primary. The
+/// claim settles which candidate may promote, so the new primary is announced
+/// and serves; its record must follow when the store is back.
 #[test]
 fn store_goes_down_between_claim_and_record() {
     for state in [State::Fencing, State::Promoting, State::Recording] {
@@ -306,8 +305,8 @@
 }
 
 /// The store goes down between claim and record, and the promoter dies after
-/// it announced the new primary. Another candidate completes the record when
-/// the store is back; no second promotion is needed for it.
+/// announcing the new primary. Another candidate must complete the record when
+/// the store is back, without a second promotion.
 #[test]
 fn announced_primary_is_recorded_by_another() {
     let mut world = World::running(Setup::umurage(), 52);
@@ -329,8 +328,8 @@
     assert_eq!(world.check.promotions.len(), 1);
 }
 
-/// The store is slow: each answer takes a second and a half, longer than the
-/// first waits for it. Retries must not pile up claims.
+/// Each answer of the store takes 1.5 s, longer than the first time-outs.
+/// Retries must not pile up claims.
 #[test]
 fn store_is_slow() {
     let mut world = World::running(Setup::umurage(), 53);
@@ -342,10 +341,9 @@
     assert!(world.store.swaps <= 4, "{}", world.store.swaps);
 }
 
-/// The store answers, but later than any call waits for it, and no watch has
-/// anything to show. Symptom: an instance that starts then never learns who
-/// leads, and serves no write. Cause: each call was given up before its answer
-/// came, and the late answer was dropped for belonging to an old call.
+/// The store answers later than every time-out, and no watch delivers anything.
+/// A new instance must still learn the primary: a late answer must not be
+/// dropped because its call has timed out.
 #[test]
 fn answers_of_the_store_are_later_than_any_wait() {
     let mut world = World::open(Setup::umurage(), 54);
@@ -359,8 +357,8 @@
     );
 }
 
-/// Two candidates claim at once, because neither hears the other. The swap
-/// settles it; one term has one primary.
+/// Two candidates claim at once because neither hears the other. The swap must
+/// settle which one wins: one term has one primary.
 #[test]
 fn two_promoters_at_once() {
     for seed in 60..80 {
@@ -375,9 +373,9 @@
     }
 }
 
-/// A primary crashes, comes back as a replica, and the new one crashes as
-/// soon as it leads. The second change is held off a little, and loses
-/// nothing.
+/// A primary crashes and comes back as a replica, and the new primary crashes
+/// as soon as it leads. The second change is held off briefly and must lose no
+/// write.
 #[test]
 fn two_crashes_in_a_row() {
     let mut world = World::running(Setup::umurage(), 81);
@@ -396,8 +394,8 @@
     assert!(world.servers.iter().all(|s: &Server| s.log.len() > 1));
 }
 
-/// Every primary fails soon after its promotion and comes back after a
-/// second, over and over. The changes of primary must thin out.
+/// Every primary fails soon after its promotion and comes back after a second,
+/// again and again. The hold-off must make changes of primary rarer.
 #[test]
 fn repeated_failures_are_held_off() {
     let mut world = World::running(Setup::umurage(), 82);
@@ -418,8 +416,8 @@
     assert!(counts[0] > counts[3] && counts[3] <= 2, "{counts:?}");
 }
 
-/// A primary is being taken out of service. Its role moves to a replica that
-/// holds all of its log, while nothing fails.
+/// A primary is being taken out of service. A replica that holds all of its log
+/// must become primary, without any failure.
 #[test]
 fn a_leaving_primary_hands_over() {
     let mut world = World::running(Setup::umurage(), 83);
@@ -439,8 +437,8 @@
     assert_eq!(world.check.promotions.len(), 1);
 }
 
-/// A database has no record yet. The primary that its majority follows is
-/// recorded as it is; nothing is promoted.
+/// A database without a record: the primary that a majority follows must be
+/// recorded as it is, without a promotion.
 #[test]
 fn a_first_record_adopts_the_primary() {
     let mut setup = Setup::umurage();
@@ -452,8 +450,8 @@
     assert_eq!(world.store.entry.clone().unwrap().record.term, Term(1));
 }
 
-/// The replica with the lower rank of the two is far behind when the primary
-/// fails. The one that holds the acknowledged writes must be chosen.
+/// One of the two replicas is far behind when the primary fails. The one that
+/// holds the acknowledged writes must be chosen.
 #[test]
 fn a_lagging_replica_is_not_chosen() {
     for (lagging, caught_up) in [(1, 2), (2, 1)] {
@@ -469,8 +467,9 @@
     }
 }
 
-/// A zone with the primary, an instance and callers is gone altogether, so
-/// that nobody refuses and the dead zone's last evidence still vouches.
+/// A zone with the primary, an instance and callers goes down at once: no host
+/// refuses connections, and the last evidence of the lost zone still reports
+/// the primary alive. This evidence must expire and not delay the claim.
 #[test]
 fn a_lost_zone_does_not_delay_the_claim() {
     let mut world = World::running(Setup::stalgenoot(), 86);
--- a/crates/failover/tests/failover/world.rs
+++ b/crates/failover/tests/failover/world.rs
@@ -1,8 +1,8 @@
-//! A fake group, its network and its store, in virtual time.
+//! A simulated group with its network and store, in virtual time.
 //!
-//! Only what the decisions meet: messages that take time, get lost or meet a
-//! cut; upstreams with a log; a record changed by compare-and-swap; callers
-//! that write at each instance.
+//! The model covers what the decisions depend on: messages that take time, get
+//! lost or meet a cut; upstreams with a log; a record changed by
+//! compare-and-swap; callers that write at each instance.
 
 pub(crate) mod check;
 pub(crate) mod instance;
@@ -24,7 +24,7 @@
 use store::Store;
 use upstream::Server;
 
-/// Sizes, latencies and habits of a deployment.
+/// Sizes, latencies and faulty variants of a deployment.
 #[derive(Debug, Clone)]
 pub(crate) struct Setup {
     pub(crate) zones: usize,
@@ -71,10 +71,10 @@
     }
 }
 
-/// How far the platform's list of instances lags.
+/// Lag of the platform's list of instances.
 const MEMBERS_LAG: Duration = Duration::from_secs(2);
 
-/// What can be due.
+/// A scheduled step of the simulation.
 #[derive(Debug, Clone)]
 pub(crate) enum Task {
     Step(usize, Event),
@@ -100,14 +100,14 @@
     UpdateMembers,
 }
 
-/// What to do to an instance when its machine enters a state.
+/// Fault to inject when the state machine of an instance enters a state.
 #[derive(Debug, Clone)]
 pub(crate) struct Injection {
     pub(crate) state: State,
     pub(crate) fault: InjectedFault,
 }
 
-/// What springs, and whether the state's messages still leave.
+/// Injected fault, and whether the messages of the state still leave.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum InjectedFault {
     DieBefore,
@@ -169,7 +169,7 @@
         world
     }
 
-    /// Lets an instance begin, or begin anew after its predecessor died.
+    /// Starts an instance, or restarts it after its predecessor died.
     pub(crate) fn start(&mut self, i: usize) {
         let members = self.members();
         self.schedule(Duration::ZERO, Task::Step(i, Event::Members(members)));
@@ -182,7 +182,7 @@
         );
     }
 
-    /// The instances that the platform lists as live.
+    /// Instances that the platform lists as live.
     fn members(&self) -> BTreeMap<name::Instance, name::Zone> {
         let live = |i: &usize| self.instances.get(*i).is_none_or(|p| p.group.is_some());
         let listed = (0..self.setup.instances).filter(live);
@@ -191,7 +191,8 @@
             .collect()
     }
 
-    /// Shows the list to all; it lags behind deaths and starts.
+    /// Delivers the list of instances to all of them; the list lags behind
+    /// deaths and starts.
     fn update_members(&mut self) {
         let members = self.members();
         for i in 0..self.instances.len() {
@@ -217,7 +218,7 @@
         self.due.insert((self.now + wait, self.sequence), task);
     }
 
-    /// Sends a message, unless the way is cut.
+    /// Sends a message, unless the link is cut.
     pub(crate) fn send(&mut self, from: Host, to: Host, task: Task) {
         self.send_later(Duration::ZERO, from, to, task);
     }
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Until when the host to which this happens is paused.
+    /// Time until which the host that the task concerns is paused.
     fn paused(&self, task: &Task) -> Option<Instant> {
         let host = match task {
             Task::Step(i, _)
@@ -298,7 +299,7 @@
         self.net.pause(host, self.now + span);
     }
 
-    /// Ordinary jitter: now and then a host stalls for a moment.
+    /// Schedules random short stalls of hosts.
     pub(crate) fn schedule_stalls(&mut self, span: Duration) {
         let end = self.now + span;
         let instances = (0..self.instances.len()).map(|i| (Host::Instance(i), 120.0, 200));
@@ -343,7 +344,8 @@
         }
     }
 
-    /// Springs the first trap set for a state; true if nothing may leave.
+    /// Injects the first fault set for a state; returns true if no message may
+    /// leave.
     fn inject(&mut self, i: usize, state: State) -> bool {
         let Some(at) = self.injections.iter().position(|t| t.state == state) else {
             return false;
@@ -402,7 +404,7 @@
             }
         }
         if self.instances[i].dies_after_step == Some(self.instances[i].incarnation) {
-            // Dies once the messages of this step have left.
+            // The instance dies once the messages of this step have left.
             self.instances[i].dies_after_step = None;
             self.instances[i].dies_on_next_write = true;
         }
@@ -415,27 +417,27 @@
         }
     }
 
-    /// A number for a new write.
+    /// Returns the number of a new write.
     fn next_write(&mut self) -> u64 {
         self.writes += 1;
         self.writes
     }
 }
 
-/// The id under which a write waits at its instance.
+/// Id of a write in the quorum of its instance.
 pub(crate) fn id(write: u64) -> quorum::Id {
     quorum::Id(write)
 }
 
 impl World {
-    /// Opens a deployment and lets it run until callers write everywhere.
+    /// Creates a deployment and runs it until callers write everywhere.
     pub(crate) fn running(setup: Setup, seed: u64) -> Self {
         let mut world = Self::open(setup, seed);
         world.run(Duration::from_secs(1));
         world
     }
 
-    /// When the first write issued at an instance since a moment was
+    /// Time at which the first write issued at an instance since `since` was
     /// acknowledged.
     pub(crate) fn first_ack(&self, i: usize, since: Instant) -> Option<Instant> {
         let later = self.instances[i]
@@ -445,14 +447,15 @@
         later.map(|(_, acked)| *acked).min()
     }
 
-    /// How long after a moment writes landed at each of these instances again.
+    /// Time after `since` until writes are acknowledged at each of these
+    /// instances again.
     pub(crate) fn gap(&self, instances: &[usize], since: Instant) -> Option<Duration> {
         let first_ack = instances.iter().map(|&i| self.first_ack(i, since));
         let first_ack: Option<Vec<Instant>> = first_ack.collect();
         Some(first_ack?.into_iter().max()?.since(since))
     }
 
-    /// When a state was first entered since a moment, and by whom.
+    /// Time and instance of the first entry into a state since `since`.
     pub(crate) fn entered(&self, state: State, since: Instant) -> Option<(Instant, usize)> {
         let entry = self
             .trace
@@ -461,7 +464,7 @@
         entry.map(|(at, i, _)| (*at, *i))
     }
 
-    /// Checks that nothing acknowledged was lost and no promise was broken.
+    /// Asserts that no acknowledged write was lost and no invariant violated.
     pub(crate) fn verify(&mut self) {
         self.check.check_survival(&self.servers);
         assert_eq!(self.check.violations, []);
--- a/crates/failover/tests/failover/world/check.rs
+++ b/crates/failover/tests/failover/world/check.rs
@@ -1,4 +1,4 @@
-//! The promises that every run is checked for.
+//! Invariants that every run is checked for.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use super::upstream::Server;
 
-/// A broken promise.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// An acknowledged write is not in the log of a later primary.
     Lost { write: u64, term: Term },
-    /// A primary acknowledged a write after it was replaced by one that does
-    /// not have the write.
+    /// A primary acknowledged a write after the promotion of a new primary that
+    /// does not have the write.
     Replaced { write: u64, term: Term, by: Term },
     /// Two upstreams were promoted in one term.
     TwoPrimaries { term: Term },
@@ -54,7 +54,8 @@
         &servers[self.leaders.get(&term).copied().unwrap_or(0)]
     }
 
-    /// Whether all that was acknowledged is in the highest primary's log.
+    /// Records a violation for each acknowledged write that is missing from the
+    /// log of the primary of the highest term.
     pub(crate) fn check_survival(&mut self, servers: &[Server]) {
         let term = self.highest_term;
         let leader = self.leader(servers, term);
--- a/crates/failover/tests/failover/world/instance.rs
+++ b/crates/failover/tests/failover/world/instance.rs
@@ -1,4 +1,4 @@
-//! An entry instance: its machine, and callers that write through it.
+//! An instance with its state machine, and callers that write through it.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 pub(crate) struct Instance {
     pub(crate) group: Option<Group>,
     pub(crate) wake: Option<Instant>,
-    /// Counts restarts, so that nothing from a former life is taken.
+    /// Number of restarts; tasks of an earlier incarnation are ignored.
     pub(crate) incarnation: u32,
     pub(crate) dies_after_step: Option<u32>,
     pub(crate) dies_on_next_write: bool,
     primary: Option<Primary>,
     quorum: Option<Quorum>,
     issued: BTreeMap<u64, (Instant, Position)>,
-    /// When each acknowledged write was issued and acknowledged.
+    /// Times at which each acknowledged write was issued and acknowledged.
     pub(crate) acked: Vec<(Instant, Instant)>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl World {
-    /// Lets the instance's write quorum know who leads.
+    /// Passes a change of primary to the instance's write quorum.
     pub(crate) fn update_quorum(&mut self, i: usize) {
         let size = self.setup.quorum_size;
         let instance = &mut self.instances[i];
--- a/crates/failover/tests/failover/world/net.rs
+++ b/crates/failover/tests/failover/world/net.rs
@@ -1,4 +1,4 @@
-//! The network: who is where, how long messages take, what is cut.
+//! The network: zones of hosts, latencies, cuts and pauses.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,7 +22,7 @@
 pub(crate) struct Net {
     cuts: BTreeSet<(Host, Host)>,
     pauses: BTreeMap<Host, Instant>,
-    /// Whether messages are now and then sent twice and late.
+    /// Whether some messages are delayed by a retransmission.
     pub(crate) lossy: bool,
 }
 
@@ -55,7 +55,7 @@
         self.cuts.remove(&(other, one));
     }
 
-    /// Cuts a zone from all others and from the store.
+    /// Cuts a zone off from all others and from the store.
     pub(crate) fn cut_zone(&mut self, setup: &Setup, zone: usize) {
         let hosts = hosts(setup);
         for one in hosts.iter().filter(|h| h.zone(setup) == Some(zone)) {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Parts the zones below one from the others; the store stays with either.
+    /// Cuts the zones below an index off from the others; both sides reach the
+    /// store.
     pub(crate) fn split_zones(&mut self, setup: &Setup, below: usize) {
         let hosts = hosts(setup);
         for one in hosts
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Cuts an upstream from everything, its own zone's hosts excepted.
+    /// Cuts an upstream off from all hosts outside its zone.
     pub(crate) fn cut_server(&mut self, setup: &Setup, u: usize) {
         for other in hosts(setup).iter().filter(|h| h.zone(setup) != Some(u)) {
             self.cut(Host::Server(u), *other);
@@ -114,7 +115,8 @@
         };
         let spread = -f64::ln(1.0 - rng.random::<f64>()) * 0.2;
         let mut latency = base.mul_f64(1.0 + spread);
-        // One in two thousand is lost and sent again after TCP's least wait.
+        // One message in two thousand is lost and retransmitted after TCP's
+        // minimum retransmission time-out.
         if self.lossy && rng.random_range(0..2_000) == 0 {
             latency += Duration::from_millis(200);
         }
--- a/crates/failover/tests/failover/world/store.rs
+++ b/crates/failover/tests/failover/world/store.rs
@@ -12,7 +12,7 @@
     pub(crate) entry: Option<Entry>,
     pub(crate) down: bool,
     pub(crate) slow: Duration,
-    /// How many of the next answers are lost after the call took effect.
+    /// Number of following answers that are lost after the call took effect.
     pub(crate) answers_to_lose: u32,
     pub(crate) swaps: u32,
 }
@@ -81,7 +81,7 @@
         self.send_later(slow, Host::Store, Host::Instance(i), Task::Step(i, event));
     }
 
-    /// Shows the record to all watches.
+    /// Delivers the record to all watches.
     pub(crate) fn store_watch(&mut self) {
         let Some(entry) = self.store.entry.clone() else {
             return;
--- a/crates/failover/tests/failover/world/upstream.rs
+++ b/crates/failover/tests/failover/world/upstream.rs
@@ -7,36 +7,36 @@
 
 use super::{Host, Task, World};
 
-/// How an upstream is down.
+/// Kind of outage of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Down {
-    /// The process ended: the host refuses connections.
+    /// The process has ended, and the host refuses connections.
     Process,
-    /// The host is gone: nothing answers.
+    /// The host is down, and nothing answers.
     Host,
 }
 
-/// Between two pushes of the log when nothing is written.
+/// Interval between two pushes of the log while there are no writes.
 const PUSH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a replica takes to connect to a new primary.
+/// Time that a replica needs to connect to a new primary.
 const CONNECT_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) down: Option<Down>,
-    /// Whether a status probe or an order finds no room for its connection.
+    /// Whether status probes and orders find no free connection.
     pub(crate) full: bool,
     pub(crate) role: Role,
     pub(crate) fenced: Term,
-    /// The term in which it was promoted last.
+    /// Term of the last promotion of this upstream.
     pub(crate) leads: Term,
     pub(crate) follows: Option<(usize, Term)>,
-    /// The term that it was last ordered to follow.
+    /// Term of the last order to follow a primary.
     ordered: Term,
-    /// The term of the last log, and for each place the write that stands there.
+    /// For each log position its term and the write at this position.
     pub(crate) log: Vec<(Term, u64)>,
-    /// Whether the log is known to be a prefix of that of the one it follows.
+    /// Whether the log is known to be a prefix of the followed primary's log.
     synced: bool,
     pub(crate) lag: Duration,
 }
@@ -202,7 +202,8 @@
         self.send(Host::Server(u), Host::Instance(i), task);
     }
 
-    /// Sends the log to every replica; one that follows another drops it.
+    /// Sends the log to every replica; a replica that follows another primary
+    /// drops it.
     fn push(&mut self, u: usize) {
         let (term, len) = (self.servers[u].leads, self.servers[u].log.len());
         for to in (0..self.servers.len()).filter(|to| *to != u) {
--- a/crates/failover/tests/quorum.rs
+++ b/crates/failover/tests/quorum.rs
@@ -1,4 +1,4 @@
-//! When writes are acknowledged and current reads may run.
+//! Acknowledgement of writes and confirmation of current reads.
 
 use clock::Instant;
 use failover::quorum::{Id, Quorum, Replaced};
@@ -57,8 +57,8 @@
     );
 }
 
-/// A replica of a lower term has a long log. Its place says nothing of this
-/// term's log and must not count.
+/// A replica of a lower term has a long log. Its position says nothing about
+/// the log of this term and must not count.
 #[test]
 fn a_place_in_another_terms_log_does_not_count() {
     let mut quorum = new_quorum();
@@ -69,7 +69,7 @@
 }
 
 /// A replica holds the write but is fenced to a higher term: it may have
-/// answered a promoter before the write reached it.
+/// answered a promoter before the write arrived, so it must not count.
 #[test]
 fn a_replica_that_is_fenced_higher_does_not_count() {
     let mut quorum = new_quorum();
@@ -99,8 +99,8 @@
     assert_eq!(quorum.committed(), Lsn(0));
 }
 
-/// A read that must be current waits for answers to probes sent after it
-/// began; answers to earlier probes may predate a change of primary.
+/// A current read must wait for answers to probes sent after the read began;
+/// earlier answers may predate a change of primary.
 #[test]
 fn a_read_is_confirmed_only_by_later_probes() {
     let mut quorum = new_quorum();
@@ -111,7 +111,8 @@
     assert_eq!(quorum.report(&upstream("a"), at(11), &primary(1)), [Id(1)]);
 }
 
-/// Both replicas answer, the primary does not, or is no primary any more.
+/// Both replicas answer, but the primary does not, or is no longer primary. A
+/// majority without the primary must not confirm a read.
 #[test]
 fn a_read_needs_the_primary_itself() {
     let mut quorum = new_quorum();
