--- a/crates/pool/examples/cost.rs
+++ b/crates/pool/examples/cost.rs
@@ -1,10 +1,11 @@
-//! Time per request of [`Pool::step`] with a queue of a given length.
+//! Measures the time per request of [`Pool::step`] for several queue lengths.
 //!
 //! `cargo run --release -p pool --example cost`
 //!
-//! Each round submits one request and answers the one that runs, so that the
-//! length stays. Stuck requests wait for their entry's only connection, which
-//! a transaction holds. Wall-clock time: compare runs on one quiet machine only.
+//! Each round submits one request and answers the running one, so that the
+//! length stays the same. Stuck requests wait for their entry's only
+//! connection, which a transaction holds. The times are wall-clock times:
+//! compare only runs on one idle machine.
 
 use std::{hint::black_box, num::NonZeroU32, time::Duration};
 
@@ -17,7 +18,8 @@
 
 const LENGTHS: [u64; 4] = [0, 10, 100, 1_000];
 const ROUNDS: u64 = 4_000;
-/// The best of this many is printed: other processes only make it slower.
+/// Number of tries, of which the fastest is printed: other processes only add
+/// time.
 const TRIES: u32 = 9;
 const TENANTS: u64 = 4;
 
@@ -54,7 +56,8 @@
         bench
     }
 
-    /// Has `length` requests of another entry wait for its only connection.
+    /// Queues `length` requests of another entry, whose only connection is
+    /// occupied.
     fn queue_blocked(&mut self, now: Instant, length: u64) {
         let entry = name::Entry::new("narrow").expect("a valid name");
         for _ in 0..=length {
--- a/crates/pool/examples/load/main.rs
+++ b/crates/pool/examples/load/main.rs
@@ -1,4 +1,5 @@
-//! Goodput and refusals of one upstream at 0.5, 1, 2 and 5 times its capacity.
+//! Measures goodput and refusals of one upstream at 0.5, 1, 2 and 5 times its
+//! capacity.
 //!
 //! `cargo run --release -p pool --example load [seed]`
 
--- a/crates/pool/examples/load/sim.rs
+++ b/crates/pool/examples/load/sim.rs
@@ -1,4 +1,4 @@
-//! One upstream, its holder and retrying callers, in virtual time.
+//! Simulates one upstream, its holder and retrying callers in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -23,8 +23,8 @@
 const MAX_ATTEMPTS: u32 = 4;
 const QUEUE_LIMIT: u32 = 1_000;
 
-/// A kind of request: who goes first, its share of the load, its mean work
-/// and its deadline in microseconds.
+/// A kind of request: its priority, share of the load, mean work and deadline,
+/// both in microseconds.
 pub(crate) struct Kind {
     pub(crate) priority: Priority,
     share: f64,
@@ -53,39 +53,39 @@
     },
 ];
 
-/// Statements a second that the slots can serve: two slots, 5 ms each.
+/// Statements per second that the slots can serve: two slots, 5 ms each.
 pub(crate) const CAPACITY: f64 = 400.0;
 
-/// How requests are let in.
+/// Admission policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// The pool's.
+    /// Admission by the pool.
     Pool,
 }
 
-/// What became of the requests of one kind.
+/// Results of the requests of one kind.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Tally {
-    /// First attempts made while measuring.
+    /// First attempts during the measurement.
     pub(crate) first_attempts: u64,
-    /// Requests done in time, on any attempt.
+    /// Requests completed in time on any attempt.
     pub(crate) done: u64,
-    /// Requests done in time on the first attempt.
+    /// Requests completed in time on the first attempt.
     pub(crate) first: u64,
-    /// Waits between the arrival and the refusal of the attempts refused as
-    /// not run, in microseconds.
+    /// Times in microseconds between arrival and refusal of the attempts that
+    /// were refused without running.
     pub(crate) refusals: Vec<u64>,
-    /// Attempts cut by their deadline after they were sent.
+    /// Attempts that reached their deadline after they were sent.
     pub(crate) timed_out: u64,
 }
 
 impl Tally {
-    /// The mean wait before a refusal, in microseconds.
+    /// Mean time before a refusal in microseconds.
     pub(crate) fn mean_refusal(&self) -> u64 {
         self.refusals.iter().sum::<u64>() / (self.refusals.len() as u64).max(1)
     }
 
-    /// The wait that 99 of a hundred refusals do not exceed, in microseconds.
+    /// 99th percentile of the time before a refusal in microseconds.
     pub(crate) fn p99_refusal(&self) -> u64 {
         let mut waits = self.refusals.clone();
         waits.sort_unstable();
@@ -93,18 +93,18 @@
     }
 }
 
-/// A run's result.
+/// Result of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Report {
     pub(crate) kinds: [Tally; 3],
-    /// Requests done in time of each kind for each tenant.
+    /// Requests completed in time, by kind and tenant.
     pub(crate) tenants: [[u64; 4]; 3],
-    /// The most connections open at once.
+    /// Maximum number of connections open at once.
     pub(crate) connections: usize,
 }
 
 impl Report {
-    /// Requests done in time.
+    /// Number of requests completed in time.
     pub(crate) fn done(&self) -> u64 {
         self.kinds.iter().map(|it| it.done).sum()
     }
@@ -154,7 +154,7 @@
     tenants: [name::Tenant; 4],
 }
 
-/// Runs `load` times the capacity for `seconds` after a second to warm up.
+/// Runs `load` times the capacity for `seconds`, after a warm-up of one second.
 pub(crate) fn run(policy: Policy, load: f64, seconds: u64, seed: u64) -> Report {
     let slots = match policy {
         Policy::Pool => SLOTS,
@@ -249,7 +249,7 @@
             x if x < KINDS[0].share + KINDS[1].share => 1,
             _ => 2,
         };
-        // One tenant sends seven tenths of everything.
+        // One tenant sends seven tenths of all requests.
         let tenant = match self.rng.random_range(0..10) {
             0..7 => 0,
             other => other - 6,
--- a/crates/pool/src/breaker.rs
+++ b/crates/pool/src/breaker.rs
@@ -1,28 +1,29 @@
-//! A circuit breaker: an upstream that keeps failing is left alone for a while.
+//! Circuit breaker: an upstream that keeps failing gets no requests for a
+//! while.
 //!
-//! Without it every request would spend its deadline on a dead upstream and
-//! hold a place in the queue meanwhile, so that the failure of one upstream
-//! would show as timeouts of requests that another could have served.
+//! Without a breaker every request would spend its deadline on a dead upstream
+//! and occupy a place in the queue meanwhile, so the failure of one upstream
+//! would cause time-outs of requests that another could have served.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// How many failures in a row open the breaker.
+/// Number of consecutive failures that opens the breaker.
 pub const THRESHOLD: u32 = 5;
-/// How long the breaker stays open the first time.
+/// Time for which the breaker stays open at first.
 pub const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest that the breaker stays open between two probes.
+/// Maximum time for which the breaker stays open between two probes.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What the breaker lets through.
+/// Requests that the breaker allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
-    /// Anything.
+    /// All requests.
     Pass,
-    /// One probe; the caller must report how it ends.
+    /// One probe, whose result the caller must report.
     Probe,
-    /// Nothing before this moment.
+    /// No request before this time.
     Wait(Instant),
 }
 
@@ -41,7 +42,7 @@
     },
 }
 
-/// The breaker of one upstream.
+/// Circuit breaker of one upstream.
 ///
 /// ```
 /// use clock::Instant;
@@ -70,10 +71,11 @@
 }
 
 impl Breaker {
-    /// What may be sent now; [`Permit::Probe`] is given out once per opening.
+    /// Returns what may be sent now; [`Permit::Probe`] is returned once per
+    /// opening.
     ///
-    /// A probe that is never reported counts as failed after [`MAX_BACKOFF`]:
-    /// else a probe lost with its caller would keep the breaker half open,
+    /// A probe without a result counts as failed after [`MAX_BACKOFF`].
+    /// Otherwise a probe lost with its caller would keep the breaker half open,
     /// and the upstream unused, for ever.
     pub fn permit(&mut self, now: Instant) -> Permit {
         match self.state {
@@ -90,7 +92,8 @@
         }
     }
 
-    /// When requests may pass again, or `None` while they pass.
+    /// Time at which requests may pass again, or `None` while the breaker is
+    /// closed.
     pub fn retry_at(&self) -> Option<Instant> {
         match self.state {
             State::Closed { .. } => None,
@@ -99,17 +102,17 @@
         }
     }
 
-    /// Whether everything passes.
+    /// Returns true if all requests pass.
     pub fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed { .. })
     }
 
-    /// The upstream answered.
+    /// Records an answer of the upstream.
     pub fn success(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// The upstream refused a connection, broke one, or did not answer in time.
+    /// Records that the upstream refused or broke a connection, or timed out.
     pub fn failure(&mut self, now: Instant) {
         let backoff = match self.state {
             State::Closed { failures } if failures + 1 < THRESHOLD => {
@@ -119,7 +122,8 @@
                 return;
             }
             State::Closed { .. } => FIRST_BACKOFF,
-            // Late failures of what was sent before it opened say nothing new.
+            // Late failures of requests sent before the breaker opened carry no
+            // new information.
             State::Open { .. } => return,
             State::HalfOpen { backoff, .. } => (backoff * 2).min(MAX_BACKOFF),
         };
--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -1,17 +1,18 @@
-//! A retry budget: retries are a bounded share of first attempts.
+//! Retry budget: limits retries to a share of the first attempts.
 //!
-//! Without it an upstream at its capacity fails some requests, their retries
-//! come on top of the load, more fail, and the overload outlives its cause.
+//! Without a budget, an upstream at its capacity fails some requests, their
+//! retries add to the load, more requests fail, and the overload outlives its
+//! cause.
 
-/// Tokens that a first attempt earns, in thousandths of a retry.
+/// Tokens earned by a first attempt, in thousandths of a retry.
 pub const EARNED: u32 = 100;
-/// The most retries that can be saved up.
+/// Maximum number of retries that can be saved.
 pub const MAX_SAVED: u32 = 10;
 
 const RETRY: u32 = 1_000;
 
-/// The retry budget of one entry at one instance: a token bucket that fills
-/// with first attempts, so that retries stay under a tenth of them.
+/// Retry budget of one entry at one instance: a token bucket filled by first
+/// attempts, so that retries stay below a tenth of them.
 ///
 /// ```
 /// let mut budget = pool::Budget::default();
@@ -38,12 +39,12 @@
 }
 
 impl Budget {
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + EARNED).min(MAX_SAVED * RETRY);
     }
 
-    /// Takes one retry out; `false` when the budget is spent.
+    /// Takes one retry from the budget; `false` if the budget is spent.
     pub fn spend(&mut self) -> bool {
         match self.tokens.checked_sub(RETRY) {
             Some(rest) => {
--- a/crates/pool/src/conn.rs
+++ b/crates/pool/src/conn.rs
@@ -1,4 +1,4 @@
-//! The connections of one upstream and the statement each of them carries.
+//! Connections of one upstream and the statement in flight on each of them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,71 +7,71 @@
 
 use crate::Ticket;
 
-/// A connection: no two of one pool ever have the same generation.
+/// Id of a connection, never reused within a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// One statement on one connection.
+/// Id of one statement on one connection.
 ///
-/// Answers carry it back. An answer whose handle is not the one in flight
-/// belongs to a statement that was given up or to a connection that is gone;
-/// were it delivered, a caller would get rows that another had asked for.
+/// Each answer carries its handle. An answer whose handle is not the one in
+/// flight belongs to a cancelled statement or to a closed connection;
+/// delivering it would give a caller the rows of another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Handle {
-    /// The connection.
+    /// Connection of the statement.
     pub generation: Generation,
-    /// The statement, counted on that connection from one.
+    /// Number of the statement on its connection, starting at one.
     pub sequence: u64,
 }
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Being opened.
+    /// The connection is being opened.
     Opening,
-    /// Open with nothing in flight and no transaction.
+    /// The connection is open, without a statement in flight or a transaction.
     Idle {
-        /// Since when.
+        /// Time at which this state began.
         since: Instant,
     },
     /// A statement is in flight.
     Busy {
-        /// Whose it is.
+        /// Request that sent the statement.
         ticket: Ticket,
-        /// When it was handed out.
+        /// Time at which the statement was dispatched.
         since: Instant,
-        /// Whether it is a later statement of an open transaction.
+        /// Whether the statement starts work or continues an open transaction.
         stage: Stage,
     },
-    /// A transaction is open and its owner has nothing in flight.
+    /// A transaction is open without a statement in flight.
     IdleInTransaction {
-        /// Whose transaction it is.
+        /// Request that owns the transaction.
         ticket: Ticket,
-        /// Since when.
+        /// Time at which this state began.
         since: Instant,
     },
 }
 
-/// Where a statement stands.
+/// Position of a statement in the work of its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It opens the connection's work: it took a slot.
+    /// The statement starts the work of the connection and occupies a slot.
     First,
-    /// It goes on with an open transaction, which needs no slot.
+    /// The statement continues an open transaction and needs no slot.
     Transaction,
 }
 
-/// One connection.
+/// Connection of a pool.
 #[derive(Debug, Clone, Copy)]
 pub struct Conn {
-    /// What it is doing.
+    /// Current state.
     pub state: State,
-    /// The last statement handed out on it.
+    /// Number of the last statement dispatched on the connection.
     pub sequence: u64,
 }
 
 impl Conn {
-    /// Whose request occupies it.
+    /// Request that occupies the connection.
     pub fn ticket(&self) -> Option<Ticket> {
         match self.state {
             State::Opening | State::Idle { .. } => None,
@@ -80,27 +80,27 @@
     }
 }
 
-/// How long a connection that was closed under a running statement counts
-/// against the limit, unless the upstream is known to have ended it before.
+/// Time for which a connection closed under a running statement counts against
+/// the limit, unless the upstream is known to have ended it earlier.
 ///
-/// A server notices that its client has gone when the statement ends or the
-/// cancel arrives. Counted as gone at once, each would be replaced meanwhile:
-/// after a few timeouts the upstream would have more connections than its
-/// limit, refuse the next ones, and so open the breaker.
+/// A server notices the closed connection only when the statement ends or the
+/// cancel request arrives. If such connections did not count, each would be
+/// replaced at once: after a few time-outs the upstream would exceed its
+/// connection limit, refuse new connections, and thereby open the breaker.
 pub const LINGER: Duration = Duration::from_millis(500);
 
-/// All connections of one pool, by generation.
+/// Connections of one pool by generation.
 #[derive(Debug)]
 pub struct Table {
     conns: BTreeMap<Generation, Conn>,
-    /// Closed under a statement, and when.
+    /// Connections closed under a statement, with the time of the close.
     ending: BTreeMap<Generation, Instant>,
     last_generation: u64,
 }
 
 impl Table {
-    /// A table whose generations follow `epoch`, so that they never meet
-    /// those of the seat's earlier holders.
+    /// Creates a table whose generations follow `epoch`, so that they differ
+    /// from those of earlier holders of the seat.
     pub fn new(epoch: u32) -> Self {
         Self {
             conns: BTreeMap::new(),
@@ -123,44 +123,45 @@
         generation
     }
 
-    /// Forgets a connection.
+    /// Removes a connection.
     pub fn remove(&mut self, generation: Generation) -> Option<Conn> {
         self.conns.remove(&generation)
     }
 
-    /// Forgets a connection that was closed under a statement; it counts
-    /// against the limit until [`Table::ended`] or [`LINGER`] has passed.
+    /// Removes a connection that was closed under a statement. The connection
+    /// counts against the limit until [`Table::ended`] or until [`LINGER`] has
+    /// passed.
     pub fn abandon(&mut self, now: Instant, generation: Generation) {
         self.conns.remove(&generation);
         self.ending.insert(generation, now);
     }
 
-    /// The upstream has ended a connection that was abandoned.
+    /// Records that the upstream has ended an abandoned connection.
     pub fn ended(&mut self, generation: Generation) {
         self.ending.remove(&generation);
     }
 
-    /// Frees the places of abandoned connections that have lingered.
+    /// Stops counting abandoned connections after [`LINGER`].
     pub fn expire(&mut self, now: Instant) {
         self.ending.retain(|_, since| now < *since + LINGER);
     }
 
-    /// When the next place of an abandoned connection is free.
+    /// Time at which the next abandoned connection stops counting.
     pub fn expires(&self) -> Option<Instant> {
         self.ending.values().map(|since| *since + LINGER).min()
     }
 
-    /// The connection, unless it is gone.
+    /// Returns the connection if it exists.
     pub fn find(&self, generation: Generation) -> Option<&Conn> {
         self.conns.get(&generation)
     }
 
-    /// The connection, unless it is gone.
+    /// Returns the connection if it exists.
     pub fn find_mut(&mut self, generation: Generation) -> Option<&mut Conn> {
         self.conns.get_mut(&generation)
     }
 
-    /// Hands out the next statement on a connection.
+    /// Dispatches the next statement on a connection.
     pub fn start(
         &mut self,
         now: Instant,
@@ -181,14 +182,14 @@
         })
     }
 
-    /// Whether the statement is the one in flight on its connection.
+    /// Returns true if the statement is the one in flight on its connection.
     pub fn in_flight(&self, handle: Handle) -> bool {
         self.conns.get(&handle.generation).is_some_and(|conn| {
             conn.sequence == handle.sequence && matches!(conn.state, State::Busy { .. })
         })
     }
 
-    /// The idle connection that was used last, so that the others can age.
+    /// Most recently used idle connection, so that the others can expire.
     pub fn idle(&self) -> Option<Generation> {
         self.conns
             .iter()
@@ -200,29 +201,29 @@
             .map(|(_, generation)| generation)
     }
 
-    /// All connections.
+    /// Iterates over all connections.
     pub fn iter(&self) -> impl Iterator<Item = (Generation, &Conn)> {
         self.conns
             .iter()
             .map(|(&generation, conn)| (generation, conn))
     }
 
-    /// How many connections count against the limit.
+    /// Number of connections that count against the limit.
     pub fn counted(&self) -> usize {
         self.conns.len() + self.ending.len()
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Whether there is none.
+    /// Returns true if there is no connection.
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// How many connections are in a state.
+    /// Number of connections whose state passes a test.
     pub fn count(&self, test: impl Fn(&State) -> bool) -> usize {
         self.conns.values().filter(|conn| test(&conn.state)).count()
     }
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much work comes in, by priority and tenant.
+//! Rate of admitted work by priority and tenant.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,15 +8,15 @@
 use clock::Instant;
 use model::{Priority, name};
 
-/// Work older than this counts for less than a third of new work.
+/// Time constant of the decay: older work counts for less than 37%.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
-/// A tenant whose work occupies less of a slot than this is forgotten.
+/// A tenant whose work occupies less of a slot than this is removed.
 const MIN_TENANT_SLOTS: f64 = 1e-3;
-/// Tenants of one priority that are kept before any is looked at again.
+/// Number of tenants of one priority below which none is removed.
 const MIN_PRUNE_LEN: usize = 64;
 
-/// Work per time, as the number of slots that it keeps occupied.
+/// Work per time, expressed as the number of slots that the work occupies.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
     slots: f64,
@@ -60,37 +60,37 @@
     }
 }
 
-/// The admitted work of one upstream.
+/// Work admitted for one upstream.
 ///
-/// A queue that looks only at what waits now admits too much: work that comes
-/// later and goes first makes a request wait longer than its place says. It
-/// would show as refusals long after the arrival.
+/// Admission by the current queue alone would accept too much: later work of
+/// higher precedence delays a request beyond its place in the queue, and the
+/// request would be refused long after its arrival.
 #[derive(Debug, Default)]
 pub struct Demand {
     lanes: BTreeMap<Priority, Lane>,
 }
 
 impl Demand {
-    /// A request that is expected to take `cost` was admitted.
+    /// Records an admitted request that is expected to take `cost`.
     pub fn add(&mut self, now: Instant, priority: Priority, tenant: &name::Tenant, cost: Duration) {
         let lane = self.lanes.entry(priority).or_default();
         lane.add(now, tenant, cost);
     }
 
-    /// How many slots the work before `priority` occupies.
+    /// Number of slots occupied by work of a higher priority.
     pub fn above(&self, now: Instant, priority: Priority) -> f64 {
         let lanes = self.lanes.range(..priority);
         lanes.map(|(_, lane)| lane.total.value(now)).sum()
     }
 
-    /// How many slots the work of a priority occupies.
+    /// Number of slots occupied by work of a priority.
     pub fn of_priority(&self, now: Instant, priority: Priority) -> f64 {
         self.lanes
             .get(&priority)
             .map_or(0.0, |lane| lane.total.value(now))
     }
 
-    /// How many slots a tenant's work of a priority occupies.
+    /// Number of slots occupied by a tenant's work of a priority.
     pub fn of_tenant(&self, now: Instant, priority: Priority, tenant: &name::Tenant) -> f64 {
         let lane = self.lanes.get(&priority);
         let rate = lane.and_then(|it| it.tenants.get(tenant));
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -1,21 +1,21 @@
-//! How long statements take, learned from those that ended.
+//! Estimates of service times from completed statements.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// After this long without a sample an estimate halves, and again each time.
+/// Time without a sample after which an estimate halves, and halves again.
 ///
-/// An entry whose statements were slow for a moment is refused from then on as
-/// unable to end in time. If its estimate did not fade, nothing would run that
-/// could correct it, and the entry would be refused for ever.
+/// If estimates did not decay, an entry whose statements were slow for a short
+/// time would be refused for ever as unable to end in time, because no
+/// statement would run that could correct its estimate.
 pub const HALF_LIFE: Duration = Duration::from_secs(1);
 
 const INITIAL: Duration = Duration::from_millis(5);
 const GAIN_MEAN: f64 = 1.0 / 16.0;
 const GAIN_DEVIATION: f64 = 1.0 / 8.0;
 
-/// A moving mean of service times with its mean deviation, as TCP keeps them.
+/// Moving mean and mean deviation of service times, as used by TCP.
 ///
 /// ```
 /// use std::time::Duration;
@@ -47,9 +47,9 @@
 }
 
 impl Estimate {
-    /// A statement took `span` from its dispatch to its answer, or was given
-    /// up after `span`: leaving those out would make the estimate too short
-    /// just when everything times out.
+    /// Records a statement that took `span` from its dispatch to its answer, or
+    /// that was cancelled after `span`. Leaving out cancelled statements would
+    /// make the estimate too short exactly when all of them time out.
     pub fn learn(&mut self, now: Instant, span: Duration) {
         let error = span.as_secs_f64() - self.mean;
         self.mean += error * GAIN_MEAN;
@@ -57,12 +57,12 @@
         self.updated = now;
     }
 
-    /// The time that a statement takes on average.
+    /// Mean service time.
     pub fn mean(&self, now: Instant) -> Duration {
         self.decayed(now, self.mean)
     }
 
-    /// A time within which nearly all statements end.
+    /// Service time that nearly all statements stay below.
     pub fn tail(&self, now: Instant) -> Duration {
         self.decayed(now, self.mean + 2.0 * self.deviation)
     }
--- a/crates/pool/src/holder.rs
+++ b/crates/pool/src/holder.rs
@@ -1,39 +1,40 @@
-//! Which instances should hold the connections of an upstream.
+//! Assignment of an upstream's connections to instances.
 
 use std::{cmp::Reverse, num::NonZeroU16};
 
 use model::name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Connections of each upstream that no seat gets: a new holder connects with
-/// it to end what its predecessor left open, so the limit holds meanwhile.
+/// Connections of each upstream reserved from the seats' shares. A new holder
+/// uses one to end the connections of its predecessor, so that the limit holds
+/// meanwhile.
 pub const RESERVE: u16 = 1;
 
 /// A live instance and its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// The instance.
+    /// Name of the instance.
     pub instance: &'a name::Instance,
-    /// Where it runs.
+    /// Zone of the instance.
     pub zone: &'a name::Zone,
 }
 
-/// One seat's part of an upstream's limits.
+/// Share of an upstream's limits that belongs to one seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
-    /// How many connections the holder may open.
+    /// Maximum number of open connections.
     pub connections: u16,
-    /// How many statements it may have in flight.
+    /// Maximum number of statements in flight.
     pub slots: u16,
 }
 
-/// Ranks the `count` instances that should hold `upstream`, best first.
+/// Returns the `count` instances that should hold `upstream`, best first.
 ///
-/// Rendezvous hashing: when an instance goes, only what it held moves. The
-/// instances of the upstream's zone come first, so that a zone that is cut
-/// off goes on; the others only stand in where the zone has too few.
-/// The ranking is advice: views of who is live differ, and only the lease
-/// of [`crate::Seat`] decides.
+/// The ranking uses rendezvous hashing: when an instance leaves, only its own
+/// upstreams move. Instances of the upstream's zone rank first, so that a zone
+/// that is cut off continues to work; others are used only if the zone has too
+/// few. The ranking is only a hint, as views of the live instances differ; the
+/// lease of [`crate::Seat`] decides.
 ///
 /// ```
 /// use model::name::{Instance, Upstream, Zone};
@@ -72,8 +73,8 @@
     xxh3_64(text.as_bytes())
 }
 
-/// The share of seat `index` out of `seats`: the shares of all seats and
-/// [`RESERVE`] add up to the limit exactly.
+/// Returns the share of seat `index` out of `seats`. The shares of all seats
+/// and [`RESERVE`] add up to the limit exactly.
 ///
 /// ```
 /// use std::num::NonZeroU16;
@@ -90,14 +91,14 @@
     }
 }
 
-/// How many seats an upstream has: two where it has the slots for it, so that
-/// losing a holder leaves half of it in use.
+/// Number of seats of an upstream: two if it has at least two slots, so that
+/// losing one holder leaves half of the upstream in use.
 pub fn seats(slots: u16) -> NonZeroU16 {
     NonZeroU16::new(slots.min(2)).unwrap_or(NonZeroU16::MIN)
 }
 
-/// An entry's limit at seat `index` out of the `seats` of its whole database;
-/// the parts add up to the limit, so it holds over the fleet.
+/// Limit of an entry at seat `index` out of the `seats` of its whole database.
+/// The parts add up to the limit, so the limit holds for the fleet.
 pub fn entry_limit(limit: u16, seats: NonZeroU16, index: u16) -> u16 {
     part(limit, seats, index)
 }
--- a/crates/pool/src/lease.rs
+++ b/crates/pool/src/lease.rs
@@ -1,34 +1,37 @@
-//! The one store lease of an instance; all its seats ride on it.
+//! The store lease of an instance, shared by all of its seats.
 //!
-//! One keepalive covers every seat, so store calls grow with instances over
-//! [`interval`], not with upstreams.
+//! One keepalive renews every seat, so the rate of store calls grows with the
+//! number of instances divided by [`interval`], not with the number of
+//! upstreams.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// The shortest time between two keepalives.
+/// Minimum interval between two keepalives.
 pub const MIN_INTERVAL: Duration = Duration::from_secs(2);
-/// Keepalives that the whole fleet may make each second: a tenth of the
-/// store's calls.
+/// Maximum keepalives per second of the whole fleet: a tenth of the store's
+/// calls.
 pub const FLEET_RATE: u32 = 200;
-/// How many intervals a lease lasts, so that two keepalives may be lost.
+/// Duration of a lease in intervals, so that two keepalives may be lost.
 pub const TTL_INTERVALS: u32 = 3;
-/// How long a keepalive may stay unanswered before it is tried again.
+/// Time after which an unanswered keepalive is repeated.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Taken off the holder's own count of a lease, in thousandths: the store's
-/// clock and ours may run at different speeds.
+/// Reduction of the holder's own lease time in thousandths, because the clocks
+/// of the store and of this instance may run at different speeds.
 pub const CLOCK_DRIFT_PERMILLE: u32 = 10;
 
-/// Names one call to the store, so that a late answer to another is told apart.
+/// Id of a call to the store, which tells its answer from a late answer to
+/// another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub u64);
 
-/// The store's name of a lease.
+/// Id of a lease in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub i64);
 
-/// The time between two keepalives of an instance in a fleet of `instances`.
+/// Returns the interval between two keepalives of an instance in a fleet of
+/// `instances`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -40,38 +43,38 @@
     MIN_INTERVAL.max(Duration::from_secs(1) * instances / FLEET_RATE)
 }
 
-/// What an instance may believe of its lease.
+/// Status of a lease as far as its holder knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// There is none.
+    /// No lease exists.
     Absent,
-    /// The store keeps it at least until then.
+    /// The lease is valid at least until this time.
     Valid(Id, Instant),
-    /// The store did not answer for so long that it may have lapsed.
+    /// The store has not answered for so long that the lease may have expired.
     Unconfirmed(Id),
 }
 
-/// What happens to a lease.
+/// Input of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The store granted it.
+    /// The store granted the lease.
     Granted(Attempt, Id),
-    /// The store prolonged it.
+    /// The store renewed the lease.
     Renewed(Attempt),
-    /// The store does not know it.
+    /// The store does not know the lease.
     Gone(Attempt),
-    /// The fleet has this many instances.
+    /// The number of instances in the fleet changed to this.
     Fleet(u32),
 }
 
-/// What the lease wants of the store.
+/// Calls to make to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Grant a lease that lasts this long.
+    /// Request a lease of this duration.
     Grant(Attempt, Duration),
-    /// Prolong the lease.
+    /// Renew the lease.
     Renew(Attempt, Id),
 }
 
@@ -81,11 +84,12 @@
     sent: Instant,
 }
 
-/// The lease of one instance.
+/// Store lease of one instance.
 #[derive(Debug)]
 pub struct Lease {
     interval: Duration,
-    /// What the store was asked for; a lease keeps it when the fleet grows.
+    /// Duration requested from the store, which stays the same for a lease when
+    /// the fleet grows.
     ttl: Duration,
     granted: Option<(Id, Instant)>,
     call: Option<Call>,
@@ -93,7 +97,8 @@
 }
 
 impl Lease {
-    /// A lease not yet asked for, in a fleet of `instances`.
+    /// Creates a lease that has not been requested yet, in a fleet of
+    /// `instances`.
     pub fn open(instances: u32) -> Self {
         let interval = interval(instances);
         Self {
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Decides what to ask of the store.
+    /// Handles an event and returns the calls to make to the store.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => {}
@@ -129,11 +134,11 @@
         self.call_if_due(now)
     }
 
-    /// What may be believed at `now`.
+    /// Returns the status of the lease at `now`.
     ///
-    /// The lease is counted from *before* the call that the store answered was
-    /// sent. Counted from the answer, a holder would believe in it longer than
-    /// the store does, by as long as the answer took.
+    /// The lease is measured from *before* its answered call was sent. Measured
+    /// from the answer, it would seem valid to its holder for longer than to
+    /// the store, by the time that the answer took.
     pub fn status(&self, now: Instant) -> Status {
         let Some((id, sent)) = self.granted else {
             return Status::Absent;
@@ -146,7 +151,7 @@
         }
     }
 
-    /// When to step next at the latest.
+    /// Latest time for the next step.
     pub fn wake(&self, now: Instant) -> Instant {
         match (self.call, self.granted) {
             (Some(call), _) => call.sent + CALL_TIMEOUT,
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,10 +1,12 @@
-//! Connections to upstreams: who may hold them, and which request uses one.
+//! Connection pools of upstreams: holders, limits, admission and failure
+//! handling.
 //!
-//! [`Pool`] is one upstream as seen by the instance that holds it: it admits,
+//! [`Pool`] manages one upstream at the instance that holds it: it admits,
 //! queues and refuses requests, and opens and closes connections. [`holder`]
-//! ranks the instances that should hold an upstream, [`lease`] and [`seat`]
-//! make sure that no two of them do. [`Breaker`] and [`Budget`] keep failures
-//! from feeding themselves. Nothing here reads a clock or a socket.
+//! ranks the instances that should hold an upstream; [`lease`] and [`seat`]
+//! ensure that only one of them holds each share of its connections.
+//! [`Breaker`] and [`Budget`] keep failures from amplifying themselves. This
+//! crate reads no clock and no socket.
 
 pub mod breaker;
 pub mod budget;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! One upstream as its holder sees it: admission, dispatch and connections.
+//! Pool of one upstream at its holder: admission, dispatch and connections.
 
 use std::{collections::HashMap, num::NonZeroU32, time::Duration};
 
@@ -21,123 +21,125 @@
 use admit::Review;
 use retry::Schedule;
 
-/// A request at this pool; the caller of the pool chooses it, once each.
+/// Id of a request, chosen by the caller of the pool and never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket(pub u64);
 
-/// What the pool may use.
+/// Limits and time-outs of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Conf {
-    /// How many connections it may hold: the seat's share.
+    /// Maximum number of connections: the share of the seat.
     pub connections: u16,
-    /// How many statements may be in flight at once: the seat's share of the
+    /// Maximum number of statements in flight: the seat's share of the
     /// upstream's slots.
     pub slots: u16,
-    /// How many connections are kept open with nothing to do.
+    /// Number of connections kept open without work.
     pub warm: u16,
-    /// After how long without work a connection beyond the warm ones is closed.
+    /// Time without work after which a connection beyond the warm ones is
+    /// closed.
     pub idle_timeout: Duration,
-    /// How long an open transaction may have nothing in flight.
+    /// Time for which an open transaction may have no statement in flight.
     pub transaction_idle_timeout: Duration,
 }
 
-/// What an entry may use at this pool.
+/// Limits of an entry at a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// How many connections its requests may occupy.
+    /// Maximum number of connections occupied by requests of the entry.
     pub connections: u16,
-    /// How many of its requests may wait.
+    /// Maximum number of waiting requests of the entry.
     pub queue: u32,
 }
 
 /// A request for a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Names it from here on.
+    /// Id of the request.
     pub ticket: Ticket,
-    /// The entry it came in by.
+    /// Entry through which the request arrived.
     pub entry: name::Entry,
-    /// What its entry may use here.
+    /// Limits of the entry at this pool.
     pub limits: Limits,
-    /// The customer it is counted for.
+    /// Tenant to which the request is charged.
     pub tenant: name::Tenant,
-    /// The tenant's share against other tenants of the same priority.
+    /// Weight of the tenant relative to others of the same priority.
     pub weight: NonZeroU32,
-    /// Who goes first.
+    /// Priority of the request.
     pub priority: Priority,
-    /// When it must have ended.
+    /// Time by which the request must have ended.
     pub deadline: Instant,
 }
 
-/// How an answer left its connection.
+/// Condition of a connection after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// Ready for anything.
+    /// The connection is idle.
     Idle,
-    /// In an open transaction, failed or not.
+    /// A transaction is open, failed or not.
     Transaction,
-    /// Not known, or not fit for another: it is closed.
+    /// The condition is unknown or unfit for another request, so the connection
+    /// is closed.
     Unusable,
 }
 
-/// Whether an upstream gets new work.
+/// Service status of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It does.
+    /// The upstream gets new work.
     Active,
-    /// It is leaving: what runs may end, nothing new begins.
+    /// The upstream is leaving: running statements may end, no new work starts.
     Leaving,
 }
 
-/// What happens to a pool.
+/// Input of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A request wants a connection.
+    /// A request asks for a connection.
     Submit(Request),
     /// The owner of an open transaction sends its next statement, which must
     /// have ended by the deadline.
     Next(Ticket, Instant),
-    /// A request was given up by its caller, or its deadline passed.
+    /// The caller withdrew a request, or the deadline of the request passed.
     Withdraw(Ticket),
-    /// A connection is ready.
+    /// A connection is open.
     Opened(Generation),
-    /// A connection could not be opened, or broke.
+    /// A connection could not be opened, or was lost.
     Lost(Generation),
     /// The upstream has ended a connection after [`Action::Close`].
     Closed(Generation),
-    /// A statement's whole answer was read.
+    /// The answer to a statement was read completely.
     Answered(Handle, Condition),
-    /// The shares changed.
+    /// The shares of the seat changed.
     Conf(Conf),
-    /// The upstream is leaving, or is back.
+    /// The service status of the upstream changed.
     Status(Status),
-    /// The seat is no longer held: everything closes now.
+    /// The seat is no longer held: all connections close now.
     Revoked,
-    /// A moment asked for by [`Pool::wake`] came.
+    /// The time returned by [`Pool::wake`] has come.
     Tick,
 }
 
-/// What the pool wants done.
+/// Output of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Open a connection.
     Open(Generation),
     /// Close a connection.
     Close(Generation),
-    /// The request may send one statement.
+    /// Let the request send one statement.
     Run(Ticket, Handle),
-    /// The request will not run here, now or later.
+    /// Refuse the request, which will not run here now or later.
     Refuse {
-        /// Which.
+        /// Refused request.
         ticket: Ticket,
-        /// Why.
+        /// Reason of the refusal.
         cause: Cause,
-        /// When asking again has a chance.
+        /// Delay after which a retry may succeed.
         retry_after: Duration,
     },
-    /// Ask the upstream to cancel this statement; its connection closes.
+    /// Cancel this statement at the upstream; its connection closes.
     Cancel(Handle),
-    /// The request's connection is gone, with whatever it had in flight.
+    /// End the request: its connection is closed, with any statement in flight.
     Abort(Ticket, Cause),
 }
 
@@ -145,11 +147,11 @@
 struct Active {
     request: Request,
     generation: Generation,
-    /// The time that its statement was expected to take.
+    /// Expected service time of the statement.
     cost: Duration,
 }
 
-/// The connections and the queue of one upstream at the instance that holds it.
+/// Connections and queue of one upstream at the instance that holds it.
 #[derive(Debug)]
 pub struct Pool {
     conf: Conf,
@@ -167,7 +169,7 @@
 }
 
 impl Pool {
-    /// A pool without connections, for the holder of a seat since `epoch`.
+    /// Creates a pool without connections for a seat held since `epoch`.
     pub fn open(conf: Conf, epoch: u32) -> Self {
         Self {
             conf,
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Decides what to do about `event`.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.last_step = now;
@@ -214,56 +216,57 @@
         actions
     }
 
-    /// Whether the statement is in flight, so that its answer has a taker.
+    /// Returns true if the statement is in flight, so that its answer will be
+    /// delivered.
     pub fn in_flight(&self, handle: Handle) -> bool {
         self.conns.in_flight(handle)
     }
 
-    /// Connections that count against the limit.
+    /// Number of connections that count against the limit.
     pub fn connections(&self) -> usize {
         self.conns.counted()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Statements in flight.
+    /// Number of statements in flight.
     pub fn running(&self) -> usize {
         self.conns
             .count(|state| matches!(state, State::Busy { .. }))
     }
 
-    /// Connections that run a statement or are held by a transaction.
+    /// Number of connections with a statement in flight or an open transaction.
     pub fn busy(&self) -> usize {
         self.conns
             .count(|state| matches!(state, State::Busy { .. } | State::IdleInTransaction { .. }))
     }
 
-    /// How many connections there may be.
+    /// Maximum number of connections.
     pub fn limit(&self) -> u16 {
         self.conf.connections
     }
 
-    /// The upstream's circuit breaker.
+    /// Circuit breaker of the upstream.
     pub fn breaker(&self) -> &Breaker {
         &self.breaker
     }
 
-    /// When a request that came now would be through, for the choice between
-    /// holders and replicas.
+    /// Expected time until a request that arrives now has ended, for the choice
+    /// between holders and replicas.
     pub fn expected(&self, now: Instant, entry: &name::Entry) -> Duration {
         let ahead = self.queue.work() + self.remaining_work();
         ahead / self.slot_count() + self.mean(now, entry)
     }
 
-    /// The next moment at which [`Event::Tick`] may change anything, `now` if
-    /// it has just passed.
+    /// Next time at which [`Event::Tick`] may change anything, or `now` if this
+    /// time has just passed.
     ///
-    /// Moments that a step has seen are not named again: one that changes
-    /// nothing would make the caller step in a loop. Those that passed since
-    /// the last step are: left out, they would be missed altogether.
+    /// A time at or before the last step is not returned again: a step that
+    /// changes nothing would make the caller loop. A time that passed since the
+    /// last step is returned; otherwise it would be missed.
     pub fn wake(&self, now: Instant) -> Option<Instant> {
         let waits = (!self.queue.is_empty()).then(|| self.review.due());
         let spare = self.conns.len() > usize::from(self.conf.warm);
@@ -303,9 +306,9 @@
             return;
         }
         active.request.deadline = deadline;
-        // An open transaction never waits for a slot. It may hold the lock that
-        // the statements in the slots wait for; made to queue behind them, both
-        // would stand still until their deadlines.
+        // An open transaction never waits for a slot, because it may hold a
+        // lock that the statements in the slots wait for: queued behind them,
+        // all would block until their deadlines.
         if let Some(handle) = self
             .conns
             .start(now, generation, ticket, Stage::Transaction)
@@ -321,8 +324,8 @@
         self.discard(now, ticket, actions);
     }
 
-    /// Takes a request off its connection, which is closed: what it left there
-    /// is a statement half way, an unread answer or an open transaction.
+    /// Removes a request from its connection and closes the connection, which
+    /// holds a partial statement, an unread answer or an open transaction.
     fn discard(&mut self, now: Instant, ticket: Ticket, actions: &mut Vec<Action>) {
         let Some(active) = self.release(ticket) else {
             return;
@@ -347,13 +350,14 @@
 
     fn opened(&mut self, now: Instant, generation: Generation, actions: &mut Vec<Action>) {
         let Some(conn) = self.conns.find_mut(generation) else {
-            // It was given up while it opened.
+            // The connection was dropped while it opened.
             actions.push(Action::Close(generation));
             return;
         };
         conn.state = State::Idle { since: now };
-        // A login ends a probe, but proves no statement: counted as success,
-        // it would hide an upstream that breaks each connection when used.
+        // A login ends a probe but does not prove that statements work. Counted
+        // as a success, it would hide an upstream that breaks each connection
+        // on first use.
         if !self.breaker.is_closed() {
             self.breaker.success();
         }
@@ -393,9 +397,9 @@
             Condition::Transaction => State::IdleInTransaction { ticket, since: now },
             Condition::Idle | Condition::Unusable => State::Idle { since: now },
         };
-        // A connection that came to grief says nothing good of its upstream:
-        // taken for a success, it would keep the breaker closed on one that
-        // takes connections and breaks each.
+        // An unusable connection is no success: counted as one, it would keep
+        // the breaker closed for an upstream that accepts connections and
+        // breaks each.
         if condition != Condition::Unusable {
             self.breaker.success();
         }
@@ -424,8 +428,8 @@
         Some(active)
     }
 
-    /// Takes new limits. Without a connection nothing that waits would ever run
-    /// here, and another holder can take it at once.
+    /// Applies new limits. Without any connection the waiting requests would
+    /// never run here, while another holder can run them at once.
     fn configure(&mut self, conf: Conf, actions: &mut Vec<Action>) {
         self.conf = conf;
         if self.conf.connections == 0 {
@@ -447,8 +451,8 @@
         self.refuse_waiting(Duration::ZERO, actions);
     }
 
-    /// Takes back connections whose owners left them: the instance that
-    /// forwarded the request may have died without a word.
+    /// Closes connections whose owners are overdue: the instance that forwarded
+    /// the request may have died.
     fn expire(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let late: Vec<_> = self
             .conns
@@ -487,7 +491,7 @@
         estimate.tail(now)
     }
 
-    /// The work left of what is in flight: half of each on average.
+    /// Remaining work of the statements in flight: half of each on average.
     fn remaining_work(&self) -> Duration {
         let busy = self.conns.iter().filter_map(|(_, conn)| match conn.state {
             State::Busy { ticket, .. } => Some(self.active.get(&ticket)?.cost / 2),
@@ -496,7 +500,7 @@
         busy.sum()
     }
 
-    /// The slots as a divisor.
+    /// Number of slots, at least one, for use as a divisor.
     fn slot_count(&self) -> u32 {
         u32::from(self.conf.slots.max(1))
     }
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Who may wait, and who is told at once that there is no use in it.
+//! Admission of requests, and early refusal of requests that would be late.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use super::{Action, Pool, Request, Status, Ticket};
 use crate::{conn::State, queue::Place};
 
-/// How much of its time a request may be expected to wait to be let in, in
-/// hundredths. The rest is for statements that take longer than expected:
-/// without it half of those let in last are refused later.
+/// Maximum expected wait of an admitted request, as a percentage of its time
+/// left. The rest is for statements that take longer than expected; without
+/// this reserve half of the last requests admitted are refused later.
 const MAX_WAIT_PERCENT: u32 = 50;
-/// The part of the slots that any priority is taken to get, in hundredths:
-/// demand is an estimate and must not say "never".
+/// Smallest fraction of the slots assumed for any priority: demand is only an
+/// estimate and must never exclude a priority.
 const MIN_SLOT_FRACTION: f64 = 0.01;
-/// How long the queue is left alone after it was walked. Refusals come later
-/// by that much, and a long queue under a flood costs a bounded share of a
-/// core.
+/// Minimum interval between two reviews of the queue. Refusals are delayed by
+/// up to this time, and the reviews of a long queue use only a bounded share of
+/// a core.
 pub(super) const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(1);
-/// How long the queue may be left alone at most: estimates change.
+/// Maximum interval between two reviews of the queue, because estimates change.
 const MAX_REVIEW_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When the waiting requests are looked at again.
+/// Schedule of the reviews of the waiting requests.
 #[derive(Debug, Default)]
 pub(super) struct Review {
     walked: Instant,
@@ -30,17 +30,17 @@
 }
 
 impl Review {
-    /// A request with `slack` left came in.
+    /// Records a new request that can wait for `slack` longer than expected.
     fn on_queued(&mut self, now: Instant, slack: Duration) {
         self.due = self.due.min(now + slack);
     }
 
-    /// Those behind a place wait longer by `span`.
+    /// Records that queued requests were delayed by `span`.
     fn on_overtaken(&mut self, span: Duration) {
         self.due = self.due - span;
     }
 
-    /// When to walk the queue.
+    /// Time of the next review.
     pub(super) fn due(&self) -> Instant {
         self.due.max(self.walked + MIN_REVIEW_INTERVAL)
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The expected times of the entries met in one walk.
+/// Expected service times of the entries met in one review.
 #[derive(Default)]
 struct SpanCache {
     known: Vec<(name::Entry, Span)>,
@@ -95,8 +95,8 @@
         let cost = self.mean(now, &request.entry);
         self.demand
             .add(now, request.priority, &request.tenant, cost);
-        // Whatever waits while a slot and a connection are free waits for its
-        // entry's own connections.
+        // Requests that wait while a slot and a connection are free wait for
+        // their entry's own connections.
         if let Some(generation) = self.free_connection(&request) {
             self.queue.bypass(&request, cost);
             self.start(now, request, generation, cost, actions);
@@ -128,11 +128,11 @@
         None
     }
 
-    /// Whether a request can't expect to end in time.
+    /// Returns the refusal of a request that cannot be expected to end in time.
     ///
-    /// It is told now. Let in by its place alone, it would be pushed back by
-    /// what comes after it and goes before it, and be refused when most of its
-    /// time is over; a caller told at once can still go elsewhere.
+    /// Such a request is refused on arrival. Admitted by its place alone, it
+    /// would be overtaken by later requests and refused when most of its time
+    /// has passed; a caller refused at once can still try elsewhere.
     fn late_refusal(
         &mut self,
         now: Instant,
@@ -140,8 +140,8 @@
         place: Place,
     ) -> Option<(Cause, Duration)> {
         let ahead = self.remaining_work() + self.runnable_ahead(request, place);
-        // With nothing ahead the request runs even if the estimate speaks
-        // against it: only running something can correct an estimate.
+        // With no work ahead, the request runs even if the estimate is too
+        // long: only a running statement can correct the estimate.
         if ahead.is_zero() {
             return None;
         }
@@ -161,8 +161,8 @@
         Some((Cause::Overload, self.retry_after(now, request)))
     }
 
-    /// How many slots work off what is ahead of a place, net of what will come
-    /// later and go first.
+    /// Number of slots available to the work ahead of a place, net of later
+    /// work that goes first.
     fn available_slots(&self, now: Instant, request: &Request, place: Place) -> f64 {
         let slots = f64::from(self.slot_count());
         let higher = self.demand.above(now, request.priority);
@@ -170,7 +170,7 @@
         free.max(slots * MIN_SLOT_FRACTION)
     }
 
-    /// How many slots the tenants occupy that would overtake the request.
+    /// Number of slots used by tenants that would overtake the request.
     fn overtaking_slots(&self, now: Instant, request: &Request, place: Place) -> f64 {
         if !self.queue.is_overtaken(place) {
             return 0.0;
@@ -185,17 +185,19 @@
         self.demand.of_priority(now, priority) - own - behind.sum::<f64>()
     }
 
-    /// How much longer a request could wait than its place says.
+    /// Time for which a request can wait beyond the wait expected from its
+    /// place.
     fn slack(&self, now: Instant, request: &Request, place: Place) -> Duration {
         let ahead = self.remaining_work() + self.runnable_ahead(request, place);
         let needed = ahead / self.slot_count() + self.tail(now, &request.entry);
         request.deadline.since(now).saturating_sub(needed)
     }
 
-    /// Refuses what can no longer end in time, as soon as that is seen.
+    /// Refuses requests that can no longer end in time, as soon as this is
+    /// known.
     ///
-    /// The queue is walked in the order it will run, so a request that is put
-    /// behind by one of a higher priority is told at once.
+    /// The queue is reviewed in execution order, so a request delayed by one of
+    /// a higher priority is refused at once.
     pub(super) fn shed(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Walks the queue: those that can no longer end in time.
+    /// Reviews the queue and returns the requests that can no longer end in
+    /// time.
     fn unservable(&mut self, now: Instant) -> Vec<(Ticket, Cause)> {
         let mut spans = SpanCache::default();
         let mut queue = std::mem::take(&mut self.queue);
@@ -233,7 +236,7 @@
             let time_left = request.deadline.since(now);
             let needed = ahead / slots + tail;
             let blocked = blocked.contains(&request.entry);
-            // With nothing ahead it runs, as on arrival.
+            // With no work ahead the request runs, as on arrival.
             if ahead.is_zero() && !time_left.is_zero() && !blocked {
                 min_slack = min_slack.min(time_left);
                 ahead += waiting.cost;
@@ -252,11 +255,12 @@
         unservable
     }
 
-    /// The entries all of whose connections are in open transactions that
-    /// have nothing in flight, by a request of each.
+    /// One request of each entry whose connections all have open transactions
+    /// without a statement in flight.
     ///
-    /// What waits of them occupies no slot before one of those ends. Counted
-    /// as work ahead, it would get others refused while the slots are free.
+    /// Waiting requests of these entries occupy no slot before such a
+    /// transaction ends. Counted as work ahead, they would cause refusals of
+    /// other requests while slots are free.
     fn blocked_entries(&self) -> Vec<&Request> {
         let mut held: Vec<(&Request, u16)> = Vec::new();
         for (_, conn) in self.conns.iter() {
@@ -278,7 +282,7 @@
         blocked.map(|(request, _)| request).collect()
     }
 
-    /// The work ahead of a place that can run before it.
+    /// Work ahead of a place that can run before the request.
     fn runnable_ahead(&self, request: &Request, place: Place) -> Duration {
         let ahead = self.queue.work_ahead(place);
         if ahead.is_zero() {
@@ -297,7 +301,7 @@
         self.refuse_waiting(retry_after, actions);
     }
 
-    /// Refuses all that wait, because there is no upstream for them.
+    /// Refuses all waiting requests, because no upstream is available to them.
     pub(super) fn refuse_waiting(&mut self, retry_after: Duration, actions: &mut Vec<Action>) {
         let waiting: Vec<_> = self.queue.iter().map(|it| it.request.ticket).collect();
         for ticket in waiting {
--- a/crates/pool/src/pool/dispatch.rs
+++ b/crates/pool/src/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! What runs next, and on which connection.
+//! Dispatch of requests, and opening and closing of connections.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
         }
     }
 
-    /// The connection on which a request can run without waiting.
+    /// Connection on which a request can run without waiting.
     pub(super) fn free_connection(&self, request: &Request) -> Option<Generation> {
         let slot = self.running() < usize::from(self.conf.slots);
         (slot && self.has_connection(request)).then(|| self.conns.idle())?
     }
 
-    /// Hands a request its connection.
+    /// Starts a request on a connection.
     pub(super) fn start(
         &mut self,
         now: Instant,
@@ -63,18 +63,18 @@
         actions.push(Action::Run(ticket, handle));
     }
 
-    /// Whether the request's entry has a connection left.
+    /// Returns true if the request's entry has a connection left.
     fn has_connection(&self, request: &Request) -> bool {
         let used = self.in_use.get(&request.entry).copied().unwrap_or(0);
         used < request.limits.connections
     }
 
-    /// The next request whose entry has a connection left.
+    /// Next request whose entry has a connection left.
     fn next_runnable(&self) -> Option<Ticket> {
         self.queue.first(|it| self.has_connection(it))
     }
 
-    /// Opens a connection for each request that could run now but for it.
+    /// Opens a connection for each request that lacks only a connection to run.
     fn open_for_waiting(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let opening = self.conns.count(|state| *state == State::Opening);
         let free = usize::from(self.conf.slots).saturating_sub(self.running());
@@ -94,8 +94,8 @@
         actions.push(Action::Open(self.conns.open()));
     }
 
-    /// Keeps the warm connections open; after a failure one of them is the
-    /// breaker's probe.
+    /// Keeps the configured number of connections open; while the breaker is
+    /// open, one of them serves as its probe.
     pub(super) fn keep_warm(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.status == Status::Leaving {
             return;
@@ -110,12 +110,13 @@
         }
     }
 
-    /// Closes idle connections that are too many, too old or not wanted.
+    /// Closes idle connections that exceed the limit, have expired or are not
+    /// wanted.
     pub(super) fn close_idle(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let leaving = self.status == Status::Leaving;
         let ends = |since: Instant| leaving || now >= since + self.conf.idle_timeout;
         let crowded = self.conns.len() > usize::from(self.conf.connections);
-        // Most steps find nothing to close and take no memory for it.
+        // Most steps find nothing to close and allocate no memory.
         let mut idle: Vec<_> = self
             .conns
             .iter()
--- a/crates/pool/src/pool/retry.rs
+++ b/crates/pool/src/pool/retry.rs
@@ -1,26 +1,26 @@
-//! When refused callers are told to come back.
+//! Retry times for refused callers.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use clock::Instant;
 use model::Priority;
 
-/// The latest moment that a refused caller is sent to.
+/// Maximum delay after which a refused caller is told to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Hands out moments to come back at, one service time apart.
+/// Assigns retry times, one service time apart.
 ///
-/// Were all refused callers told the same moment, they would come back
-/// together and be refused together. The moments of a priority follow each
-/// other at the speed at which the upstream could serve them.
+/// If all refused callers were given the same time, their retries would arrive
+/// and be refused together. The retry times of one priority follow each other
+/// at the rate at which the upstream can serve them.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     last: BTreeMap<Priority, Instant>,
 }
 
 impl Schedule {
-    /// How long a caller should stay away, given the queue's `backlog` and
-    /// the upstream's time `cost` for one such request.
+    /// Returns the retry delay of a caller, given the `backlog` of the queue
+    /// and the service time `cost` of one such request at the upstream.
     pub(super) fn next(
         &mut self,
         now: Instant,
@@ -31,8 +31,9 @@
         let earliest = now + backlog.min(MAX_RETRY_AFTER);
         let last = self.last.entry(priority).or_insert(earliest);
         *last = (*last).max(earliest) + cost;
-        // Past the horizon the promises start over: a caller sent further away
-        // than overloads last would find an idle upstream when it returns.
+        // Beyond the maximum the times start over: a caller told to wait for
+        // longer than an overload usually lasts would return to an idle
+        // upstream.
         if *last > now + MAX_RETRY_AFTER {
             *last = earliest + cost;
         }
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,9 +1,9 @@
-//! Requests that wait for a connection, in the order in which they will run.
+//! Requests waiting for a connection, in execution order.
 //!
-//! Priority goes first. Within a priority tenants share by start-time fair
-//! queueing: each request gets a virtual start, the later of the queue's
+//! Higher priorities run first. Within a priority, tenants share by start-time
+//! fair queueing: the virtual start of a request is the later of the queue's
 //! virtual time and its tenant's last virtual end, and the earliest start runs
-//! first. A tenant that floods the queue only pushes its own requests back.
+//! first. A tenant that floods the queue delays only its own requests.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -14,10 +14,11 @@
 
 use crate::{Request, Ticket};
 
-/// Tenants remembered beyond those that wait before the others are forgotten.
+/// Number of tenants without waiting requests that are kept before expired ones
+/// are removed.
 const MAX_IDLE_TENANTS: usize = 64;
 
-/// A request's place: the order of the queue.
+/// Sort key of a request in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     priority: Priority,
@@ -25,22 +26,21 @@
     ticket: Ticket,
 }
 
-/// A request and the time that it is expected to take.
+/// A waiting request with its expected service time.
 #[derive(Debug)]
 pub struct Waiting {
     /// The request.
     pub request: Request,
-    /// The time that it is expected to take.
+    /// Expected service time.
     pub cost: Duration,
-    /// The virtual time that its tenant was charged.
+    /// Virtual time charged to the tenant.
     charge: u64,
 }
 
-/// The requests of one priority.
+/// State of one priority.
 #[derive(Debug, Default)]
 struct Lane {
     work: Duration,
-    /// Virtual time.
     virtual_time: u64,
     tenant_ends: HashMap<name::Tenant, u64>,
 }
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Moves virtual time on to the start of a request that runs.
+    /// Advances the virtual time to the start of a request that runs.
     ///
-    /// A tenant whose last end has passed needs no memory: one who comes back
+    /// A tenant whose last end has passed needs no entry: its next request
     /// would start at the virtual time anyway.
     fn advance(&mut self, start: u64, max_tenants: usize) {
         self.virtual_time = self.virtual_time.max(start);
@@ -76,13 +76,13 @@
     }
 }
 
-/// What a request adds to its tenant's virtual end.
+/// Returns the virtual time that a request adds to its tenant's virtual end.
 fn charge(request: &Request, cost: Duration) -> u64 {
     let micros = u64::try_from(cost.as_micros()).unwrap_or(u64::MAX);
     micros / u64::from(request.weight.get())
 }
 
-/// What waits of one entry.
+/// Waiting requests of one entry.
 #[derive(Debug, Default)]
 struct Backlog {
     places: BTreeSet<Place>,
@@ -95,7 +95,7 @@
     }
 }
 
-/// The queue of one upstream.
+/// Queue of one upstream.
 #[derive(Debug, Default)]
 pub struct Queue {
     items: BTreeMap<Place, Waiting>,
@@ -105,7 +105,7 @@
 }
 
 impl Queue {
-    /// Where a request would wait if it came now.
+    /// Returns the place of a request that would arrive now.
     pub fn place(&self, request: &Request) -> Place {
         let lane = self.lanes.get(&request.priority);
         Place {
@@ -139,8 +139,8 @@
         self.items.insert(place, waiting);
     }
 
-    /// Counts a request that runs at once, with none waiting: its tenant is
-    /// charged as if it had waited.
+    /// Charges the tenant of a request that runs at once because none is
+    /// waiting, as if the request had been queued.
     pub fn bypass(&mut self, request: &Request, cost: Duration) {
         let lane = self.lanes.entry(request.priority).or_default();
         let start = lane.start(&request.tenant);
@@ -149,16 +149,17 @@
         lane.advance(start, MAX_IDLE_TENANTS);
     }
 
-    /// The waiting requests, the next to run first.
+    /// Waiting requests in execution order.
     pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
         self.items.values()
     }
 
-    /// The first waiting request of an entry that passes a test which is the
-    /// same for all requests of an entry.
+    /// First waiting request that passes a test. The result of the test must be
+    /// the same for all requests of an entry.
     ///
-    /// Mostly that is the next to run. Else only the first of each entry is
-    /// looked at: a long line of an entry that can't run is not walked.
+    /// Usually the next request passes. Otherwise only the first request of
+    /// each entry is tested, so that a long backlog of a blocked entry is not
+    /// walked.
     pub fn first(&self, test: impl Fn(&Request) -> bool) -> Option<Ticket> {
         let (place, waiting) = self.items.first_key_value()?;
         if test(&waiting.request) {
@@ -169,16 +170,16 @@
         runnable.min().map(|it| it.ticket)
     }
 
-    /// The work that waits.
+    /// Total waiting work.
     pub fn work(&self) -> Duration {
         self.lanes.values().map(|lane| lane.work).sum()
     }
 
-    /// The work that would run before a request at `place`.
+    /// Work that would run before a request at `place`.
     ///
-    /// Of its priority only the shorter side of the place is added up. A flood
-    /// joins at the end of the queue, where a sum from the front would make
-    /// each arrival walk all that wait.
+    /// Within the priority only the shorter side of the place is summed. Many
+    /// requests arrive at the end of the queue, where a sum from the front
+    /// would visit all waiting requests.
     pub fn work_ahead(&self, place: Place) -> Duration {
         let lanes = self.lanes.range(..place.priority);
         let higher: Duration = lanes.map(|(_, lane)| lane.work).sum();
@@ -203,9 +204,10 @@
         }
     }
 
-    /// The tenants of the place's priority whose next request would wait
-    /// behind it. Those of all others would go first if the place lies in the
-    /// future of virtual time, and behind it too if not.
+    /// Tenants of the place's priority whose next request would queue behind
+    /// the place. The next requests of all other tenants would go first if the
+    /// start of the place lies after the virtual time, and otherwise also queue
+    /// behind.
     pub fn tenants_behind(&self, place: Place) -> impl Iterator<Item = &name::Tenant> {
         let lane = self.lanes.get(&place.priority);
         let tenant_ends = lane.into_iter().flat_map(|it| &it.tenant_ends);
@@ -214,18 +216,20 @@
             .map(|(tenant, _)| tenant)
     }
 
-    /// Whether requests of tenants that have none waiting would go before it.
+    /// Returns true if requests of tenants without waiting requests would
+    /// overtake the place.
     pub fn is_overtaken(&self, place: Place) -> bool {
         let lane = self.lanes.get(&place.priority);
         lane.is_some_and(|it| place.start > it.virtual_time)
     }
 
-    /// Whether nothing of its priority or a lower one waits behind the place.
+    /// Returns true if no request of the same or a lower priority waits behind
+    /// the place.
     pub fn is_last(&self, place: Place) -> bool {
         self.items.range(place..).next().is_none()
     }
 
-    /// Sets the expected time of each waiting request anew.
+    /// Updates the expected service time of each waiting request.
     pub fn refresh(&mut self, mut cost: impl FnMut(&name::Entry) -> Duration) {
         for lane in self.lanes.values_mut() {
             lane.work = Duration::ZERO;
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Takes a request out to run it, which moves virtual time on.
+    /// Removes a request to run it and advances the virtual time.
     pub fn take(&mut self, ticket: Ticket) -> Option<Request> {
         let place = *self.places.get(&ticket)?;
         let waiting = self.remove(ticket)?;
@@ -252,8 +256,8 @@
         Some(waiting.request)
     }
 
-    /// Takes a request out that will not run, and gives its tenant back the
-    /// turn: else refusals would count as service and starve the refused.
+    /// Removes a request that will not run and refunds its tenant's charge;
+    /// otherwise refusals would count as service and starve the tenant.
     pub fn withdraw(&mut self, ticket: Ticket) -> Option<Request> {
         let waiting = self.remove(ticket)?;
         let request = waiting.request;
@@ -280,24 +284,24 @@
         Some(waiting)
     }
 
-    /// How many requests of an entry wait.
+    /// Number of waiting requests of an entry.
     pub fn entry_length(&self, entry: &name::Entry) -> u32 {
         self.backlogs.get(entry).map_or(0, Backlog::length)
     }
 
-    /// The work of an entry that waits.
+    /// Waiting work of an entry.
     pub fn entry_work(&self, entry: &name::Entry) -> Duration {
         self.backlogs
             .get(entry)
             .map_or(Duration::ZERO, |it| it.work)
     }
 
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether none waits.
+    /// Returns true if no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
--- a/crates/pool/src/seat.rs
+++ b/crates/pool/src/seat.rs
@@ -1,23 +1,24 @@
-//! A seat: the right to a share of an upstream's connections.
+//! A seat is the right to one share of an upstream's connections.
 //!
-//! A seat is one key of the store, bound to its holder's lease and changed
-//! only by compare-and-swap. That alone would trust clocks: a holder that is
-//! paused, or cut off from the store only, has its connections open when the
-//! next one starts. A new holder therefore first *fences*: with the upstream's
-//! reserved connection it ends all connections of the seat that are not its
-//! own (`pg_terminate_backend` over `pg_stat_activity`, by application name).
-//! Only then does it open its share.
+//! Each seat is one key in the store, bound to the lease of its holder and
+//! changed only by compare-and-swap. This alone would rely on clocks: a holder
+//! that is paused, or cut off from the store only, still has open connections
+//! when the next holder starts. A new holder therefore first *fences* the seat:
+//! over the reserved connection of the upstream, it ends all connections of the
+//! seat that are not its own (`pg_terminate_backend` over `pg_stat_activity`,
+//! by application name). Only then does it open its share.
 //!
-//! A fence ends what is there, not what is still on its way. Each connection
-//! therefore carries its holder's epoch in its name, and after its login and
-//! before its first use it looks who else is there ([`admit`]). Of two
-//! connections of different epochs at least one looks when the other is
-//! there, and in each order the lower epoch gives way, so statements of two
-//! holders never mix, whatever clocks and messages do.
+//! A fence ends existing connections, but not logins in progress. Each
+//! connection therefore carries the epoch of its holder in its application name
+//! and, after its login and before its first use, reads the epochs of the
+//! seat's other connections ([`admit`]). Of two connections of different epochs
+//! at least one reads while the other exists, and in each order the lower epoch
+//! yields. Statements of two holders therefore never mix, whatever happens to
+//! clocks and messages.
 //!
-//! The same names at the upstream let a holder go on while the store is down:
-//! as long as it sees nobody else's connections of its seat there, nobody else
-//! uses the seat.
+//! The application names also let a holder continue while the store is down: as
+//! long as the upstream shows no other holder's connections of the seat, no
+//! other holder uses the seat.
 
 use std::time::Duration;
 
@@ -25,57 +26,59 @@
 
 use crate::lease::{Attempt, Id, Status};
 
-/// How long a look at the upstream's connections counts while the lease can't
-/// be proved.
+/// Validity of a check of the upstream's connections while the lease is
+/// unconfirmed.
 pub const CHECK_VALIDITY: Duration = Duration::from_secs(1);
-/// How long a call may stay unanswered before it is made again.
+/// Time after which an unanswered call is repeated.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The store's revision at which a seat was taken; later takers have higher.
+/// Store revision at which a seat was claimed; later claims have higher ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
-/// What the store holds for a seat.
+/// Holder of a seat according to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Record {
-    /// Nothing.
+    /// No holder.
     Absent,
-    /// This instance, since this epoch.
+    /// This instance holds the seat since this epoch.
     Mine(Epoch),
-    /// Another instance, since this epoch.
+    /// Another instance holds the seat since this epoch.
     Other(Epoch),
 }
 
-/// Who is seen at the upstream under the seat's name.
+/// Holders seen at the upstream under the seat's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Occupancy {
-    /// Only this instance's connections, or none.
+    /// Only connections of this instance, or none.
     Alone,
-    /// Another instance's of an earlier epoch, and none of a later.
+    /// Connections of another instance of an earlier epoch, and none of a
+    /// later.
     Earlier,
-    /// Another instance's of a later epoch.
+    /// Connections of another instance of a later epoch.
     Later,
 }
 
-/// What a new connection may do.
+/// Permission of a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Run statements.
+    /// The connection may run statements.
     Use,
-    /// Nothing until the connections of earlier epochs are ended; then look
-    /// again.
+    /// The connection must wait until the connections of earlier epochs are
+    /// ended and then be checked again.
     Fence,
-    /// Close: a later holder is here, which is [`Event::Terminated`].
+    /// The connection must close because a later holder exists, which is
+    /// [`Event::Terminated`].
     Close,
 }
 
-/// What a connection may do that was opened under `own` epoch, when `others`
-/// are the epochs of other holders' connections of the seat, read after its
-/// login and before its first use.
+/// Returns the permission of a connection opened under the `own` epoch.
+/// `others` are the epochs of other holders' connections of the seat, read
+/// after the login and before the first use of the connection.
 ///
-/// Without this look a login that was under way during a fence would be used
-/// next to the new holder's connections: a paused process sends its next
-/// message long after it checked its lease.
+/// Without this check a login in progress during a fence would be used next to
+/// the connections of the new holder: a paused process can send its next
+/// message long after checking its lease.
 ///
 /// ```
 /// use pool::seat::{Admission, Epoch, admit};
@@ -92,46 +95,50 @@
     }
 }
 
-/// What happens to a seat.
+/// Input of a seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The ranking puts this instance on the seat.
+    /// The ranking assigns the seat to this instance.
     Wanted,
-    /// The ranking puts another instance on it, or this one is stopping.
+    /// The ranking assigns the seat to another instance, or this one is
+    /// stopping.
     Unwanted,
-    /// The instance's lease as it now stands.
+    /// Current status of the instance's lease.
     Lease(Status),
-    /// The store's key was read, by a call, a watch or as a claim's answer.
+    /// The key was read from the store by a call, a watch or the answer to a
+    /// claim.
     Record(Record),
     /// Peers agree that the holder since this epoch is dead, so that its seat
-    /// can be taken without waiting for its lease.
+    /// can be taken before its lease expires.
     Dead(Epoch),
-    /// The upstream ended all other connections of the seat, and a look after
-    /// that shows none: ending a connection takes the upstream a moment.
+    /// The upstream ended all other connections of the seat, and a later check
+    /// shows none: ending a connection takes the upstream some time.
     Fenced(Attempt),
     /// The upstream's list of connections was read.
     Checked(Attempt, Occupancy),
-    /// Connections were ended by the upstream on an administrator's order:
-    /// another holder has fenced this one.
+    /// The upstream ended connections on an administrator's command: another
+    /// holder has fenced this one.
     Terminated,
     /// All connections are closed after [`Action::Close`], and the upstream has
-    /// ended them: told earlier, the seat's next share would come on top.
+    /// ended them. If this event came earlier, the next share of the seat would
+    /// exceed the limit.
     Closed,
     /// Time passed.
     Tick,
 }
 
-/// What the seat wants done.
+/// Output of a seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Write the key with this lease if it still has this epoch, or if it is
-    /// absent; then read it.
+    /// Write the key with this lease if the key has this epoch, or for `None`
+    /// if no key exists; then read the key.
     Claim(Id, Option<Epoch>),
-    /// Read the key: the answer to a claim was lost, or it is not known.
+    /// Read the key, because the answer to a claim was lost or the key is
+    /// unknown.
     Read,
-    /// End the seat's connections that are not this instance's.
+    /// End the seat's connections that belong to other instances.
     Fence(Attempt),
-    /// Look who has connections under the seat's name.
+    /// List the connections under the seat's name.
     Check(Attempt),
     /// Close all connections of the seat at once.
     Close,
@@ -139,35 +146,39 @@
     Release(Epoch),
 }
 
-/// What the holder may do with the seat's connections.
+/// Permission of a holder to use the seat's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
-    /// Nothing: hold back new statements, open none.
+    /// No use: start no statement and open no connection.
     Nothing,
-    /// Use those that are open and replace broken ones, one at a time.
+    /// Use of the open connections, with replacement of broken ones, one at a
+    /// time.
     Replace,
-    /// Open up to the share.
+    /// Full use: open connections up to the share.
     Full,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// The seat is not held.
+    /// The seat is not held by this instance.
     NotHeld,
-    /// A claim is on its way; `Kept::Connections` when it is to win back a
-    /// seat whose connections are still open.
+    /// A claim is in progress; `Kept::Connections` if it reclaims a seat whose
+    /// connections are still open.
     Claiming { since: Instant, kept: Kept },
-    /// The key is this instance's; others are being ended at the upstream.
+    /// The key belongs to this instance; other connections are being ended at
+    /// the upstream.
     Fencing {
         epoch: Epoch,
         attempt: Attempt,
         since: Instant,
     },
-    /// Held under a proved lease.
+    /// The seat is held under a valid lease.
     Held { epoch: Epoch, until: Instant },
-    /// Held as far as the upstream shows; the store is silent.
+    /// The seat is held according to the upstream, while the store does not
+    /// answer.
     Unconfirmed { epoch: Epoch, check: Check },
-    /// Closing all connections, then deleting the key if it is still ours.
+    /// All connections are being closed; then the key is deleted if it still
+    /// has this epoch.
     Closing { epoch: Option<Epoch> },
 }
 
@@ -177,12 +188,12 @@
     Connections,
 }
 
-/// A look at the upstream's connections.
+/// A check of the upstream's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Check {
     attempt: Attempt,
     sent: Instant,
-    /// When the last look that found nobody else was *sent*.
+    /// Time at which the last check that found no other holder was *sent*.
     last_alone: Option<Instant>,
 }
 
@@ -217,7 +228,7 @@
 }
 
 impl Seat {
-    /// Decides what to do about `event`.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -236,8 +247,9 @@
         actions
     }
 
-    /// What the holder may do now. Ask right before each use: a holder that
-    /// was paused since its last step finds its lease run out here.
+    /// Returns what the holder may do now. Callers must ask right before each
+    /// use: this is how a holder that was paused since its last step finds its
+    /// lease expired.
     pub fn permit(&self, now: Instant) -> Permit {
         match self.state {
             State::Held { until, .. } if now < until => Permit::Full,
@@ -250,7 +262,7 @@
         }
     }
 
-    /// The epoch since which the seat is this instance's.
+    /// Epoch since which this instance holds the seat.
     pub fn epoch(&self) -> Option<Epoch> {
         match self.state {
             State::Fencing { epoch, .. }
@@ -260,7 +272,7 @@
         }
     }
 
-    /// When to step next at the latest.
+    /// Latest time for the next step.
     pub fn wake(&self) -> Option<Instant> {
         match self.state {
             State::NotHeld | State::Closing { .. } => None,
@@ -285,7 +297,8 @@
                 State::Fencing { .. } | State::Held { .. } | State::Unconfirmed { .. },
                 Record::Other(_),
             ) => self.close(None, actions),
-            // The lease that the key rode on has lapsed; others may claim it.
+            // The lease of the key has expired; other instances may claim the
+            // seat.
             (
                 State::Fencing { .. } | State::Held { .. } | State::Unconfirmed { .. },
                 Record::Absent,
@@ -296,7 +309,7 @@
 
     fn on_lease(&mut self, now: Instant, status: Status, actions: &mut Vec<Action>) {
         self.lease = status;
-        // A claim may have waited for the lease.
+        // A claim may have been waiting for the lease.
         if let (State::Claiming { kept, .. }, Some(Record::Absent)) = (self.state, self.record) {
             self.claim(now, kept, actions);
         }
@@ -319,7 +332,7 @@
         if answer != attempt {
             return;
         }
-        // Whether the lease still stands is looked at when the seat settles.
+        // The validity of the lease is checked in `advance`.
         self.state = State::Held {
             epoch,
             until: Instant::ZERO,
@@ -335,9 +348,10 @@
         }
         match occupancy {
             Occupancy::Later => self.close(None, actions),
-            // A former holder woke up. Given up for it, the seat would be
-            // nobody's until the store is back; it is ended, and the next look
-            // shows whether this one is alone.
+            // A former holder has resumed. If this instance gave up the seat
+            // now, no instance would hold it until the store is back. The
+            // former holder is fenced instead, and the next check shows whether
+            // any remains.
             Occupancy::Earlier => actions.push(Action::Fence(answer)),
             Occupancy::Alone => {
                 let check = Check {
@@ -366,8 +380,8 @@
             return;
         };
         self.state = State::NotHeld;
-        // The key goes last. Deleted earlier, it would let the next holder in
-        // while connections of this one are open.
+        // The key is deleted last: earlier, the next holder could start while
+        // connections of this one are open.
         if let Some(epoch) = epoch {
             self.record = None;
             actions.push(Action::Release(epoch));
@@ -407,14 +421,14 @@
         }
     }
 
-    /// Holds the seat under the lease, or by looking at the upstream.
+    /// Confirms the seat by the lease, or by checking the upstream.
     fn confirm_hold(&mut self, now: Instant, epoch: Epoch, actions: &mut Vec<Action>) {
         match self.lease {
             Status::Valid(_, until) if now < until => {
                 self.state = State::Held { epoch, until };
             }
-            // The lease is gone and the key with it: win it back before
-            // anything else, with the connections still open.
+            // The lease has expired and the key with it: reclaim the seat
+            // first, with the connections still open.
             Status::Absent => {
                 self.record = None;
                 self.claim(now, Kept::Connections, actions);
--- a/crates/pool/tests/blocked.rs
+++ b/crates/pool/tests/blocked.rs
@@ -1,4 +1,4 @@
-//! Stories of an entry that has used up its own connections.
+//! Entries that have used all of their own connections.
 
 use std::{num::NonZeroU32, time::Duration};
 
@@ -32,8 +32,9 @@
     }
 }
 
-/// A pool with open connections, one in a transaction of the entry "narrow",
-/// whose only one it is, and 50 more requests of that entry waiting.
+/// Returns a pool with open connections. The only connection of the entry
+/// "narrow" has an open transaction, and 50 more requests of that entry are
+/// submitted.
 fn blocked() -> Pool {
     let mut pool = Pool::open(CONF, 1);
     let now = Instant::ZERO;
@@ -54,9 +55,9 @@
     pool
 }
 
-/// Symptom: reservations are refused as overload while the upstream idles.
-/// Events: another entry of the same class waits for its own transaction to
-/// end. Cause: its queue was counted as work ahead, though it can't run.
+/// Requests of one entry must not be refused as overload while slots are free:
+/// work of another entry that waits for its own transaction must not count as
+/// work ahead.
 #[test]
 fn entry_at_its_limit_does_not_block_others() {
     let mut pool = blocked();
@@ -65,7 +66,7 @@
     let [Action::Run(Ticket(100), first)] = actions[..] else {
         panic!("the request did not run: {actions:?}");
     };
-    // The slot is taken: the next waits, and is not refused for the others.
+    // The slot is taken: the next request waits and is not refused.
     let waits = pool.step(now, Event::Submit(request(101, "wide", 2)));
     assert_eq!(waits, []);
     let walked = Instant::from_millis(40);
@@ -77,8 +78,8 @@
     );
 }
 
-/// Symptom: as above, the other way: requests that can't run before their
-/// deadline are never told. Events: the transaction stays open.
+/// Requests of a blocked entry must be refused before their deadline if its
+/// transaction stays open.
 #[test]
 fn requests_of_a_blocked_entry_are_refused_by_their_deadline() {
     let mut pool = blocked();
--- a/crates/pool/tests/conn.rs
+++ b/crates/pool/tests/conn.rs
@@ -1,4 +1,4 @@
-//! Stories of connections: late answers, dead owners, leaving upstreams.
+//! Connections with late answers, dead owners and leaving upstreams.
 
 use std::{num::NonZeroU32, time::Duration};
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A pool whose first request runs on its one open connection.
+/// Returns a pool whose first request runs on its only open connection.
 fn running() -> (Pool, Handle) {
     let mut pool = Pool::open(CONF, 1);
     let now = Instant::ZERO;
@@ -49,9 +49,9 @@
     (pool, handle)
 }
 
-/// Symptom: a caller gets another's rows. Events: a statement is given up, its
-/// connection goes back, the old answer arrives. Cause: the connection was
-/// pooled with an unread answer.
+/// A withdrawn statement must close its connection. If a connection with an
+/// unread answer went back to the pool, the next caller would get the rows of
+/// another.
 #[test]
 fn withdrawn_statement_closes_its_connection() {
     let (mut pool, handle) = running();
@@ -66,9 +66,8 @@
     );
 }
 
-/// Symptom: an upstream's connections are all held and nothing runs. Events:
-/// the instance that forwarded a transaction dies in it. Cause: nobody takes
-/// the connection back.
+/// An instance that forwarded a transaction dies without ending it. The idle
+/// transaction must time out; otherwise it occupies its connection for ever.
 #[test]
 fn transaction_of_a_dead_owner_is_closed() {
     let (mut pool, handle) = running();
@@ -81,9 +80,9 @@
     assert!(actions.contains(&Action::Abort(Ticket(1), Cause::Deadline)));
 }
 
-/// Symptom: two callers wait for each other until both time out. Events: the
-/// slot's statement waits for a lock of an open transaction, whose next
-/// statement waits for the slot.
+/// The statement in the only slot waits for a lock of an open transaction. The
+/// next statement of that transaction must not queue for the slot; otherwise
+/// both block until their deadlines.
 #[test]
 fn open_transaction_never_waits_for_a_slot() {
     let (mut pool, first) = running();
@@ -100,7 +99,7 @@
     assert_eq!(pool.connections(), 2);
 }
 
-/// Symptom: payments wait behind calendar views.
+/// Requests of high priority must not wait behind those of low priority.
 #[test]
 fn high_priority_runs_first() {
     let (mut pool, handle) = running();
@@ -111,7 +110,7 @@
     assert!(matches!(actions[..], [Action::Run(Ticket(3), _)]));
 }
 
-/// Symptom: an upstream that is leaving gets new work.
+/// A leaving upstream must finish running statements and get no new work.
 #[test]
 fn leaving_upstream_refuses_and_finishes() {
     let (mut pool, handle) = running();
@@ -129,9 +128,9 @@
     assert_eq!(last, [Action::Close(handle.generation)]);
 }
 
-/// Symptom: the upstream refuses connections beyond its limit. Events: two
-/// statements time out, their connections are closed and replaced, the server
-/// is still at the statements. Cause: a closed connection was taken for gone.
+/// Two statements time out and their connections are closed while the server
+/// still runs the statements. If these connections did not count, their
+/// replacements would exceed the upstream's limit.
 #[test]
 fn connection_closed_under_a_statement_counts_against_the_limit() {
     let conf = Conf {
@@ -152,8 +151,8 @@
     assert_eq!(pool.connections(), 1);
 }
 
-/// Symptom: the pool stays without a connection. Events: the end of a closed
-/// connection is never told. Cause: its place was kept for ever.
+/// The end of a closed connection is never reported. The connection must stop
+/// counting after some time; otherwise the pool stays without connections.
 #[test]
 fn closed_connection_stops_counting_after_the_linger_time() {
     let conf = Conf {
@@ -170,10 +169,9 @@
     assert!(matches!(replaced[..], [Action::Open(_)]), "{replaced:?}");
 }
 
-/// Symptom: every request to an upstream fails, and it keeps getting them.
-/// Events: it takes connections and breaks each under its first statement.
-/// Cause: each login, and the end of a connection whose state was not known,
-/// counted as a success and reset the breaker's count of failures.
+/// An upstream accepts connections and breaks each on its first statement. A
+/// login, or an unusable connection, must not count as a success; otherwise the
+/// breaker never opens.
 #[test]
 fn upstream_that_breaks_every_statement_opens_the_breaker() {
     let mut pool = Pool::open(CONF, 1);
--- a/crates/pool/tests/overload.rs
+++ b/crates/pool/tests/overload.rs
@@ -6,9 +6,9 @@
 
 use sim::{Policy, run};
 
-/// Symptom: at five times its capacity an upstream finishes almost nothing in
-/// time. Events: callers retry what is late. Cause: work that can't end in
-/// time occupies the slots.
+/// Callers retry late requests. If work that cannot end in time occupied the
+/// slots, an upstream at five times its capacity would complete almost nothing
+/// in time.
 #[test]
 fn goodput_and_high_priority_survive_five_times_capacity() {
     let peak = run(Policy::Pool, 2.0, 3, 1).done();
@@ -28,10 +28,9 @@
     assert!(overload.connections <= 15);
 }
 
-/// Symptom: a calendar view is refused 110 ms after it came, when half its
-/// time is over. Events: at full load it is let in by its place in the queue,
-/// payments and lighter tenants come later and go first, until it can't end in
-/// time. Cause: admission counted only what waited already.
+/// At full load a request admitted by its place is overtaken by later ones of
+/// higher priority or lighter tenants, and refused after 110 ms, when half of
+/// its time has passed. Admission must anticipate such requests.
 #[test]
 fn refusals_come_on_arrival() {
     for load in [1.0, 2.0, 5.0] {
@@ -43,9 +42,9 @@
     }
 }
 
-/// Symptom: one customer's flood takes the calendar from all others. Events:
-/// it sends seven tenths of everything at twice the capacity, and at five
-/// times, where Low gets nothing, it does so to Normal.
+/// One tenant sends seven tenths of all requests, at twice the capacity, and at
+/// five times, where only high and normal priority are served. It must not
+/// displace the other tenants of its priority.
 #[test]
 fn tenants_of_a_class_share_what_is_left() {
     for (load, kind) in [(2.0, 2), (5.0, 1)] {
--- a/crates/pool/tests/seat.rs
+++ b/crates/pool/tests/seat.rs
@@ -1,4 +1,4 @@
-//! Stories of a seat that changes hands.
+//! Changes of the holder of a seat.
 
 use std::time::Duration;
 
@@ -26,9 +26,9 @@
     seat
 }
 
-/// Symptom: an upstream has more connections than its limit. Events: a holder
-/// is paused past its lease, another takes the seat, the first wakes. Cause:
-/// it went on without looking.
+/// A holder is paused past its lease and another takes the seat. On resuming
+/// the first must check the upstream before use; otherwise the upstream exceeds
+/// its connection limit.
 #[test]
 fn paused_holder_checks_the_upstream_before_use() {
     let mut seat = held();
@@ -42,8 +42,8 @@
     assert_eq!(seat.permit(resumed), Permit::Nothing);
 }
 
-/// Symptom: a zone that is cut off from the store stops serving. Cause: its
-/// holders gave up their seats though nobody else could use them.
+/// A zone is cut off from the store. Its holders must keep their seats while no
+/// other holder is seen at the upstream; otherwise the zone stops serving.
 #[test]
 fn holder_without_the_store_continues_while_alone() {
     let mut seat = held();
@@ -54,8 +54,8 @@
     assert_eq!(seat.permit(stale), Permit::Nothing);
 }
 
-/// Symptom: the next holder opens while the last one's connections are open.
-/// Cause: the key was deleted before they were closed.
+/// If a leaving holder deleted its key before closing its connections, the next
+/// holder would open its own next to them.
 #[test]
 fn leaving_holder_deletes_its_key_last() {
     let mut seat = held();
@@ -65,8 +65,8 @@
     assert_eq!(release, [Action::Release(Epoch(7))]);
 }
 
-/// Symptom: a holder trusts a lease that the store has given away. Cause: the
-/// lease was counted from a slow answer and not from before the call.
+/// A lease measured from a slow answer instead of from before the call would
+/// seem valid after the store has granted the seat to another holder.
 #[test]
 fn lease_is_counted_from_before_the_call() {
     let mut lease = Lease::open(9);
@@ -79,9 +79,9 @@
     assert_eq!(lease.status(until), Status::Unconfirmed(Id(1)));
 }
 
-/// Symptom: a seat stays unused for a minute after its holder died. Events:
-/// peers agree on the death long before the lease ends. Cause: the claim
-/// waited for the key to go.
+/// Peers agree on the death of a holder long before its lease expires. The
+/// claim must not wait for the key to disappear; otherwise the seat is unused
+/// for up to a minute.
 #[test]
 fn dead_holders_seat_is_taken_before_its_lease_ends() {
     let now = Instant::ZERO;
@@ -98,8 +98,8 @@
     assert_eq!(seat.permit(now), Permit::Full);
 }
 
-/// Symptom: a live holder loses its seat. Events: an old report of its
-/// predecessor's death comes late. Cause: the report named no epoch.
+/// A report of the death of an earlier holder arrives late. The report names an
+/// epoch, so that the present holder keeps its seat.
 #[test]
 fn stale_death_report_is_ignored() {
     let now = Instant::ZERO;
@@ -110,9 +110,8 @@
     assert_eq!(seat.step(now, Event::Dead(Epoch(7))), []);
 }
 
-/// Symptom: two holders open a share each. Events: two instances see the seat
-/// free and claim it at once; the answer that the other won reaches the loser
-/// when it has waited for it. Cause: the loser took its claim for granted.
+/// Two instances claim a free seat at once, and the answer to the loser is
+/// late. The loser must not assume that its claim succeeded.
 #[test]
 fn loser_of_two_claims_opens_no_connection() {
     let now = Instant::ZERO;
@@ -121,7 +120,7 @@
     loser.step(now, Event::Wanted);
     let claim = loser.step(now, Event::Record(Record::Absent));
     assert_eq!(claim, [Action::Claim(Id(2), None)]);
-    // The answer is lost: the key is read, never assumed.
+    // The answer is lost, so the key is read.
     let later = Instant::from_millis(1_000);
     assert_eq!(loser.step(later, Event::Tick), [Action::Read]);
     assert_eq!(loser.permit(later), Permit::Nothing);
@@ -131,9 +130,8 @@
     assert_eq!(loser.epoch(), None);
 }
 
-/// Symptom: every connection is cut after an outage of the store. Events: the
-/// lease lapses, nobody else claims, the holder claims again. Cause: it closed
-/// its connections although nobody had taken the seat.
+/// The lease expires during an outage of the store, and no other instance
+/// claims the seat. The holder must reclaim it without closing its connections.
 #[test]
 fn lapsed_seat_is_reclaimed_with_its_connections() {
     let mut seat = held();
@@ -151,7 +149,8 @@
     assert_eq!(seat.epoch(), Some(Epoch(12)));
 }
 
-/// Symptom: as above, but another holder has the seat meanwhile.
+/// As above, but another holder has claimed the seat: all connections must
+/// close.
 #[test]
 fn lapsed_seat_that_another_took_is_closed() {
     let mut seat = held();
@@ -162,9 +161,9 @@
     assert_eq!(seat.permit(now), Permit::Nothing);
 }
 
-/// Symptom: two holders use a seat. Events: a login is under way while the
-/// seat is fenced, and ends when the new holder has begun. Cause: the fence
-/// ends only the connections that it sees.
+/// A login is in progress during a fence, which ends only the connections that
+/// it sees, and completes after the new holder started. The connection must be
+/// closed unused.
 #[test]
 fn login_under_way_during_a_fence_is_closed_unused() {
     use pool::seat::{Admission, admit};
@@ -174,9 +173,9 @@
     assert_eq!(admit(Epoch(9), []), Admission::Use);
 }
 
-/// Symptom: nobody holds a seat until the store is back. Events: the store is
-/// down, the holder goes on alone, the former holder wakes from a pause and a
-/// login of its lands. Cause: any other connection made the holder give up.
+/// The store is down, and a former holder resumes and logs in. The present
+/// holder must fence the former one instead of closing; otherwise no instance
+/// holds the seat until the store is back.
 #[test]
 fn former_holder_does_not_displace_the_present_one() {
     let mut seat = held();
--- a/crates/pool/tests/seats/fakes.rs
+++ b/crates/pool/tests/seats/fakes.rs
@@ -1,4 +1,4 @@
-//! The store and the upstream of the seat tests.
+//! Simulated store and upstream of the seat tests.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 pub(crate) const SEATS: usize = 2;
 pub(crate) const LIMIT: usize = 16;
 
-/// One process; a restarted one is another.
+/// Index of a process; a restarted process has a new index.
 pub(crate) type Holder = usize;
 
 #[derive(Debug, Clone, Copy)]
@@ -21,7 +21,7 @@
     epoch: Epoch,
 }
 
-/// Leases and seat keys.
+/// Simulated store with leases and seat keys.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     revision: u64,
@@ -37,12 +37,12 @@
         id
     }
 
-    /// Whether the lease was there to prolong.
+    /// Renews a lease; returns false if it does not exist.
     pub(crate) fn renew(&mut self, id: Id, until: Instant) -> bool {
         self.leases.get_mut(&id).map(|it| *it = until).is_some()
     }
 
-    /// Drops the leases that have run out, with their keys.
+    /// Removes expired leases and their keys.
     pub(crate) fn expire_leases(&mut self, now: Instant) {
         self.leases.retain(|_, until| now < *until);
         for key in &mut self.keys {
@@ -79,30 +79,30 @@
     }
 }
 
-/// A connection as the upstream sees it.
+/// A connection at the upstream.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Conn {
     pub(crate) holder: Holder,
     pub(crate) seat: usize,
     pub(crate) epoch: Epoch,
-    /// Whether a statement ran on it.
+    /// Whether a statement ran on the connection.
     pub(crate) used: bool,
 }
 
-/// What went wrong.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// Two holders' connections of a seat were in use at once.
+    /// Connections of two holders of a seat were in use at once.
     Two {
         seat: usize,
         holder: Holder,
         other: Holder,
     },
-    /// More connections of a seat were used at once than its share.
+    /// More connections of a seat were in use at once than its share.
     Share { seat: usize, used: usize },
 }
 
-/// An upstream that refuses connections beyond its limit.
+/// Simulated upstream that refuses connections beyond its limit.
 #[derive(Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) conns: BTreeMap<u64, Conn>,
@@ -110,13 +110,13 @@
     pub(crate) most: usize,
     pub(crate) refused: u64,
     pub(crate) statements: [u64; SEATS],
-    /// How often a seat went from one user to another.
+    /// Number of changes of the holder that uses a seat.
     pub(crate) changes: u64,
     pub(crate) violations: Vec<Violation>,
 }
 
 impl Upstream {
-    /// Opens a connection; `false` when the limit is reached.
+    /// Opens a connection; returns false if the limit is reached.
     pub(crate) fn open(&mut self, id: u64, conn: Conn) -> bool {
         if self.conns.len() >= LIMIT {
             self.refused += 1;
@@ -127,7 +127,7 @@
         true
     }
 
-    /// The epochs of other holders' connections of the seat.
+    /// Epochs of other holders' connections of the seat.
     pub(crate) fn others(&self, holder: Holder, seat: usize) -> Vec<Epoch> {
         let other = |it: &&Conn| it.seat == seat && it.holder != holder;
         self.conns
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Ends other holders' connections of the seat, of epochs below a bound.
+    /// Ends other holders' connections of the seat with epochs below `below`.
     pub(crate) fn end_others(
         &mut self,
         holder: Holder,
@@ -148,7 +148,7 @@
         self.conns.extract_if(.., |_, it| ends(it)).collect()
     }
 
-    /// Runs a statement; `false` when the connection was ended.
+    /// Runs a statement; returns false if the connection was ended.
     pub(crate) fn run(&mut self, id: u64, share: usize) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else {
             return false;
--- a/crates/pool/tests/seats/main.rs
+++ b/crates/pool/tests/seats/main.rs
@@ -1,8 +1,8 @@
 //! At most one holder uses a seat, whatever fails.
 //!
-//! Seeded interleavings of lapses, store outages, lost answers, pauses past
-//! the lease, holders cut off from the store, false reports of death, deaths
-//! and restarts. `DANDELIONLINK_HUNT=n` runs n seeds more.
+//! Seeded interleavings of expired leases, store outages, lost answers, pauses
+//! past the lease, holders cut off from the store, false reports of death,
+//! deaths and restarts. `DANDELIONLINK_HUNT=n` runs n more seeds.
 
 mod fakes;
 mod world;
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// The seeds of a broken variant in which the check found two holders.
+/// Number of runs of a broken variant in which two holders were detected.
 fn runs_with_two_holders(variant: Variant) -> usize {
     let two = |it: &Violation| matches!(it, Violation::Two { .. });
     let reports = reports(variant);
@@ -36,8 +36,8 @@
     count
 }
 
-/// Symptom: statements of two holders reach an upstream through one seat, and
-/// it has more connections in use than its limit.
+/// Statements of two holders must never reach an upstream through one seat, and
+/// the connections in use must not exceed their limit.
 #[test]
 fn one_holder_at_a_time_within_its_share() {
     let mut refused = 0;
@@ -45,7 +45,7 @@
         let upstream = &report.upstream;
         assert_eq!(upstream.violations, [], "seed {seed}");
         assert!(upstream.most <= LIMIT, "seed {seed}");
-        // The faults did change holders, and the seats work after them.
+        // The faults caused changes of holders, and the seats work afterwards.
         assert!(upstream.changes > 4, "seed {seed}: {}", upstream.changes);
         assert!(upstream.statements.iter().all(|&it| it > 1_000));
         assert!(
@@ -57,22 +57,22 @@
     println!("connections that the upstream had to refuse: {refused}");
 }
 
-/// Symptom: as above. Cause: a new holder started with its predecessor's
-/// connections open.
+/// The check must detect a new holder that starts while connections of its
+/// predecessor are open.
 #[test]
 fn check_finds_a_missing_fence() {
     assert!(runs_with_two_holders(Variant::NoFence) > 0);
 }
 
-/// Symptom: as above. Events: a login is under way when the seat is fenced.
-/// Cause: it was used without a look at who else is there.
+/// The check must detect a login that was in progress during a fence and was
+/// used without reading the other holders' epochs.
 #[test]
 fn check_finds_a_missing_connection_check() {
     assert!(runs_with_two_holders(Variant::NoCheck) > 0);
 }
 
-/// Symptom: as above. Events: a holder wakes from a pause longer than its
-/// lease. Cause: it went on as if no time had passed.
+/// The check must detect a holder that resumes after a pause longer than its
+/// lease and continues without checking the time.
 #[test]
 fn check_finds_use_after_a_pause() {
     assert!(runs_with_two_holders(Variant::IgnoresPauses) > 0);
--- a/crates/pool/tests/seats/world.rs
+++ b/crates/pool/tests/seats/world.rs
@@ -25,23 +25,23 @@
 const STEP: Duration = Duration::from_millis(50);
 const FAULT: Duration = Duration::from_millis(800);
 
-/// The seat logic, or a variant of it that is broken on purpose.
+/// The seat logic, or a deliberately broken variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Variant {
     Real,
-    /// A new holder starts without ending its predecessor's connections.
+    /// A new holder starts without ending the connections of its predecessor.
     NoFence,
-    /// New connections are used without a look at who else is there.
+    /// New connections are used without checking for other holders.
     NoCheck,
-    /// A holder that was paused goes on with what it was permitted before.
+    /// A paused holder continues with its permission from before the pause.
     IgnoresPauses,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub(crate) upstream: Upstream,
-    /// Statements at each seat in the quiet time at the end.
+    /// Statements at each seat in the fault-free time at the end.
     pub(crate) quiet_statements: [u64; SEATS],
 }
 
@@ -85,7 +85,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Open {
-    /// Its login or its look is under way.
+    /// The login, or the check for other holders, is in progress.
     Pending,
     Usable,
 }
@@ -131,7 +131,7 @@
     faults_end: Instant,
 }
 
-/// Runs faults for `seconds`, and then half a minute without.
+/// Runs with faults for `seconds`, and then for half a minute without.
 pub(crate) fn run(variant: Variant, seconds: u64, seed: u64) -> Report {
     let mut world = World {
         now: Instant::ZERO,
@@ -179,7 +179,7 @@
         self.tasks.insert(self.sequence, task);
     }
 
-    /// A message's way: mostly short, at times as long as a pause.
+    /// Latency of a message: usually short, sometimes as long as a pause.
     fn latency(&mut self) -> Duration {
         let slow = self.now < self.faults_end && self.rng.random_bool(0.03);
         let most = if slow { 12_000 } else { 20 };
@@ -204,7 +204,7 @@
         }
     }
 
-    /// A paused process hears and does everything when it wakes.
+    /// Runs a task, or postpones it until a paused process resumes.
     fn run_when_awake(&mut self, holder: Holder, task: Task, act: impl FnOnce(&mut Self)) {
         let process = &self.processes[holder];
         if process.dead {
@@ -251,7 +251,7 @@
     ) {
         let latency = self.latency();
         let Some(conn) = self.processes[holder].conns[seat].get_mut(&id) else {
-            // The seat was given up while it opened.
+            // The seat was given up while the connection opened.
             self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
             return;
         };
@@ -292,7 +292,7 @@
                 };
                 self.step_seat(holder, seat, goal);
             }
-            // What the watch of the store shows.
+            // The watch of the store delivers the key.
             if self.rng.random_bool(0.1) {
                 self.send(holder, Call::Read(seat));
             }
@@ -393,7 +393,7 @@
                     last = last.max(latency);
                     self.schedule(latency, Task::Upstream(holder, seat, Op::Close(id)));
                 }
-                // The process waits until the upstream has ended them all.
+                // The process waits until the upstream has ended all of them.
                 let closed = Message::Seat(seat, Event::Closed);
                 self.schedule(last + latency, Task::Message(holder, closed));
             }
--- a/crates/pool/tests/seats/world/endpoints.rs
+++ b/crates/pool/tests/seats/world/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the store and the upstream answer.
+//! Answers of the store and the upstream.
 
 use pool::{
     holder::{seats, share},
--- a/crates/pool/tests/seats/world/faults.rs
+++ b/crates/pool/tests/seats/world/faults.rs
@@ -1,4 +1,4 @@
-//! What fails, when and for whom.
+//! Random faults.
 
 use std::time::Duration;
 
@@ -31,7 +31,8 @@
         }
     }
 
-    /// A process dies; the upstream sees its connections end, some late.
+    /// Kills a process; the upstream sees its connections end, some of them
+    /// late.
     fn kill(&mut self, holder: Holder) {
         if std::mem::replace(&mut self.processes[holder].dead, true) {
             return;
@@ -48,7 +49,7 @@
         self.start();
     }
 
-    /// Peers take a holder for dead, rightly or not.
+    /// Peers report a holder dead, which may be false.
     fn report_dead(&mut self) {
         let seat = self.rng.random_range(0..SEATS);
         let Some(epoch) = self.store.epoch(seat) else {
--- a/crates/pool/tests/share.rs
+++ b/crates/pool/tests/share.rs
@@ -1,4 +1,4 @@
-//! What waits when an instance's share of connections goes to another.
+//! Waiting requests when an instance's share of connections moves to another.
 
 use std::{num::NonZeroU32, time::Duration};
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The requests that were told that there is no way to the upstream from here.
+/// Requests refused because no upstream is available here.
 fn refused_without_upstream(actions: &[Action]) -> Vec<u64> {
     let ticket = |action: &Action| match action {
         Action::Refuse {
@@ -42,12 +42,9 @@
     actions.iter().filter_map(ticket).collect()
 }
 
-/// Symptom: in a rolling restart one request in thousands ends as unknown at
-/// its deadline, though every upstream is well. Events: an instance that starts
-/// knows nobody yet and takes itself for a holder of connections; a request
-/// waits there for the first login; it learns of the others, and its share goes
-/// to them. Cause: what waited went on to wait for connections that nobody
-/// opens. It has not begun, and another holder can run it at once.
+/// A starting instance takes itself for a holder and queues a request; then its
+/// share moves to other instances. The request must be refused, as another
+/// holder can run it at once, and not end as unknown at its deadline.
 #[test]
 fn waiting_requests_are_refused_when_the_share_is_lost() {
     let mut pool = Pool::open(CONF, 1);
@@ -63,7 +60,7 @@
     };
     let actions = pool.step(now, Event::Conf(none));
     assert_eq!(refused_without_upstream(&actions), [1]);
-    // Nor does one wait that comes a moment later.
+    // A later request must not wait either.
     let actions = pool.step(now, Event::Submit(request(2)));
     assert_eq!(refused_without_upstream(&actions), [2]);
     assert_eq!(pool.waiting(), 0);
--- a/crates/pool/tests/wake.rs
+++ b/crates/pool/tests/wake.rs
@@ -1,4 +1,4 @@
-//! Stories of the moments that a pool asks to be stepped at.
+//! Times at which a pool asks to be stepped.
 
 use std::{num::NonZeroU32, time::Duration};
 
@@ -40,8 +40,8 @@
     }
 }
 
-/// A pool with a transaction that holds its entry's only connection, and
-/// another request that waits for it.
+/// Returns a pool with a transaction that holds its entry's only connection,
+/// and another request that waits for it.
 fn blocked() -> Pool {
     let mut pool = Pool::open(CONF, 1);
     let now = Instant::ZERO;
@@ -66,7 +66,8 @@
     }
 }
 
-/// Steps the pool whenever it asks, for a second: how often it asked.
+/// Steps the pool at each requested time for one second and returns the number
+/// of steps.
 fn ticks(pool: &mut Pool) -> u32 {
     let end = Instant::from_millis(1_000);
     let mut now = Instant::ZERO;
@@ -80,11 +81,9 @@
     ticks
 }
 
-/// Symptom: a daemon with nothing to do uses a whole core. Events: an upstream
-/// that is leaving goes down and its breaker opens; as it gets no new work it
-/// is not probed when the breaker's moment comes, so the step changes nothing,
-/// the timer asks again and is told the same moment. Cause: `wake` named
-/// moments that had passed.
+/// The breaker of a leaving upstream opens and is not probed, so the step at
+/// the breaker's time changes nothing. `wake` must not return that time again;
+/// otherwise an idle daemon loops and uses a whole core.
 #[test]
 fn past_wake_time_is_not_returned_again() {
     let mut pool = Pool::open(CONF, 1);
@@ -93,8 +92,8 @@
     assert_eq!(ticks(&mut pool), 1);
 }
 
-/// Symptom: as above. Events: a request waits for its entry's only connection,
-/// which a transaction holds, and the queue is looked at for it all the time.
+/// As above, while a request waits for its entry's only connection, which a
+/// transaction holds: the queue must not be reviewed all the time.
 #[test]
 fn blocked_queue_is_reviewed_rarely() {
     let mut pool = blocked();
@@ -103,8 +102,8 @@
     assert_eq!(pool.waiting(), 0);
 }
 
-/// Symptom: an upstream that is back stays unused. Cause: its breaker was not
-/// probed, or all the time.
+/// An open breaker must be probed, or an upstream that has recovered stays
+/// unused, but not continuously.
 #[test]
 fn open_breaker_is_probed_without_busy_looping() {
     let mut pool = Pool::open(CONF, 1);
@@ -113,9 +112,8 @@
     assert!((2..20).contains(&ticks), "{ticks}");
 }
 
-/// Symptom: a request hears of its deadline a second late. Events: the moment
-/// passes between a step and the question for the next one. Cause: `wake`
-/// left out what lay before the question, though no step had seen it.
+/// A deadline passes between a step and the next call of `wake`, which must
+/// still return it; otherwise the request is refused up to a second late.
 #[test]
 fn wake_time_missed_since_the_last_step_is_returned() {
     let pool = blocked();
