--- a/crates/admit/src/bucket.rs
+++ b/crates/admit/src/bucket.rs
@@ -21,14 +21,17 @@
 /// The operations that an account may ask for just now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
-    level: f64,
-    at: Instant,
+    tokens: f64,
+    updated_at: Instant,
 }
 
 impl Bucket {
     /// A bucket with `level` operations in it.
-    pub fn new(level: f64, now: Instant) -> Self {
-        Self { level, at: now }
+    pub fn new(tokens: f64, now: Instant) -> Self {
+        Self {
+            tokens,
+            updated_at: now,
+        }
     }
 
     /// Takes one operation out: how long it has to wait.
@@ -48,38 +51,38 @@
     ///
     /// let at = Instant::from_millis;
     /// let limit = Limit { rate: 10.0, burst: 2.0 };
-    /// let patience = Duration::from_millis(150);
+    /// let max_wait = Duration::from_millis(150);
     /// let mut bucket = Bucket::new(1.0, at(0));
-    /// assert_eq!(bucket.take(limit, at(0), patience), Ok(Duration::ZERO));
-    /// assert_eq!(bucket.take(limit, at(0), patience), Ok(Duration::from_millis(100)));
-    /// assert_eq!(bucket.take(limit, at(0), patience), Err(Duration::from_millis(200)));
-    /// assert_eq!(bucket.take(limit, at(200), patience), Ok(Duration::ZERO));
+    /// assert_eq!(bucket.take(limit, at(0), max_wait), Ok(Duration::ZERO));
+    /// assert_eq!(bucket.take(limit, at(0), max_wait), Ok(Duration::from_millis(100)));
+    /// assert_eq!(bucket.take(limit, at(0), max_wait), Err(Duration::from_millis(200)));
+    /// assert_eq!(bucket.take(limit, at(200), max_wait), Ok(Duration::ZERO));
     /// ```
     pub fn take(
         &mut self,
         limit: Limit,
         now: Instant,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Duration, Duration> {
-        self.fill(limit, now);
-        let short = (1.0 - self.level).max(0.0);
+        self.refill(limit, now);
+        let missing = (1.0 - self.tokens).max(0.0);
         let wait = match limit.rate > 0.0 {
-            true => Duration::try_from_secs_f64(short / limit.rate).unwrap_or(Duration::MAX),
-            false if short > 0.0 => Duration::MAX,
+            true => Duration::try_from_secs_f64(missing / limit.rate).unwrap_or(Duration::MAX),
+            false if missing > 0.0 => Duration::MAX,
             false => Duration::ZERO,
         };
-        if wait > patience {
+        if wait > max_wait {
             return Err(wait);
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         Ok(wait)
     }
 
     /// Takes in what came since it was looked at last.
-    fn fill(&mut self, limit: Limit, now: Instant) {
-        let came = now.since(self.at).as_secs_f64() * limit.rate;
-        self.level = (self.level + came).min(limit.burst.max(0.0));
-        self.at = now;
+    fn refill(&mut self, limit: Limit, now: Instant) {
+        let added = now.since(self.updated_at).as_secs_f64() * limit.rate;
+        self.tokens = (self.tokens + added).min(limit.burst.max(0.0));
+        self.updated_at = now;
     }
 }
 
@@ -87,23 +90,26 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
     rate: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 /// How long back demand is looked at: long enough that a few operations a second make a
 /// steady figure, and short beside the seconds that a burst lasts.
-const MEMORY: Duration = Duration::from_millis(1_500);
+const DECAY: Duration = Duration::from_millis(1_500);
 
 impl Demand {
     /// Nothing was asked for yet.
     pub fn new(now: Instant) -> Self {
-        Self { rate: 0.0, at: now }
+        Self {
+            rate: 0.0,
+            updated_at: now,
+        }
     }
 
     /// Counts an operation that was asked for, whether or not it is let in.
     pub fn count(&mut self, now: Instant) {
-        self.rate = self.rate(now) + 1.0 / MEMORY.as_secs_f64();
-        self.at = now;
+        self.rate = self.rate(now) + 1.0 / DECAY.as_secs_f64();
+        self.updated_at = now;
     }
 
     /// Operations a second.
@@ -114,11 +120,11 @@
     ///
     /// let at = Instant::from_millis;
     /// let mut demand = Demand::new(at(0));
-    /// (0..100).for_each(|ten| demand.count(at(ten * 100)));
+    /// (0..100).for_each(|tenth| demand.count(at(tenth * 100)));
     /// assert!((9.0..11.0).contains(&demand.rate(at(9_950))));
     /// ```
     pub fn rate(&self, now: Instant) -> f64 {
-        let past = now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64();
-        self.rate * (-past).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64() / DECAY.as_secs_f64();
+        self.rate * (-elapsed).exp()
     }
 }
--- a/crates/admit/src/budget.rs
+++ b/crates/admit/src/budget.rs
@@ -13,13 +13,13 @@
 /// The first is about as long as an upstream needs to greet a connection (12 ms), so
 /// that a place which gets free is found soon; the last bounds the refusals of one
 /// instance at one upstream to 17 a second where a fixed pause of 15 to 35 ms came to 40.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(15), Duration::from_millis(60));
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(15), Duration::from_millis(60));
 
 /// How long behind a refusal connections are opened one by one.
-const MEMORY: Duration = Duration::from_millis(1_000);
+const SERIAL_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// How long an instance that was refused its first connection counts as starved.
-const STARVED: Duration = Duration::from_millis(600);
+const LOCKED_OUT_PERIOD: Duration = Duration::from_millis(600);
 
 /// How many statements one of `holders` may have at an upstream that runs `slots` at once.
 ///
@@ -42,16 +42,18 @@
     if slots == 0 {
         return usize::MAX;
     }
-    let part = slots.saturating_mul(AHEAD).div_ceil(holders.max(1));
-    part.min(slots).max(NARROWEST)
+    let share = slots
+        .saturating_mul(STATEMENTS_PER_SLOT)
+        .div_ceil(holders.max(1));
+    share.min(slots).max(MIN_WINDOW)
 }
 
 /// How many statements all holders have at an upstream for each that it runs, unless two
 /// each are more.
-const AHEAD: usize = 3;
+const STATEMENTS_PER_SLOT: usize = 3;
 
 /// The fewest statements of one instance: one on its way there while another runs.
-const NARROWEST: usize = 2;
+const MIN_WINDOW: usize = 2;
 
 /// Whether a connection may be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,10 +69,10 @@
 /// The connections of one instance to one upstream, as far as opening them goes.
 #[derive(Debug, Default)]
 pub struct Budget {
-    refused: u32,
-    last: Option<Instant>,
-    until: Instant,
-    starved: Option<(Instant, Instant)>,
+    refusals: u32,
+    last_refusal: Option<Instant>,
+    blocked_until: Instant,
+    locked_out: Option<(Instant, Instant)>,
 }
 
 impl Budget {
@@ -80,38 +82,38 @@
         if open >= limit.max(1) {
             return Decision::Blocked;
         }
-        let lately = self.last.is_some_and(|at| at + MEMORY > now);
-        if lately && opening > 0 {
+        let is_recent = self.last_refusal.is_some_and(|at| at + SERIAL_PERIOD > now);
+        if is_recent && opening > 0 {
             return Decision::Blocked;
         }
-        match now < self.until {
-            true => Decision::Wait(self.until),
+        match now < self.blocked_until {
+            true => Decision::Wait(self.blocked_until),
             false => Decision::Now,
         }
     }
 
     /// Takes in that the upstream takes no more, when `open` are open here. `chance`,
     /// between zero and one, spreads the next tries of many instances.
-    pub fn record_refusal(&mut self, now: Instant, open: usize, chance: f64) {
-        let pause = (PAUSE.0 * 2_u32.saturating_pow(self.refused)).min(PAUSE.1);
-        self.refused = (self.refused + 1).min(8);
-        self.last = Some(now);
-        self.until = now + pause.mul_f64(1.0 + chance);
+    pub fn record_refusal(&mut self, now: Instant, open: usize, jitter: f64) {
+        let backoff = (BACKOFF.0 * 2_u32.saturating_pow(self.refusals)).min(BACKOFF.1);
+        self.refusals = (self.refusals + 1).min(8);
+        self.last_refusal = Some(now);
+        self.blocked_until = now + backoff.mul_f64(1.0 + jitter);
         if open == 0 {
             let since = self.locked_out_since(now).unwrap_or(now);
-            self.starved = Some((since, now));
+            self.locked_out = Some((since, now));
         }
     }
 
     /// Takes in that a connection was opened.
     pub fn record_success(&mut self) {
-        self.refused = 0;
-        self.starved = None;
+        self.refusals = 0;
+        self.locked_out = None;
     }
 
     /// Since when the instance has been refused its first connection, again and again.
     pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
-        let (since, last) = self.starved?;
-        (last + STARVED > now).then_some(since)
+        let (since, last) = self.locked_out?;
+        (last + LOCKED_OUT_PERIOD > now).then_some(since)
     }
 }
--- a/crates/admit/src/holders.rs
+++ b/crates/admit/src/holders.rs
@@ -17,17 +17,17 @@
 /// Each of them sends two ([`crate::budget::window`]), so that four are there for each
 /// that runs: with statements of 9 ms the last one waits 27 ms, of the 100 that the
 /// shortest aim in use gives.
-const PER_SLOT: usize = 2;
+const HOLDERS_PER_SLOT: usize = 2;
 
 /// How many connections to one upstream a holder should have: its two statements, and
 /// as many transactions that rest.
-const EACH: usize = 4;
+const CONNECTIONS_PER_HOLDER: usize = 4;
 
 /// The fewest holders of a group: one may be lost.
-const FEWEST: usize = 2;
+const MIN_HOLDERS: usize = 2;
 
 /// How many statements an upstream is taken to run at once if it does not say.
-const SLOTS: usize = 2;
+const DEFAULT_SLOTS: usize = 2;
 
 /// An instance that may hold connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,11 +60,13 @@
 /// ```
 pub fn count(connections: usize, slots: usize) -> usize {
     let slots = match slots {
-        0 => SLOTS,
+        0 => DEFAULT_SLOTS,
         slots => slots,
     };
-    let served = slots.saturating_mul(PER_SLOT);
-    served.min(connections / EACH).max(FEWEST)
+    let holders = slots.saturating_mul(HOLDERS_PER_SLOT);
+    holders
+        .min(connections / CONNECTIONS_PER_HOLDER)
+        .max(MIN_HOLDERS)
 }
 
 /// The holders of `service` among `candidates`, by weighted rendezvous hashing: whoever
@@ -77,22 +79,24 @@
 /// have one in their own: 0.821 to 0.865, 0.868 to 0.893 and 0.692 to 0.732 of the worth
 /// on days of 76, 91 and 58 instances.
 pub fn choose<'a>(service: &str, candidates: &[Candidate<'a>], count: usize) -> Vec<&'a str> {
-    let is_any_able = candidates.iter().any(|c| c.able);
-    let fit = candidates.iter().filter(|c| c.able || !is_any_able);
-    let mut ranked: Vec<_> = fit.map(|c| (score(service, c.name, c.weight), c)).collect();
+    let has_able = candidates.iter().any(|c| c.able);
+    let eligible = candidates.iter().filter(|c| c.able || !has_able);
+    let mut ranked: Vec<_> = eligible
+        .map(|c| (score(service, c.name, c.weight), c))
+        .collect();
     ranked.sort_by(|(a, one), (b, other)| a.total_cmp(b).then_with(|| one.name.cmp(other.name)));
-    let mut turns: HashMap<&str, usize> = HashMap::new();
-    let mut placed: Vec<_> = ranked
+    let mut ranks_by_zone: HashMap<&str, usize> = HashMap::new();
+    let mut ordered: Vec<_> = ranked
         .iter()
         .map(|(_, candidate)| {
-            let turn = turns.entry(candidate.zone).or_default();
-            *turn += 1;
-            (*turn, candidate.name)
+            let rank = ranks_by_zone.entry(candidate.zone).or_default();
+            *rank += 1;
+            (*rank, candidate.name)
         })
         .collect();
     // Stable: within a turn the better zone's candidate stays first.
-    placed.sort_by_key(|(turn, _)| *turn);
-    placed
+    ordered.sort_by_key(|(rank, _)| *rank);
+    ordered
         .into_iter()
         .take(count)
         .map(|(_, name)| name)
@@ -131,7 +135,7 @@
     hash.write_u8(0);
     hash.write(name.as_bytes());
     // 53 bits make a fraction of exactly representable steps; never zero.
-    let drawn = ((hash.finish() >> 11) + 1) as f64 / (1_u64 << 53) as f64;
+    let uniform = ((hash.finish() >> 11) + 1) as f64 / (1_u64 << 53) as f64;
     let weight = f64::from(weight.max(1));
-    -drawn.ln() / (weight * weight)
+    -uniform.ln() / (weight * weight)
 }
--- a/crates/admit/src/placement.rs
+++ b/crates/admit/src/placement.rs
@@ -13,10 +13,10 @@
 
 /// How many more candidates of each zone are ranked than are asked for, so that one that
 /// goes has its successor at hand.
-const SPARE: usize = 4;
+const RESERVE: usize = 4;
 
 /// After how many changes a service that nobody asked for is dropped.
-const UNUSED: u64 = 256;
+const MAX_IDLE_CHANGES: u64 = 256;
 
 /// A candidate, as a board keeps it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,12 +28,12 @@
 
 /// A candidate's place: the lower, the sooner; equal scores go by name.
 #[derive(Debug, Clone, PartialEq)]
-struct Place {
+struct Rank {
     score: f64,
     name: Rc<str>,
 }
 
-impl Place {
+impl Rank {
     fn is_before(&self, other: &Self) -> bool {
         self.score
             .total_cmp(&other.score)
@@ -45,9 +45,9 @@
 /// The best candidates of one zone, the first one first.
 #[derive(Debug, Default)]
 struct Zone {
-    places: Vec<Place>,
+    ranks: Vec<Rank>,
     /// Whether candidates were left out behind the last one.
-    is_cut: bool,
+    is_truncated: bool,
 }
 
 /// The candidates of one service.
@@ -57,7 +57,7 @@
     zones: HashMap<Rc<str>, Zone>,
     chosen: Vec<Rc<str>>,
     /// The board's count of changes when it was asked for last.
-    asked: u64,
+    last_used: u64,
 }
 
 impl Ranking {
@@ -66,23 +66,23 @@
             count,
             zones: HashMap::new(),
             chosen: Vec::new(),
-            asked: 0,
+            last_used: 0,
         }
     }
 
     /// Takes in a candidate; whether others may have to be chosen.
-    fn insert(&mut self, zone: &Rc<str>, place: Place) -> bool {
-        let most = self.count + SPARE;
+    fn insert(&mut self, zone: &Rc<str>, rank: Rank) -> bool {
+        let capacity = self.count + RESERVE;
         let zone = self.zones.entry(Rc::clone(zone)).or_default();
-        let at = zone.places.partition_point(|other| other.is_before(&place));
-        if at >= most || zone.is_cut && at == zone.places.len() {
-            zone.is_cut = true;
+        let at = zone.ranks.partition_point(|other| other.is_before(&rank));
+        if at >= capacity || zone.is_truncated && at == zone.ranks.len() {
+            zone.is_truncated = true;
             return false;
         }
-        zone.places.insert(at, place);
-        if zone.places.len() > most {
-            zone.places.truncate(most);
-            zone.is_cut = true;
+        zone.ranks.insert(at, rank);
+        if zone.ranks.len() > capacity {
+            zone.ranks.truncate(capacity);
+            zone.is_truncated = true;
         }
         at < self.count
     }
@@ -92,27 +92,27 @@
         let Some(zone) = self.zones.get_mut(zone) else {
             return true;
         };
-        zone.places.retain(|place| &*place.name != name);
-        !zone.is_cut || zone.places.len() >= self.count
+        zone.ranks.retain(|rank| &*rank.name != name);
+        !zone.is_truncated || zone.ranks.len() >= self.count
     }
 
     /// Chooses: zones take turns, the best of each first.
     fn choose(&mut self) {
         let mut chosen = Vec::with_capacity(self.count);
-        for turn in 0..self.count {
-            let in_turn = self.zones.values().filter_map(|zone| zone.places.get(turn));
-            let mut in_turn: Vec<_> = in_turn.collect();
-            in_turn.sort_by(|a, b| {
+        for round in 0..self.count {
+            let in_round = self.zones.values().filter_map(|zone| zone.ranks.get(round));
+            let mut in_round: Vec<_> = in_round.collect();
+            in_round.sort_by(|a, b| {
                 a.score
                     .total_cmp(&b.score)
                     .then_with(|| a.name.cmp(&b.name))
             });
             let free = self.count - chosen.len();
             chosen.extend(
-                in_turn
+                in_round
                     .into_iter()
                     .take(free)
-                    .map(|place| Rc::clone(&place.name)),
+                    .map(|rank| Rc::clone(&rank.name)),
             );
         }
         self.chosen = chosen;
@@ -126,19 +126,19 @@
 ///
 /// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
 /// let all = [one("a-1", "a"), one("a-2", "a"), one("b-1", "b")];
-/// let mut board = Placement::default();
-/// all.iter().for_each(|candidate| board.put(candidate));
-/// let holders: Vec<_> = board.holders("bookings", 2).iter().map(|name| &**name).collect();
+/// let mut placement = Placement::default();
+/// all.iter().for_each(|candidate| placement.put(candidate));
+/// let holders: Vec<_> = placement.holders("bookings", 2).iter().map(|name| &**name).collect();
 /// assert_eq!(holders, choose("bookings", &all, 2));
 /// ```
 #[derive(Debug, Default)]
 pub struct Placement {
     members: HashMap<Rc<str>, Member>,
     zones: BTreeSet<Rc<str>>,
-    able: usize,
+    able_count: usize,
     rankings: HashMap<Rc<str>, Ranking>,
     changes: u64,
-    draws: u64,
+    score_count: u64,
 }
 
 impl Placement {
@@ -154,17 +154,17 @@
         self.remove(candidate.name);
         let name: Rc<str> = candidate.name.into();
         let member = Member {
-            zone: self.zone(candidate.zone),
+            zone: self.intern_zone(candidate.zone),
             weight: candidate.weight,
             able: candidate.able,
         };
-        self.count(&member, 1);
-        if self.is_fit(&member) {
+        self.record_change(&member, 1);
+        if self.is_eligible(&member) {
             for (service, ranking) in &mut self.rankings {
-                self.draws += 1;
+                self.score_count += 1;
                 let score = holders::score(service, &name, member.weight);
                 let name = Rc::clone(&name);
-                if ranking.insert(&member.zone, Place { score, name }) {
+                if ranking.insert(&member.zone, Rank { score, name }) {
                     ranking.choose();
                 }
             }
@@ -177,13 +177,13 @@
         let Some(member) = self.members.remove(name) else {
             return;
         };
-        self.count(&member, -1);
+        self.record_change(&member, -1);
         self.rankings.retain(|_, ranking| {
-            let is_enough = ranking.remove(&member.zone, name);
+            let is_sufficient = ranking.remove(&member.zone, name);
             if ranking.chosen.iter().any(|chosen| **chosen == *name) {
                 ranking.choose();
             }
-            is_enough
+            is_sufficient
         });
     }
 
@@ -200,12 +200,12 @@
     /// Whether anybody but the candidate `name` can serve.
     pub fn has_other_able(&self, name: &str) -> bool {
         let own = self.members.get(name).is_some_and(|member| member.able);
-        self.able > usize::from(own)
+        self.able_count > usize::from(own)
     }
 
     /// How often a candidate's place for a service was drawn.
     pub fn score_count(&self) -> u64 {
-        self.draws
+        self.score_count
     }
 
     /// Which `count` candidates hold `service`, the first one first.
@@ -218,49 +218,49 @@
         let Some(ranking) = self.rankings.get_mut(service) else {
             return &[];
         };
-        ranking.asked = self.changes;
+        ranking.last_used = self.changes;
         &ranking.chosen
     }
 
     fn rank(&mut self, service: &str, count: usize) -> Ranking {
         let mut ranking = Ranking::new(count);
-        let fit = self
+        let eligible = self
             .members
             .iter()
-            .filter(|(_, member)| self.is_fit(member));
-        let mut draws = 0;
-        for (name, member) in fit {
-            draws += 1;
+            .filter(|(_, member)| self.is_eligible(member));
+        let mut score_count = 0;
+        for (name, member) in eligible {
+            score_count += 1;
             let score = holders::score(service, name, member.weight);
             let name = Rc::clone(name);
-            ranking.insert(&member.zone, Place { score, name });
+            ranking.insert(&member.zone, Rank { score, name });
         }
-        self.draws += draws;
+        self.score_count += score_count;
         ranking.choose();
         ranking
     }
 
     /// Whether a candidate can be chosen: those that can't serve only if nobody can.
-    fn is_fit(&self, member: &Member) -> bool {
-        member.able || self.able == 0
+    fn is_eligible(&self, member: &Member) -> bool {
+        member.able || self.able_count == 0
     }
 
     /// Counts a candidate in or out.
-    fn count(&mut self, member: &Member, by: isize) {
-        let were_able = self.able > 0;
+    fn record_change(&mut self, member: &Member, by: isize) {
+        let had_able = self.able_count > 0;
         if member.able {
-            self.able = self.able.saturating_add_signed(by);
+            self.able_count = self.able_count.saturating_add_signed(by);
         }
-        if were_able != (self.able > 0) {
+        if had_able != (self.able_count > 0) {
             self.rankings.clear();
         }
         self.changes += 1;
         let changes = self.changes;
         self.rankings
-            .retain(|_, ranking| ranking.asked + UNUSED > changes);
+            .retain(|_, ranking| ranking.last_used + MAX_IDLE_CHANGES > changes);
     }
 
-    fn zone(&mut self, zone: &str) -> Rc<str> {
+    fn intern_zone(&mut self, zone: &str) -> Rc<str> {
         if let Some(known) = self.zones.get(zone) {
             return Rc::clone(known);
         }
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -14,7 +14,7 @@
 ///
 /// A queue that drains within this is a burst, and the order of arrival is fair and
 /// serves everybody in time. It is a small part of the shortest aim in use (100 ms).
-const STANDING: Duration = Duration::from_millis(30);
+const STANDING_DELAY: Duration = Duration::from_millis(30);
 
 /// Somebody who waits, and for what.
 #[derive(Debug)]
@@ -60,8 +60,8 @@
     }
 
     /// Keeps only those whom `stays` names: the others have given up.
-    pub fn retain(&mut self, stays: impl Fn(&T) -> bool) {
-        self.waiters.retain(|waiter| stays(&waiter.reply));
+    pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
+        self.waiters.retain(|waiter| keep(&waiter.reply));
     }
 
     /// Takes out who is served next, if an answer is expected to take `service`.
@@ -79,15 +79,15 @@
     /// let at = Instant::from_millis;
     /// let mut queue = Queue::default();
     /// for (since, name) in [(0, "first"), (10, "second"), (90, "third")] {
-    ///     let aim = at(since + 100);
-    ///     queue.push(Waiter { priority: 1, since: at(since), due: aim, reply: name });
+    ///     let due = at(since + 100);
+    ///     queue.push(Waiter { priority: 1, since: at(since), due, reply: name });
     /// }
     /// let service = Duration::from_millis(5);
     /// assert_eq!(queue.pop(at(98), service).unwrap().reply, "third");
     /// assert_eq!(queue.pop(at(98), service).unwrap().reply, "second");
     /// ```
     pub fn pop(&mut self, now: Instant, service: Duration) -> Option<Waiter<T>> {
-        let at = self.first(now, service, |_| true)?;
+        let at = self.select(now, service, |_| true)?;
         Some(self.waiters.remove(at))
     }
 
@@ -96,9 +96,9 @@
         &mut self,
         now: Instant,
         service: Duration,
-        fits: impl Fn(&T) -> bool,
+        matches: impl Fn(&T) -> bool,
     ) -> Option<Waiter<T>> {
-        let at = self.first(now, service, fits)?;
+        let at = self.select(now, service, matches)?;
         Some(self.waiters.remove(at))
     }
 
@@ -107,9 +107,9 @@
         &self,
         now: Instant,
         service: Duration,
-        fits: impl Fn(&T) -> bool,
+        matches: impl Fn(&T) -> bool,
     ) -> Option<&T> {
-        let at = self.first(now, service, fits)?;
+        let at = self.select(now, service, matches)?;
         Some(&self.waiters[at].reply)
     }
 
@@ -118,15 +118,20 @@
         self.waiters.iter().map(|waiter| &waiter.reply)
     }
 
-    fn first(&self, now: Instant, service: Duration, fits: impl Fn(&T) -> bool) -> Option<usize> {
+    fn select(
+        &self,
+        now: Instant,
+        service: Duration,
+        matches: impl Fn(&T) -> bool,
+    ) -> Option<usize> {
         let is_late = |waiter: &Waiter<T>| waiter.due < now + service;
-        let stands = |waiter: &Waiter<T>| waiter.since + STANDING < now;
+        let is_standing = |waiter: &Waiter<T>| waiter.since + STANDING_DELAY < now;
         let rank = |waiter: &Waiter<T>| (is_late(waiter), waiter.priority);
-        let fitting = self.waiters.iter().filter(|waiter| fits(&waiter.reply));
-        let best = fitting.map(rank).min()?;
-        let is_best = |waiter: &Waiter<T>| fits(&waiter.reply) && rank(waiter) == best;
+        let matching = self.waiters.iter().filter(|waiter| matches(&waiter.reply));
+        let best = matching.map(rank).min()?;
+        let is_best = |waiter: &Waiter<T>| matches(&waiter.reply) && rank(waiter) == best;
         let first = self.waiters.iter().position(is_best)?;
-        match stands(&self.waiters[first]) {
+        match is_standing(&self.waiters[first]) {
             true => self.waiters.iter().rposition(is_best),
             false => Some(first),
         }
--- a/crates/admit/src/relays.rs
+++ b/crates/admit/src/relays.rs
@@ -19,11 +19,11 @@
 
 /// How much time there is for each beat of an instance that nobody waits for: thirty a
 /// second, as many as nine instances send that all are needed.
-const PER_BEAT: Duration = Duration::from_millis(33);
+const PER_HEARTBEAT: Duration = Duration::from_millis(33);
 
 /// The longest interval between two beats: callers of an instance that nobody needed a
 /// moment ago and that is chosen then wait 0.2 s if it is gone, not longer.
-const LONGEST: Duration = Duration::from_secs(5);
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What names the duty of a relay, beside the names of services.
 pub const ROLE: &str = "relay";
@@ -41,7 +41,7 @@
 /// assert_eq!(chosen, ["a-1", "a-3"]);
 /// ```
 pub fn choose<'a>(candidates: &[Candidate<'a>]) -> Vec<&'a str> {
-    holders::choose(ROLE, &weighed(candidates), COUNT)
+    holders::choose(ROLE, &reweighted(candidates), COUNT)
 }
 
 /// The weight of a candidate for a relay's duty, which grows with the whole zone: a relay
@@ -51,16 +51,16 @@
     weight.saturating_mul(weight)
 }
 
-fn weighed<'a>(candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
-    let weigh = |candidate: &Candidate<'a>| Candidate {
+fn reweighted<'a>(candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
+    let reweight = |candidate: &Candidate<'a>| Candidate {
         weight: weight(candidate.weight),
         ..*candidate
     };
-    candidates.iter().map(weigh).collect()
+    candidates.iter().map(reweight).collect()
 }
 
 /// What names the duty of reading the store.
-const READER: &str = "reader";
+const READER_ROLE: &str = "reader";
 
 /// Which of all zones' relays read and watch the store; the others have its contents from
 /// them, the catalogue packed.
@@ -69,7 +69,7 @@
 /// meanwhile. Where a third of all instances read it at once, callers lost their answers,
 /// upstreams and holders seemed dead: of 370 requests 80 were answered in time.
 pub fn readers<'a>(relays: &[Candidate<'a>]) -> Vec<&'a str> {
-    holders::choose(READER, &weighed(relays), COUNT)
+    holders::choose(READER_ROLE, &reweighted(relays), COUNT)
 }
 
 /// Whether an instance waits for another's beats.
@@ -91,12 +91,12 @@
 /// assert_eq!(interval(Frequency::Infrequent, 8), Duration::from_millis(300));
 /// assert_eq!(interval(Frequency::Infrequent, 60), Duration::from_millis(1_980));
 /// ```
-pub fn interval(need: Frequency, others: usize) -> Duration {
+pub fn interval(frequency: Frequency, others: usize) -> Duration {
     let others = u32::try_from(others).unwrap_or(u32::MAX);
-    match need {
+    match frequency {
         Frequency::Frequent => FREQUENT_INTERVAL,
-        Frequency::Infrequent => PER_BEAT
+        Frequency::Infrequent => PER_HEARTBEAT
             .saturating_mul(others)
-            .clamp(FREQUENT_INTERVAL, LONGEST),
+            .clamp(FREQUENT_INTERVAL, MAX_INTERVAL),
     }
 }
--- a/crates/admit/src/shares.rs
+++ b/crates/admit/src/shares.rs
@@ -30,25 +30,25 @@
 
 /// How many keepers an account has: with one of them lost, three quarters of its quota are
 /// left, more than accounts usually ask for.
-const KEEPERS: usize = 4;
+const LIMITERS: usize = 4;
 
 /// How long a keeper may be silent until its share goes to another. One that starts again, or
 /// is cut off from whoever looks after the table, is back by then; a share that moves is used
 /// by nobody for the span, and three quarters of a quota are enough meanwhile.
-const SILENT: Duration = Duration::from_secs(8);
+const LIMITER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The smallest change that is worth writing.
-const LEAST: u16 = 25;
+const MIN_CHANGE: u16 = 25;
 
 /// The most that moves at once from keepers that are there to others: nobody uses it for the
 /// span.
-const MOVED: u16 = 250;
+const MAX_MOVING: u16 = 250;
 
 /// The part of a span by which clocks of two machines may drift apart.
-const DRIFT: u32 = 50;
+const DRIFT_DIVISOR: u32 = 50;
 
 /// What names the duty, beside the names of accounts.
-const DUTY: &str = "quota";
+const ROLE: &str = "quota";
 
 /// A keeper's share of an account's quota, in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,8 +80,8 @@
     /// The keepers of `account` that have a share.
     pub fn limiters(&self, account: &str) -> impl Iterator<Item = &str> {
         let row = self.rows.get(account).into_iter().flatten();
-        let keepers = row.filter(|(_, share)| share.parts > 0);
-        keepers.map(|(name, _)| name.as_str())
+        let limiters = row.filter(|(_, share)| share.parts > 0);
+        limiters.map(|(name, _)| name.as_str())
     }
 }
 
@@ -91,10 +91,10 @@
     /// How long a share may be used by a keeper that has not heard that it changed.
     span: Duration,
     /// When each instance was there last.
-    seen: HashMap<String, Instant>,
-    began: Instant,
+    last_seen: HashMap<String, Instant>,
+    started: Instant,
     /// Since when a share that became smaller has been seen so.
-    shrunk: HashMap<(String, String), (Share, Instant)>,
+    reduced: HashMap<(String, String), (Share, Instant)>,
 }
 
 impl Planner {
@@ -102,10 +102,10 @@
     /// has not heard that it changed.
     pub fn new(span: Duration, now: Instant) -> Self {
         Self {
-            span: span + span / DRIFT,
-            seen: HashMap::new(),
-            began: now,
-            shrunk: HashMap::new(),
+            span: span + span / DRIFT_DIVISOR,
+            last_seen: HashMap::new(),
+            started: now,
+            reduced: HashMap::new(),
         }
     }
 
@@ -122,10 +122,10 @@
     /// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
     /// let all = [one("a-1", "a"), one("b-1", "b")];
     /// let heard = ["a-1", "b-1"];
-    /// let mut ledger = Planner::new(Duration::from_secs(5), at(0));
-    /// let table = ledger.plan(&Table::default(), &["north"], &heard, &all, at(2_000)).unwrap();
+    /// let mut planner = Planner::new(Duration::from_secs(5), at(0));
+    /// let table = planner.plan(&Table::default(), &["north"], &heard, &all, at(2_000)).unwrap();
     /// assert_eq!(table.parts("north", "a-1"), 500);
-    /// assert_eq!(ledger.plan(&table, &["north"], &heard, &all, at(2_000)), None);
+    /// assert_eq!(planner.plan(&table, &["north"], &heard, &all, at(2_000)), None);
     /// ```
     pub fn plan(
         &mut self,
@@ -136,14 +136,14 @@
         now: Instant,
     ) -> Option<Table> {
         for name in heard {
-            self.seen.insert((*name).to_owned(), now);
+            self.last_seen.insert((*name).to_owned(), now);
         }
         let mut next = table.clone();
         let mut changed = false;
         for account in accounts {
             let mut row = next.rows.remove(*account).unwrap_or_default();
-            self.settle(account, &mut row, now);
-            changed |= self.divide(account, &mut row, candidates, now);
+            self.release_reserved(account, &mut row, now);
+            changed |= self.rebalance(account, &mut row, candidates, now);
             next.rows.insert((*account).to_owned(), row);
         }
         if !changed {
@@ -155,14 +155,14 @@
     }
 
     /// Frees what was reserved for long enough.
-    fn settle(&mut self, account: &str, row: &mut Row, now: Instant) {
+    fn release_reserved(&mut self, account: &str, row: &mut Row, now: Instant) {
         for (name, share) in row.iter_mut() {
             let key = (account.to_owned(), name.clone());
             if share.reserved <= share.parts {
-                self.shrunk.remove(&key);
+                self.reduced.remove(&key);
                 continue;
             }
-            let seen = self.shrunk.entry(key).or_insert((*share, now));
+            let seen = self.reduced.entry(key).or_insert((*share, now));
             if seen.0 != *share {
                 *seen = (*share, now);
             }
@@ -174,13 +174,13 @@
     }
 
     /// Whether an instance is there, or may be back in a moment.
-    fn is_there(&self, name: &str, now: Instant) -> bool {
-        let seen = self.seen.get(name).copied().unwrap_or(self.began);
-        seen + SILENT > now
+    fn is_live(&self, name: &str, now: Instant) -> bool {
+        let seen = self.last_seen.get(name).copied().unwrap_or(self.started);
+        seen + LIMITER_TIMEOUT > now
     }
 
     /// Divides an account's quota anew; whether anything changed.
-    fn divide(
+    fn rebalance(
         &self,
         account: &str,
         row: &mut Row,
@@ -189,60 +189,60 @@
     ) -> bool {
         let mut changed = false;
         for (name, share) in row.iter_mut() {
-            if share.parts > 0 && !self.is_there(name, now) {
+            if share.parts > 0 && !self.is_live(name, now) {
                 share.parts = 0;
                 changed = true;
             }
         }
-        let mut keepers: Vec<String> = row
+        let mut limiters: Vec<String> = row
             .iter()
             .filter(|(_, share)| share.parts > 0)
             .map(|(name, _)| name.clone())
             .collect();
-        let duty = format!("{DUTY} {account}");
-        for name in holders::choose(&duty, candidates, KEEPERS) {
-            if keepers.len() < KEEPERS && !keepers.iter().any(|keeper| keeper == name) {
-                keepers.push(name.to_owned());
+        let role = format!("{ROLE} {account}");
+        for name in holders::choose(&role, candidates, LIMITERS) {
+            if limiters.len() < LIMITERS && !limiters.iter().any(|limiter| limiter == name) {
+                limiters.push(name.to_owned());
             }
         }
-        let Ok(count) = u16::try_from(keepers.len()) else {
+        let Ok(count) = u16::try_from(limiters.len()) else {
             return changed;
         };
         if count == 0 {
             return changed;
         }
-        changed | level(row, &keepers, TOTAL_PARTS / count)
+        changed | equalise(row, &limiters, TOTAL_PARTS / count)
     }
 }
 
 /// What of the quota nobody may use.
-fn free(row: &Row) -> u16 {
+fn unreserved(row: &Row) -> u16 {
     let used: u16 = row.values().map(|share| share.reserved).sum();
     TOTAL_PARTS.saturating_sub(used)
 }
 
 /// Brings the shares of `keepers` to `even` each, as far as is free, and takes back what is
 /// more; whether anything changed.
-fn level(row: &mut Row, keepers: &[String], even: u16) -> bool {
+fn equalise(row: &mut Row, limiters: &[String], target: u16) -> bool {
     let mut changed = false;
-    for name in keepers {
-        let room = free(row);
+    for name in limiters {
+        let available = unreserved(row);
         let share = row.entry(name.clone()).or_default();
-        let missing = even.saturating_sub(share.parts);
-        let part = missing.min(room + share.reserved - share.parts);
-        if part >= LEAST {
-            share.parts += part;
+        let missing = target.saturating_sub(share.parts);
+        let grant = missing.min(available + share.reserved - share.parts);
+        if grant >= MIN_CHANGE {
+            share.parts += grant;
             share.reserved = share.reserved.max(share.parts);
             changed = true;
         }
     }
     let moving: u16 = row.values().map(|share| share.reserved - share.parts).sum();
-    let mut room = MOVED.saturating_sub(moving);
+    let mut available = MAX_MOVING.saturating_sub(moving);
     for share in row.values_mut() {
-        let excess = share.parts.saturating_sub(even).min(room);
-        if excess >= LEAST {
+        let excess = share.parts.saturating_sub(target).min(available);
+        if excess >= MIN_CHANGE {
             share.parts -= excess;
-            room -= excess;
+            available -= excess;
             changed = true;
         }
     }
--- a/crates/admit/tests/budget.rs
+++ b/crates/admit/tests/budget.rs
@@ -27,30 +27,30 @@
 /// Symptom: 240 refusals a second at one full upstream. Cause: every instance tries
 /// again every 25 ms, for as long as it is full.
 #[test]
-fn a_full_upstream_is_asked_seldom() {
+fn retries_at_a_full_upstream_are_bounded() {
     assert!(refusals(Duration::from_secs(2)) <= 2 * 17 + 3);
 }
 
 /// Symptom: an instance waits though a place got free. Cause: it waits longer and longer.
 #[test]
-fn the_pause_stays_short() {
+fn the_backoff_is_capped() {
     let mut budget = Budget::default();
     let now = Instant::from_millis(1_000);
     for _ in 0..100 {
         budget.record_refusal(now, 0, 1.0);
     }
-    let most = now + Duration::from_millis(120);
-    assert_eq!(budget.check(now, 0, 0, 11), Decision::Wait(most));
+    let longest = now + Duration::from_millis(120);
+    assert_eq!(budget.check(now, 0, 0, 11), Decision::Wait(longest));
     budget.record_success();
     budget.record_refusal(now, 1, 0.0);
-    let first = now + Duration::from_millis(15);
-    assert_eq!(budget.check(now, 1, 0, 11), Decision::Wait(first));
+    let shortest = now + Duration::from_millis(15);
+    assert_eq!(budget.check(now, 1, 0, 11), Decision::Wait(shortest));
 }
 
 /// Symptom: 68 connections of one instance meet an upstream that takes 22 from all.
 /// Cause: what is being opened is not counted.
 #[test]
-fn no_more_are_opened_than_the_limit() {
+fn pending_connections_count_towards_the_limit() {
     let budget = Budget::default();
     let now = Instant::from_millis(1_000);
     let mut open = 0;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_instance_is_starved_only_while_it_is_refused_its_first_connection() {
+fn an_instance_is_locked_out_only_while_its_first_connection_is_refused() {
     let mut budget = Budget::default();
     let at = Instant::from_millis;
     budget.record_refusal(at(1_000), 1, 0.0);
--- a/crates/admit/tests/holders.rs
+++ b/crates/admit/tests/holders.rs
@@ -48,21 +48,21 @@
 /// Symptom: sessions break all over the fleet when one instance dies. Cause: the holders
 /// of all databases are dealt anew.
 #[test]
-fn an_instance_that_goes_changes_only_its_own_place() {
+fn the_loss_of_an_instance_replaces_only_that_instance() {
     let fleet = fleet(58);
     let all = candidates(&fleet);
     for service in 0..50 {
         let service = format!("s{service}");
         let before = choose(&service, &all, 4);
-        for gone in 0..58 {
-            let rest: Vec<_> = all
+        for lost in 0..58 {
+            let remaining: Vec<_> = all
                 .iter()
-                .filter(|c| c.name != all[gone].name)
+                .filter(|c| c.name != all[lost].name)
                 .copied()
                 .collect();
-            let after = choose(&service, &rest, 4);
+            let after = choose(&service, &remaining, 4);
             let kept = before.iter().filter(|name| after.contains(name)).count();
-            let held = usize::from(before.contains(&all[gone].name));
+            let held = usize::from(before.contains(&all[lost].name));
             // One more may change so that two zones are there.
             assert!(kept + held + 1 >= 4, "{before:?} {after:?}");
         }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn strong_instances_hold_most() {
+fn instances_with_more_processor_hold_most_connections() {
     let fleet = fleet(58);
     let mut held: HashMap<&str, usize> = HashMap::new();
     for service in 0..400 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn nobody_is_chosen_of_nobody() {
+fn a_choice_among_none_or_one_is_limited_to_the_candidates() {
     assert!(choose("s", &[], 3).is_empty());
     let alone = [Candidate {
         name: "a",
@@ -108,7 +108,7 @@
     /// connections and 0.24 by such that took 145: at the border between them four holders
     /// became 91. One connection, slot or instance more must change little.
     #[test]
-    fn one_more_of_anything_makes_few_more_holders(
+    fn one_more_connection_slot_or_instance_adds_at_most_two_holders(
         connections in 0_usize..2_000,
         slots in 1_usize..64,
         instances in 1_usize..400,
@@ -127,7 +127,7 @@
     /// Instances sent an upstream 182 statements at once, of which it runs two and lets
     /// sixteen wait.
     #[test]
-    fn all_holders_send_a_few_times_what_runs(
+    fn all_windows_together_are_a_small_multiple_of_the_slots(
         connections in 0_usize..2_000,
         slots in 1_usize..64,
         instances in 1_usize..400,
@@ -141,7 +141,7 @@
 /// A zone of 22 instances was cut off, and all of them said that they can't serve: 75
 /// times one served sessions on a database itself (`holders: 0`), where four would hold.
 #[test]
-fn where_nobody_is_able_the_same_few_hold() {
+fn without_able_candidates_the_same_holders_are_chosen() {
     let fleet = fleet(22);
     let mut all = candidates(&fleet);
     let before = choose("s", &all, 4);
@@ -154,7 +154,7 @@
 /// Of four holders three could stand in one zone; its cut broke the sessions of callers in
 /// all zones, and most sessions crossed zones twice for each statement.
 #[test]
-fn holders_stand_in_as_many_zones_as_there_are() {
+fn holders_are_spread_evenly_over_the_zones() {
     let fleet = fleet(58);
     for service in 0..100 {
         for count in 1..=8 {
@@ -164,8 +164,11 @@
                 there.filter(|(name, ..)| chosen.contains(&&**name)).count()
             };
             let counts = ["zone-0", "zone-1", "zone-2", "zone-3"].map(zone);
-            let (least, most) = (counts.iter().min(), counts.iter().max());
-            assert!(most <= least.map(|least| least + 1).as_ref(), "{counts:?}");
+            let (fewest, most) = (counts.iter().min(), counts.iter().max());
+            assert!(
+                most <= fewest.map(|fewest| fewest + 1).as_ref(),
+                "{counts:?}"
+            );
         }
     }
 }
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const AIM: Duration = Duration::from_millis(250);
-const HOLD: Duration = Duration::from_millis(300);
+const OBJECTIVE: Duration = Duration::from_millis(250);
+const GIVE_UP_AFTER: Duration = Duration::from_millis(300);
 const SERVICE: Duration = Duration::from_millis(18);
 const SLOTS: usize = 3;
 
@@ -32,7 +32,7 @@
     }
     let mut queue: Queue<Instant> = Queue::default();
     let mut free = [Instant::ZERO; SLOTS];
-    let (mut next, mut good) = (0, 0);
+    let (mut next, mut in_time) = (0, 0);
     loop {
         let slot = (0..SLOTS).min_by_key(|slot| free[*slot]).unwrap();
         let now = match queue.is_empty() {
@@ -42,8 +42,8 @@
         };
         while next < arrivals.len() && arrivals[next] <= now {
             let since = arrivals[next];
-            let aim = match order {
-                Order::Queue => since + AIM,
+            let due = match order {
+                Order::Queue => since + OBJECTIVE,
                 // Nobody is ever late, and nobody stands: the order of arrival.
                 Order::Arrival => since + Duration::from_secs(3_600),
             };
@@ -54,20 +54,20 @@
             queue.push(Waiter {
                 priority: 1,
                 since,
-                due: aim,
+                due,
                 reply: arrivals[next],
             });
             next += 1;
         }
-        queue.retain(|since| *since + HOLD > now);
+        queue.retain(|since| *since + GIVE_UP_AFTER > now);
         let Some(waiter) = queue.pop(now, SERVICE) else {
             continue;
         };
         let span = SERVICE.mul_f64(0.5 + rng.random::<f64>());
         free[slot] = now + span;
-        good += usize::from(now + span <= waiter.reply + AIM);
+        in_time += usize::from(now + span <= waiter.reply + OBJECTIVE);
     }
-    good as f64 / arrivals.len() as f64
+    in_time as f64 / arrivals.len() as f64
 }
 
 fn mean(load: f64, order: Order) -> f64 {
@@ -79,7 +79,7 @@
 /// an upstream is asked for half as much again as it can do. Cause: in the order of
 /// arrival each waits as long as it may, and is served when it is late.
 #[test]
-fn under_overload_most_of_what_is_served_is_in_time() {
+fn under_overload_most_answers_are_in_time() {
     let (queue, arrival) = (mean(1.5, Order::Queue), mean(1.5, Order::Arrival));
     assert!(queue > 0.55, "{queue}");
     assert!(queue > arrival * 2.0, "{queue} {arrival}");
@@ -88,14 +88,14 @@
 /// Symptom: some wait for long though there is room. Cause: the newest go first where
 /// nothing is overloaded.
 #[test]
-fn without_overload_nobody_is_worse_off() {
+fn without_overload_the_queue_is_as_good_as_arrival_order() {
     let (queue, arrival) = (mean(0.7, Order::Queue), mean(0.7, Order::Arrival));
     assert!(queue >= arrival - 0.001, "{queue} {arrival}");
     assert!(queue > 0.99, "{queue}");
 }
 
 #[test]
-fn who_is_late_goes_behind_who_is_not_and_is_served_all_the_same() {
+fn late_waiters_are_served_last_whatever_their_priority() {
     let at = Instant::from_millis;
     let mut queue = Queue::default();
     for (priority, due, reply) in [(0, 50, "late"), (2, 500, "low"), (1, 500, "high")] {
--- a/crates/admit/tests/relays.rs
+++ b/crates/admit/tests/relays.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_loss_of_one_changes_one() {
+fn the_loss_of_an_instance_replaces_only_that_reader() {
     let names = names(30);
     let all = candidates(&names);
     let before = readers(&all);
@@ -37,16 +37,16 @@
         let after = readers(&left);
         assert_eq!(after.len(), COUNT);
         let kept = before.iter().filter(|name| after.contains(name)).count();
-        let was = before.contains(&lost.as_str());
+        let was_reader = before.contains(&lost.as_str());
         assert!(
-            kept + usize::from(was) >= COUNT - 1,
+            kept + usize::from(was_reader) >= COUNT - 1,
             "{lost}: {before:?} {after:?}"
         );
     }
 }
 
 #[test]
-fn who_does_not_hear_the_store_relays_only_if_nobody_does() {
+fn candidates_without_the_store_relay_only_if_none_has_it() {
     let names = names(4);
     let mut all = candidates(&names);
     for one in &mut all {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_leaves_a_reader_of_the_catalogue() {
+fn readers_are_in_different_zones() {
     let names = names(12);
     let all = candidates(&names);
     let chosen = readers(&all);
@@ -70,15 +70,12 @@
 
 /// What one instance sends a second does not grow for ever with the fleet.
 #[test]
-fn beats_that_nobody_waits_for_are_bounded() {
+fn infrequent_heartbeats_are_bounded() {
     for others in 1..600_u32 {
         let interval = interval(Frequency::Infrequent, others as usize);
         assert!(interval >= Duration::from_millis(300));
         assert!(interval <= Duration::from_secs(5));
-        let each_second = f64::from(others) / interval.as_secs_f64();
-        assert!(
-            each_second <= 31.0 || others > 150,
-            "{others}: {each_second}"
-        );
+        let per_second = f64::from(others) / interval.as_secs_f64();
+        assert!(per_second <= 31.0 || others > 150, "{others}: {per_second}");
     }
 }
--- a/crates/clock/src/timer.rs
+++ b/crates/clock/src/timer.rs
@@ -26,16 +26,16 @@
 #[derive(Debug)]
 pub struct Timer<T> {
     due: BTreeMap<(Instant, Token), T>,
-    moments: HashMap<Token, Instant>,
-    made: u64,
+    due_times: HashMap<Token, Instant>,
+    next_token: u64,
 }
 
 impl<T> Default for Timer<T> {
     fn default() -> Self {
         Self {
             due: BTreeMap::new(),
-            moments: HashMap::new(),
-            made: 0,
+            due_times: HashMap::new(),
+            next_token: 0,
         }
     }
 }
@@ -43,16 +43,16 @@
 impl<T> Timer<T> {
     /// Asks to be told `event` at `at`.
     pub fn subscribe(&mut self, at: Instant, event: T) -> Token {
-        let token = Token(self.made);
-        self.made += 1;
+        let token = Token(self.next_token);
+        self.next_token += 1;
         self.due.insert((at, token), event);
-        self.moments.insert(token, at);
+        self.due_times.insert(token, at);
         token
     }
 
     /// Takes a subscription back; `None` if it was told or cancelled before.
     pub fn cancel(&mut self, token: Token) -> Option<T> {
-        let at = self.moments.remove(&token)?;
+        let at = self.due_times.remove(&token)?;
         self.due.remove(&(at, token))
     }
 
@@ -70,7 +70,7 @@
                 break;
             }
             events.push(entry.remove());
-            self.moments.remove(&token);
+            self.due_times.remove(&token);
         }
         events
     }
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -86,23 +86,23 @@
 /// Reads the lines of any number of files.
 ///
 /// ```
-/// let read = explain::parse(["x 1 {\"at\":2.5,\"message\":\"stopped\"}\n{\"at\":3"]);
-/// assert_eq!((read.lines.len(), read.unparsed), (1, 1));
+/// let log = explain::parse(["x 1 {\"at\":2.5,\"message\":\"stopped\"}\n{\"at\":3"]);
+/// assert_eq!((log.lines.len(), log.unparsed), (1, 1));
 /// ```
 pub fn parse<'a>(texts: impl IntoIterator<Item = &'a str>) -> Log {
-    let mut read = Log::default();
+    let mut log = Log::default();
     for text in texts.into_iter().flat_map(str::lines) {
         if text.trim().is_empty() {
             continue;
         }
         match Line::parse(text) {
             Some(line) => {
-                read.dropped += line.number("left_out").unwrap_or_default();
-                read.lines.push(line);
+                log.dropped += line.number("left_out").unwrap_or_default();
+                log.lines.push(line);
             }
-            None => read.unparsed += 1,
+            None => log.unparsed += 1,
         }
     }
-    read.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
-    read
+    log.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
+    log
 }
--- a/crates/explain/src/outage.rs
+++ b/crates/explain/src/outage.rs
@@ -7,16 +7,16 @@
 
 /// For how long callers are sent to a stopping instance before the balancer has
 /// noticed, in seconds; sessions at rest are closed meanwhile.
-const NOTICED_S: f64 = 4.0;
+const DRAIN_S: f64 = 4.0;
 
 /// After how long without a word an instance counts as not heard, in seconds.
-const HEARD_S: f64 = 1.0;
+const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
 
 /// For how long callers go on trying one that is not heard, in seconds.
-const UNHEARD_S: f64 = 5.0;
+const UNREACHABLE_S: f64 = 5.0;
 
 /// Over how long broken connections are counted for one line, in seconds.
-const COUNTED_S: f64 = 0.3;
+const COUNT_WINDOW_S: f64 = 0.3;
 
 /// Reason an instance could not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     pub(crate) from: f64,
     /// When it was over.
     pub(crate) to: f64,
-    why: Reason,
+    reason: Reason,
     /// The line that shows it.
     pub(crate) line: Line,
 }
@@ -48,7 +48,7 @@
 impl fmt::Display for Outage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (name, from, to) = (&self.line.instance, self.from, self.to);
-        match self.why {
+        match self.reason {
             Reason::Exited => write!(
                 f,
                 "{name} ended without a word between {from:.3} and {to:.3}"
@@ -69,27 +69,29 @@
 }
 
 /// The gaps of all instances.
-pub(crate) fn gaps(lines: &[Line]) -> Vec<Outage> {
+pub(crate) fn outages(lines: &[Line]) -> Vec<Outage> {
     let mut last: HashMap<&str, &Line> = HashMap::new();
     let mut found = Vec::new();
     for line in lines {
         let before = last.insert(&line.instance, line);
-        found.extend(gap(line, before));
+        found.extend(outage(line, before));
     }
-    found.extend(unheard(lines));
+    found.extend(unreachable(lines));
     found
 }
 
 /// Instances that several others ceased to hear at about the same time. One that
 /// hears nobody is itself the one that is cut off, and says nothing of the others.
-fn unheard(lines: &[Line]) -> Vec<Outage> {
+fn unreachable(lines: &[Line]) -> Vec<Outage> {
     let mut found: Vec<Outage> = Vec::new();
     for line in lines.iter().filter(|it| it.message == "peers silent") {
-        let from = line.at - HEARD_S;
+        let from = line.at - HEARTBEAT_TIMEOUT_S;
         for name in line.text("names").split(' ') {
-            let same = |it: &&mut Outage| it.line.instance == name && from - it.from < UNHEARD_S;
-            if let Some(known) = found.iter_mut().find(same) {
-                if let Reason::Unreachable(by) = &mut known.why {
+            let is_same = |outage: &&mut Outage| {
+                outage.line.instance == name && from - outage.from < UNREACHABLE_S
+            };
+            if let Some(known) = found.iter_mut().find(is_same) {
+                if let Reason::Unreachable(by) = &mut known.reason {
                     *by += 1;
                 }
                 continue;
@@ -98,19 +100,19 @@
             line.instance = name.to_owned();
             found.push(Outage {
                 from,
-                to: line.at + UNHEARD_S,
-                why: Reason::Unreachable(1),
+                to: line.at + UNREACHABLE_S,
+                reason: Reason::Unreachable(1),
                 line,
             });
         }
     }
-    found.retain(|gap| matches!(gap.why, Reason::Unreachable(by) if by > 1));
+    found.retain(|outage| matches!(outage.reason, Reason::Unreachable(by) if by > 1));
     found
 }
 
 /// The gap that `line` shows, where `before` is its instance's line before it.
-fn gap(line: &Line, before: Option<&Line>) -> Option<Outage> {
-    let (why, from, to) = match line.message.as_str() {
+fn outage(line: &Line, before: Option<&Line>) -> Option<Outage> {
+    let (reason, from, to) = match line.message.as_str() {
         "started" if before.is_some_and(|it| it.message != "stopped") => {
             (Reason::Exited, before.map_or(line.at, |it| it.at), line.at)
         }
@@ -118,14 +120,14 @@
             let span = line.number("ms").unwrap_or_default() as f64 / 1_000.0;
             (Reason::Stalled, line.at - span, line.at)
         }
-        "callers lost" => (Reason::Disconnected, line.at - COUNTED_S, line.at),
-        "stopping" => (Reason::Stopping, line.at, line.at + NOTICED_S),
+        "callers lost" => (Reason::Disconnected, line.at - COUNT_WINDOW_S, line.at),
+        "stopping" => (Reason::Stopping, line.at, line.at + DRAIN_S),
         _ => return None,
     };
     Some(Outage {
         from,
         to,
-        why,
+        reason,
         line: line.clone(),
     })
 }
--- a/crates/explain/tests/story.rs
+++ b/crates/explain/tests/story.rs
@@ -25,18 +25,18 @@
 "#;
 
 #[test]
-fn a_replacement_that_is_under_way_is_the_cause_and_one_that_is_over_is_not() {
-    let read = parse([LINES]);
-    let story = diagnose(&read, "w1", None);
-    assert!(story.found);
+fn only_a_replacement_in_progress_is_named_as_the_cause() {
+    let log = parse([LINES]);
+    let diagnosis = diagnose(&log, "w1", None);
+    assert!(diagnosis.found);
     assert!(
-        story
+        diagnosis
             .cause
             .contains("a was replacing it since 35.000, for it was found gone")
     );
-    let told: Vec<_> = story.lines.iter().map(|it| &*it.message).collect();
+    let messages: Vec<_> = diagnosis.lines.iter().map(|it| &*it.message).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "stood still",
             "replacing the primary",
@@ -45,7 +45,7 @@
             "answer lost"
         ]
     );
-    let later = diagnose(&read, "w9", None).cause;
+    let later = diagnose(&log, "w9", None).cause;
     assert!(
         later.contains("b had no answer from the store for 1700 ms"),
         "{later}"
@@ -54,23 +54,23 @@
 
 #[test]
 fn an_answered_statement_leads_to_the_commit_that_failed() {
-    let story = diagnose(&parse([LINES]), "w0", None);
-    assert!(story.found);
+    let diagnosis = diagnose(&parse([LINES]), "w0", None);
+    assert!(diagnosis.found);
     assert!(
-        story
+        diagnosis
             .cause
             .starts_with("w0: commit of its transaction, w1: Busy: "),
         "{}",
-        story.cause
+        diagnosis.cause
     );
 }
 
 /// Symptom: a request has no line. Events: its instance ended, stopped or stood
 /// still. The time at which it was sent tells which.
 #[test]
-fn a_request_without_a_line_is_sought_where_nobody_could_answer() {
-    let read = parse([LINES]);
-    let cause = |at| diagnose(&read, "none", at).cause;
+fn a_request_without_a_line_is_matched_with_outages() {
+    let log = parse([LINES]);
+    let cause = |at| diagnose(&log, "none", at).cause;
     assert!(cause(Some(20.5)).contains("a was stopping from 20.000"));
     assert!(cause(Some(29.0)).contains("b stood still from 28.000 to 31.000"));
     assert!(cause(Some(43.0)).contains("b ended without a word between 41.200 and 50.000"));
@@ -84,15 +84,15 @@
     assert!(cause(Some(15.0)).contains("done within its aim"));
     assert!(cause(None).contains("stood still"));
     assert!(cause(None).contains("4 lines were left out"));
-    assert!(!diagnose(&read, "none", None).found);
+    assert!(!diagnose(&log, "none", None).found);
 }
 
 #[test]
-fn a_statement_whose_instance_stood_still_says_so() {
-    let still = diagnose(&parse([LINES]), "s1", None).cause;
+fn a_stall_during_a_statement_is_named() {
+    let cause = diagnose(&parse([LINES]), "s1", None).cause;
     assert!(
-        still.contains("b stood still for 3000 ms meanwhile"),
-        "{still}"
+        cause.contains("b stood still for 3000 ms meanwhile"),
+        "{cause}"
     );
     assert!(
         !diagnose(&parse([LINES]), "w1", None)
@@ -103,7 +103,7 @@
 
 /// What was done late says what it met before.
 #[test]
-fn a_slow_statement_names_its_tries() {
+fn a_slow_statement_names_its_failed_attempts() {
     let slow = diagnose(&parse([LINES]), "r4", None).cause;
     let expected =
         "later than its aim: an upstream refused it 6 times before, a connection broke 1";
@@ -112,19 +112,19 @@
 
 /// That the answer was lost is said where nothing else is known.
 #[test]
-fn a_lost_answer_is_the_cause_only_of_what_was_done_well() {
-    let read = parse([LINES]);
-    let lost = diagnose(&read, "r3", None).cause;
+fn a_lost_answer_is_the_cause_only_without_another() {
+    let log = parse([LINES]);
+    let lost = diagnose(&log, "r3", None).cause;
     assert!(
         lost.contains("a answered, but the caller's connection broke"),
         "{lost}"
     );
-    assert!(diagnose(&read, "w1", None).cause.contains("replacing"));
+    assert!(diagnose(&log, "w1", None).cause.contains("replacing"));
 }
 
 /// Cut lines, words of a collector and lines of others take nothing from the rest.
 #[test]
-fn cut_and_mixed_files_are_read() {
+fn truncated_and_mixed_files_are_parsed() {
     let mut reversed: Vec<_> = LINES.lines().rev().collect();
     reversed.push("{\"at\":36.5,\"instance\":\"b\",\"mess");
     reversed.push("panicked at nothing");
@@ -151,7 +151,7 @@
 "#;
 
 #[test]
-fn a_full_upstream_is_named_with_what_this_instance_had_there() {
+fn a_full_upstream_is_named_with_the_instances_own_connections() {
     let cause = diagnose(&parse([FULL]), "f1", None).cause;
     assert!(
         cause.contains("u1 took no more at 10.000, with 0 of this instance's connections open"),
--- a/crates/lead/src/floor.rs
+++ b/crates/lead/src/floor.rs
@@ -6,7 +6,7 @@
 use model::{Position, Term};
 
 /// Samples closer than this to the one before tell nothing new.
-const GAP: Duration = Duration::from_millis(50);
+const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Positions of a proved primary, each with the moment its question was sent.
 ///
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub struct Samples {
     term: Term,
-    sent: VecDeque<(Instant, Position)>,
+    samples: VecDeque<(Instant, Position)>,
 }
 
 impl Samples {
@@ -30,16 +30,16 @@
         }
         if term > self.term {
             self.term = term;
-            self.sent.clear();
+            self.samples.clear();
         }
         let oldest = sent - keep;
-        while self.sent.front().is_some_and(|(at, _)| *at < oldest) {
-            self.sent.pop_front();
+        while self.samples.front().is_some_and(|(at, _)| *at < oldest) {
+            self.samples.pop_front();
         }
-        let newest = self.sent.back().copied();
+        let newest = self.samples.back().copied();
         match newest {
-            Some((at, _)) if sent < at + GAP => {}
-            _ => self.sent.push_back((sent, position)),
+            Some((at, _)) if sent < at + MIN_INTERVAL => {}
+            _ => self.samples.push_back((sent, position)),
         }
     }
 
@@ -48,7 +48,7 @@
     /// `None` if no sample is young enough to tell.
     pub fn floor(&self, now: Instant, age: Duration) -> Option<Position> {
         let oldest = now - age;
-        let fresh = self.sent.iter().find(|(at, _)| *at >= oldest);
+        let fresh = self.samples.iter().find(|(at, _)| *at >= oldest);
         fresh.map(|(_, position)| *position)
     }
 }
--- a/crates/lead/src/freshness.rs
+++ b/crates/lead/src/freshness.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The part of a span by which clocks of two machines may drift apart.
-const DRIFT: u32 = 50;
+const DRIFT_DIVISOR: u32 = 50;
 
 /// How far the store, or an instance, is with what the operators and all instances agreed on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,8 +37,8 @@
 /// The proof that nothing newer than what is in force was in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
-    since: Option<Instant>,
-    ahead: Option<(Watermark, Instant)>,
+    proved_at: Option<Instant>,
+    pending: Option<(Watermark, Instant)>,
 }
 
 impl Freshness {
@@ -51,52 +51,52 @@
     /// use lead::freshness::{Freshness, Watermark};
     ///
     /// let at = Instant::from_millis;
-    /// let mark = |catalog| Watermark { catalog, shares: 0 };
+    /// let watermark = |catalog| Watermark { catalog, shares: 0 };
     /// let span = Duration::from_millis(5_000);
     /// let mut freshness = Freshness::default();
-    /// freshness.update(mark(7), at(100), mark(7));
+    /// freshness.update(watermark(7), at(100), watermark(7));
     /// assert!(freshness.covers(at(4_900), span));
     /// assert!(!freshness.covers(at(5_100), span));
     ///
     /// // What is not in force here proves nothing until it is.
-    /// freshness.update(mark(8), at(2_000), mark(7));
+    /// freshness.update(watermark(8), at(2_000), watermark(7));
     /// assert!(!freshness.covers(at(5_100), span));
-    /// freshness.advance(mark(8));
+    /// freshness.advance(watermark(8));
     /// assert!(freshness.covers(at(5_100), span));
     /// ```
     pub fn update(&mut self, newest: Watermark, since: Instant, have: Watermark) {
         if have.reaches(newest) {
-            self.since = self.since.max(Some(since));
-        } else if self.ahead.is_none_or(|(_, then)| then < since) {
-            self.ahead = Some((newest, since));
+            self.proved_at = self.proved_at.max(Some(since));
+        } else if self.pending.is_none_or(|(_, earlier)| earlier < since) {
+            self.pending = Some((newest, since));
         }
     }
 
     /// Takes in that this instance has `have` from now on.
     pub fn advance(&mut self, have: Watermark) {
-        if let Some((newest, since)) = self.ahead
+        if let Some((newest, since)) = self.pending
             && have.reaches(newest)
         {
-            self.since = self.since.max(Some(since));
-            self.ahead = None;
+            self.proved_at = self.proved_at.max(Some(since));
+            self.pending = None;
         }
     }
 
     /// What it waits for: something that the store has and this instance has not.
     pub fn pending(&self) -> Option<Watermark> {
-        self.ahead.map(|(newest, _)| newest)
+        self.pending.map(|(newest, _)| newest)
     }
 
     /// How old the proof is at `now`.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.since.map(|since| now.since(since))
+        self.proved_at.map(|since| now.since(since))
     }
 
     /// Whether a request that came at `moment` may be served, if a key may be served for
     /// `span` after it was taken away.
     pub fn covers(&self, moment: Instant, span: Duration) -> bool {
-        let span = span - span / DRIFT;
-        self.since.is_some_and(|since| moment < since + span)
+        let span = span - span / DRIFT_DIVISOR;
+        self.proved_at.is_some_and(|since| moment < since + span)
     }
 }
 
--- a/crates/lead/src/proof.rs
+++ b/crates/lead/src/proof.rs
@@ -13,7 +13,7 @@
 use clock::Instant;
 
 /// The part of a span by which clocks of two machines may drift apart.
-const DRIFT: u32 = 50;
+const DRIFT_DIVISOR: u32 = 50;
 
 /// The proof that a primary has not been replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -57,5 +57,5 @@
 ///
 /// `announced` must be a moment after the store acknowledged the announcement.
 pub fn all_expired_at(announced: Instant, span: Duration) -> Instant {
-    announced + span + span / DRIFT
+    announced + span + span / DRIFT_DIVISOR
 }
--- a/crates/lead/src/quorum.rs
+++ b/crates/lead/src/quorum.rs
@@ -23,6 +23,6 @@
 /// assert!(prevents_majority(2, 3));
 /// assert!(!prevents_majority(1, 2));
 /// ```
-pub fn prevents_majority(told: usize, replicas: usize) -> bool {
-    replicas.saturating_sub(told) < needed(replicas)
+pub fn prevents_majority(fenced: usize, replicas: usize) -> bool {
+    replicas.saturating_sub(fenced) < needed(replicas)
 }
--- a/crates/lead/src/vote.rs
+++ b/crates/lead/src/vote.rs
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a primary must fail before those who see it fail may outvote silence.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const MAJORITY_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// How long a third of the instances must be without the primary.
-const ENDURED: Duration = Duration::from_millis(1_000);
+const MINORITY_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// How long a primary must refuse everybody until it is replaced.
-const SHUT: Duration = Duration::from_millis(2_200);
+const REFUSING_PERIOD: Duration = Duration::from_millis(2_200);
 
 /// How lately the store must have answered whoever judges a primary.
-const STORED: Duration = Duration::from_millis(700);
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(700);
 
 /// How long the store must have answered it again. An instance that was cut off reaches the
 /// upstreams no sooner than the store: a zone that is back would else replace the primaries
 /// of all groups that it holds.
-const BACK: Duration = Duration::from_millis(700);
+const MIN_STORE_CONTACT: Duration = Duration::from_millis(700);
 
 /// Whether an instance may judge primaries at `now`: the store, which answered it last at
 /// `stored`, has done so without a gap since `since`.
@@ -35,7 +35,7 @@
 /// assert!(!is_eligible(at(9_000), at(8_900), at(8_800)), "back a moment ago");
 /// ```
 pub fn is_eligible(now: Instant, stored: Instant, since: Instant) -> bool {
-    stored + STORED >= now && since + BACK <= now
+    stored + MAX_STORE_SILENCE >= now && since + MIN_STORE_CONTACT <= now
 }
 
 /// What one instance sees of a primary.
@@ -97,8 +97,8 @@
     /// assert!(!used.is_refusing_all(6, Duration::from_secs(10)));
     /// ```
     pub fn is_refusing_all(&self, known: usize, full_for: Duration) -> bool {
-        let whole = self.heard() * 2 >= known;
-        self.full > 0 && self.fine == 0 && whole && full_for >= SHUT
+        let has_quorum = self.heard() * 2 >= known;
+        self.full > 0 && self.fine == 0 && has_quorum && full_for >= REFUSING_PERIOD
     }
 
     /// Whether the primary is to be replaced, after failing here for `failing_for`.
@@ -114,16 +114,16 @@
     /// use std::time::Duration;
     /// let tally = lead::Tally { fine: 1, failing: 3, unknown: 1, full: 0 };
     /// assert!(tally.is_failed(9, Duration::from_millis(300)));
-    /// let blind = lead::Tally { fine: 7, failing: 2, ..lead::Tally::default() };
-    /// assert!(!blind.is_failed(9, Duration::from_secs(10)));
+    /// let partitioned = lead::Tally { fine: 7, failing: 2, ..lead::Tally::default() };
+    /// assert!(!partitioned.is_failed(9, Duration::from_secs(10)));
     /// ```
     pub fn is_failed(&self, known: usize, failing_for: Duration) -> bool {
         let heard = self.heard();
-        let judges = self.fine + self.failing;
+        let voters = self.fine + self.failing;
         if self.failing > self.fine {
-            return heard * 2 >= known || failing_for >= PATIENCE;
+            return heard * 2 >= known || failing_for >= MAJORITY_PERIOD;
         }
-        let third = self.failing >= 2 && self.failing * 3 >= judges;
-        third && heard * 2 >= known && failing_for >= ENDURED
+        let is_third_failing = self.failing >= 2 && self.failing * 3 >= voters;
+        is_third_failing && heard * 2 >= known && failing_for >= MINORITY_PERIOD
     }
 }
--- a/crates/lead/tests/floor.rs
+++ b/crates/lead/tests/floor.rs
@@ -14,7 +14,7 @@
     /// Events: samples and reads at any moments. The primary commits one position a
     /// millisecond, so the position acknowledged at a moment is the moment itself.
     #[test]
-    fn a_floor_is_never_older_than_the_age(
+    fn a_floor_is_not_older_than_the_age(
         mut sent in prop::collection::vec(0..10_000u64, 1..50),
         delay in 0..500u64,
         now in 0..12_000u64,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn without_a_young_sample_there_is_no_floor() {
+fn without_a_recent_sample_there_is_no_floor() {
     let mut samples = Samples::default();
     samples.record(
         Term(1),
@@ -73,9 +73,9 @@
 /// mix --seed 1032084016823, LOST of the own day 405). Events: the replica with the
 /// furthest log is about to leave, the other one is deaf.
 #[test]
-fn the_furthest_log_is_promoted_and_among_equals_one_that_stays() {
-    let (deaf, leaving) = (candidate("a", 325, true), candidate("b", 330, false));
-    assert_eq!(choose::best(&[deaf, leaving]), Some("b"));
+fn the_furthest_log_is_promoted_and_a_staying_replica_among_equals() {
+    let (behind, leaving) = (candidate("a", 325, true), candidate("b", 330, false));
+    assert_eq!(choose::best(&[behind, leaving]), Some("b"));
     let (stays, leaves) = (candidate("z", 330, true), candidate("b", 330, false));
     assert_eq!(choose::best(&[stays, leaves]), Some("z"));
     assert_eq!(choose::best(&[]), None);
--- a/crates/lead/tests/freshness.rs
+++ b/crates/lead/tests/freshness.rs
@@ -23,13 +23,13 @@
 
 /// How the proof's beginning is taken, so that the check is seen to fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Count {
+enum Start {
     /// From the own question, less the age that was told.
-    FromQuestion,
+    Question,
     /// From the moment of the answer.
-    FromAnswer,
+    Answer,
     /// From the own question, whatever age was told.
-    Ageless,
+    QuestionWithoutAge,
 }
 
 /// A question on its way, at the stage that it has reached.
@@ -37,7 +37,7 @@
 enum Stage {
     Asked,
     /// What was told, and how old it was then.
-    Told(Watermark, Duration),
+    Answered(Watermark, Duration),
 }
 
 #[derive(Clone, Copy)]
@@ -56,45 +56,45 @@
     freshness: Freshness,
     catalog: u64,
     /// Until when it stands still.
-    still: u64,
+    stalled_until: u64,
 }
 
 fn at(ms: u64) -> Instant {
     Instant::from_millis(ms + 10_000)
 }
 
-fn mark(catalog: u64) -> Watermark {
+fn watermark(catalog: u64) -> Watermark {
     Watermark { catalog, shares: 0 }
 }
 
 /// Plays a day; how many requests were served, and how many of them with a key that had been
 /// taken away for longer than it may be served.
-fn play(seed: u64, count: Count) -> (u64, u64) {
+fn simulate(seed: u64, start: Start) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // Version v took key v away at this moment.
-    let mut taken: Vec<u64> = vec![0];
+    let mut revoked: Vec<u64> = vec![0];
     let mut instances = [Instance::default(); INSTANCES];
     let mut questions: Vec<Question> = Vec::new();
     let (mut served, mut late) = (0, 0);
     for now in 0..STEPS {
         if rng.random_ratio(1, 400) {
-            taken.push(now);
+            revoked.push(now);
         }
-        let newest = taken.len() as u64 - 1;
-        for one in &mut instances {
+        let newest = revoked.len() as u64 - 1;
+        for instance in &mut instances {
             if rng.random_ratio(1, 900) {
-                one.still = now + rng.random_range(1..1_500);
+                instance.stalled_until = now + rng.random_range(1..1_500);
             }
             // The catalogue itself comes by another way, or for a while not at all.
-            if one.still <= now && rng.random_ratio(1, 60) {
-                one.catalog = one
+            if instance.stalled_until <= now && rng.random_ratio(1, 60) {
+                instance.catalog = instance
                     .catalog
                     .max(newest.saturating_sub(rng.random_range(0..2)));
-                one.freshness.advance(mark(one.catalog));
+                instance.freshness.advance(watermark(instance.catalog));
             }
         }
-        for (asker, one) in instances.iter().enumerate() {
-            if one.still > now || !rng.random_ratio(1, 50) {
+        for (asker, instance) in instances.iter().enumerate() {
+            if instance.stalled_until > now || !rng.random_ratio(1, 50) {
                 continue;
             }
             let asked = match asker {
@@ -112,64 +112,70 @@
             });
         }
         for question in &mut questions {
-            let busy = |who: usize| instances[who].still > now;
-            if question.next > now || question.asked.is_some_and(busy) {
+            let is_stalled = |index: usize| instances[index].stalled_until > now;
+            if question.next > now || question.asked.is_some_and(is_stalled) {
                 continue;
             }
             match question.stage {
                 Stage::Asked => {
-                    let told = match question.asked {
+                    let answer = match question.asked {
                         // It turns a third away.
                         None if rng.random_ratio(1, 3) => None,
-                        None => Some((mark(newest), Duration::ZERO)),
+                        None => Some((watermark(newest), Duration::ZERO)),
                         Some(other) => {
                             let other = instances[other];
                             let age = other.freshness.age(at(now));
-                            age.map(|age| (mark(other.catalog), age))
+                            age.map(|age| (watermark(other.catalog), age))
                         }
                     };
-                    let Some((newest, age)) = told else {
+                    let Some((newest, age)) = answer else {
                         question.next = u64::MAX;
                         continue;
                     };
-                    question.stage = Stage::Told(newest, age);
+                    question.stage = Stage::Answered(newest, age);
                     // Whoever tells may stand still between the answer and its sending.
                     question.next = now + rng.random_range(1..60);
                 }
-                Stage::Told(newest, age) => {
-                    if busy(question.asker) {
+                Stage::Answered(newest, age) => {
+                    if is_stalled(question.asker) {
                         continue;
                     }
-                    let one = &mut instances[question.asker];
-                    let since = match count {
-                        Count::FromQuestion => valid_from(at(question.at), age),
-                        Count::FromAnswer => valid_from(at(now), age),
-                        Count::Ageless => at(question.at),
+                    let instance = &mut instances[question.asker];
+                    let since = match start {
+                        Start::Question => valid_from(at(question.at), age),
+                        Start::Answer => valid_from(at(now), age),
+                        Start::QuestionWithoutAge => at(question.at),
                     };
-                    one.freshness.update(newest, since, mark(one.catalog));
+                    instance
+                        .freshness
+                        .update(newest, since, watermark(instance.catalog));
                     question.next = u64::MAX;
                 }
             }
         }
         questions.retain(|question| question.next != u64::MAX);
-        for one in instances.iter().filter(|one| one.still <= now) {
-            if !one.freshness.covers(at(now), SPAN) {
+        for instance in instances
+            .iter()
+            .filter(|instance| instance.stalled_until <= now)
+        {
+            if !instance.freshness.covers(at(now), SPAN) {
                 continue;
             }
             served += 1;
             // All keys that the next versions took away are still in force here.
-            let mut unknown = taken.iter().skip(one.catalog as usize + 1);
-            late += u64::from(unknown.any(|then| then + (SPAN.as_millis() as u64) < now));
+            let mut unknown = revoked.iter().skip(instance.catalog as usize + 1);
+            late +=
+                u64::from(unknown.any(|revoked_at| revoked_at + (SPAN.as_millis() as u64) < now));
         }
     }
     (served, late)
 }
 
 #[test]
-fn no_key_is_served_for_longer_than_it_may_be() {
+fn no_revoked_key_is_served_beyond_the_span() {
     let mut all = 0;
     for seed in 0..SEEDS {
-        let (served, late) = play(seed, Count::FromQuestion);
+        let (served, late) = simulate(seed, Start::Question);
         assert_eq!(late, 0, "seed {seed}");
         all += served;
     }
@@ -179,14 +185,14 @@
 /// The check fails where a proof is valid_from from the answer: a question that was long on its
 /// way, or an instance that stood still, makes it younger than it is.
 #[test]
-fn a_proof_that_counts_from_its_answer_serves_keys_too_long() {
-    let late = (0..SEEDS).map(|seed| play(seed, Count::FromAnswer).1);
+fn a_proof_counted_from_its_answer_serves_keys_too_long() {
+    let late = (0..SEEDS).map(|seed| simulate(seed, Start::Answer).1);
     assert!(late.sum::<u64>() > 0);
 }
 
 /// The check fails where a relay's own age is left out.
 #[test]
-fn a_proof_that_is_passed_on_without_its_age_serves_keys_too_long() {
-    let late = (0..SEEDS).map(|seed| play(seed, Count::Ageless).1);
+fn a_relayed_proof_without_its_age_serves_keys_too_long() {
+    let late = (0..SEEDS).map(|seed| simulate(seed, Start::QuestionWithoutAge).1);
     assert!(late.sum::<u64>() > 0);
 }
--- a/crates/lead/tests/proof.rs
+++ b/crates/lead/tests/proof.rs
@@ -13,14 +13,14 @@
 #[derive(Debug, Clone, Copy)]
 struct Question {
     sent: u64,
-    looked: u64,
+    read_at: u64,
     answered: u64,
 }
 
 fn question() -> impl Strategy<Value = Question> {
     (0..5_000u64, 0..2_000u64, 0..4_000u64).prop_map(|(sent, there, back)| Question {
         sent,
-        looked: sent + there,
+        read_at: sent + there,
         answered: sent + there + back,
     })
 }
@@ -30,14 +30,14 @@
     /// and instances that stand still between an answer and its use. Cause: a proof
     /// that outlives the wait of whoever replaces.
     #[test]
-    fn no_proof_outlives_the_wait(
+    fn no_proof_outlives_the_wait_before_a_promotion(
         questions in prop::collection::vec(question(), 1..20),
         announced in 0..8_000u64,
         used in 0..20_000u64,
     ) {
         let mut proof = Proof::default();
         // The store shows the replacement to whoever looks behind its announcement.
-        for question in questions.iter().filter(|q| q.looked < announced && q.answered <= used) {
+        for question in questions.iter().filter(|q| q.read_at < announced && q.answered <= used) {
             proof.extend(Instant::from_millis(question.sent), SPAN);
         }
         let promoted = all_expired_at(Instant::from_millis(announced), SPAN);
@@ -49,7 +49,7 @@
     /// The same with a proof that counts from its answer, which is wrong: it must
     /// be found out, or the test above could not fail.
     #[test]
-    fn a_proof_that_counts_from_the_answer_is_found_out(late in 700..4_000u64) {
+    fn a_proof_counted_from_the_answer_outlives_the_wait(late in 700..4_000u64) {
         let mut proof = Proof::default();
         let (announced, answered) = (1_000, 1_000 + late);
         proof.extend(Instant::from_millis(answered), SPAN);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_voided_proof_covers_nothing() {
+fn an_invalidated_proof_covers_nothing() {
     let mut proof = Proof::default();
     proof.extend(Instant::from_millis(100), SPAN);
     assert!(proof.covers(Instant::from_millis(150)));
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -34,60 +34,60 @@
 const BURST: f64 = 300.0;
 
 /// The longest line: what a pipe that takes anything takes at once.
-const LONGEST: usize = 4_096;
+const MAX_LINE: usize = 4_096;
 
 /// Appender left out since the start of the process.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// How many lines were left out since the start of the process.
 pub fn dropped() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED.load(Ordering::Relaxed)
 }
 
 /// The instance whose process this is.
-static NAME: OnceLock<String> = OnceLock::new();
+static INSTANCE: OnceLock<String> = OnceLock::new();
 
 /// Has every line from now on say which instance writes it. Lines of several
 /// instances end up in one place, where nothing else tells them apart. The first
 /// name stays.
 pub fn set_instance(instance: &str) {
-    let _ = NAME.set(instance.to_owned());
+    let _ = INSTANCE.set(instance.to_owned());
 }
 
 #[derive(Debug)]
 struct State<W> {
     out: W,
     tokens: f64,
-    at: Instant,
-    missing: u64,
+    refilled_at: Instant,
+    dropped: u64,
 }
 
 /// Writes records as JSON lines, as many as the output and the rate take.
 #[derive(Debug)]
 pub struct Appender<W> {
-    own: &'static [&'static str],
+    crates: &'static [&'static str],
     state: Mutex<State<W>>,
 }
 
 impl<W: Write + AsFd> Appender<W> {
     /// Writes to `out` what the crates named in `own` say, and warnings of all
     /// others.
-    pub fn new(out: W, own: &'static [&'static str]) -> Self {
+    pub fn new(out: W, crates: &'static [&'static str]) -> Self {
         let state = State {
             out,
             tokens: BURST,
-            at: Instant::now(),
-            missing: 0,
+            refilled_at: Instant::now(),
+            dropped: 0,
         };
         Self {
-            own,
+            crates,
             state: Mutex::new(state),
         }
     }
 
-    fn wants(&self, record: &Record) -> bool {
-        let of = record.target().split("::").next().unwrap_or_default();
-        self.own.contains(&of)
+    fn accepts(&self, record: &Record) -> bool {
+        let name = record.target().split("::").next().unwrap_or_default();
+        self.crates.contains(&name)
             || matches!(record.level(), Level::Warn | Level::Error | Level::Fatal)
     }
 }
@@ -103,12 +103,12 @@
     }
 }
 
-fn line(record: &Record, missing: u64) -> Result<Vec<u8>, Error> {
-    let since = record.time().duration_since(SystemTime::UNIX_EPOCH);
+fn encode(record: &Record, dropped: u64) -> Result<Vec<u8>, Error> {
+    let since_epoch = record.time().duration_since(SystemTime::UNIX_EPOCH);
     let mut fields = Fields(Map::new());
-    let at = since.unwrap_or_default().as_secs_f64();
+    let at = since_epoch.unwrap_or_default().as_secs_f64();
     fields.0.insert("at".to_owned(), json!(at));
-    if let Some(name) = NAME.get() {
+    if let Some(name) = INSTANCE.get() {
         fields.0.insert("instance".to_owned(), json!(name));
     }
     fields
@@ -118,8 +118,8 @@
     fields
         .0
         .insert("message".to_owned(), json!(record.payload()));
-    if missing > 0 {
-        fields.0.insert("left_out".to_owned(), json!(missing));
+    if dropped > 0 {
+        fields.0.insert("left_out".to_owned(), json!(dropped));
     }
     record.key_values().visit(&mut fields)?;
     let mut line = serde_json::to_vec(&fields.0).unwrap_or_default();
@@ -127,13 +127,13 @@
     Ok(line)
 }
 
-fn takes<W: AsFd>(out: &W) -> bool {
+fn is_writable<W: AsFd>(out: &W) -> bool {
     let mut polled = [PollFd::new(out, PollFlags::OUT)];
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    match poll(&mut polled, Some(&at_once)) {
+    match poll(&mut polled, Some(&no_wait)) {
         Ok(ready) => ready > 0 && polled[0].revents().contains(PollFlags::OUT),
         Err(Errno::INTR) | Err(_) => false,
     }
@@ -141,23 +141,23 @@
 
 impl<W: Write + AsFd + Debug + Send + 'static> Append for Appender<W> {
     fn append(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if !self.wants(record) {
+        if !self.accepts(record) {
             return Ok(());
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let spent = now.saturating_duration_since(state.at);
-        state.at = now;
-        state.tokens = (state.tokens + spent.as_secs_f64() * RATE).min(BURST);
-        let line = line(record, state.missing)?;
-        if state.tokens < 1.0 || line.len() > LONGEST || !takes(&state.out) {
-            state.missing += 1;
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        let elapsed = now.saturating_duration_since(state.refilled_at);
+        state.refilled_at = now;
+        state.tokens = (state.tokens + elapsed.as_secs_f64() * RATE).min(BURST);
+        let line = encode(record, state.dropped)?;
+        if state.tokens < 1.0 || line.len() > MAX_LINE || !is_writable(&state.out) {
+            state.dropped += 1;
+            DROPPED.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         state.tokens -= 1.0;
         if state.out.write_all(&line).is_ok() {
-            state.missing = 0;
+            state.dropped = 0;
         }
         Ok(())
     }
--- a/crates/logs/tests/lines.rs
+++ b/crates/logs/tests/lines.rs
@@ -8,7 +8,7 @@
 };
 use logs::Appender;
 
-const OWN: &[&str] = &["proxy"];
+const CRATES: &[&str] = &["proxy"];
 
 fn record(target: &'static str, level: Level) -> Record<'static> {
     Record::builder()
@@ -21,33 +21,33 @@
 /// Symptom: an instance serves nobody any more. Events: whoever reads its output
 /// stops, and the pipe fills up. Cause: a line that is written waits for room.
 #[test]
-fn a_reader_that_never_reads_holds_nothing_up() {
+fn a_full_pipe_does_not_block() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Appender::new(writer, OWN);
+    let appender = Appender::new(writer, CRATES);
     let before = logs::dropped();
     // Far more than a pipe holds; would one block, this would never end.
     for _ in 0..100_000 {
-        lines
+        appender
             .append(&record("proxy::session", Level::Info), &[])
             .unwrap();
     }
     assert!(logs::dropped() > before + 50_000);
     drop(reader);
-    lines
+    appender
         .append(&record("proxy::session", Level::Info), &[])
         .unwrap();
 }
 
 #[test]
-fn the_rate_is_bounded_and_what_is_missing_is_told() {
+fn the_rate_is_bounded() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Appender::new(writer, OWN);
+    let appender = Appender::new(writer, CRATES);
     for _ in 0..5_000 {
-        lines
+        appender
             .append(&record("proxy::session", Level::Info), &[])
             .unwrap();
     }
-    drop(lines);
+    drop(appender);
     let written: Vec<String> = BufReader::new(reader).lines().map(Result::unwrap).collect();
     assert!(written.len() < 1_000, "{}", written.len());
     for line in &written {
@@ -57,19 +57,19 @@
 }
 
 #[test]
-fn libraries_log_from_warnings_on() {
+fn libraries_log_warnings_only() {
     let (reader, writer) = pipe().unwrap();
-    let lines = Appender::new(writer, OWN);
-    lines
+    let appender = Appender::new(writer, CRATES);
+    appender
         .append(&record("hyper::proto", Level::Info), &[])
         .unwrap();
-    lines
+    appender
         .append(&record("hyper::proto", Level::Warn), &[])
         .unwrap();
-    lines
+    appender
         .append(&record("proxy::run", Level::Info), &[])
         .unwrap();
-    drop(lines);
+    drop(appender);
     let written: Vec<String> = BufReader::new(reader).lines().map(Result::unwrap).collect();
     assert_eq!(written.len(), 2);
     assert!(written.iter().all(|line| !line.contains(".rs")));
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -21,7 +21,7 @@
     Character(char),
 }
 
-fn checked(text: &str) -> Result<Arc<str>, Error> {
+fn validate(text: &str) -> Result<Arc<str>, Error> {
     if text.is_empty() {
         return Err(Error::Empty);
     }
@@ -48,7 +48,7 @@
             ///
             /// [`Error`] tells what in `text` is not allowed in a name.
             pub fn new(text: &str) -> Result<Self, Error> {
-                checked(text).map(Self)
+                validate(text).map(Self)
             }
 
             /// The name as text.
--- a/crates/store/src/json.rs
+++ b/crates/store/src/json.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn text(bytes: impl AsRef<[u8]>) -> String {
+fn encode(bytes: impl AsRef<[u8]>) -> String {
     STANDARD.encode(bytes)
 }
 
@@ -38,19 +38,19 @@
 }
 
 /// The body that asks for all keys under `prefix`.
-fn prefixed(prefix: &str) -> Value {
-    json!({ "key": text(prefix), "range_end": text(range_end(prefix)) })
+fn prefix_range(prefix: &str) -> Value {
+    json!({ "key": encode(prefix), "range_end": encode(range_end(prefix)) })
 }
 
 /// The body that asks for all keys from `from` up to `to`.
 fn span(from: &str, to: &str) -> Value {
-    json!({ "key": text(from), "range_end": text(to) })
+    json!({ "key": encode(from), "range_end": encode(to) })
 }
 
 /// The body of a call.
 pub(crate) fn body(call: &Call) -> Value {
     match call {
-        Call::Range { prefix } => prefixed(prefix),
+        Call::Range { prefix } => prefix_range(prefix),
         Call::Span { from, to } => span(from, to),
         Call::Txn {
             compares,
@@ -65,7 +65,7 @@
 fn txn(compares: &[Compare], puts: &[Put], deletes: &[String]) -> Value {
     let compare = |it: &Compare| {
         json!({
-            "key": text(&it.key),
+            "key": encode(&it.key),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": it.revision.to_string(),
@@ -73,10 +73,10 @@
     };
     let put = |it: &Put| {
         let lease = it.lease.unwrap_or(0).to_string();
-        json!({ "request_put": { "key": text(&it.key), "value": text(&it.value), "lease": lease } })
+        json!({ "request_put": { "key": encode(&it.key), "value": encode(&it.value), "lease": lease } })
     };
-    let delete = |it: &String| json!({ "request_delete_range": { "key": text(it) } });
-    let read = |it: &Compare| json!({ "request_range": { "key": text(&it.key) } });
+    let delete = |it: &String| json!({ "request_delete_range": { "key": encode(it) } });
+    let read = |it: &Compare| json!({ "request_range": { "key": encode(&it.key) } });
     json!({
         "compare": compares.iter().map(compare).collect::<Vec<_>>(),
         "success": puts.iter().map(put).chain(deletes.iter().map(delete)).collect::<Vec<_>>(),
--- a/crates/store/src/json/tests.rs
+++ b/crates/store/src/json/tests.rs
@@ -82,7 +82,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn answers_are_read_or_refused(value in value()) {
+    fn answers_parse_or_fail(value in value()) {
         let text = value.to_string().len();
         for call in calls() {
             match answer(&call, &value) {
@@ -92,8 +92,8 @@
                 }
                 Ok(_) => {}
                 Err(fault) => {
-                    let malformed = matches!(fault, Fault::Malformed { .. });
-                    prop_assert!(malformed, "{fault:?}");
+                    let is_malformed = matches!(fault, Fault::Malformed { .. });
+                    prop_assert!(is_malformed, "{fault:?}");
                 }
             }
         }
@@ -101,7 +101,7 @@
     }
 
     #[test]
-    fn a_watch_s_lines_are_read_or_refused(value in value()) {
+    fn watch_lines_parse_or_fail(value in value()) {
         if let Ok((events, _)) = events(&value) {
             let keys = events.iter().map(|event| match event {
                 Event::Put(pair) => pair.key.len() + pair.value.len(),
@@ -112,7 +112,7 @@
     }
 
     #[test]
-    fn arbitrary_text_is_no_answer(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn arbitrary_json_is_no_answer(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         if let Ok(value) = serde_json::from_slice::<Value>(&bytes) {
             prop_assert!(answer(&calls()[0], &value).is_err());
         }
--- a/crates/store/tests/fault.rs
+++ b/crates/store/tests/fault.rs
@@ -13,7 +13,7 @@
 /// new leader then committed it. Cause: every refusal counted as proof that
 /// the call had not run.
 #[test]
-fn a_refusal_proves_nothing_unless_its_code_does() {
+fn only_some_codes_prove_that_a_call_did_not_run() {
     let proofs = [3, 5, 7, 8, 9, 11, 12, 16];
     for code in 0..=17 {
         let proved = proofs.contains(&code);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn only_a_call_that_never_left_or_was_no_change_did_not_run() {
+fn only_unsent_calls_and_compacted_watches_did_not_run() {
     let endpoint = String::new();
     assert!(!Fault::Unreachable { endpoint }.may_have_run());
     assert!(!Fault::Compacted { revision: 1 }.may_have_run());
