--- a/crates/admit/src/bucket.rs
+++ b/crates/admit/src/bucket.rs
@@ -1,24 +1,23 @@
-//! How much one instance lets an account ask for.
+//! Token buckets that limit an account's operations at one instance.
 //!
-//! The load pattern: customers whose programs ask in bursts, now and then seven times as much
-//! as they usually do. What is beyond their quota is refused before it costs an upstream or a
-//! hop; a burst that is within it, or nearly so, waits for a moment instead of being refused
-//! and asked again.
+//! Load pattern: clients send in bursts of up to seven times their usual rate. Operations
+//! beyond the quota are refused before they cost an upstream or a network hop. A burst at or
+//! slightly above the quota waits for a moment, which saves a refusal and a retry.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// What an instance may let an account ask for.
+/// Rate limit of an account at one instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// Operations a second.
     pub rate: f64,
-    /// Operations at once, beyond the rate.
+    /// Operations that may come at once beyond the rate.
     pub burst: f64,
 }
 
-/// The operations that an account may ask for just now.
+/// Token bucket of an account, one token for each operation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
     tokens: f64,
@@ -26,7 +25,7 @@
 }
 
 impl Bucket {
-    /// A bucket with `level` operations in it.
+    /// Creates a bucket with `tokens` operations.
     pub fn new(tokens: f64, now: Instant) -> Self {
         Self {
             tokens,
@@ -34,15 +33,14 @@
         }
     }
 
-    /// Takes one operation out: how long it has to wait.
+    /// Takes one operation and returns the time that it has to wait.
     ///
-    /// Whoever waits has taken the next operation that comes in, so that those behind wait
-    /// longer, and nobody is overtaken.
+    /// A waiting operation has reserved the next token, so later operations wait longer and
+    /// none overtakes another.
     ///
     /// # Errors
     ///
-    /// It would have to wait for longer than `patience`, namely for so long; nothing was
-    /// taken out.
+    /// Returns the required wait if it exceeds `max_wait`; no token is taken then.
     ///
     /// ```
     /// use std::time::Duration;
@@ -78,7 +76,7 @@
         Ok(wait)
     }
 
-    /// Takes in what came since it was looked at last.
+    /// Adds the tokens that have accrued since the last update.
     fn refill(&mut self, limit: Limit, now: Instant) {
         let added = now.since(self.updated_at).as_secs_f64() * limit.rate;
         self.tokens = (self.tokens + added).min(limit.burst.max(0.0));
@@ -86,19 +84,19 @@
     }
 }
 
-/// How many operations a second an account has asked for of late.
+/// Exponentially weighted rate of the operations that an account requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
     rate: f64,
     updated_at: Instant,
 }
 
-/// How long back demand is looked at: long enough that a few operations a second make a
-/// steady figure, and short beside the seconds that a burst lasts.
+/// Time constant of the weighting: long enough for a steady figure at a few operations a
+/// second, and short against bursts, which last for seconds.
 const DECAY: Duration = Duration::from_millis(1_500);
 
 impl Demand {
-    /// Nothing was asked for yet.
+    /// Creates an estimate with a rate of zero.
     pub fn new(now: Instant) -> Self {
         Self {
             rate: 0.0,
@@ -106,7 +104,7 @@
         }
     }
 
-    /// Counts an operation that was asked for, whether or not it is let in.
+    /// Counts a requested operation, admitted or not.
     pub fn count(&mut self, now: Instant) {
         self.rate = self.rate(now) + 1.0 / DECAY.as_secs_f64();
         self.updated_at = now;
--- a/crates/admit/src/budget.rs
+++ b/crates/admit/src/budget.rs
@@ -1,35 +1,34 @@
-//! When one more connection to an upstream may be opened.
+//! Limits on opening connections to an upstream.
 //!
-//! The load pattern: an upstream takes few connections from all instances together, and
-//! for a while it takes none: it still counts those of instances that lost power, or all
-//! are in use. Every instance wants one and tries again.
+//! Load pattern: an upstream accepts few connections from all instances together, and at
+//! times none at all, because all are in use or because it still counts those of instances
+//! that lost power. Every instance wants a connection and retries.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// The pause behind the first refusal, and how far it grows.
+/// Shortest and longest pause after a refusal; the pause doubles with each refusal.
 ///
-/// The first is about as long as an upstream needs to greet a connection (12 ms), so
-/// that a place which gets free is found soon; the last bounds the refusals of one
-/// instance at one upstream to 17 a second where a fixed pause of 15 to 35 ms came to 40.
+/// The shortest is about the time in which an upstream accepts a connection (12 ms), so that
+/// a free slot is found soon. The longest bounds the refusals of one instance at one upstream
+/// to 17 a second; a fixed pause of 15 to 35 ms caused 40.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(15), Duration::from_millis(60));
 
-/// How long behind a refusal connections are opened one by one.
+/// Time after a refusal during which connections are opened one at a time.
 const SERIAL_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// How long an instance that was refused its first connection counts as starved.
+/// Time for which an instance counts as locked out after a refusal of its first connection.
 const LOCKED_OUT_PERIOD: Duration = Duration::from_millis(600);
 
-/// How many statements one of `holders` may have at an upstream that runs `slots` at once.
+/// Statements that one of `holders` may have in flight at an upstream that runs `slots` at
+/// once. Unlimited if the upstream reports no slots.
 ///
-/// What is sent beyond that waits in the upstream's own queue, in the order of arrival,
-/// and once it is full everything is refused: with 16 from each of four holders before
-/// three slots and a queue of 24, statements were refused 260 times in the two seconds
-/// behind a cut. Here they wait in an order of their own ([`crate::queue`]). All holders
-/// together send [`AHEAD`] times as many as run: where five sent three each to three
-/// slots, 0.764 of the worth was earned, with two each 0.773 and 0.776. Who does not say
-/// how many it runs is sent any number.
+/// Statements beyond the slots wait in the upstream's own queue in order of arrival, and
+/// once that is full all are refused: with 16 statements from each of four holders at three
+/// slots and a queue of 24, 260 were refused within two seconds after a network partition.
+/// So the excess waits here instead, in the order of [`crate::queue`]. All holders together
+/// send [`STATEMENTS_PER_SLOT`] times as many statements as run at once.
 ///
 /// ```
 /// use admit::budget::window;
@@ -48,25 +47,24 @@
     share.min(slots).max(MIN_WINDOW)
 }
 
-/// How many statements all holders have at an upstream for each that it runs, unless two
-/// each are more.
+/// Statements of all holders in flight for each slot, unless [`MIN_WINDOW`] each are more.
 const STATEMENTS_PER_SLOT: usize = 3;
 
-/// The fewest statements of one instance: one on its way there while another runs.
+/// Fewest statements of one instance: one in transit while another runs.
 const MIN_WINDOW: usize = 2;
 
-/// Whether a connection may be opened.
+/// Decision on opening a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Now.
+    /// Open it now.
     Now,
-    /// Not before this moment.
+    /// Open it at this moment at the earliest.
     Wait(Instant),
-    /// Not before one that is being opened is there, or one is closed.
+    /// Wait until a pending connection is established or an open one is closed.
     Blocked,
 }
 
-/// The connections of one instance to one upstream, as far as opening them goes.
+/// Connection budget of one instance at one upstream, with backoff after refusals.
 #[derive(Debug, Default)]
 pub struct Budget {
     refusals: u32,
@@ -76,8 +74,8 @@
 }
 
 impl Budget {
-    /// Whether one more connection may be opened, when `open` are open or being opened,
-    /// `opening` of them being opened, and the instance may have `limit`.
+    /// Decides on one more connection, where `open` are open or pending, `opening` of them
+    /// pending, and the instance may have `limit`.
     pub fn check(&self, now: Instant, open: usize, opening: usize, limit: usize) -> Decision {
         if open >= limit.max(1) {
             return Decision::Blocked;
@@ -92,8 +90,8 @@
         }
     }
 
-    /// Takes in that the upstream takes no more, when `open` are open here. `chance`,
-    /// between zero and one, spreads the next tries of many instances.
+    /// Records that the upstream refused a connection while `open` were open here. `jitter`,
+    /// between zero and one, spreads the retries of many instances.
     pub fn record_refusal(&mut self, now: Instant, open: usize, jitter: f64) {
         let backoff = (BACKOFF.0 * 2_u32.saturating_pow(self.refusals)).min(BACKOFF.1);
         self.refusals = (self.refusals + 1).min(8);
@@ -105,13 +103,14 @@
         }
     }
 
-    /// Takes in that a connection was opened.
+    /// Records that a connection was opened.
     pub fn record_success(&mut self) {
         self.refusals = 0;
         self.locked_out = None;
     }
 
-    /// Since when the instance has been refused its first connection, again and again.
+    /// Start of the period in which the instance's first connection has been refused
+    /// repeatedly; `None` if the instance is not locked out at `now`.
     pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
         let (since, last) = self.locked_out?;
         (last + LOCKED_OUT_PERIOD > now).then_some(since)
--- a/crates/admit/src/holders.rs
+++ b/crates/admit/src/holders.rs
@@ -1,55 +1,54 @@
-//! Which instances hold the connections to a group of upstreams.
+//! Choice of the instances that hold connections to a group of upstreams.
 //!
-//! The load pattern: more instances than an upstream can be sent statements by. Each
-//! sends two at least, so that one is on its way while another runs; with 91 instances
-//! before two slots and a queue of sixteen, 324,140 statements were refused in 14 s, each
-//! was tried again, connections were given up and opened anew, and the class that only a
-//! primary serves earned 0.02 of what it was owed. So a few instances hold the connections
-//! to a group, in proportion to what its upstreams run at once, and the others hand their
-//! sessions to them. In a fleet that is no larger than that each instance holds.
+//! Load pattern: more instances than an upstream can serve. Each keeps at least two
+//! statements in flight, one in transit while another runs. With 91 instances at two slots
+//! and a queue of sixteen, 324,140 statements were refused and retried within 14 s, and
+//! connections were closed and reopened. So a few instances hold the connections to a group,
+//! in proportion to the slots of its upstreams, and the others forward their sessions to
+//! them. In a small fleet every instance is a holder.
 
 use std::{collections::HashMap, hash::Hasher};
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many holders an upstream has for each statement that it runs at once.
+/// Holders of an upstream for each statement that it runs at once.
 ///
-/// Each of them sends two ([`crate::budget::window`]), so that four are there for each
-/// that runs: with statements of 9 ms the last one waits 27 ms, of the 100 that the
-/// shortest aim in use gives.
+/// Each holder has two statements in flight ([`crate::budget::window`]), which makes four for
+/// each slot. At 9 ms a statement the last one waits 27 ms; the shortest latency objective in
+/// use is 100 ms.
 const HOLDERS_PER_SLOT: usize = 2;
 
-/// How many connections to one upstream a holder should have: its two statements, and
-/// as many transactions that rest.
+/// Connections of a holder to one upstream: for its two statements and as many idle
+/// transactions.
 const CONNECTIONS_PER_HOLDER: usize = 4;
 
-/// The fewest holders of a group: one may be lost.
+/// Fewest holders of a group, so that one may be lost.
 const MIN_HOLDERS: usize = 2;
 
-/// How many statements an upstream is taken to run at once if it does not say.
+/// Slots assumed for an upstream that reports none.
 const DEFAULT_SLOTS: usize = 2;
 
-/// An instance that may hold connections.
+/// Instance that may hold connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: &'a str,
-    /// How much processor it has, in hundredths of a core.
+    /// Processor capacity in hundredths of a core.
     pub weight: u32,
-    /// Whether it can serve, as far as it says. Who can't is chosen only if nobody can: in
-    /// a zone that was cut off all of them said so, and each served its callers itself.
+    /// True if the instance reports that it can serve. Instances that can't are chosen only if
+    /// none can: in a partitioned zone all instances reported so, and without this rule each
+    /// became a holder for its own callers.
     pub able: bool,
 }
 
-/// How many instances hold the connections to upstreams that run `slots` statements at
-/// once, zero if they don't say, and take `connections`.
+/// Number of holders for upstreams that run `slots` statements at once (zero if unknown) and
+/// accept `connections`.
 ///
-/// What is scarce are slots, whatever the connections. A rule that compared connections
-/// with instances let all 91 send for themselves at 145, and four at 130: 0.24 of the
-/// worth against 0.87. Here one connection or slot more, or one instance more, makes few
-/// more holders and never fewer.
+/// The slots are the scarce resource, so the number follows them. A rule that compared
+/// connections with instances made all 91 instances holders at 145 connections and four at
+/// 130. Here one more connection, slot or instance adds few holders and removes none.
 ///
 /// ```
 /// use admit::holders::count;
@@ -69,15 +68,14 @@
         .max(MIN_HOLDERS)
 }
 
-/// The holders of `service` among `candidates`, by weighted rendezvous hashing: whoever
-/// sees the same instances chooses the same ones, and an instance that comes or goes
-/// changes only its own place.
+/// Chooses the holders of `service` among `candidates` by weighted rendezvous hashing:
+/// instances with the same view choose the same holders, and an instance that joins or
+/// leaves changes only its own assignment.
 ///
-/// Strong instances come before weak ones more often than their weight says, since to
-/// hold is the heavier duty. Availability zones take turns, the best of each first, so
-/// that a zone that is cut off takes few of a group's holders with it, and most callers
-/// have one in their own: 0.821 to 0.865, 0.868 to 0.893 and 0.692 to 0.732 of the worth
-/// on days of 76, 91 and 58 instances.
+/// Instances with more processor are preferred more strongly than in proportion to their
+/// weight, since holding connections is the heavier load. The choice is round-robin over the
+/// availability zones, the best candidate of each first, so that a partitioned zone costs few
+/// of a group's holders and most callers have a holder in their own zone.
 pub fn choose<'a>(service: &str, candidates: &[Candidate<'a>], count: usize) -> Vec<&'a str> {
     let has_able = candidates.iter().any(|c| c.able);
     let eligible = candidates.iter().filter(|c| c.able || !has_able);
@@ -94,7 +92,7 @@
             (*rank, candidate.name)
         })
         .collect();
-    // Stable: within a turn the better zone's candidate stays first.
+    // The sort is stable, so the better candidate stays first within a rank.
     ordered.sort_by_key(|(rank, _)| *rank);
     ordered
         .into_iter()
@@ -103,11 +101,11 @@
         .collect()
 }
 
-/// The order in which the holders of `service` are asked to serve sessions of `account`: its
-/// home first.
+/// Orders the holders of `service` by preference for sessions of `account`.
 ///
-/// A connection serves one account. Where an account's sessions come to all holders, each of
-/// them needs connections of its own for it, and of 84 accounts few find one that is open.
+/// A connection serves one account. If an account's sessions were spread over all holders,
+/// each holder would need connections of its own for it, and with 84 accounts few sessions
+/// would find one open.
 ///
 /// ```
 /// use admit::holders::account_holders;
@@ -127,14 +125,16 @@
     order
 }
 
-/// The place of the candidate `name` for `service`. The lower, the sooner: drawn like the first arrival of a stream whose rate is the
-/// square of the weight.
+/// Rendezvous score of the candidate `name` for `service`; the lowest score wins.
+///
+/// The score is an exponential variate, derived from the hash, with the square of the weight
+/// as its rate.
 pub fn score(service: &str, name: &str, weight: u32) -> f64 {
     let mut hash = Xxh3::new();
     hash.write(service.as_bytes());
     hash.write_u8(0);
     hash.write(name.as_bytes());
-    // 53 bits make a fraction of exactly representable steps; never zero.
+    // 53 bits give exactly representable steps; the fraction is never zero.
     let uniform = ((hash.finish() >> 11) + 1) as f64 / (1_u64 << 53) as f64;
     let weight = f64::from(weight.max(1));
     -uniform.ln() / (weight * weight)
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Who is served next, and when a connection may be opened, when there is not enough.
+//! Admission control: queueing, connection budgets, quotas and the choice of holders.
 //!
-//! Nothing here reads a clock, a socket or a source of randomness: moments and chances
-//! are passed in. `proxy` carries out what is decided here.
+//! The functions read no clock, socket or source of randomness; moments and random numbers
+//! are passed in. `proxy` carries out the decisions.
 
 pub mod bucket;
 pub mod budget;
--- a/crates/admit/src/placement.rs
+++ b/crates/admit/src/placement.rs
@@ -1,8 +1,8 @@
-//! The holders of many services, kept up to date while instances come and go.
+//! Placement of services on connection holders, kept up to date as instances come and go.
 //!
-//! [`holders::choose`] draws among all instances each time that it is asked. A board gives
-//! the same answer, but draws among all only when a service is asked for the first time;
-//! after that an instance that comes or goes costs one draw for each service in use.
+//! [`holders::choose`] scores every instance on each call. A [`Placement`] gives the same
+//! result, but scores all instances only on the first request for a service. After that, an
+//! instance that joins or leaves costs one score for each service in use.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -11,14 +11,14 @@
 
 use crate::holders::{self, Candidate};
 
-/// How many more candidates of each zone are ranked than are asked for, so that one that
-/// goes has its successor at hand.
+/// Candidates of each zone that are ranked beyond the requested number, so that a lost
+/// holder has its successor at hand.
 const RESERVE: usize = 4;
 
-/// After how many changes a service that nobody asked for is dropped.
+/// Changes after which a service that has not been requested is dropped.
 const MAX_IDLE_CHANGES: u64 = 256;
 
-/// A candidate, as a board keeps it.
+/// Attributes of a candidate, stored under its name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Member {
     zone: Rc<str>,
@@ -26,7 +26,7 @@
     able: bool,
 }
 
-/// A candidate's place: the lower, the sooner; equal scores go by name.
+/// Rank of a candidate for a service. The lowest score comes first, ties are ordered by name.
 #[derive(Debug, Clone, PartialEq)]
 struct Rank {
     score: f64,
@@ -42,21 +42,21 @@
     }
 }
 
-/// The best candidates of one zone, the first one first.
+/// Best candidates of one zone in ascending rank.
 #[derive(Debug, Default)]
 struct Zone {
     ranks: Vec<Rank>,
-    /// Whether candidates were left out behind the last one.
+    /// True if lower-ranked candidates were left out.
     is_truncated: bool,
 }
 
-/// The candidates of one service.
+/// Ranked candidates of one service.
 #[derive(Debug)]
 struct Ranking {
     count: usize,
     zones: HashMap<Rc<str>, Zone>,
     chosen: Vec<Rc<str>>,
-    /// The board's count of changes when it was asked for last.
+    /// Value of [`Placement::changes`] at the last request.
     last_used: u64,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes in a candidate; whether others may have to be chosen.
+    /// Adds a candidate. Returns true if the choice may change.
     fn insert(&mut self, zone: &Rc<str>, rank: Rank) -> bool {
         let capacity = self.count + RESERVE;
         let zone = self.zones.entry(Rc::clone(zone)).or_default();
@@ -87,7 +87,8 @@
         at < self.count
     }
 
-    /// Takes out a candidate; whether the rest is still enough to choose among.
+    /// Removes a candidate. Returns false if too few candidates of its zone remain ranked, so
+    /// that the service has to be ranked again.
     fn remove(&mut self, zone: &str, name: &str) -> bool {
         let Some(zone) = self.zones.get_mut(zone) else {
             return true;
@@ -96,7 +97,7 @@
         !zone.is_truncated || zone.ranks.len() >= self.count
     }
 
-    /// Chooses: zones take turns, the best of each first.
+    /// Chooses the holders round-robin over the zones, the best candidate of each zone first.
     fn choose(&mut self) {
         let mut chosen = Vec::with_capacity(self.count);
         for round in 0..self.count {
@@ -119,7 +120,7 @@
     }
 }
 
-/// The holders of many services.
+/// Incrementally maintained holders of many services.
 ///
 /// ```
 /// use admit::{placement::Placement, holders::{Candidate, choose}};
@@ -142,7 +143,7 @@
 }
 
 impl Placement {
-    /// Takes in a candidate that came, or that changed.
+    /// Adds a candidate or replaces its attributes.
     pub fn put(&mut self, candidate: &Candidate<'_>) {
         let old = self.members.get(candidate.name);
         let same = |m: &Member| {
@@ -172,7 +173,7 @@
         self.members.insert(name, member);
     }
 
-    /// Takes in that a candidate is gone.
+    /// Removes a candidate.
     pub fn remove(&mut self, name: &str) {
         let Some(member) = self.members.remove(name) else {
             return;
@@ -187,28 +188,28 @@
         });
     }
 
-    /// How many candidates there are.
+    /// Number of candidates.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is none.
+    /// Returns true if there is no candidate.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Whether anybody but the candidate `name` can serve.
+    /// Returns true if a candidate other than `name` can serve.
     pub fn has_other_able(&self, name: &str) -> bool {
         let own = self.members.get(name).is_some_and(|member| member.able);
         self.able_count > usize::from(own)
     }
 
-    /// How often a candidate's place for a service was drawn.
+    /// Number of scores computed so far.
     pub fn score_count(&self) -> u64 {
         self.score_count
     }
 
-    /// Which `count` candidates hold `service`, the first one first.
+    /// The `count` holders of `service`, the preferred one first.
     pub fn holders(&mut self, service: &str, count: usize) -> &[Rc<str>] {
         let known = self.rankings.get(service);
         if known.is_none_or(|ranking| ranking.count != count) {
@@ -240,12 +241,14 @@
         ranking
     }
 
-    /// Whether a candidate can be chosen: those that can't serve only if nobody can.
+    /// Returns true if a candidate can be chosen. Candidates that can't serve are eligible only
+    /// while no candidate can.
     fn is_eligible(&self, member: &Member) -> bool {
         member.able || self.able_count == 0
     }
 
-    /// Counts a candidate in or out.
+    /// Adds `by` to the number of able candidates if `member` is one, and drops unused rankings.
+    /// All rankings are dropped when the first candidate becomes able or the last one ceases to.
     fn record_change(&mut self, member: &Member, by: isize) {
         let had_able = self.able_count > 0;
         if member.able {
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -1,35 +1,35 @@
-//! Which of those who wait for an upstream is served next.
+//! Queue of the requests that wait for an upstream.
 //!
-//! The load pattern: an upstream is asked for more than it can do, for seconds. Its
-//! replicas were cut off and all reads come to the primary, many callers come at once,
-//! or it turned slow. In the order of arrival everybody waits as long as anybody bears
-//! it, and everybody is served too late. Since not all can be served in time, some are:
-//! the newest, who have all of their time left.
+//! Load pattern: an upstream is overloaded for seconds, because its replicas are partitioned
+//! and all reads go to the primary, because many callers arrive at once, or because it slowed
+//! down. In order of arrival every request would wait almost until its time-out and all
+//! answers would be late. Since not all can be answered in time, the newest are served first:
+//! these have most of their time left.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// How long the first in line may wait before the queue counts as one that stands.
+/// Wait of the first request from which the queue counts as a standing queue.
 ///
-/// A queue that drains within this is a burst, and the order of arrival is fair and
-/// serves everybody in time. It is a small part of the shortest aim in use (100 ms).
+/// A queue that drains sooner is a burst, for which the order of arrival is fair and answers
+/// all in time. The value is a small part of the shortest latency objective in use (100 ms).
 const STANDING_DELAY: Duration = Duration::from_millis(30);
 
-/// Somebody who waits, and for what.
+/// Request that waits for an upstream.
 #[derive(Debug)]
 pub struct Waiter<T> {
-    /// Who goes first; zero is the highest.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Since when it waits.
+    /// Start of the wait.
     pub since: Instant,
-    /// When an answer is late.
+    /// Moment from which an answer misses its latency objective.
     pub due: Instant,
-    /// How to reach it.
+    /// Handle for answering the waiter.
     pub reply: T,
 }
 
-/// Those who wait for one upstream.
+/// Requests that wait for one upstream.
 #[derive(Debug)]
 pub struct Queue<T> {
     waiters: Vec<Waiter<T>>,
@@ -44,32 +44,31 @@
 }
 
 impl<T> Queue<T> {
-    /// Takes in one more, behind the others.
+    /// Appends a waiter.
     pub fn push(&mut self, waiter: Waiter<T>) {
         self.waiters.push(waiter);
     }
 
-    /// How many wait.
+    /// Number of waiters.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns true if no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// Keeps only those whom `stays` names: the others have given up.
+    /// Removes the waiters for which `keep` returns false, because the callers gave up.
     pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
         self.waiters.retain(|waiter| keep(&waiter.reply));
     }
 
-    /// Takes out who is served next, if an answer is expected to take `service`.
+    /// Removes and returns the waiter to serve next, for an expected service time of `service`.
     ///
-    /// Who can't be answered in time any more goes behind all who can, whatever the
-    /// priorities: work for an answer that is late anyway makes others late as well.
-    /// Then priorities count. Then the order of arrival, or while the queue stands the
-    /// other way round.
+    /// Waiters that can't be answered in time any more come last whatever their priority, since
+    /// work for an answer that is late anyway delays the others. The rest is ordered by
+    /// priority, then by arrival, or newest first while the queue is standing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,7 +90,7 @@
         Some(self.waiters.remove(at))
     }
 
-    /// Takes out who is served next of those whom `fits` names.
+    /// Like [`Queue::pop`], restricted to the waiters for which `matches` returns true.
     pub fn pop_where(
         &mut self,
         now: Instant,
@@ -102,7 +101,7 @@
         Some(self.waiters.remove(at))
     }
 
-    /// Who is served next of those whom `fits` names; it goes on waiting.
+    /// The waiter that [`Queue::pop_where`] would return; the waiter stays in the queue.
     pub fn peek_where(
         &self,
         now: Instant,
@@ -113,7 +112,7 @@
         Some(&self.waiters[at].reply)
     }
 
-    /// Those who wait, in the order in which they came.
+    /// All waiters in order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.waiters.iter().map(|waiter| &waiter.reply)
     }
--- a/crates/admit/src/relays.rs
+++ b/crates/admit/src/relays.rs
@@ -1,35 +1,35 @@
-//! Which instances of an availability zone ask the store, and how often instances tell
-//! each other that they live.
+//! Choice of the instances that read the store for their availability zone, and intervals of
+//! heartbeats.
 //!
-//! The load pattern: 195 instances before one store. Each of them watched it, read the
-//! records and proved primaries by itself: 7,066 calls on a day on which nothing
-//! happened. And each told all others every 0.3 s that it lives: 126,000 datagrams a
-//! second in the fleet, 650 a second for an instance with an eighth of a core. Both grow
-//! with the square of the instances, and neither serves a caller better.
+//! Load pattern: 195 instances at one store. When each watched the store, read the records
+//! and proved primaries itself, the store received 7,066 calls although nothing changed. When
+//! each sent a heartbeat to all others every 0.3 s, the fleet sent 126,000 datagrams a second,
+//! 650 of them from or to each instance, even one with an eighth of a core. Both loads grow
+//! with the square of the number of instances and serve no caller better.
 
 use std::time::Duration;
 
 use crate::holders::{self, Candidate};
 
-/// How many instances of a zone ask the store: one may be lost.
+/// Number of relays of a zone, and of readers among all relays, so that one may be lost.
 pub const COUNT: usize = 2;
 
-/// How often somebody who is needed tells that it lives.
+/// Heartbeat interval towards instances that depend on the sender.
 pub const FREQUENT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How much time there is for each beat of an instance that nobody waits for: thirty a
-/// second, as many as nine instances send that all are needed.
+/// Time for each infrequent heartbeat: an instance sends thirty a second in total, as many
+/// as frequent heartbeats to nine instances.
 const PER_HEARTBEAT: Duration = Duration::from_millis(33);
 
-/// The longest interval between two beats: callers of an instance that nobody needed a
-/// moment ago and that is chosen then wait 0.2 s if it is gone, not longer.
+/// Longest interval between two heartbeats. If an instance without dependents is chosen and
+/// has failed, its callers wait 0.2 s and no longer.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What names the duty of a relay, beside the names of services.
+/// Hash key of the relay role, used in place of a service's name.
 pub const ROLE: &str = "relay";
 
-/// The relays among `candidates`, which are all of one zone, the first one first: those
-/// who don't hear the store only if nobody does.
+/// Chooses the relays among `candidates` of one zone, the preferred one first. Candidates
+/// without contact to the store are chosen only if none has contact.
 ///
 /// ```
 /// use admit::{holders::Candidate, relays};
@@ -44,9 +44,9 @@
     holders::choose(ROLE, &reweighted(candidates), COUNT)
 }
 
-/// The weight of a candidate for a relay's duty, which grows with the whole zone: a relay
-/// with an eighth of a core and a thin link keeps all that follow it waiting when they
-/// start at once.
+/// Weight of a candidate for the relay role. The weight is squared because a relay's load
+/// grows with its zone: a relay with an eighth of a core and a slow link delays all of its
+/// followers when these start at once.
 pub fn weight(weight: u32) -> u32 {
     weight.saturating_mul(weight)
 }
@@ -59,29 +59,29 @@
     candidates.iter().map(reweight).collect()
 }
 
-/// What names the duty of reading the store.
+/// Hash key of the reader role.
 const READER_ROLE: &str = "reader";
 
-/// Which of all zones' relays read and watch the store; the others have its contents from
-/// them, the catalogue packed.
+/// Chooses the relays of all zones that read and watch the store. The other relays get the
+/// contents from these, the catalogue in compressed form.
 ///
-/// A catalogue of 1,524 routes takes a link of 2 Mbit/s 1.4 s, and nothing else passes
-/// meanwhile. Where a third of all instances read it at once, callers lost their answers,
-/// upstreams and holders seemed dead: of 370 requests 80 were answered in time.
+/// A catalogue of 1,524 routes occupies a link of 2 Mbit/s for 1.4 s. When a third of all
+/// instances read the catalogue at once, answers were lost, and upstreams and holders seemed
+/// to have failed: of 370 requests 80 were answered in time.
 pub fn readers<'a>(relays: &[Candidate<'a>]) -> Vec<&'a str> {
     holders::choose(READER_ROLE, &reweighted(relays), COUNT)
 }
 
-/// Whether an instance waits for another's beats.
+/// Frequency of the heartbeats sent to another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Frequency {
-    /// It does: it would use what the other holds, or judges beside it.
+    /// The receiver uses connections that the sender holds, or judges primaries with it.
     Frequent,
-    /// It only wants to know who there is.
+    /// The receiver only keeps its list of instances up to date.
     Infrequent,
 }
 
-/// How long one of `others` instances waits between two beats to another.
+/// Interval between two heartbeats to one of `others` instances.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/admit/src/shares.rs
+++ b/crates/admit/src/shares.rs
@@ -1,19 +1,19 @@
-//! Which instances count an account's operations, and how its quota is divided among them.
+//! Division of an account's quota among the instances that count its operations.
 //!
-//! The load pattern: many accounts of a few operations a second each, whose callers come to
-//! any instance, and again to another one whenever they were refused. A quota must never be
-//! exceeded by all instances together, also not by those that are cut off, and what one
-//! refuses while another has some to spare is lost. If each instance that takes a caller had
-//! a share of its own, shares would be so small that most is refused, and what is refused
-//! comes to yet another instance, which has no share yet.
+//! Load pattern: many accounts of a few operations a second each, whose callers connect to
+//! any instance and to another one after a refusal. All instances together must never exceed
+//! a quota, not even those that are partitioned, and what one instance refuses while another
+//! has quota to spare is lost. If each instance had a share of its own, the shares would be
+//! so small that most operations are refused, only to be retried at an instance that has no
+//! share yet.
 //!
-//! So an account has a few keepers in different availability zones, with a share of its quota
-//! each, and whoever takes a caller asks one of them for each operation, and the next one if
-//! that has none to give. What shares there are stands in one table in the store, changed only
-//! by compare-and-swap; whoever changes it needs no right, because the table says itself what
-//! is free. A keeper uses its share as long as it can prove that the table it knows is no
-//! older than a span, and a share that is taken back stays reserved until the span is over. A
-//! keeper that starts again goes on with the share that it had.
+//! So an account has a few limiters in different availability zones, each with a share of the
+//! quota. The instance that receives a request asks one limiter for each operation, and the
+//! next one if the first has none left. The shares are stored in one table that is changed
+//! only by compare-and-swap. The writer of the table needs no lease, because the table itself
+//! says which parts are unreserved. A limiter uses its share while it can prove that its copy
+//! of the table is no older than a certain span, and a share that is reduced stays reserved
+//! until that span is over. A restarted limiter continues with its old share.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,59 +25,59 @@
 
 use crate::holders::{self, Candidate};
 
-/// The whole of a quota.
+/// A whole quota, in thousandths.
 pub const TOTAL_PARTS: u16 = 1_000;
 
-/// How many keepers an account has: with one of them lost, three quarters of its quota are
-/// left, more than accounts usually ask for.
+/// Number of limiters of an account. If one is lost, three quarters of the quota are left,
+/// more than accounts usually need.
 const LIMITERS: usize = 4;
 
-/// How long a keeper may be silent until its share goes to another. One that starts again, or
-/// is cut off from whoever looks after the table, is back by then; a share that moves is used
-/// by nobody for the span, and three quarters of a quota are enough meanwhile.
+/// Silence after which a limiter's share goes to another. A restarting or briefly partitioned
+/// limiter is back by then. A moved share can't be used during the span, and three quarters of
+/// a quota suffice meanwhile.
 const LIMITER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The smallest change that is worth writing.
+/// Smallest change that is worth a write, in thousandths.
 const MIN_CHANGE: u16 = 25;
 
-/// The most that moves at once from keepers that are there to others: nobody uses it for the
-/// span.
+/// Largest part that moves at once between live limiters, in thousandths: no limiter can use
+/// the moving part during the span.
 const MAX_MOVING: u16 = 250;
 
-/// The part of a span by which clocks of two machines may drift apart.
+/// Divisor of a span that gives the largest clock drift between two machines: 2 %.
 const DRIFT_DIVISOR: u32 = 50;
 
-/// What names the duty, beside the names of accounts.
+/// Hash key of the limiter role, prefixed to an account's name.
 const ROLE: &str = "quota";
 
-/// A keeper's share of an account's quota, in thousandths.
+/// Share of a limiter in an account's quota, in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// What it may use.
+    /// Part that the limiter may use.
     pub parts: u16,
-    /// What it may use still, if it has not heard yet that its share became smaller.
+    /// Part that a limiter unaware of a reduction may still be using.
     pub reserved: u16,
 }
 
-/// The shares of an account, by the names of its keepers.
+/// Shares of an account by limiter name.
 pub type Row = BTreeMap<String, Share>;
 
-/// The shares of all accounts, by their names.
+/// Shares of all accounts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// The shares of each account.
+    /// Shares by account name.
     pub rows: BTreeMap<String, Row>,
 }
 
 impl Table {
-    /// What `instance` may use of the quota of `account`, in thousandths.
+    /// Part of the quota of `account` that `instance` may use, in thousandths.
     pub fn parts(&self, account: &str, instance: &str) -> u16 {
         let row = self.rows.get(account);
         let share = row.and_then(|row| row.get(instance));
         share.map_or(0, |share| share.parts)
     }
 
-    /// The keepers of `account` that have a share.
+    /// The limiters of `account` that have a share.
     pub fn limiters(&self, account: &str) -> impl Iterator<Item = &str> {
         let row = self.rows.get(account).into_iter().flatten();
         let limiters = row.filter(|(_, share)| share.parts > 0);
@@ -85,21 +85,21 @@
     }
 }
 
-/// What whoever changes the table knows beside it.
+/// Planner of changes to the table, with the state that the table does not hold.
 #[derive(Debug)]
 pub struct Planner {
-    /// How long a share may be used by a keeper that has not heard that it changed.
+    /// Time for which a limiter unaware of a reduction may use its old share, with drift.
     span: Duration,
-    /// When each instance was there last.
+    /// Moment at which each instance was last heard.
     last_seen: HashMap<String, Instant>,
     started: Instant,
-    /// Since when a share that became smaller has been seen so.
+    /// Reduced shares by account and limiter, each with the moment it was first seen.
     reduced: HashMap<(String, String), (Share, Instant)>,
 }
 
 impl Planner {
-    /// Begins to look after the table, where a share may be used for `span` by a keeper that
-    /// has not heard that it changed.
+    /// Creates a planner for a table where a limiter unaware of a reduction may use its old share
+    /// for `span`.
     pub fn new(span: Duration, now: Instant) -> Self {
         Self {
             span: span + span / DRIFT_DIVISOR,
@@ -109,9 +109,9 @@
         }
     }
 
-    /// The next table, if there is something to change in `table`: for `accounts`, with new
-    /// keepers among `candidates`. Who is `heard` goes on keeping, whatever other duties it
-    /// has by now.
+    /// Plans the successor of `table` for `accounts`, with new limiters from `candidates`; `None`
+    /// if there is nothing to change. Limiters in `heard` keep their role even if they are no
+    /// longer candidates.
     ///
     /// ```
     /// use std::time::Duration;
@@ -154,7 +154,7 @@
         Some(next)
     }
 
-    /// Frees what was reserved for long enough.
+    /// Releases reservations that have been held for longer than the span.
     fn release_reserved(&mut self, account: &str, row: &mut Row, now: Instant) {
         for (name, share) in row.iter_mut() {
             let key = (account.to_owned(), name.clone());
@@ -173,13 +173,13 @@
         row.retain(|_, share| share.reserved > 0);
     }
 
-    /// Whether an instance is there, or may be back in a moment.
+    /// Returns true if an instance is alive or may be back in a moment.
     fn is_live(&self, name: &str, now: Instant) -> bool {
         let seen = self.last_seen.get(name).copied().unwrap_or(self.started);
         seen + LIMITER_TIMEOUT > now
     }
 
-    /// Divides an account's quota anew; whether anything changed.
+    /// Redistributes an account's quota. Returns true if anything changed.
     fn rebalance(
         &self,
         account: &str,
@@ -215,14 +215,14 @@
     }
 }
 
-/// What of the quota nobody may use.
+/// Part of the quota that is not reserved for any limiter.
 fn unreserved(row: &Row) -> u16 {
     let used: u16 = row.values().map(|share| share.reserved).sum();
     TOTAL_PARTS.saturating_sub(used)
 }
 
-/// Brings the shares of `keepers` to `even` each, as far as is free, and takes back what is
-/// more; whether anything changed.
+/// Raises the shares of `limiters` to `target` as far as unreserved parts allow, and reduces
+/// larger shares. Returns true if anything changed.
 fn equalise(row: &mut Row, limiters: &[String], target: u16) -> bool {
     let mut changed = false;
     for name in limiters {
--- a/crates/admit/tests/board.rs
+++ b/crates/admit/tests/board.rs
@@ -1,4 +1,4 @@
-//! The holders of many services while instances come and go.
+//! Placement of services while instances join and leave.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-/// An instance: its availability zone, its weight, and whether it can serve.
+/// Availability zone, weight and ability to serve of an instance.
 type Instance = (u8, u32, bool);
 
 #[derive(Debug, Clone)]
@@ -47,8 +47,9 @@
 }
 
 proptest! {
-    /// Two instances that choose different holders send a database's work to more of them
-    /// than its upstreams take.
+    /// Instances that choose different holders for a database open connections at more holders
+    /// than its upstreams accept. This happens if an incremental update differs from a full
+    /// choice.
     #[test]
     fn a_placement_equals_a_choice_from_scratch(steps in prop::collection::vec(step(), 1..200)) {
         let mut fleet = BTreeMap::new();
@@ -77,8 +78,8 @@
     }
 }
 
-/// The draws that `changes` instances which come and go cost in a fleet of `fleet`, where
-/// `services` are in use.
+/// Counts the scores computed for `changes` replaced instances in a fleet of `fleet` with
+/// `services` in use.
 fn scores(fleet: usize, services: usize, changes: usize) -> u64 {
     let mut placement = Placement::default();
     let put = |placement: &mut Placement, at: usize| {
@@ -107,21 +108,21 @@
     placement.score_count() - before
 }
 
-/// An instance that draws among all others for each of its services at each change has no
-/// time left for its sessions in a fleet that rolls.
+/// An instance that scores the whole fleet for each service on each change has no time left
+/// for its sessions during a rolling restart.
 #[test]
 fn the_cost_of_a_change_does_not_grow_with_the_fleet() {
     let (services, changes) = (16, 48);
     let each = (services * changes) as u64;
-    // A service whose spare candidates are used up is drawn anew.
+    // A service whose reserve candidates are used up is ranked again.
     let [small, large, larger] = [64, 128, 1_024].map(|fleet| scores(fleet, services, changes));
     assert!(small >= each, "{small}");
     assert!(large <= small, "{large} {small}");
     assert!(larger <= large, "{larger} {large}");
 }
 
-/// A board that keeps all services that were ever asked for grows with the databases, and
-/// each change costs a draw for each of them.
+/// A placement that keeps each service ever requested grows with the number of databases,
+/// and each change costs a score for each of them.
 #[test]
 fn a_change_computes_no_scores_for_unused_services() {
     let mut placement = Placement::default();
--- a/crates/admit/tests/budget.rs
+++ b/crates/admit/tests/budget.rs
@@ -1,11 +1,11 @@
-//! Opening connections to an upstream that takes few.
+//! Opening connections to an upstream that accepts few.
 
 use std::time::Duration;
 
 use admit::{Budget, budget::Decision};
 use clock::Instant;
 
-/// Tries for `span` to open a first connection at an upstream that refuses; how often.
+/// Counts the attempts within `span` to open a first connection at an upstream that refuses.
 fn refusals(span: Duration) -> usize {
     let mut budget = Budget::default();
     let mut now = Instant::from_millis(1_000);
@@ -24,14 +24,15 @@
     refused
 }
 
-/// Symptom: 240 refusals a second at one full upstream. Cause: every instance tries
-/// again every 25 ms, for as long as it is full.
+/// Guards against 240 refusals a second at one full upstream, caused by instances that
+/// retry every 25 ms for as long as it is full.
 #[test]
 fn retries_at_a_full_upstream_are_bounded() {
     assert!(refusals(Duration::from_secs(2)) <= 2 * 17 + 3);
 }
 
-/// Symptom: an instance waits though a place got free. Cause: it waits longer and longer.
+/// Guards against an instance that keeps waiting although a slot is free, because its
+/// backoff grows without a bound.
 #[test]
 fn the_backoff_is_capped() {
     let mut budget = Budget::default();
@@ -47,8 +48,8 @@
     assert_eq!(budget.check(now, 1, 0, 11), Decision::Wait(shortest));
 }
 
-/// Symptom: 68 connections of one instance meet an upstream that takes 22 from all.
-/// Cause: what is being opened is not counted.
+/// Guards against 68 connections from one instance to an upstream that accepts 22 in total,
+/// caused by not counting pending connections.
 #[test]
 fn pending_connections_count_towards_the_limit() {
     let budget = Budget::default();
@@ -60,6 +61,8 @@
     assert_eq!(open, 11);
 }
 
+/// An instance that has a connection open must not report that it is locked out, or a
+/// primary that serves it might be replaced as full.
 #[test]
 fn an_instance_is_locked_out_only_while_its_first_connection_is_refused() {
     let mut budget = Budget::default();
--- a/crates/admit/tests/holders.rs
+++ b/crates/admit/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Who holds the connections to a group of upstreams.
+//! Choice of the instances that hold the connections to a group of upstreams.
 
 use std::collections::{HashMap, HashSet};
 
@@ -29,8 +29,8 @@
         .collect()
 }
 
-/// Symptom: all sessions of a database break at once when a zone is cut off. Cause: its
-/// holders are all in that zone.
+/// Guards against the loss of all sessions of a database when a zone is partitioned, caused
+/// by holders that are all in that zone.
 #[test]
 fn holders_are_never_all_in_one_zone() {
     let fleet = fleet(58);
@@ -45,8 +45,8 @@
     }
 }
 
-/// Symptom: sessions break all over the fleet when one instance dies. Cause: the holders
-/// of all databases are dealt anew.
+/// Guards against broken sessions throughout the fleet after the failure of one instance,
+/// caused by a new assignment of the holders of all databases.
 #[test]
 fn the_loss_of_an_instance_replaces_only_that_instance() {
     let fleet = fleet(58);
@@ -63,7 +63,7 @@
             let after = choose(&service, &remaining, 4);
             let kept = before.iter().filter(|name| after.contains(name)).count();
             let held = usize::from(before.contains(&all[lost].name));
-            // One more may change so that two zones are there.
+            // One more may change to keep the holders in two zones.
             assert!(kept + held + 1 >= 4, "{before:?} {after:?}");
         }
     }
@@ -97,16 +97,16 @@
     assert_eq!(choose("s", &alone, 3), ["a"]);
 }
 
-/// What all holders of a group send an upstream at most.
+/// Largest number of statements that all holders of a group have at an upstream.
 fn sent(connections: usize, slots: usize, instances: usize) -> usize {
     let holders = count(connections, slots).min(instances);
     holders * window(slots, holders)
 }
 
 proptest! {
-    /// A fleet of 91 instances was served 0.87 of its worth by upstreams that took 130
-    /// connections and 0.24 by such that took 145: at the border between them four holders
-    /// became 91. One connection, slot or instance more must change little.
+    /// Guards against a jump in the number of holders: with 91 instances, upstreams that accept
+    /// 130 connections had four holders and upstreams that accept 145 had 91, which overloaded
+    /// them.
     #[test]
     fn one_more_connection_slot_or_instance_adds_at_most_two_holders(
         connections in 0_usize..2_000,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Instances sent an upstream 182 statements at once, of which it runs two and lets
-    /// sixteen wait.
+    /// Guards against overload by the holders together: an upstream that runs two statements
+    /// and queues sixteen was sent 182 at once.
     #[test]
     fn all_windows_together_are_a_small_multiple_of_the_slots(
         connections in 0_usize..2_000,
@@ -138,8 +138,9 @@
     }
 }
 
-/// A zone of 22 instances was cut off, and all of them said that they can't serve: 75
-/// times one served sessions on a database itself (`holders: 0`), where four would hold.
+/// Guards against an empty choice when no candidate can serve: in a partitioned zone of 22
+/// instances all reported so, and 75 times an instance served sessions on a database itself
+/// (`holders: 0`) instead of four holders.
 #[test]
 fn without_able_candidates_the_same_holders_are_chosen() {
     let fleet = fleet(22);
@@ -151,8 +152,8 @@
     assert_eq!(choose("s", &all, 4), [all[3].name]);
 }
 
-/// Of four holders three could stand in one zone; its cut broke the sessions of callers in
-/// all zones, and most sessions crossed zones twice for each statement.
+/// Guards against three of four holders in one zone: a partition of that zone broke sessions
+/// of callers in all zones, and most statements crossed zones twice.
 #[test]
 fn holders_are_spread_evenly_over_the_zones() {
     let fleet = fleet(58);
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Replays of the loads that the queue of waiters answers, in virtual time.
+//! Simulation of overload at the queue of waiters, in virtual time.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 const SERVICE: Duration = Duration::from_millis(18);
 const SLOTS: usize = 3;
 
-/// How waiters are chosen.
+/// Order in which waiters are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Order {
     Arrival,
     Queue,
 }
 
-/// The share of requests that are served in time by an upstream of three slots that is
-/// asked for `load` times what it can do, over ten seconds.
+/// Fraction of requests answered in time over ten seconds by an upstream of three slots, at
+/// `load` times its capacity.
 fn goodput(load: f64, order: Order, seed: u64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let gap = SERVICE.as_secs_f64() / SLOTS as f64 / load;
@@ -44,7 +44,7 @@
             let since = arrivals[next];
             let due = match order {
                 Order::Queue => since + OBJECTIVE,
-                // Nobody is ever late, and nobody stands: the order of arrival.
+                // No waiter is ever late and the queue never counts as standing.
                 Order::Arrival => since + Duration::from_secs(3_600),
             };
             let since = match order {
@@ -74,10 +74,9 @@
     (1..=8).map(|seed| goodput(load, order, seed)).sum::<f64>() / 8.0
 }
 
-/// Symptom: a third of all requests is late or lost for as long as a primary has to do
-/// its replicas' work (windows of 0.71 to 0.80 where 0.80 to 0.89 can be had). Events:
-/// an upstream is asked for half as much again as it can do. Cause: in the order of
-/// arrival each waits as long as it may, and is served when it is late.
+/// Guards against a third of all requests being late or lost while a primary also does its
+/// replicas' work, at 1.5 times its capacity. Served in order of arrival, each request waits
+/// as long as it may and is late when its turn comes.
 #[test]
 fn under_overload_most_answers_are_in_time() {
     let (queue, arrival) = (mean(1.5, Order::Queue), mean(1.5, Order::Arrival));
@@ -85,8 +84,8 @@
     assert!(queue > arrival * 2.0, "{queue} {arrival}");
 }
 
-/// Symptom: some wait for long though there is room. Cause: the newest go first where
-/// nothing is overloaded.
+/// Guards against long waits of some requests without overload, caused by serving the
+/// newest first at all times.
 #[test]
 fn without_overload_the_queue_is_as_good_as_arrival_order() {
     let (queue, arrival) = (mean(0.7, Order::Queue), mean(0.7, Order::Arrival));
@@ -94,6 +93,8 @@
     assert!(queue > 0.99, "{queue}");
 }
 
+/// Guards against work for answers that are late anyway: a late waiter of high priority
+/// would delay others beyond their objective.
 #[test]
 fn late_waiters_are_served_last_whatever_their_priority() {
     let at = Instant::from_millis;
--- a/crates/admit/tests/relays.rs
+++ b/crates/admit/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Who asks the store, and how often instances are told that another lives.
+//! Choice of relays and readers of the store, and intervals of heartbeats.
 
 use std::time::Duration;
 
@@ -27,6 +27,8 @@
         .collect()
 }
 
+/// Guards against new connections of all relays after the loss of one instance, caused by a
+/// new choice of all readers.
 #[test]
 fn the_loss_of_an_instance_replaces_only_that_reader() {
     let names = names(30);
@@ -45,6 +47,8 @@
     }
 }
 
+/// Guards against a zone without data while one of its instances still reaches the store,
+/// and against a zone without relays while none does.
 #[test]
 fn candidates_without_the_store_relay_only_if_none_has_it() {
     let names = names(4);
@@ -59,6 +63,7 @@
     assert_eq!(choose(&all).len(), COUNT);
 }
 
+/// Guards against a fleet without a reader of the catalogue after the partition of one zone.
 #[test]
 fn readers_are_in_different_zones() {
     let names = names(12);
@@ -68,7 +73,7 @@
     assert_ne!(zones[0].zone, zones[1].zone);
 }
 
-/// What one instance sends a second does not grow for ever with the fleet.
+/// Guards against heartbeat traffic of one instance that grows with the fleet without bound.
 #[test]
 fn infrequent_heartbeats_are_bounded() {
     for others in 1..600_u32 {
--- a/crates/admit/tests/shares.rs
+++ b/crates/admit/tests/shares.rs
@@ -1,6 +1,6 @@
-//! Keepers of one account's quota before a store, on days on which anything happens to them:
-//! they start again, stand still, or are cut off from the store or from each other, and whoever
-//! looks after the table takes their shares away meanwhile.
+//! Simulation of the limiters of one account's quota before a store. Limiters restart, stall,
+//! and lose contact to the store or to each other, while the planners of the share table move
+//! their shares.
 
 use std::time::Duration;
 
@@ -17,23 +17,23 @@
 const NAMES: [&str; 8] = ["a-1", "a-2", "b-1", "b-2", "c-1", "c-2", "d-1", "d-2"];
 const ZONES: [&str; 8] = ["a", "a", "b", "b", "c", "c", "d", "d"];
 
-/// The quota, what it may be exceeded by in a window, and the window.
+/// Quota, its window in milliseconds, and the operations by which a window may exceed it.
 const RATE: f64 = 20.0;
 const BURST: f64 = 20.0;
 const WINDOW: u64 = 5_000;
 const SLACK: f64 = 0.1 * (RATE * 5.0 + BURST) + 20.0;
 
-/// What a keeper has when it starts.
+/// Operations in the bucket of a limiter when it starts.
 const INITIAL_BURST: f64 = 0.3 * SLACK;
 
-/// How long a table may be used unseen.
+/// Time for which a limiter may use a table without proof that it is current.
 const PROOF_SPAN: Duration = Duration::from_secs(15);
 
 const STEP: u64 = 20;
 const STEPS: u64 = 2_500;
 const SEEDS: u64 = 60;
 
-/// Whether shares that were taken away stay reserved, so that the check is seen to fail.
+/// Handling of reduced shares; dropping the reservation must make the check fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reserve {
     Kept,
@@ -42,14 +42,13 @@
 
 struct Limiter {
     table: Table,
-    /// From when its proof counts that its table is the newest.
+    /// Moment for which the table was last proved to be the newest.
     proved_at: u64,
     bucket: Option<Bucket>,
-    /// Until when it is not there, and whether it starts anew then.
+    /// End of the current outage, and whether the limiter restarts without its state then.
     down_until: u64,
     loses_state: bool,
-    /// Until when it does not reach the store, and until when those who look after the table
-    /// don't hear it.
+    /// End of the partition from the store, and of the silence towards the planners.
     store_cut_until: u64,
     unheard_until: u64,
 }
@@ -58,7 +57,7 @@
     Instant::from_millis(ms + 20_000)
 }
 
-/// Plays a day on which as much is asked for as there is; when operations were given.
+/// Simulates demand above the quota and returns the moments of admitted operations.
 fn simulate(seed: u64, reserve: Reserve) -> Vec<u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut stored = (Table::default(), 0_u64);
@@ -92,14 +91,14 @@
             if rng.random_ratio(1, 900) {
                 limiter.unheard_until = now + rng.random_range(100..20_000);
             }
-            // What the store has is known a little later, if it is reached.
+            // A change of the table is seen with some delay, if the store is reachable.
             let reaches_store = limiter.down_until <= now && limiter.store_cut_until <= now;
             if reaches_store && rng.random_ratio(1, 20) {
                 limiter.table = stored.0.clone();
                 limiter.proved_at = now;
             }
         }
-        // Two look after the table, and don't see the same; one of them may be behind.
+        // Two planners with different views change the table.
         for planner in &mut planners {
             let heard: Vec<_> = (0..NAMES.len())
                 .filter(|at| limiters[*at].down_until <= now && limiters[*at].unheard_until <= now)
@@ -149,7 +148,7 @@
     admitted
 }
 
-/// The most operations that one window had.
+/// Largest number of operations in one window.
 fn busiest_window(admitted: &[u64]) -> usize {
     let windows = admitted.iter().enumerate().map(|(first, from)| {
         let inside = admitted[first..]
@@ -164,6 +163,8 @@
     (RATE * 5.0 + BURST + SLACK) as usize
 }
 
+/// Guards against a quota exceeded by all limiters together, caused by a share that moves
+/// while its old limiter still uses it, and against a quota that is hardly used.
 #[test]
 fn no_window_exceeds_the_quota_and_its_slack() {
     let mut all = 0;
@@ -184,16 +185,16 @@
     );
 }
 
-/// The check fails where a share that was taken away is given to another at once: its keeper
-/// may be cut off, and goes on using it.
+/// Proves that the check above can fail: if a reduced share is granted to another limiter at
+/// once, a partitioned limiter goes on using it as well.
 #[test]
 fn without_reservations_the_quota_is_exceeded() {
     let exceeds = |seed| busiest_window(&simulate(seed, Reserve::Dropped)) > allowed();
     assert!((0..SEEDS).any(exceeds));
 }
 
-/// Symptom: a customer is refused below its limit for as long as a machine is replaced.
-/// Events: one of its four keepers is lost for good.
+/// Guards against refusals below an account's limit after one of its four limiters is lost
+/// for good.
 #[test]
 fn the_share_of_a_lost_limiter_moves_once_its_reservation_ends() {
     let candidate = |at: usize| Candidate {
