--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -1,4 +1,4 @@
-//! A clock that counts the time for which the machine was suspended.
+//! Clock that includes the time for which the machine was suspended.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::Instant;
 
-/// The time since the machine was started, suspensions included.
+/// Time since the machine was booted, suspensions included (`CLOCK_BOOTTIME`).
 ///
-/// The monotonic clock stands still while a machine is suspended. A proof with a
-/// span, such as a lease, that is measured with it outlives its span by as much:
-/// the holder wakes up and believes that it still has the right it lost. The time
-/// of day counts a suspension too, but jumps. This clock does neither.
+/// The monotonic clock stops while a machine is suspended. A lease or another proof measured
+/// with it would outlive its span by that time, and its holder would wake up with a right that
+/// it has lost. The time of day includes suspensions too, but can jump. This clock does
+/// neither.
 ///
 /// ```
 /// let clock = clock::Boot;
@@ -21,7 +21,7 @@
 pub struct Boot;
 
 impl Boot {
-    /// The moment it is.
+    /// The current moment.
     pub fn now(self) -> Instant {
         let time = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -1,13 +1,13 @@
-//! Moments counted in microseconds from an arbitrary start.
+//! Moments in microseconds since an arbitrary start.
 
 use std::{
     ops::{Add, Sub},
     time::{Duration, SystemTime},
 };
 
-/// A moment, in microseconds since its clock was opened.
+/// Moment in microseconds since its clock was opened.
 ///
-/// Instants of two processes can't be compared.
+/// Instants of different processes are not comparable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(u64);
 
@@ -30,7 +30,7 @@
         self.0
     }
 
-    /// The time since `earlier`, or zero if that is later.
+    /// Time since `earlier`, or zero if `earlier` is the later moment.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The machine's monotonic clock; the only place where it is read.
+/// Monotonic clock of the machine, which is read nowhere else.
 ///
 /// ```
 /// let clock = clock::Clock::open();
@@ -67,7 +67,7 @@
 }
 
 impl Clock {
-    /// Opens a clock that counts from now.
+    /// Opens a clock that starts at zero now.
     pub fn open() -> Self {
         let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Self {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The time since the Unix epoch: the machine's clock when this one was
-    /// opened, counted on without a jump.
+    /// Time since the Unix epoch: the machine's time of day when the clock was opened, advanced
+    /// monotonically since.
     ///
     /// ```
     /// let clock = clock::Clock::open();
@@ -87,7 +87,7 @@
         self.epoch + self.start.elapsed()
     }
 
-    /// The moment it is.
+    /// The current moment.
     pub fn now(&self) -> Instant {
         Instant::ZERO + self.start.elapsed()
     }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! Time as a value, and the timer service that parts subscribe to.
+//! Time as a value, and a timer service.
 //!
-//! No decision reads the machine's clock: it is handed an [`Instant`], which
-//! the daemon takes from a monotonic clock, an instance that holds proofs with a
-//! span from one that counts suspensions, and tests count up themselves.
+//! Decision code reads no clock; an [`Instant`] is passed in. The daemon takes instants from a
+//! monotonic clock, holders of time-limited proofs from a clock that includes suspensions, and
+//! tests advance them on their own.
 
 mod boot;
 mod instant;
--- a/crates/clock/src/timer.rs
+++ b/crates/clock/src/timer.rs
@@ -1,16 +1,16 @@
-//! A timer service: parts subscribe to moments and are told when they came.
+//! Timer service: events scheduled for a moment are returned once it has come.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::Instant;
 
-/// What a subscription is cancelled with.
+/// Handle for cancelling a subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(u64);
 
-/// Subscriptions to moments, each with what to tell when the moment comes.
+/// Events, each scheduled for a moment.
 ///
-/// Subscriptions that fall due at one moment are told in the order made.
+/// Events of the same moment expire in the order of their subscription.
 ///
 /// ```
 /// use clock::{Instant, Timer};
@@ -41,7 +41,7 @@
 }
 
 impl<T> Timer<T> {
-    /// Asks to be told `event` at `at`.
+    /// Schedules `event` for `at`.
     pub fn subscribe(&mut self, at: Instant, event: T) -> Token {
         let token = Token(self.next_token);
         self.next_token += 1;
@@ -50,18 +50,19 @@
         token
     }
 
-    /// Takes a subscription back; `None` if it was told or cancelled before.
+    /// Cancels a subscription and returns its event; `None` if it has expired or was cancelled
+    /// before.
     pub fn cancel(&mut self, token: Token) -> Option<T> {
         let at = self.due_times.remove(&token)?;
         self.due.remove(&(at, token))
     }
 
-    /// The next moment that somebody waits for.
+    /// The earliest moment for which an event is scheduled.
     pub fn next(&self) -> Option<Instant> {
         self.due.first_key_value().map(|(&(at, _), _)| at)
     }
 
-    /// Takes out all that fell due up to `now`, earliest first.
+    /// Removes and returns all events due up to `now`, earliest first.
     pub fn expired(&mut self, now: Instant) -> Vec<T> {
         let mut events = Vec::new();
         while let Some(entry) = self.due.first_entry() {
