--- a/crates/model/src/class.rs
+++ b/crates/model/src/class.rs
@@ -1,47 +1,47 @@
-//! What an entry's class promises.
+//! Guarantees of an entry's class.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How fresh a read must be.
+/// Required freshness of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Freshness {
-    /// Everything acknowledged before the read began, by any session.
+    /// All commits of any session that were acknowledged before the read began.
     Current,
-    /// Everything that this session wrote or has already read.
+    /// Everything that the session has written or already read.
     Session,
-    /// As [`Freshness::Session`], and no older than this age.
+    /// Like [`Freshness::Session`], and no older than this age.
     Age(Duration),
 }
 
-/// Whether a request may be sent again after its bytes may have left.
+/// Permission to send a request again after its bytes may have been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Running it twice has the effect of running it once.
+    /// Running the request twice has the same effect as running it once.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     Once,
 }
 
-/// Who goes first when there is not room for all; the first goes first.
+/// Priority under overload, the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
     /// Reservations, payments and urgent retrievals.
     High,
     /// Everything else.
     Normal,
-    /// Calendar views and other reads that give way first.
+    /// Calendar views and other reads that are shed first.
     Low,
 }
 
-/// What an entry's class promises about its requests.
+/// Class of an entry: the guarantees for its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Class {
-    /// How fresh its reads are.
+    /// Freshness of reads.
     pub freshness: Freshness,
-    /// Whether its requests may be repeated.
+    /// Permission to repeat requests.
     pub repeat: Repeat,
-    /// Who goes first under load.
+    /// Priority under overload.
     pub priority: Priority,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Names, log positions, classes and outcomes that every area shares.
+//! Names, log positions, classes and outcomes shared by all crates.
 //!
-//! Nothing here decides anything: these are the words that the decision
-//! crates, the daemon and the stand-ins use to talk to each other.
+//! The crate makes no decisions; it holds the vocabulary that the decision crates, the daemon
+//! and the simulated servers have in common.
 
 pub mod class;
 pub mod name;
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -1,4 +1,4 @@
-//! Typed names, so that a tenant's name is never taken for a database's.
+//! Typed names, so that a tenant's name can't be passed for a database's.
 
 use std::{borrow::Borrow, fmt, sync::Arc};
 
@@ -7,7 +7,7 @@
 /// The longest name accepted anywhere, in bytes.
 pub const MAX_LEN: usize = 63;
 
-/// Why a text is not a name.
+/// Reason a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is empty.
@@ -42,11 +42,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes a name of it.
+            /// Creates a name from `text`.
             ///
             /// # Errors
             ///
-            /// [`Error`] tells what in `text` is not allowed in a name.
+            /// Returns an [`Error`] if `text` is not a valid name.
             pub fn new(text: &str) -> Result<Self, Error> {
                 validate(text).map(Self)
             }
@@ -85,16 +85,16 @@
 }
 
 names! {
-    /// A database: one replicated group of upstreams.
+    /// Name of a database: one replicated group of upstreams.
     Database;
-    /// A catalogue entry, which callers name as the database they connect to.
+    /// Name of a catalogue entry, which callers give as the database to connect to.
     Entry;
-    /// One running process of the system.
+    /// Name of one running process of the proxy.
     Instance;
-    /// A customer of the operator, who owns entries and whose users log in.
+    /// Name of a client account, which owns entries and users.
     Tenant;
-    /// One database server of a group.
+    /// Name of one database server of a group.
     Upstream;
-    /// An availability zone.
+    /// Name of an availability zone.
     Zone;
 }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,29 +1,29 @@
-//! How a request ends: done, not run, or unknown.
+//! Outcome of a request: done, not run, or unknown.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request did not end as done.
+/// Reason a request did not end as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// The entry's or the fleet's limits leave no room for it now.
+    /// The limits of the entry or the fleet leave no capacity for the request.
     Overload,
-    /// It could not finish, or did not, before its deadline.
+    /// The request could not be finished before its deadline.
     Deadline,
-    /// No upstream that may serve it can be reached.
+    /// No upstream that may serve the request can be reached.
     NoUpstream,
-    /// The connection broke after its bytes may have left.
+    /// The connection broke after the request may have been sent.
     ConnectionLost,
-    /// The primary was replaced while it ran.
+    /// The primary was replaced while the request ran.
     Replaced,
-    /// This instance is stopping.
+    /// The instance is stopping.
     Stopping,
     /// The retry budget is spent.
     RetryBudget,
-    /// The catalogue does not know what it asks for.
+    /// The catalogue has no entry for the request.
     Catalogue,
-    /// A ring between two duties is full.
+    /// A ring buffer between two parts of the daemon is full.
     RingFull,
 }
 
@@ -43,21 +43,21 @@
     }
 }
 
-/// The one end that each request has.
+/// Final outcome of a request; each request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran, and its effects are lasting.
+    /// The request ran and its effects are durable.
     Done,
-    /// It is proved that it did not run; the caller may send it again.
+    /// The request provably did not run; the caller may send it again.
     NotRun(Cause),
-    /// Whether it ran is not known.
+    /// The request may or may not have run.
     Unknown(Cause),
 }
 
 impl Outcome {
-    /// The SQLSTATE that tells the caller, or `None` when it is done.
+    /// SQLSTATE reported to the caller, or `None` if the request is done.
     ///
-    /// The class `DL` is not used by the SQL standard or by PostgreSQL.
+    /// Neither the SQL standard nor PostgreSQL uses the class `DL`.
     pub fn sqlstate(self) -> Option<&'static str> {
         match self {
             Self::Done => None,
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a primary's reign; each promotion raises it.
+/// Number of a primary's term of leadership; each promotion increments it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term that a promotion out of this one claims.
+    /// The term that a promotion claims after this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// A place in the write-ahead log, in bytes, written as PostgreSQL writes it.
+/// Byte position in the write-ahead log, formatted as in PostgreSQL.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -35,14 +35,14 @@
     }
 }
 
-/// A text that is not a log position such as `0/16B3748`.
+/// Reason a text is not a log position such as `0/16B3748`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LsnError {
     /// The slash between the two halves is missing.
-    #[error("a log position has two halves parted by a slash")]
+    #[error("a log position has two halves separated by a slash")]
     Slash,
     /// A half is not a hexadecimal number of 32 bits.
-    #[error("a half of a log position is not hexadecimal: {0}")]
+    #[error("half of a log position is not a 32-bit hexadecimal number: {0}")]
     Half(#[from] ParseIntError),
 }
 
@@ -61,22 +61,22 @@
     }
 }
 
-/// How far an upstream has come: the term it follows and its place in the log.
+/// Progress of an upstream: its term and its position in that term's log.
 ///
-/// Ordered by term first and place second, which is the order in which a
-/// promotion chooses among the upstreams that answered.
+/// Positions are ordered by term first and LSN second, the order in which a promotion
+/// chooses among the upstreams that answered.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The term whose log this is.
+    /// Term of the log.
     pub term: Term,
-    /// The place in that log.
+    /// Position in that log.
     pub lsn: Lsn,
 }
 
 impl Position {
-    /// Makes a position from bare numbers, for tests and stand-ins.
+    /// Creates a position from plain numbers, for tests and simulated servers.
     pub fn new(term: u64, lsn: u64) -> Self {
         Self {
             term: Term(term),
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Whether a log that stands here holds everything acknowledged at `token`.
+    /// Returns true if a log at this position holds everything acknowledged at `token`.
     ///
-    /// Only acknowledged positions become tokens, and an acknowledged position
-    /// is part of every later term's log. Both parts must therefore have been
-    /// reached: a higher term alone does not prove the place, because a lagging
-    /// replica carries the new term before it has replayed up to the fork.
+    /// Only acknowledged positions become tokens, and an acknowledged position is part of the log
+    /// of each later term. Both term and LSN must have been reached: a higher term alone does not
+    /// suffice, because a lagging replica carries the new term before it has replayed up to the
+    /// fork.
     ///
     /// ```
     /// use model::Position;
--- a/crates/model/src/primary.rs
+++ b/crates/model/src/primary.rs
@@ -1,25 +1,25 @@
-//! The record of who leads a database, and what an upstream tells of itself.
+//! Record of a database's primary, and status report of an upstream.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Lsn, Position, Term, name};
 
-/// The store's record of a database's primary, changed only by compare-and-swap.
+/// Record of a database's primary in the store, changed only by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The term that the record opens.
+    /// Term that begins with the record.
     pub term: Term,
-    /// How far the change of primary has come.
+    /// Progress of the change of primary.
     pub phase: Phase,
-    /// Where the log of the term before was left: the new primary's last place.
+    /// End of the previous term's log: the last position of the new primary in it.
     pub fork: Lsn,
-    /// Marks the swap that wrote this, so that a writer whose answer was lost
-    /// recognises its own record when it reads it back.
+    /// Unique identifier of the swap that wrote the record, by which a writer whose answer was
+    /// lost recognises its own record.
     pub attempt: u128,
 }
 
 impl Record {
-    /// The upstream that leads, or `None` while a term is only claimed.
+    /// The primary, or `None` while the term is only claimed.
     pub fn leader(&self) -> Option<&name::Upstream> {
         match &self.phase {
             Phase::Led { upstream } => Some(upstream),
@@ -28,39 +28,39 @@
     }
 }
 
-/// How far a change of primary has come.
+/// Progress of a change of primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// An instance has claimed the term and fences the group.
+    /// An instance has claimed the term and is fencing the group.
     Claimed {
-        /// The claimant.
+        /// The claiming instance.
         by: name::Instance,
     },
-    /// The upstream was promoted and leads in this term.
+    /// The upstream was promoted and leads the term.
     Led {
         /// The primary.
         upstream: name::Upstream,
     },
 }
 
-/// Whether an upstream takes writes.
+/// Replication role of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// It takes writes and makes log.
+    /// Accepts writes and generates log.
     Primary,
-    /// It replays the log of a primary.
+    /// Replays the log of a primary.
     Replica,
 }
 
-/// What an upstream says of itself, all in one answer.
+/// Status that an upstream reports of itself in one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Whether it takes writes.
+    /// Replication role.
     pub role: Role,
-    /// The highest term it was fenced to; orders of lower terms are refused.
+    /// Highest term that the upstream was fenced to; it refuses orders of lower terms.
     pub fenced: Term,
-    /// The term of the last log it holds, and how far it *received* that log.
+    /// Term of the latest log that the upstream holds, and the position received in it.
     pub received: Position,
-    /// How far it has replayed, which is what its reads see.
+    /// Position replayed, up to which reads see the data.
     pub replayed: Lsn,
 }
