--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,9 +1,9 @@
-//! Log lines that never hold anything up.
+//! Non-blocking JSON log lines.
 //!
-//! A full pipe, or a reader that stops, would block whoever writes a line, and with
-//! it every request of the process. So a line is written only if the output takes it
-//! at once, and only so many lines a second; the next line that is written tells how
-//! many were left out.
+//! A full pipe, or a reader that has stopped, would block the thread that writes a line, and
+//! with it every request of the process. So a line is written only if the output accepts it
+//! at once and the rate limit permits it; the next line written reports the number of dropped
+//! lines.
 
 use std::{
     fmt::Debug,
@@ -27,29 +27,28 @@
 };
 use serde_json::{Map, json};
 
-/// How many lines a second are written.
+/// Lines written per second.
 const RATE: f64 = 150.0;
 
-/// How many lines may come at once after a quiet time.
+/// Lines that may be written at once after a quiet period.
 const BURST: f64 = 300.0;
 
-/// The longest line: what a pipe that takes anything takes at once.
+/// Longest line in bytes: the size that a writable pipe accepts without blocking.
 const MAX_LINE: usize = 4_096;
 
-/// Appender left out since the start of the process.
+/// Lines dropped since the start of the process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were left out since the start of the process.
+/// Number of lines dropped since the start of the process.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// The instance whose process this is.
+/// Name of the instance, added to each line.
 static INSTANCE: OnceLock<String> = OnceLock::new();
 
-/// Has every line from now on say which instance writes it. Lines of several
-/// instances end up in one place, where nothing else tells them apart. The first
-/// name stays.
+/// Adds the name of the instance to all subsequent lines, since lines of several instances
+/// are collected in one place. Only the first call has an effect.
 pub fn set_instance(instance: &str) {
     let _ = INSTANCE.set(instance.to_owned());
 }
@@ -62,7 +61,8 @@
     dropped: u64,
 }
 
-/// Writes records as JSON lines, as many as the output and the rate take.
+/// Appender that writes records as JSON lines and drops lines that would block or exceed the
+/// rate limit.
 #[derive(Debug)]
 pub struct Appender<W> {
     crates: &'static [&'static str],
@@ -70,8 +70,8 @@
 }
 
 impl<W: Write + AsFd> Appender<W> {
-    /// Writes to `out` what the crates named in `own` say, and warnings of all
-    /// others.
+    /// Creates an appender that writes to `out` all records of `crates`, and of other crates
+    /// only those of level warning and above.
     pub fn new(out: W, crates: &'static [&'static str]) -> Self {
         let state = State {
             out,
--- a/crates/logs/tests/lines.rs
+++ b/crates/logs/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines never hold up who writes them.
+//! Tests that the appender never blocks its callers.
 
 use std::io::{BufRead, BufReader, pipe};
 
@@ -18,14 +18,14 @@
         .build()
 }
 
-/// Symptom: an instance serves nobody any more. Events: whoever reads its output
-/// stops, and the pipe fills up. Cause: a line that is written waits for room.
+/// Guards against an instance that stops serving because the reader of its output has
+/// stopped: the pipe fills up and writing a line blocks.
 #[test]
 fn a_full_pipe_does_not_block() {
     let (reader, writer) = pipe().unwrap();
     let appender = Appender::new(writer, CRATES);
     let before = logs::dropped();
-    // Far more than a pipe holds; would one block, this would never end.
+    // Far more than a pipe holds. A blocking write would never return.
     for _ in 0..100_000 {
         appender
             .append(&record("proxy::session", Level::Info), &[])
@@ -38,6 +38,7 @@
         .unwrap();
 }
 
+/// Guards against a flood of lines, as when each of many statements fails.
 #[test]
 fn the_rate_is_bounded() {
     let (reader, writer) = pipe().unwrap();
