--- a/crates/lead/src/choose.rs
+++ b/crates/lead/src/choose.rs
@@ -1,35 +1,35 @@
-//! Which replica is promoted.
+//! Choice of the replica to promote.
 
 use model::Position;
 
-/// What a replica answered when it was told to stop receiving.
+/// Answer of a replica that was ordered to stop receiving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// The replica.
+    /// Name of the replica.
     pub upstream: &'a str,
-    /// How far its log goes, by its own answer, never by the list of upstreams.
+    /// End of its log according to its own answer, never according to the list of upstreams.
     pub received: Position,
-    /// Whether it stays, or is about to leave.
+    /// True unless the replica is about to leave.
     pub stays: bool,
 }
 
-/// The replica with the furthest log; among equals one that stays.
+/// Chooses the replica with the furthest log, and among equals one that stays.
 ///
-/// A replica that hears nothing calls itself fine and may be far behind, so only
-/// positions are compared. One that leaves may be the only one that holds the last
-/// acknowledged commits: then it leads just for as long as it takes another replica
-/// to receive them, and is sent no work if its time is over.
+/// Only positions are compared, because a replica without a connection to the primary
+/// reports itself healthy and may be far behind. A leaving replica may be the only one with the
+/// last acknowledged commits. If so, it leads until another replica has received them; once
+/// its time to leave is over, it is sent no statements.
 pub fn best<'a>(candidates: &[Candidate<'a>]) -> Option<&'a str> {
     let rank = |c: &&Candidate<'a>| (c.received, c.stays, std::cmp::Reverse(c.upstream));
     candidates.iter().max_by_key(rank).map(|c| c.upstream)
 }
 
-/// Whether one of those that answered surely holds every acknowledged commit.
+/// Returns true if one of the replicas that answered certainly holds all acknowledged commits.
 ///
-/// A commit is acknowledged once `sync` of the `replicas` hold it beside the
-/// primary. If fewer than `sync` replicas stay silent, at least one that answered
-/// holds it, and the one with the furthest log does. Where commits are acknowledged
-/// by the primary alone, nobody can be sure, and whoever answers must do.
+/// A commit is acknowledged once `sync` of the `replicas` hold it in addition to the primary.
+/// If fewer than `sync` replicas are silent, at least one that answered holds the commit, and
+/// so does the one with the furthest log. With `sync` of zero the primary acknowledges alone,
+/// so there is no certainty and any answer suffices.
 ///
 /// ```
 /// use lead::choose::holds_all_commits;
--- a/crates/lead/src/floor.rs
+++ b/crates/lead/src/floor.rs
@@ -1,18 +1,17 @@
-//! Which position a read of a stated age must have reached.
+//! Positions that reads of bounded age must have reached.
 
 use std::{collections::VecDeque, time::Duration};
 
 use clock::Instant;
 use model::{Position, Term};
 
-/// Samples closer than this to the one before tell nothing new.
+/// Shortest time between two samples; closer ones add no information.
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Positions of a proved primary, each with the moment its question was sent.
+/// Positions of a proved primary, each with the moment its request was sent.
 ///
-/// A primary that answers a question sent at `sent` with a position holds there
-/// every commit that anybody was told of before `sent`. So a log that has reached
-/// the position is no older than `sent`.
+/// The position in the answer to a request sent at `sent` covers every commit acknowledged
+/// before `sent`. So a log that has reached the position is no older than `sent`.
 #[derive(Debug, Default)]
 pub struct Samples {
     term: Term,
@@ -20,10 +19,10 @@
 }
 
 impl Samples {
-    /// Takes in a position that the primary of `term` answered.
+    /// Records a position reported by the primary of `term`.
     ///
-    /// A position of a new term voids the older ones: beyond the fork they are
-    /// part of no log any more, and a read that waited for one would wait forever.
+    /// A new term discards the samples of older terms: positions past the fork are part of no
+    /// log any more, and a read that required one would wait forever.
     pub fn record(&mut self, term: Term, sent: Instant, position: Position, keep: Duration) {
         if term < self.term {
             return;
@@ -43,9 +42,9 @@
         }
     }
 
-    /// The lowest position that a read at `now` may show if it may be `age` old.
+    /// Lowest position that a read at `now` with the age limit `age` may show.
     ///
-    /// `None` if no sample is young enough to tell.
+    /// Returns `None` if no sample is recent enough.
     pub fn floor(&self, now: Instant, age: Duration) -> Option<Position> {
         let oldest = now - age;
         let fresh = self.samples.iter().find(|(at, _)| *at >= oldest);
--- a/crates/lead/src/freshness.rs
+++ b/crates/lead/src/freshness.rs
@@ -1,40 +1,40 @@
-//! How surely an instance knows what may be asked for.
+//! Proof that the keys and quotas in force at an instance are current.
 //!
-//! A key that was taken away must not be served for long, by no instance: neither by one that
-//! is cut off, nor by one that stood still and wakes. So a key is served only under a proof:
-//! at a moment that was noted *before* the question left, the store held nothing newer than
-//! what is in force here. A request may be served for a span behind that moment, and what
-//! counts is when the request came; what happens to it later does not matter.
+//! No instance may accept a revoked key for long, not even one that was partitioned or that
+//! resumes after a stall. So a key is accepted only with a proof: at a moment noted *before*
+//! the request to the store was sent, the store held nothing newer than the version in force
+//! here. A request may be served for a span after that moment. The arrival of the request
+//! counts; later delays don't matter.
 //!
-//! A proof is passed on with its age. Whoever asks counts back from its own question: between
-//! the question and the moment for which the age was told only time can have passed, so a
-//! relay that is late, stands still or was replaced makes the proof older and never younger.
+//! A proof is relayed together with its age. The receiver subtracts the age from the moment
+//! of its own request. Delays between that moment and the answer are added to the age, so a
+//! relay that is slow, stalls or was replaced makes the proof older and never younger.
 
 use std::time::Duration;
 
 use clock::Instant;
 use serde::{Deserialize, Serialize};
 
-/// The part of a span by which clocks of two machines may drift apart.
+/// Divisor of a span that gives the largest clock drift between two machines: 2 %.
 const DRIFT_DIVISOR: u32 = 50;
 
-/// How far the store, or an instance, is with what the operators and all instances agreed on.
+/// Progress of the store, or of an instance, in the shared configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
-    /// The catalogue's version.
+    /// Version of the catalogue.
     pub catalog: u64,
-    /// The revision of the accounts' shares.
+    /// Revision of the table of quota shares.
     pub shares: u64,
 }
 
 impl Watermark {
-    /// Whether it is as far as `other` in everything.
+    /// Returns true if neither version is older than in `other`.
     pub fn reaches(self, other: Self) -> bool {
         self.catalog >= other.catalog && self.shares >= other.shares
     }
 }
 
-/// The proof that nothing newer than what is in force was in the store.
+/// Proof that the store held nothing newer than the versions in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
     proved_at: Option<Instant>,
@@ -42,8 +42,8 @@
 }
 
 impl Freshness {
-    /// Takes in that nothing newer than `newest` was in the store at `since`, while this
-    /// instance has `have`.
+    /// Records that the store held nothing newer than `newest` at `since`, while `have` is in
+    /// force here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,7 +58,7 @@
     /// assert!(freshness.covers(at(4_900), span));
     /// assert!(!freshness.covers(at(5_100), span));
     ///
-    /// // What is not in force here proves nothing until it is.
+    /// // A newer version is no proof until it is in force here.
     /// freshness.update(watermark(8), at(2_000), watermark(7));
     /// assert!(!freshness.covers(at(5_100), span));
     /// freshness.advance(watermark(8));
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes in that this instance has `have` from now on.
+    /// Records that `have` is now in force here.
     pub fn advance(&mut self, have: Watermark) {
         if let Some((newest, since)) = self.pending
             && have.reaches(newest)
@@ -82,26 +82,25 @@
         }
     }
 
-    /// What it waits for: something that the store has and this instance has not.
+    /// Newer versions that the store has and that are not in force here yet.
     pub fn pending(&self) -> Option<Watermark> {
         self.pending.map(|(newest, _)| newest)
     }
 
-    /// How old the proof is at `now`.
+    /// Age of the proof at `now`.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.proved_at.map(|since| now.since(since))
     }
 
-    /// Whether a request that came at `moment` may be served, if a key may be served for
-    /// `span` after it was taken away.
+    /// Returns true if a request that arrived at `moment` may be served, where a key may be
+    /// accepted for `span` after its revocation.
     pub fn covers(&self, moment: Instant, span: Duration) -> bool {
         let span = span - span / DRIFT_DIVISOR;
         self.proved_at.is_some_and(|since| moment < since + span)
     }
 }
 
-/// From when on a proof counts that was told for a question sent at `asked`, and was `age`
-/// old when it was told.
+/// Start of a relayed proof that was requested at `asked` and was `age` old in the answer.
 pub fn valid_from(asked: Instant, age: Duration) -> Instant {
     asked - age
 }
--- a/crates/lead/src/lib.rs
+++ b/crates/lead/src/lib.rs
@@ -1,7 +1,8 @@
-//! Who leads a database, how long that may be believed, and how old a read may be.
+//! Leadership of a database: proofs that a primary still leads, votes on its replacement, the
+//! choice of its successor, and the age of reads.
 //!
-//! Nothing here reads a clock or a socket: moments are passed in. The moments
-//! must come from a clock that counts suspensions ([`clock::Boot`]).
+//! The functions read no clock or socket; moments are passed in. The moments must come from a
+//! clock that includes suspensions ([`clock::Boot`]).
 
 pub mod choose;
 pub mod floor;
--- a/crates/lead/src/proof.rs
+++ b/crates/lead/src/proof.rs
@@ -1,34 +1,33 @@
-//! How long an instance may believe that a primary has not been replaced.
+//! Time-limited proof that a primary has not been replaced.
 //!
-//! A replaced primary that has not noticed answers reads and even writes as if
-//! nothing had happened. So an instance uses a primary only under a proof: it
-//! asked, at a moment that it noted *before* asking, and the answer said that no
-//! replacement had begun. Whoever replaces a primary announces it where the proof
-//! is asked for, and then waits until every proof given before has run out. No
-//! list of instances is needed, and an instance that is paused, cut off or lied
-//! to by silence merely runs out of proof.
+//! A replaced primary that has not noticed its replacement continues to answer reads and even
+//! writes. So an instance uses a primary only with a proof: it sent a request, at a moment
+//! noted *before* sending, and the answer showed no replacement in progress. A replacement
+//! is announced where proofs are requested, and then waits until every proof granted before
+//! has expired. This needs no list of instances, and an instance that is paused or
+//! partitioned merely runs out of proof.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// The part of a span by which clocks of two machines may drift apart.
+/// Divisor of a span that gives the largest clock drift between two machines: 2 %.
 const DRIFT_DIVISOR: u32 = 50;
 
-/// The proof that a primary has not been replaced.
+/// Proof that a primary has not been replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Proof {
     until: Instant,
 }
 
 impl Proof {
-    /// Takes in an answer to a question that was sent at `sent` and that showed
-    /// no replacement. A late answer counts from its question all the same.
+    /// Extends the proof by an answer that showed no replacement. The span starts at `sent`, when
+    /// the request was sent, however late the answer is.
     pub fn extend(&mut self, sent: Instant, span: Duration) {
         self.until = self.until.max(sent + span);
     }
 
-    /// Whether no replacement took effect before `moment`.
+    /// Returns true if no replacement took effect before `moment`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -42,20 +41,20 @@
         moment < self.until
     }
 
-    /// The moment from which nothing is proved any more.
+    /// The moment at which the proof expires.
     pub fn until(&self) -> Instant {
         self.until
     }
 
-    /// Forgets everything, because a replacement was heard of.
+    /// Drops the proof, because a replacement has become known.
     pub fn invalidate(&mut self) {
         *self = Self::default();
     }
 }
 
-/// When every proof that was given before `announced` has run out.
+/// The moment at which every proof granted before `announced` has expired.
 ///
-/// `announced` must be a moment after the store acknowledged the announcement.
+/// `announced` must not be earlier than the store's acknowledgement of the announcement.
 pub fn all_expired_at(announced: Instant, span: Duration) -> Instant {
     announced + span + span / DRIFT_DIVISOR
 }
--- a/crates/lead/src/quorum.rs
+++ b/crates/lead/src/quorum.rs
@@ -1,7 +1,7 @@
-//! Who must agree that a primary still leads, and who must be told to prevent that.
+//! Majorities that prove a primary, and fencing that prevents such a majority.
 
-/// How many of a group's `replicas` prove its primary beside the primary's own word:
-/// with the primary they are a majority.
+/// Number of a group's `replicas` that must confirm the primary. Together with the primary
+/// these are a majority.
 ///
 /// ```
 /// assert_eq!(lead::quorum::needed(2), 1);
@@ -11,11 +11,11 @@
     replicas.div_ceil(2)
 }
 
-/// Whether no majority with the old primary is left, once `told` of its `replicas` hold
-/// for the next term.
+/// Returns true if no majority with the old primary is possible, once `fenced` of its
+/// `replicas` follow the next term.
 ///
-/// Not only if all were told: where a replica was replaced lately, the one that left
-/// still counts for a while, and it can't be told.
+/// Fencing all replicas is not required: after the recent replacement of a replica, the one
+/// that left still counts for a while and can't be fenced.
 ///
 /// ```
 /// use lead::quorum::prevents_majority;
--- a/crates/lead/src/record.rs
+++ b/crates/lead/src/record.rs
@@ -1,38 +1,38 @@
-//! What the store keeps of a database's primary.
+//! Record of a database's primary in the store.
 
 use model::Term;
 use serde::{Deserialize, Serialize};
 
-/// Whether a primary may be used, or is being replaced.
+/// Phase of a primary: usable or being replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The upstream leads; a read of this record proves it for a span.
+    /// The upstream leads. A read of the record proves the primary for a span.
     Stable,
-    /// A replacement is under way; nobody may prove anything.
+    /// A replacement is in progress. The record proves no primary.
     Changing,
 }
 
-/// A database's record: changed only by compare-and-swap.
+/// Record of a database's primary, changed only by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The term that is led, or that was led before the change.
+    /// The current term, or the last one before a replacement in progress.
     pub term: Term,
-    /// The upstream that leads, or that led before the change.
+    /// The primary, or the last one before a replacement in progress.
     pub upstream: String,
-    /// Whether the primary may be used.
+    /// Phase of the primary.
     pub phase: Phase,
-    /// The instance that wrote the record last.
+    /// The instance that last wrote the record.
     pub by: String,
-    /// The era of the store in which it was written. In a later one it stands in a copy, and
-    /// what was written behind it may be gone.
+    /// Era of the store in which the record was written. In a later era the store is a restored
+    /// copy, from which later writes may be missing.
     #[serde(default)]
     pub written: u64,
 }
 
 impl Record {
-    /// Whether it tells no more than `other`, which was written before: a copy may have lost
-    /// a replacement that took effect.
+    /// Returns true if the record is no newer than `other`, which was seen before: a copy of the
+    /// store may lack a replacement that took effect.
     ///
     /// ```
     /// use lead::{Phase, Record};
--- a/crates/lead/src/vote.rs
+++ b/crates/lead/src/vote.rs
@@ -1,29 +1,30 @@
-//! Whether a primary is gone, judged by all instances that can be heard.
+//! Vote of all reachable instances on the replacement of a primary.
 
 use std::time::Duration;
 
 use clock::Instant;
 use serde::{Deserialize, Serialize};
 
-/// How long a primary must fail before those who see it fail may outvote silence.
+/// Time for which a primary must fail before the instances that were heard decide without
+/// those that were not.
 const MAJORITY_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// How long a third of the instances must be without the primary.
+/// Time for which a primary must fail before a third of the voters suffices.
 const MINORITY_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// How long a primary must refuse everybody until it is replaced.
+/// Time for which a primary must refuse all instances before it is replaced.
 const REFUSING_PERIOD: Duration = Duration::from_millis(2_200);
 
-/// How lately the store must have answered whoever judges a primary.
+/// Longest silence of the store towards an instance that judges a primary.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(700);
 
-/// How long the store must have answered it again. An instance that was cut off reaches the
-/// upstreams no sooner than the store: a zone that is back would else replace the primaries
-/// of all groups that it holds.
+/// Time for which the store must have answered without a gap. After a partition, an instance
+/// reaches the upstreams no sooner than the store; without this time a returning zone would
+/// replace the primaries of all groups for which it holds connections.
 const MIN_STORE_CONTACT: Duration = Duration::from_millis(700);
 
-/// Whether an instance may judge primaries at `now`: the store, which answered it last at
-/// `stored`, has done so without a gap since `since`.
+/// Returns true if an instance may judge primaries at `now`, where the store answered last at
+/// `stored` and without a gap since `since`.
 ///
 /// ```
 /// use clock::Instant;
@@ -31,41 +32,41 @@
 ///
 /// let at = Instant::from_millis;
 /// assert!(is_eligible(at(9_000), at(8_900), at(1_000)));
-/// assert!(!is_eligible(at(9_000), at(8_200), at(1_000)), "cut off");
+/// assert!(!is_eligible(at(9_000), at(8_200), at(1_000)), "partitioned");
 /// assert!(!is_eligible(at(9_000), at(8_900), at(8_800)), "back a moment ago");
 /// ```
 pub fn is_eligible(now: Instant, stored: Instant, since: Instant) -> bool {
     stored + MAX_STORE_SILENCE >= now && since + MIN_STORE_CONTACT <= now
 }
 
-/// What one instance sees of a primary.
+/// Verdict of one instance on a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It answered a moment ago.
+    /// The primary answered a moment ago.
     Fine,
-    /// It fails, again and again.
+    /// The primary fails repeatedly.
     Failing,
-    /// There was no reason to ask it.
+    /// The instance has had no reason to contact the primary.
     Unknown,
-    /// It lives, but has refused this instance its first connection for a while.
+    /// The primary is alive, but has refused the instance's first connection for a while.
     Full,
 }
 
-/// The verdicts of the instances that were heard lately, the own one included.
+/// Counts of the verdicts of recently heard instances, the own instance included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Tally {
-    /// Who saw it answer.
+    /// Instances that saw the primary answer.
     pub fine: usize,
-    /// Who sees it fail.
+    /// Instances that see the primary fail.
     pub failing: usize,
-    /// Who can't tell.
+    /// Instances without information.
     pub unknown: usize,
-    /// Who is refused a first connection.
+    /// Instances whose first connection is refused.
     pub full: usize,
 }
 
 impl Tally {
-    /// Counts one more verdict.
+    /// Adds a verdict.
     pub fn add(&mut self, verdict: Verdict) {
         match verdict {
             Verdict::Fine => self.fine += 1,
@@ -79,14 +80,14 @@
         self.fine + self.failing + self.unknown + self.full
     }
 
-    /// Whether the primary is to be replaced because it has refused everybody for
+    /// Returns true if the primary is to be replaced because it has refused all instances for
     /// `full_for`.
     ///
-    /// A full upstream lives, and as a rule others use its connections. But it may
-    /// count connections that nobody has any more, until they have lain idle for a
-    /// minute; nobody is served meanwhile. Behind a loss of power all are refused as
-    /// well: the upstream still counts for 3 s what they had, and instances are back
-    /// after one. So it is replaced only if nobody at all was answered for longer.
+    /// A full upstream is alive, and usually other instances use its connections. But it may
+    /// still count connections of lost instances until these have been idle for a minute, and
+    /// serve no instance meanwhile. After a power loss all instances are refused as well: the
+    /// upstream counts their old connections for 3 s, and the instances are back after one. So
+    /// the primary is replaced only if no instance at all has been served for longer.
     ///
     /// ```
     /// use std::time::Duration;
@@ -101,14 +102,14 @@
         self.full > 0 && self.fine == 0 && has_quorum && full_for >= REFUSING_PERIOD
     }
 
-    /// Whether the primary is to be replaced, after failing here for `failing_for`.
+    /// Returns true if the primary is to be replaced, after failing here for `failing_for`.
     ///
-    /// One zone's blindness is not a dead primary: as a rule more must see it fail
-    /// than see it answer, and those heard must be half of the `known` instances. A
-    /// list of instances lags by seconds after many were killed, so after a while
-    /// those who are heard decide alone. If several, and a third of those who can
-    /// tell, see it fail for long, a replacement costs all callers less than a
-    /// primary out of reach costs theirs.
+    /// A partitioned zone does not make the primary a failed one: in general more instances must
+    /// see it fail than see it answer, and at least half of the `known` instances must have been
+    /// heard. The list of instances lags by seconds after many have been killed, so after a while
+    /// the heard ones decide alone. If several instances, and a third of those with information,
+    /// see the primary fail for long, a replacement costs all callers less than an unreachable
+    /// primary costs theirs.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/lead/tests/floor.rs
+++ b/crates/lead/tests/floor.rs
@@ -1,4 +1,4 @@
-//! How old a read may be, and which replica is promoted.
+//! Age limits of reads, and the choice of the replica to promote.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 const KEEP: Duration = Duration::from_secs(10);
 
 proptest! {
-    /// Symptom: a read shows less than was acknowledged longer ago than its age.
-    /// Events: samples and reads at any moments. The primary commits one position a
-    /// millisecond, so the position acknowledged at a moment is the moment itself.
+    /// Guards against a read that misses a commit acknowledged longer ago than the read's age.
+    /// The primary commits one position each millisecond, so the position acknowledged at a
+    /// moment equals the moment.
     #[test]
     fn a_floor_is_not_older_than_the_age(
         mut sent in prop::collection::vec(0..10_000u64, 1..50),
@@ -33,15 +33,15 @@
     }
 }
 
-/// Symptom: reads wait for a position that no log will ever have. Events: a primary
-/// is replaced, and its tail is undone. Cause: samples of the old term are kept.
+/// Guards against reads that wait for a position no log will ever reach, because samples of a
+/// replaced primary, whose last commits were rolled back, are kept.
 #[test]
 fn a_new_term_voids_the_samples_of_the_old_one() {
     let mut samples = Samples::default();
     let (early, late) = (Instant::from_millis(100), Instant::from_millis(200));
     samples.record(Term(3), early, Position::new(3, 90), KEEP);
     samples.record(Term(4), late, Position::new(4, 80), KEEP);
-    // A late answer of the replaced primary changes nothing.
+    // A late answer of the replaced primary is ignored.
     samples.record(Term(3), late, Position::new(3, 95), KEEP);
     let floor = samples.floor(Instant::from_millis(250), Duration::from_secs(1));
     assert_eq!(floor, Some(Position::new(4, 80)));
@@ -69,9 +69,8 @@
     }
 }
 
-/// Symptom: acknowledged commits are gone behind a promotion (DRAIN of stalgenoot
-/// mix --seed 1032084016823, LOST of the own day 405). Events: the replica with the
-/// furthest log is about to leave, the other one is deaf.
+/// Guards against the loss of acknowledged commits in a promotion. The replica with the
+/// furthest log is about to leave, and the other one has lost its connection to the primary.
 #[test]
 fn the_furthest_log_is_promoted_and_a_staying_replica_among_equals() {
     let (behind, leaving) = (candidate("a", 325, true), candidate("b", 330, false));
--- a/crates/lead/tests/freshness.rs
+++ b/crates/lead/tests/freshness.rs
@@ -1,6 +1,6 @@
-//! A store whose catalogue takes keys away, and instances that ask it, or each other, whether
-//! theirs is still the newest: late answers, instances that stand still in the middle of
-//! anything, relays of different age, a store that answers only some.
+//! Simulation of a store whose catalogue revokes keys, and of instances that ask the store or
+//! each other for proof that their catalogue is current. Answers are delayed, instances stall
+//! at any moment, relays differ in age, and the store refuses some requests.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How long a key may be served after it was taken away.
+/// Time for which a key may be accepted after its revocation.
 const SPAN: Duration = Duration::from_millis(500);
 
-/// How many instances there are: two that ask the store, two that ask those, four that ask
-/// any of these.
+/// Instances below `READERS` ask the store, those below `RELAYS` ask a reader, and the others
+/// ask a reader or relay.
 const READERS: usize = 2;
 const RELAYS: usize = 4;
 const INSTANCES: usize = 8;
@@ -21,33 +21,33 @@
 const STEPS: u64 = 6_000;
 const SEEDS: u64 = 150;
 
-/// How the proof's beginning is taken, so that the check is seen to fail.
+/// Start of a proof; the wrong ones must make the check fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Start {
-    /// From the own question, less the age that was told.
+    /// The moment of the request, minus the age in the answer.
     Question,
-    /// From the moment of the answer.
+    /// The moment of the answer, minus the age in the answer.
     Answer,
-    /// From the own question, whatever age was told.
+    /// The moment of the request, without the age in the answer.
     QuestionWithoutAge,
 }
 
-/// A question on its way, at the stage that it has reached.
+/// Stage of a request in transit.
 #[derive(Clone, Copy)]
 enum Stage {
     Asked,
-    /// What was told, and how old it was then.
+    /// The watermark and its age in the answer.
     Answered(Watermark, Duration),
 }
 
 #[derive(Clone, Copy)]
 struct Question {
     asker: usize,
-    /// Whom it asks; `None` for the store.
+    /// The instance asked; `None` for the store.
     asked: Option<usize>,
     at: u64,
     stage: Stage,
-    /// When the next stage is reached.
+    /// Moment of the next stage.
     next: u64,
 }
 
@@ -55,7 +55,7 @@
 struct Instance {
     freshness: Freshness,
     catalog: u64,
-    /// Until when it stands still.
+    /// End of the current stall.
     stalled_until: u64,
 }
 
@@ -67,11 +67,11 @@
     Watermark { catalog, shares: 0 }
 }
 
-/// Plays a day; how many requests were served, and how many of them with a key that had been
-/// taken away for longer than it may be served.
+/// Simulates a run and returns the number of requests served, and how many of these used a
+/// key that had been revoked for longer than the span.
 fn simulate(seed: u64, start: Start) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // Version v took key v away at this moment.
+    // Moment at which version v revoked key v.
     let mut revoked: Vec<u64> = vec![0];
     let mut instances = [Instance::default(); INSTANCES];
     let mut questions: Vec<Question> = Vec::new();
@@ -85,7 +85,7 @@
             if rng.random_ratio(1, 900) {
                 instance.stalled_until = now + rng.random_range(1..1_500);
             }
-            // The catalogue itself comes by another way, or for a while not at all.
+            // The catalogue itself is delivered separately, or for a while not at all.
             if instance.stalled_until <= now && rng.random_ratio(1, 60) {
                 instance.catalog = instance
                     .catalog
@@ -119,7 +119,7 @@
             match question.stage {
                 Stage::Asked => {
                     let answer = match question.asked {
-                        // It turns a third away.
+                        // The store refuses a third of the requests.
                         None if rng.random_ratio(1, 3) => None,
                         None => Some((watermark(newest), Duration::ZERO)),
                         Some(other) => {
@@ -133,7 +133,7 @@
                         continue;
                     };
                     question.stage = Stage::Answered(newest, age);
-                    // Whoever tells may stand still between the answer and its sending.
+                    // The sender may stall between taking the answer and sending it.
                     question.next = now + rng.random_range(1..60);
                 }
                 Stage::Answered(newest, age) => {
@@ -162,7 +162,7 @@
                 continue;
             }
             served += 1;
-            // All keys that the next versions took away are still in force here.
+            // Keys revoked by later versions are still in force here.
             let mut unknown = revoked.iter().skip(instance.catalog as usize + 1);
             late +=
                 u64::from(unknown.any(|revoked_at| revoked_at + (SPAN.as_millis() as u64) < now));
@@ -171,6 +171,8 @@
     (served, late)
 }
 
+/// Guards against a revoked key that is accepted for longer than the span, caused by a proof
+/// that seems younger than it is.
 #[test]
 fn no_revoked_key_is_served_beyond_the_span() {
     let mut all = 0;
@@ -182,15 +184,15 @@
     assert!(all > SEEDS * STEPS, "hardly anything was served: {all}");
 }
 
-/// The check fails where a proof is valid_from from the answer: a question that was long on its
-/// way, or an instance that stood still, makes it younger than it is.
+/// Proves that the check can fail: counted from the answer, a proof seems younger than it is
+/// after a slow request or a stall.
 #[test]
 fn a_proof_counted_from_its_answer_serves_keys_too_long() {
     let late = (0..SEEDS).map(|seed| simulate(seed, Start::Answer).1);
     assert!(late.sum::<u64>() > 0);
 }
 
-/// The check fails where a relay's own age is left out.
+/// Proves that the check can fail if the age of a relayed proof is ignored.
 #[test]
 fn a_relayed_proof_without_its_age_serves_keys_too_long() {
     let late = (0..SEEDS).map(|seed| simulate(seed, Start::QuestionWithoutAge).1);
--- a/crates/lead/tests/proof.rs
+++ b/crates/lead/tests/proof.rs
@@ -1,4 +1,4 @@
-//! What a proof promises, whatever the order of questions, answers and suspensions.
+//! Guarantees of a proof under any order of requests, answers and suspensions.
 
 use std::time::Duration;
 
@@ -8,8 +8,7 @@
 
 const SPAN: Duration = Duration::from_millis(600);
 
-/// One question to the store: when it was sent, when the store looked, when the
-/// answer was here.
+/// Request to the store: moments of sending, of the read at the store and of the answer.
 #[derive(Debug, Clone, Copy)]
 struct Question {
     sent: u64,
@@ -26,9 +25,9 @@
 }
 
 proptest! {
-    /// Symptom: a read from a replaced primary. Events: answers late by any time,
-    /// and instances that stand still between an answer and its use. Cause: a proof
-    /// that outlives the wait of whoever replaces.
+    /// Guards against reads from a replaced primary, caused by a proof that outlives the wait
+    /// before a promotion. Answers are late by any time, and instances stall between an answer
+    /// and its use.
     #[test]
     fn no_proof_outlives_the_wait_before_a_promotion(
         questions in prop::collection::vec(question(), 1..20),
@@ -36,7 +35,7 @@
         used in 0..20_000u64,
     ) {
         let mut proof = Proof::default();
-        // The store shows the replacement to whoever looks behind its announcement.
+        // A read at the store after the announcement shows the replacement.
         for question in questions.iter().filter(|q| q.read_at < announced && q.answered <= used) {
             proof.extend(Instant::from_millis(question.sent), SPAN);
         }
@@ -46,8 +45,7 @@
         }
     }
 
-    /// The same with a proof that counts from its answer, which is wrong: it must
-    /// be found out, or the test above could not fail.
+    /// Proves that the test above can fail: a proof counted from its answer outlives the wait.
     #[test]
     fn a_proof_counted_from_the_answer_outlives_the_wait(late in 700..4_000u64) {
         let mut proof = Proof::default();
--- a/crates/lead/tests/quorum.rs
+++ b/crates/lead/tests/quorum.rs
@@ -1,9 +1,9 @@
-//! What a replacement must have told, so that nobody proves the old primary.
+//! Replicas that must be fenced before a replacement, so that the old primary can't be proved.
 
 use lead::quorum::{needed, prevents_majority};
 
-/// Symptom: an old primary is proved beside the new one. Cause: a majority is left that
-/// was not told. All groups of up to nine replicas, all that may have been told.
+/// Guards against an old primary that is proved beside the new one, because a majority was
+/// left unfenced. Covers all groups of up to nine replicas.
 #[test]
 fn unfenced_replicas_are_no_majority() {
     for replicas in 1..10 {
@@ -14,7 +14,7 @@
                 unfenced < needed(replicas)
             );
             if prevents_majority(fenced, replicas) {
-                // With the primary: not more than half of the group.
+                // With the primary, at most half of the group.
                 assert!((unfenced + 1) * 2 <= replicas + 1, "{fenced} of {replicas}");
             }
         }
