--- a/crates/cli/tests/cmd/explain.rs
+++ b/crates/cli/tests/cmd/explain.rs
@@ -15,7 +15,8 @@
         run.out.contains("35.000 a replacing the primary"),
         "{run:?}"
     );
-    let cause = "w1: Busy: nobody could be proved to lead db: a was replacing it since 35.000";
+    let cause = "w1: Busy: no upstream could be proved to be the primary of db: \
+                 a had been replacing the primary since 35.000";
     assert!(run.out.contains(cause), "{run:?}");
     assert!(run.out.ends_with("1 lines could not be read\n"), "{run:?}");
 }
@@ -26,7 +27,7 @@
     dir.file("a.log", LINES);
     let run = dir.run(&["explain", "--at", "35.1", "other", "a.log"]);
     assert_eq!(run.code, 1, "{run:?}");
-    assert!(run.out.contains("no line tells of it"), "{run:?}");
+    assert!(run.out.contains("no line mentions the request"), "{run:?}");
     let run = dir.run(&["explain", "w1", "none.log"]);
     assert_eq!(run.code, 1, "{run:?}");
     assert!(run.err.contains("none.log"), "{run:?}");
--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,20 +1,20 @@
-//! The sentence that says why a statement ended as it did.
+//! Explanation, in a sentence, of a statement's outcome.
 
 use crate::line::Line;
 
-/// From how long a silence of the store on an instance is cut off from it, in
-/// milliseconds: proofs are renewed each 200 ms.
+/// Silence of the store, in milliseconds, from which an instance counts as partitioned from
+/// it: proofs are renewed every 200 ms.
 const STORE_SILENT_MS: u64 = 400;
 
-/// How far from a statement an upstream's failure is taken for its cause, in
-/// seconds: a probe finds it a little later.
+/// Distance in time, in seconds, within which an upstream's failure counts as the cause of a
+/// statement's outcome: a probe detects the failure a little later.
 const FAILURE_WINDOW_S: f64 = 2.0;
 
-/// Reason the statement of `own` ended as it did, by what `all` instances wrote.
+/// Explains the outcome of `statement` from `all` lines of all instances.
 pub(crate) fn sentence(statement: &Line, all: &[Line]) -> String {
     match stall(statement, all) {
         Some(line) => format!(
-            "{}; {} stood still for {} ms meanwhile",
+            "{}; {} was stalled for {} ms meanwhile",
             outcome(statement, all),
             statement.instance,
             line.number("ms").unwrap_or_default()
@@ -23,8 +23,8 @@
     }
 }
 
-/// The line that says that the statement's instance stood still while it ran; it
-/// comes a little later than the statement's own.
+/// The line that reports a stall of the statement's instance while the statement ran. It is
+/// written a little later than the statement's own line.
 fn stall<'a>(statement: &Line, all: &'a [Line]) -> Option<&'a Line> {
     let began = statement.at - statement.number("ms").unwrap_or_default() as f64 / 1_000.0;
     all.iter().find(|line| {
@@ -49,7 +49,7 @@
         Some("NoProof") => no_proof(statement, all),
         Some("NoConnection") => no_connection(statement, all),
         Some("Broken") => format!(
-            "the connection to {upstream} broke before its answer was whole{}",
+            "the connection to {upstream} broke before the answer was complete{}",
             failed_upstream(statement, all)
         ),
         Some("Late") => format!(
@@ -57,25 +57,25 @@
             failed_upstream(statement, all)
         ),
         Some("Unproved") => format!(
-            "{upstream} answered, but by then it could not be proved to lead any more{}",
+            "{upstream} answered, but by then it was no longer proved to be the primary{}",
             lost_proof(statement, all)
         ),
         Some("Replaced") => format!(
-            "the transaction's upstream leads no more{}",
+            "the transaction's upstream is no longer the primary{}",
             replaced(statement, all)
         ),
         Some("Upstream") => format!(
-            "an upstream of {} refused it itself, as {}",
+            "an upstream of {} rejected the statement with {}",
             statement.text("service"),
-            statement.optional("code").unwrap_or("nothing known")
+            statement.optional("code").unwrap_or("an unknown code")
         ),
-        Some("Undone") => "its transaction had been undone before".to_owned(),
+        Some("Undone") => "its transaction had been rolled back before".to_owned(),
         Some("NoKey") => format!(
             "no account of catalogue {} holds the caller's key",
             statement.text("catalogue")
         ),
         Some("Stale") => format!(
-            "the instance could not prove that the key was not taken away; the store was \
+            "the instance could not prove that the key was not revoked; the store was \
              silent for {} ms",
             statement.text("store_silent_ms")
         ),
@@ -83,24 +83,27 @@
             "account {} has used up its quota",
             statement.text("account")
         ),
-        Some("NoRoute") => format!("no route has the database {}", statement.text("database")),
+        Some("NoRoute") => format!("no route for the database {}", statement.text("database")),
         Some("NoStatement") => "the session has no such prepared statement".to_owned(),
         Some("Holder") => format!(
             "the instance that served the session for {} was lost",
             statement.instance
         ),
-        Some("Malformed") => "it was not understood".to_owned(),
-        Some(other) => format!("{other}, of which this version knows nothing more"),
-        None => format!("it was done, later than its aim{}", delay(statement, all)),
+        Some("Malformed") => "the request was malformed".to_owned(),
+        Some(other) => format!("{other}, a cause that this version does not know"),
+        None => format!(
+            "it was done, later than its latency objective{}",
+            delay(statement, all)
+        ),
     }
 }
 
-/// Whether a line tells of the service that a statement went to.
+/// Returns true if a line concerns the service of a statement.
 fn is_same_service(line: &Line, statement: &Line) -> bool {
     line.text("service") == statement.text("service")
 }
 
-/// The replacement of the primary that was under way when `own` was written.
+/// The line that started a replacement of the primary still in progress at `statement`.
 fn replacement<'a>(statement: &Line, all: &'a [Line]) -> Option<&'a Line> {
     let mut before = all
         .iter()
@@ -112,20 +115,21 @@
     (last.message == "replacing the primary").then_some(last)
 }
 
+/// Describes a replacement of the primary in progress; empty if there was none.
 fn replaced(statement: &Line, all: &[Line]) -> String {
     let Some(start) = replacement(statement, all) else {
         return String::new();
     };
     let reason = start.optional("reason").unwrap_or(start.text("reason"));
     format!(
-        ": {} was replacing it since {:.3}, for it was found {}",
+        ": {} had been replacing the primary since {:.3}, which was found {}",
         start.instance,
         start.at,
         reason.to_lowercase()
     )
 }
 
-/// What took away the proof of a primary that had answered.
+/// Describes why the proof of a primary was lost before its answer.
 fn lost_proof(statement: &Line, all: &[Line]) -> String {
     let reason = replaced(statement, all);
     let silent = statement.number("store_silent_ms").unwrap_or_default();
@@ -148,7 +152,7 @@
     if silent > STORE_SILENT_MS {
         return format!(
             "no connection to {service} became free in time: {} had no answer from the store \
-             for {silent} ms, it was cut off",
+             for {silent} ms and was partitioned",
             statement.instance
         );
     }
@@ -159,12 +163,12 @@
     )
 }
 
-/// That an upstream of the service took no more connections around then, and how many
-/// this instance had there.
+/// Describes an upstream of the service that accepted no more connections around the time
+/// of the statement, with the connections that this instance had there.
 fn full_upstream(statement: &Line, all: &[Line]) -> Option<String> {
     let near = |line: &&Line| {
-        let attempts = line.message == "upstream full" && line.instance == statement.instance;
-        attempts
+        let is_full = line.message == "upstream full" && line.instance == statement.instance;
+        is_full
             && is_same_service(line, statement)
             && (line.at - statement.at).abs() <= FAILURE_WINDOW_S
     };
@@ -175,7 +179,7 @@
     })?;
     let number = |key| line.number(key).unwrap_or_default();
     Some(format!(
-        ": {} took no more at {:.3}, with {} of this instance's connections open and {} \
+        ": {} accepted no more connections at {:.3}, with {} of this instance open and {} \
          statements waiting",
         line.text("upstream"),
         line.at,
@@ -189,30 +193,34 @@
     let silent = statement.number("store_silent_ms").unwrap_or_default();
     if replacement(statement, all).is_some() {
         let reason = replaced(statement, all);
-        return format!("nobody could be proved to lead {service}{reason}");
+        return format!("no upstream could be proved to be the primary of {service}{reason}");
     }
     if statement.optional("phase") == Some("Changing") {
-        return format!("nobody could be proved to lead {service}: its primary was being replaced");
+        return format!(
+            "no upstream could be proved to be the primary of {service}: the primary was being \
+             replaced"
+        );
     }
     if statement.text("upstream").is_empty() {
-        return format!("nobody leads {service} yet, as far as this instance knew");
+        return format!("this instance knew no primary of {service} yet");
     }
     if silent > STORE_SILENT_MS {
         return format!(
-            "{} could not be proved to lead {service}: {} had no answer from the store for \
-             {silent} ms",
+            "{} could not be proved to be the primary of {service}: {} had no answer from the \
+             store for {silent} ms",
             statement.text("upstream"),
             statement.instance
         );
     }
     format!(
-        "{} could not be proved to lead {service} in time{}",
+        "{} could not be proved to be the primary of {service} in time{}",
         statement.text("upstream"),
         failed_upstream(statement, all)
     )
 }
 
-/// That an upstream of the service failed around then.
+/// Describes the failure of an upstream of the service around the time of the statement;
+/// empty if there was none.
 fn failed_upstream(statement: &Line, all: &[Line]) -> String {
     let near = |line: &&Line| {
         is_same_service(line, statement)
@@ -225,7 +233,7 @@
             .abs()
             .total_cmp(&(b.at - statement.at).abs())
     });
-    // The primary's own failure says most.
+    // A failure of the statement's own upstream explains most.
     let primary = near
         .iter()
         .find(|line| line.text("upstream") == statement.text("upstream"));
@@ -240,7 +248,7 @@
     }
 }
 
-/// What held up a statement that was done in the end.
+/// Describes what delayed a statement that succeeded.
 fn delay(statement: &Line, all: &[Line]) -> String {
     let reason = replaced(statement, all);
     if !reason.is_empty() {
@@ -249,7 +257,7 @@
     failed_attempts(statement) + &failed_upstream(statement, all)
 }
 
-/// The tries that were in vain.
+/// Describes the failed attempts of a statement; empty if there were none.
 fn failed_attempts(statement: &Line) -> String {
     let kinds = [
         ("refused", "an upstream refused it"),
--- a/crates/explain/src/diagnosis.rs
+++ b/crates/explain/src/diagnosis.rs
@@ -1,4 +1,4 @@
-//! One request, with what the instances believed meanwhile.
+//! Diagnosis of one request.
 
 use crate::{
     cause::sentence,
@@ -6,44 +6,43 @@
     outage::{Outage, outages},
 };
 
-/// How long before a statement what was decided is_same_service its service belongs to its
-/// story, in seconds.
+/// Time before a statement from which lines about its service are included, in seconds.
 const BEFORE_S: f64 = 5.0;
 
-/// How long behind it; what is found late had begun earlier.
+/// Time after a statement up to which lines are included, in seconds: a fault may be detected
+/// late.
 const AFTER_S: f64 = 2.0;
 
-/// How far from a gap a request may have been sent that it cut, in seconds: it
-/// took a while to arrive, and clocks differ.
+/// Distance in time between a request and an outage that may have affected the request, in
+/// seconds: requests take time to arrive, and clocks differ.
 const TOLERANCE_S: f64 = 0.5;
 
-/// What the instances tell of a request.
+/// Explanation of a request's outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Diagnosis {
-    /// Its own lines and those that belong to it, the earliest first.
+    /// Lines of the request and related lines, in order of time.
     pub lines: Vec<Line>,
-    /// Reason it ended as it did, in a sentence.
+    /// Explanation of the outcome in a sentence.
     pub cause: String,
-    /// Whether any instance tells of it.
+    /// True if a line of the request was found.
     pub found: bool,
 }
 
-/// Tells what became of the request `id`, which its caller sent at `at` as far as
-/// that is known.
+/// Diagnoses the request `id`, which its caller sent at `at`, if known.
 pub fn diagnose(log: &Log, id: &str, at: Option<f64>) -> Diagnosis {
-    let own_lines = || log.lines.iter().filter(|it| belongs_to(it, id)).rev();
-    // That the answer was lost as well says less than how it came is_same_service.
-    let outcome = own_lines().find(|it| it.message == "statement");
+    let own_lines = || log.lines.iter().filter(|line| belongs_to(line, id)).rev();
+    // The line of the statement explains more than the line of its lost answer.
+    let outcome = own_lines().find(|line| line.message == "statement");
     match outcome.or_else(|| own_lines().next()) {
         Some(statement) => from_line(log, statement, id),
         None => without_line(log, at),
     }
 }
 
-/// Whether a line is of the request, or of a later one of its transaction: what
-/// was answered well has no line, and its commit may have failed.
+/// Returns true if a line belongs to the request or to a later request of its transaction:
+/// a successful statement has no line, and its commit may have failed.
 fn belongs_to(line: &Line, id: &str) -> bool {
-    line.text("request") == id || line.text("transaction").split(' ').any(|it| it == id)
+    line.text("request") == id || line.text("transaction").split(' ').any(|other| other == id)
 }
 
 fn from_line(log: &Log, statement: &Line, id: &str) -> Diagnosis {
@@ -63,7 +62,7 @@
     let mut lines: Vec<Line> = log.lines.iter().filter(is_related).cloned().collect();
     remove_repeated_records(&mut lines);
     let code = statement.optional("code").unwrap_or("done");
-    let commit = match statement.text("request") == id {
+    let prefix = match statement.text("request") == id {
         true => String::new(),
         false => format!(
             "{} of its transaction, {}: ",
@@ -71,7 +70,7 @@
             statement.text("request")
         ),
     };
-    let cause = format!("{id}: {commit}{code}: {}", sentence(statement, &log.lines));
+    let cause = format!("{id}: {prefix}{code}: {}", sentence(statement, &log.lines));
     Diagnosis {
         lines,
         cause,
@@ -79,7 +78,7 @@
     }
 }
 
-/// Keeps the first of the lines in which each instance tells the same news.
+/// Keeps only the first of the lines in which several instances report the same record.
 fn remove_repeated_records(lines: &mut Vec<Line>) {
     let mut seen = std::collections::HashSet::new();
     lines.retain(|line| {
@@ -88,8 +87,8 @@
     });
 }
 
-/// No instance tells of the request: it was done within its aim, or it was with
-/// an instance that could not write then.
+/// Diagnoses a request without any line: it was done within its latency objective, or it was
+/// at an instance that could not write.
 fn without_line(log: &Log, at: Option<f64>) -> Diagnosis {
     let mut outages = outages(&log.lines);
     if let Some(at) = at {
@@ -98,19 +97,20 @@
         outages.sort_by(|a, b| distance(a).total_cmp(&distance(b)));
     }
     let mut cause = match outages.is_empty() {
-        true => "no line tells of it: it was done within its aim, or it reached none of these \
-                 instances"
+        true => "no line mentions the request: it was done within its latency objective, or it \
+                 reached none of these instances"
             .to_owned(),
         false => {
             let seen: Vec<_> = outages.iter().map(Outage::to_string).collect();
             format!(
-                "no line tells of it; it may have been with an instance that could not answer: {}",
+                "no line mentions the request; it may have been at an instance that could not \
+                 answer: {}",
                 seen.join("; ")
             )
         }
     };
     if log.dropped > 0 {
-        cause += &format!("; {} lines were left out", log.dropped);
+        cause += &format!("; {} lines were dropped", log.dropped);
     }
     Diagnosis {
         lines: outages.into_iter().map(|outage| outage.line).collect(),
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,7 +1,7 @@
-//! Finds out from the instances' logs what became of a request.
+//! Diagnosis of a request's outcome from the logs of the instances.
 //!
-//! The lines are those of `docs/LOGS.md`. They may come from several instances,
-//! in any order, cut short, and behind whatever a collector puts before them.
+//! `docs/LOGS.md` describes the lines. The lines may come from several instances, in any
+//! order, truncated, and behind prefixes that a log collector adds.
 
 mod cause;
 mod diagnosis;
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -1,23 +1,23 @@
-//! One log line.
+//! Parsing of log lines.
 
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// One log line.
+/// Log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// When it was written, in seconds since the Unix epoch, by its machine.
+    /// Time of writing in seconds since the Unix epoch, by the clock of the instance's machine.
     pub at: f64,
-    /// The instance that wrote it; empty in lines of older versions.
+    /// The instance that wrote the line; empty in lines of older versions.
     pub instance: String,
-    /// What happened.
+    /// The message.
     pub message: String,
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// A field's text; empty if the line has no such field.
+    /// Text of a field; empty if the line has no such text field.
     pub fn text(&self, field: &str) -> &str {
         self.fields
             .get(field)
@@ -25,18 +25,18 @@
             .unwrap_or_default()
     }
 
-    /// A field's number.
+    /// Number in a field; `None` if the line has no such number field.
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field)?.as_u64()
     }
 
-    /// The name inside `Some(...)`, as optional fields are written.
+    /// Text inside `Some(...)`, the form in which optional fields are written.
     pub fn optional(&self, field: &str) -> Option<&str> {
         self.text(field).strip_prefix("Some(")?.strip_suffix(')')
     }
 
     fn parse(text: &str) -> Option<Self> {
-        // A collector may have put its own words before the line.
+        // A log collector may have added a prefix.
         let json = &text[text.find('{')?..];
         let mut fields: Map<String, Value> = serde_json::from_str(json.trim_end()).ok()?;
         let at = fields.remove("at")?.as_f64()?;
@@ -72,18 +72,18 @@
     }
 }
 
-/// What was read.
+/// Parsed log of any number of instances.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Log {
-    /// The lines, the earliest first.
+    /// The lines in order of time.
     pub lines: Vec<Line>,
-    /// How many lines could not be read, for they were cut or are no log lines.
+    /// Number of lines that are truncated or no log lines.
     pub unparsed: usize,
-    /// How many lines the instances left out themselves.
+    /// Number of lines that the instances dropped themselves.
     pub dropped: u64,
 }
 
-/// Reads the lines of any number of files.
+/// Parses the lines of any number of files.
 ///
 /// ```
 /// let log = explain::parse(["x 1 {\"at\":2.5,\"message\":\"stopped\"}\n{\"at\":3"]);
--- a/crates/explain/src/outage.rs
+++ b/crates/explain/src/outage.rs
@@ -1,47 +1,46 @@
-//! Times in which an instance could not answer, and wrote no line of what it was
-//! sent.
+//! Periods in which an instance could not answer and logged no requests.
 
 use std::{collections::HashMap, fmt};
 
 use crate::line::Line;
 
-/// For how long callers are sent to a stopping instance before the balancer has
-/// noticed, in seconds; sessions at rest are closed meanwhile.
+/// Time for which the load balancer still sends callers to a stopping instance, in seconds.
+/// The instance closes idle sessions meanwhile.
 const DRAIN_S: f64 = 4.0;
 
-/// After how long without a word an instance counts as not heard, in seconds.
+/// Silence after which an instance counts as unreachable, in seconds.
 const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
 
-/// For how long callers go on trying one that is not heard, in seconds.
+/// Time for which callers keep trying an unreachable instance, in seconds.
 const UNREACHABLE_S: f64 = 5.0;
 
-/// Over how long broken connections are counted for one line, in seconds.
+/// Period for which broken connections are summed up in one line, in seconds.
 const COUNT_WINDOW_S: f64 = 0.3;
 
-/// Reason an instance could not answer.
+/// Reason for an outage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// It ended without a word: killed, or its machine is gone.
+    /// The process ended without a log line: it was killed or its machine was lost.
     Exited,
-    /// It stood still.
+    /// The process was stalled.
     Stalled,
-    /// It was stopping and closed sessions at rest.
+    /// The instance was stopping and closed idle sessions.
     Stopping,
-    /// It was not heard by so many others.
+    /// This number of other instances received no heartbeat.
     Unreachable(usize),
-    /// Connections of its callers broke.
+    /// Connections of callers broke.
     Disconnected,
 }
 
-/// A time in which an instance could not answer.
+/// Period in which an instance could not answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Outage {
-    /// When it began at the earliest, in seconds since the Unix epoch.
+    /// Earliest start, in seconds since the Unix epoch.
     pub(crate) from: f64,
-    /// When it was over.
+    /// End, in seconds since the Unix epoch.
     pub(crate) to: f64,
     reason: Reason,
-    /// The line that shows it.
+    /// The line that reveals the outage.
     pub(crate) line: Line,
 }
 
@@ -51,24 +50,27 @@
         match self.reason {
             Reason::Exited => write!(
                 f,
-                "{name} ended without a word between {from:.3} and {to:.3}"
+                "{name} exited without a log line between {from:.3} and {to:.3}"
             ),
-            Reason::Stalled => write!(f, "{name} stood still from {from:.3} to {to:.3}"),
+            Reason::Stalled => write!(f, "{name} was stalled from {from:.3} to {to:.3}"),
             Reason::Unreachable(by) => {
-                write!(f, "{name} was not heard by {by} others from {from:.3} on")
+                write!(
+                    f,
+                    "{name} was unreachable for {by} others from {from:.3} on"
+                )
             }
             Reason::Disconnected => {
                 write!(f, "connections of {name}'s callers broke before {to:.3}")
             }
             Reason::Stopping => write!(
                 f,
-                "{name} was stopping from {from:.3} on and closed sessions at rest"
+                "{name} was stopping from {from:.3} on and closed idle sessions"
             ),
         }
     }
 }
 
-/// The gaps of all instances.
+/// Finds the outages of all instances.
 pub(crate) fn outages(lines: &[Line]) -> Vec<Outage> {
     let mut last: HashMap<&str, &Line> = HashMap::new();
     let mut found = Vec::new();
@@ -80,11 +82,12 @@
     found
 }
 
-/// Instances that several others ceased to hear at about the same time. One that
-/// hears nobody is itself the one that is cut off, and says nothing of the others.
+/// Finds instances that became unreachable for several others at about the same time. A single
+/// report is ignored, because an instance that receives no heartbeats at all is itself
+/// partitioned.
 fn unreachable(lines: &[Line]) -> Vec<Outage> {
     let mut found: Vec<Outage> = Vec::new();
-    for line in lines.iter().filter(|it| it.message == "peers silent") {
+    for line in lines.iter().filter(|line| line.message == "peers silent") {
         let from = line.at - HEARTBEAT_TIMEOUT_S;
         for name in line.text("names").split(' ') {
             let is_same = |outage: &&mut Outage| {
@@ -110,12 +113,14 @@
     found
 }
 
-/// The gap that `line` shows, where `before` is its instance's line before it.
+/// The outage that `line` reveals, where `before` is the previous line of the instance.
 fn outage(line: &Line, before: Option<&Line>) -> Option<Outage> {
     let (reason, from, to) = match line.message.as_str() {
-        "started" if before.is_some_and(|it| it.message != "stopped") => {
-            (Reason::Exited, before.map_or(line.at, |it| it.at), line.at)
-        }
+        "started" if before.is_some_and(|line| line.message != "stopped") => (
+            Reason::Exited,
+            before.map_or(line.at, |line| line.at),
+            line.at,
+        ),
         "stood still" => {
             let span = line.number("ms").unwrap_or_default() as f64 / 1_000.0;
             (Reason::Stalled, line.at - span, line.at)
--- a/crates/explain/tests/story.rs
+++ b/crates/explain/tests/story.rs
@@ -1,8 +1,8 @@
-//! What is told of requests, from lines as instances write them.
+//! Diagnoses of requests from lines as instances write them.
 
 use explain::{diagnose, parse};
 
-/// Lines of two instances: one stops and starts, the other stands still.
+/// Lines of two instances: `a` stops and restarts, `b` stalls.
 const LINES: &str = r#"
 {"at":10.0,"instance":"a","level":"INFO","message":"started","part":"proxy::serve"}
 {"at":10.1,"instance":"b","level":"INFO","message":"started","part":"proxy::serve"}
@@ -24,6 +24,8 @@
 {"at":50.0,"instance":"b","level":"INFO","message":"started","part":"proxy::serve"}
 "#;
 
+/// Guards against a wrong cause: a replacement of the primary that was over before the
+/// statement did not affect it.
 #[test]
 fn only_a_replacement_in_progress_is_named_as_the_cause() {
     let log = parse([LINES]);
@@ -32,9 +34,9 @@
     assert!(
         diagnosis
             .cause
-            .contains("a was replacing it since 35.000, for it was found gone")
+            .contains("a had been replacing the primary since 35.000, which was found gone")
     );
-    let messages: Vec<_> = diagnosis.lines.iter().map(|it| &*it.message).collect();
+    let messages: Vec<_> = diagnosis.lines.iter().map(|line| &*line.message).collect();
     assert_eq!(
         messages,
         [
@@ -52,6 +54,8 @@
     );
 }
 
+/// A successful statement has no line of its own; the failure of its transaction's commit must
+/// be found by its id.
 #[test]
 fn an_answered_statement_leads_to_the_commit_that_failed() {
     let diagnosis = diagnose(&parse([LINES]), "w0", None);
@@ -65,52 +69,54 @@
     );
 }
 
-/// Symptom: a request has no line. Events: its instance ended, stopped or stood
-/// still. The time at which it was sent tells which.
+/// A request has no line if its instance exited, was stopping or stalled. The time of the
+/// request must select the outage.
 #[test]
 fn a_request_without_a_line_is_matched_with_outages() {
     let log = parse([LINES]);
     let cause = |at| diagnose(&log, "none", at).cause;
     assert!(cause(Some(20.5)).contains("a was stopping from 20.000"));
-    assert!(cause(Some(29.0)).contains("b stood still from 28.000 to 31.000"));
-    assert!(cause(Some(43.0)).contains("b ended without a word between 41.200 and 50.000"));
+    assert!(cause(Some(29.0)).contains("b was stalled from 28.000 to 31.000"));
+    assert!(cause(Some(43.0)).contains("b exited without a log line between 41.200 and 50.000"));
     let silent = cause(Some(41.0));
     assert!(
-        silent.contains("c was not heard by 2 others from 40.000 on"),
+        silent.contains("c was unreachable for 2 others from 40.000 on"),
         "{silent}"
     );
     assert!(!silent.contains("d was"), "{silent}");
     assert!(cause(Some(42.0)).contains("connections of a's callers broke before 42.000"));
-    assert!(cause(Some(15.0)).contains("done within its aim"));
-    assert!(cause(None).contains("stood still"));
-    assert!(cause(None).contains("4 lines were left out"));
+    assert!(cause(Some(15.0)).contains("done within its latency objective"));
+    assert!(cause(None).contains("was stalled"));
+    assert!(cause(None).contains("4 lines were dropped"));
     assert!(!diagnose(&log, "none", None).found);
 }
 
+/// Guards against blaming an upstream for a statement that failed because its instance was
+/// stalled.
 #[test]
 fn a_stall_during_a_statement_is_named() {
     let cause = diagnose(&parse([LINES]), "s1", None).cause;
     assert!(
-        cause.contains("b stood still for 3000 ms meanwhile"),
+        cause.contains("b was stalled for 3000 ms meanwhile"),
         "{cause}"
     );
     assert!(
         !diagnose(&parse([LINES]), "w1", None)
             .cause
-            .contains("still for")
+            .contains("stalled for")
     );
 }
 
-/// What was done late says what it met before.
+/// A late but successful statement must name the failed attempts before it.
 #[test]
 fn a_slow_statement_names_its_failed_attempts() {
     let slow = diagnose(&parse([LINES]), "r4", None).cause;
-    let expected =
-        "later than its aim: an upstream refused it 6 times before, a connection broke 1";
+    let expected = "later than its latency objective: an upstream refused it 6 times before, \
+                    a connection broke 1";
     assert!(slow.contains(expected), "{slow}");
 }
 
-/// That the answer was lost is said where nothing else is known.
+/// Guards against a lost answer hiding the failure of the statement itself.
 #[test]
 fn a_lost_answer_is_the_cause_only_without_another() {
     let log = parse([LINES]);
@@ -122,7 +128,8 @@
     assert!(diagnose(&log, "w1", None).cause.contains("replacing"));
 }
 
-/// Cut lines, words of a collector and lines of others take nothing from the rest.
+/// Truncated lines, prefixes of a log collector and lines of other programs must not affect
+/// the other lines.
 #[test]
 fn truncated_and_mixed_files_are_parsed() {
     let mut reversed: Vec<_> = LINES.lines().rev().collect();
@@ -132,34 +139,37 @@
     let (one, two) = reversed.split_at(5);
     let text = |part: &[&str]| {
         part.iter()
-            .map(|it| format!("Dec 02 b: {it}\n"))
+            .map(|line| format!("Dec 02 b: {line}\n"))
             .collect::<String>()
     };
     let (one, two) = (text(one), text(two));
     let mixed = parse([&*two, &*one]);
-    // The empty lines have become a collector's words.
+    // The empty lines now consist of the collector's prefix and count as unparsed.
     assert_eq!(mixed.lines, parse([LINES]).lines);
     assert_eq!(mixed.unparsed, 3 + 1);
     assert!(diagnose(&mixed, "w1", None).found);
 }
 
-/// Lines of an instance whose upstream is full, and whose session's holder is lost.
+/// Lines of an instance whose upstream is full and whose holder of a session is lost.
 const FULL: &str = r#"
 {"at":10.0,"instance":"a","level":"INFO","message":"upstream full","part":"proxy::pool","service":"db","upstream":"u1","refused":7,"open":0,"idle":0,"waiting":12,"running":0,"starved":true}
 {"at":10.2,"instance":"a","level":"INFO","message":"statement","part":"proxy::session::statement","request":"f1","transaction":"f1","service":"db","cause":"Some(NoConnection)","code":"Some(Busy)","ms":300,"unconnected":2,"phase":"Some(Stable)","upstream":"u1","store_silent_ms":20}
 {"at":20.0,"instance":"a","level":"INFO","message":"statement","part":"proxy::session::statement","request":"h1","transaction":"h1","service":"db","cause":"Some(Holder)","code":"Some(InDoubt)","ms":700,"phase":"Some(Stable)","upstream":"u1","store_silent_ms":20}
 "#;
 
+/// Without the number of own connections it can't be seen whether this instance or others use
+/// up the upstream's limit.
 #[test]
 fn a_full_upstream_is_named_with_the_instances_own_connections() {
     let cause = diagnose(&parse([FULL]), "f1", None).cause;
     assert!(
-        cause.contains("u1 took no more at 10.000, with 0 of this instance's connections open"),
+        cause.contains("u1 accepted no more connections at 10.000, with 0 of this instance open"),
         "{cause}"
     );
     assert!(cause.contains("12 statements waiting"), "{cause}");
 }
 
+/// The loss of a holder fails sessions that reached it over another instance.
 #[test]
 fn a_lost_holder_is_named() {
     let cause = diagnose(&parse([FULL]), "h1", None).cause;
