--- a/crates/admit/src/holders.rs
+++ b/crates/admit/src/holders.rs
@@ -82,7 +82,9 @@
     let mut ranked: Vec<_> = eligible
         .map(|c| (score(service, c.name, c.weight), c))
         .collect();
-    ranked.sort_by(|(a, one), (b, other)| a.total_cmp(b).then_with(|| one.name.cmp(other.name)));
+    ranked.sort_by(|(a, first), (b, second)| {
+        a.total_cmp(b).then_with(|| first.name.cmp(second.name))
+    });
     let mut ranks_by_zone: HashMap<&str, usize> = HashMap::new();
     let mut ordered: Vec<_> = ranked
         .iter()
--- a/crates/admit/src/placement.rs
+++ b/crates/admit/src/placement.rs
@@ -108,11 +108,11 @@
                     .total_cmp(&b.score)
                     .then_with(|| a.name.cmp(&b.name))
             });
-            let free = self.count - chosen.len();
+            let remaining = self.count - chosen.len();
             chosen.extend(
                 in_round
                     .into_iter()
-                    .take(free)
+                    .take(remaining)
                     .map(|rank| Rc::clone(&rank.name)),
             );
         }
@@ -125,8 +125,8 @@
 /// ```
 /// use admit::{placement::Placement, holders::{Candidate, choose}};
 ///
-/// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
-/// let all = [one("a-1", "a"), one("a-2", "a"), one("b-1", "b")];
+/// let candidate = |name, zone| Candidate { name, zone, weight: 25, able: true };
+/// let all = [candidate("a-1", "a"), candidate("a-2", "a"), candidate("b-1", "b")];
 /// let mut placement = Placement::default();
 /// all.iter().for_each(|candidate| placement.put(candidate));
 /// let holders: Vec<_> = placement.holders("bookings", 2).iter().map(|name| &**name).collect();
@@ -146,10 +146,10 @@
     /// Adds a candidate or replaces its attributes.
     pub fn put(&mut self, candidate: &Candidate<'_>) {
         let old = self.members.get(candidate.name);
-        let same = |m: &Member| {
+        let is_unchanged = |m: &Member| {
             &*m.zone == candidate.zone && m.weight == candidate.weight && m.able == candidate.able
         };
-        if old.is_some_and(same) {
+        if old.is_some_and(is_unchanged) {
             return;
         }
         self.remove(candidate.name);
--- a/crates/admit/src/relays.rs
+++ b/crates/admit/src/relays.rs
@@ -34,8 +34,8 @@
 /// ```
 /// use admit::{holders::Candidate, relays};
 ///
-/// let one = |name, able| Candidate { name, zone: "a", weight: 25, able };
-/// let all = [one("a-1", true), one("a-2", false), one("a-3", true)];
+/// let candidate = |name, able| Candidate { name, zone: "a", weight: 25, able };
+/// let all = [candidate("a-1", true), candidate("a-2", false), candidate("a-3", true)];
 /// let mut chosen = relays::choose(&all);
 /// chosen.sort();
 /// assert_eq!(chosen, ["a-1", "a-3"]);
--- a/crates/admit/src/shares.rs
+++ b/crates/admit/src/shares.rs
@@ -119,8 +119,8 @@
     /// use clock::Instant;
     ///
     /// let at = Instant::from_millis;
-    /// let one = |name, zone| Candidate { name, zone, weight: 25, able: true };
-    /// let all = [one("a-1", "a"), one("b-1", "b")];
+    /// let candidate = |name, zone| Candidate { name, zone, weight: 25, able: true };
+    /// let all = [candidate("a-1", "a"), candidate("b-1", "b")];
     /// let heard = ["a-1", "b-1"];
     /// let mut planner = Planner::new(Duration::from_secs(5), at(0));
     /// let table = planner.plan(&Table::default(), &["north"], &heard, &all, at(2_000)).unwrap();
--- a/crates/admit/tests/holders.rs
+++ b/crates/admit/tests/holders.rs
@@ -11,13 +11,14 @@
 fn fleet(count: usize) -> Vec<(String, String, u32)> {
     let zone = |at: usize| format!("zone-{}", at % 4);
     let weight = |at: usize| if at < 8 { 50 } else { 12 };
-    let one = |at: usize| (format!("instance-{at}"), zone(at), weight(at));
-    (0..count).map(one).collect()
+    let instance = |at: usize| (format!("instance-{at}"), zone(at), weight(at));
+    (0..count).map(instance).collect()
 }
 
 fn candidates(fleet: &[(String, String, u32)]) -> Vec<Candidate<'_>> {
-    let one = |(name, zone, weight): &'_ (String, String, u32)| (name.len(), zone.len(), *weight);
-    assert!(fleet.iter().map(one).all(|(a, b, c)| a * b > 0 && c > 0));
+    let fields =
+        |(name, zone, weight): &'_ (String, String, u32)| (name.len(), zone.len(), *weight);
+    assert!(fleet.iter().map(fields).all(|(a, b, c)| a * b > 0 && c > 0));
     fleet
         .iter()
         .map(|(name, zone, weight)| Candidate {
@@ -146,7 +147,7 @@
     let fleet = fleet(22);
     let mut all = candidates(&fleet);
     let before = choose("s", &all, 4);
-    all.iter_mut().for_each(|one| one.able = false);
+    all.iter_mut().for_each(|candidate| candidate.able = false);
     assert_eq!(choose("s", &all, 4), before);
     all[3].able = true;
     assert_eq!(choose("s", &all, 4), [all[3].name]);
--- a/crates/admit/tests/relays.rs
+++ b/crates/admit/tests/relays.rs
@@ -53,12 +53,12 @@
 fn candidates_without_the_store_relay_only_if_none_has_it() {
     let names = names(4);
     let mut all = candidates(&names);
-    for one in &mut all {
-        one.able = one.name == "one-2";
+    for candidate in &mut all {
+        candidate.able = candidate.name == "one-2";
     }
     assert_eq!(choose(&all), ["one-2"]);
-    for one in &mut all {
-        one.able = false;
+    for candidate in &mut all {
+        candidate.able = false;
     }
     assert_eq!(choose(&all).len(), COUNT);
 }
--- a/crates/admit/tests/shares.rs
+++ b/crates/admit/tests/shares.rs
@@ -210,17 +210,17 @@
         .unwrap();
     let limiters: Vec<_> = table.limiters(ACCOUNT).map(str::to_owned).collect();
     assert_eq!(limiters.len(), 4);
-    let rest: Vec<_> = all
+    let remaining: Vec<_> = all
         .iter()
         .filter(|c| c.name != limiters[0])
         .copied()
         .collect();
-    let names: Vec<_> = rest.iter().map(|c| c.name).collect();
+    let names: Vec<_> = remaining.iter().map(|c| c.name).collect();
     let mut tables = vec![table];
     let mut complete_at = None;
     for now in (0..40_000).step_by(100) {
         let last = tables.last().unwrap();
-        if let Some(next) = planner.plan(last, &[ACCOUNT], &names, &rest, at(now)) {
+        if let Some(next) = planner.plan(last, &[ACCOUNT], &names, &remaining, at(now)) {
             let parts = names.iter().map(|name| next.parts(ACCOUNT, name));
             if parts.sum::<u16>() == TOTAL_PARTS {
                 complete_at.get_or_insert(now);
--- a/crates/store/src/json.rs
+++ b/crates/store/src/json.rs
@@ -63,20 +63,26 @@
 }
 
 fn txn(compares: &[Compare], puts: &[Put], deletes: &[String]) -> Value {
-    let compare = |it: &Compare| {
+    let compare = |condition: &Compare| {
         json!({
-            "key": encode(&it.key),
+            "key": encode(&condition.key),
             "target": "MOD",
             "result": "EQUAL",
-            "mod_revision": it.revision.to_string(),
+            "mod_revision": condition.revision.to_string(),
         })
     };
-    let put = |it: &Put| {
-        let lease = it.lease.unwrap_or(0).to_string();
-        json!({ "request_put": { "key": encode(&it.key), "value": encode(&it.value), "lease": lease } })
+    let put = |put: &Put| {
+        let lease = put.lease.unwrap_or(0).to_string();
+        json!({
+            "request_put": {
+                "key": encode(&put.key),
+                "value": encode(&put.value),
+                "lease": lease,
+            },
+        })
     };
-    let delete = |it: &String| json!({ "request_delete_range": { "key": encode(it) } });
-    let read = |it: &Compare| json!({ "request_range": { "key": encode(&it.key) } });
+    let delete = |key: &String| json!({ "request_delete_range": { "key": encode(key) } });
+    let read = |condition: &Compare| json!({ "request_range": { "key": encode(&condition.key) } });
     json!({
         "compare": compares.iter().map(compare).collect::<Vec<_>>(),
         "success": puts.iter().map(put).chain(deletes.iter().map(delete)).collect::<Vec<_>>(),
--- a/crates/store/src/json/tests.rs
+++ b/crates/store/src/json/tests.rs
@@ -41,7 +41,7 @@
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
         any::<i64>().prop_map(Value::from),
-        any::<u64>().prop_map(|it| Value::from(it.to_string())),
+        any::<u64>().prop_map(|number| Value::from(number.to_string())),
         "[A-Za-z0-9+/=]{0,12}".prop_map(Value::from),
         Just(json!("DELETE")),
         Just(json!("a2V5")),
@@ -87,7 +87,7 @@
         for call in calls() {
             match answer(&call, &value) {
                 Ok(Answer::Pairs { pairs, .. } | Answer::Conflict { pairs, .. }) => {
-                    let sizes = pairs.iter().map(|it| it.key.len() + it.value.len());
+                    let sizes = pairs.iter().map(|pair| pair.key.len() + pair.value.len());
                     prop_assert!(sizes.sum::<usize>() <= text);
                 }
                 Ok(_) => {}
