--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -122,7 +122,7 @@
     };
     let reason = start.optional("reason").unwrap_or(start.text("reason"));
     format!(
-        ": {} had been replacing the primary since {:.3}, which was found {}",
+        ": {} had been replacing the primary since {:.3} because the primary was found {}",
         start.instance,
         start.at,
         reason.to_lowercase()
@@ -179,8 +179,8 @@
     })?;
     let number = |key| line.number(key).unwrap_or_default();
     Some(format!(
-        ": {} accepted no more connections at {:.3}, with {} of this instance open and {} \
-         statements waiting",
+        ": {} accepted no more connections at {:.3}, with {} connections of this instance open \
+         and {} statements waiting",
         line.text("upstream"),
         line.at,
         number("open"),
