--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -16,10 +16,10 @@
 };
 
 /// How long a caller waits for the first proof of an instance that has just started.
-const FIRST: Duration = Duration::from_millis(500);
+const FIRST_PROOF_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a caller is refused.
-pub type Refused = (Code, Cause);
+pub type Refusal = (Code, Cause);
 
 /// Who a caller is that begins a session at `at`; `None` where nobody is asked.
 ///
@@ -27,11 +27,11 @@
 ///
 /// There is no such database, no account holds the caller's key, or it can't be proved that
 /// one still does.
-pub async fn enter<E: Edge>(
+pub async fn authenticate<E: Edge>(
     node: &Node<E>,
     hello: &Hello,
     at: Instant,
-) -> Result<Option<Caller>, Refused> {
+) -> Result<Option<Caller>, Refusal> {
     let route = node.route(&hello.database);
     let Some(route) = route else {
         return Err((Code::NoDatabase, Cause::NoRoute));
@@ -42,7 +42,7 @@
     let Some(key) = hello.key else {
         return Err((Code::NoAccount, Cause::NoKey));
     };
-    proved(node, at).await?;
+    wait_for_proof(node, at).await?;
     let catalog = node.catalog();
     let Some(account) = catalog.accounts.by_key(&key) else {
         return Err((Code::NoAccount, Cause::NoKey));
@@ -55,19 +55,19 @@
 ///
 /// An instance that has lost its proof refuses at once: it asks again and again, and its
 /// callers are served sooner elsewhere.
-async fn proved<E: Edge>(node: &Node<E>, at: Instant) -> Result<(), Refused> {
-    let fresh = &node.freshness;
+async fn wait_for_proof<E: Edge>(node: &Node<E>, at: Instant) -> Result<(), Refusal> {
+    let freshness = &node.freshness;
     let waiting = async {
         loop {
-            let learnt = fresh.updated.notified();
-            if node.is_fresh(at) || fresh.age(Boot.now()).is_some() {
+            let learnt = freshness.updated.notified();
+            if node.is_fresh(at) || freshness.age(Boot.now()).is_some() {
                 return;
             }
-            fresh.requested.notify_one();
+            freshness.requested.notify_one();
             learnt.await;
         }
     };
-    let _ = timeout(FIRST, waiting).await;
+    let _ = timeout(FIRST_PROOF_TIMEOUT, waiting).await;
     match node.is_fresh(at) {
         true => Ok(()),
         false => Err((Code::Busy, Cause::Stale)),
@@ -79,12 +79,12 @@
 /// # Errors
 ///
 /// Its key was taken away or went to another account, or it can't be proved that it was not.
-pub fn admit<E: Edge>(
+pub fn authorise<E: Edge>(
     node: &Node<E>,
     database: &Bytes,
     caller: Option<&Caller>,
     at: Instant,
-) -> Result<(), Refused> {
+) -> Result<(), Refusal> {
     let Some(route) = node.route(database) else {
         // It is refused where its route is looked for.
         return Ok(());
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -20,13 +20,13 @@
 };
 
 /// How long a connection may take to be made and greeted.
-const OPEN: Duration = Duration::from_millis(400);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long sent bytes may stay unconfirmed before the kernel gives up.
-const UNCONFIRMED: Duration = Duration::from_millis(2_000);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How much is read at once.
-const CHUNK: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 
 /// Why there is no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -71,19 +71,19 @@
     out: BytesMut,
     values: Values,
     prepared: HashSet<String>,
-    awaited: usize,
+    outstanding: usize,
     state: State,
-    answered: Instant,
+    last_answer: Instant,
     account: Option<Rc<str>>,
     member: Rc<Member>,
-    _counted: Counted,
+    _guard: OpenGuard,
 }
 
 /// Counts a connection for as long as it is open.
 #[derive(Debug)]
-pub struct Counted(Rc<Member>);
+pub struct OpenGuard(Rc<Member>);
 
-impl Counted {
+impl OpenGuard {
     /// Counts one more connection to `member`.
     pub fn new(member: &Rc<Member>) -> Self {
         member.pool.open.set(member.pool.open.get() + 1);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         let open = &self.0.pool.open;
         open.set(open.get() - 1);
@@ -107,50 +107,50 @@
     pub async fn open<P: Protocol>(
         member: &Rc<Member>,
         account: Option<Rc<str>>,
-        counted: Counted,
+        guard: OpenGuard,
     ) -> Result<Self, Refused> {
-        let opened = timeout(OPEN, Self::greet::<P>(member, account, counted)).await;
+        let opened = timeout(OPEN_TIMEOUT, Self::handshake::<P>(member, account, guard)).await;
         opened.unwrap_or(Err(Refused::Unreachable))
     }
 
-    async fn greet<P: Protocol>(
+    async fn handshake<P: Protocol>(
         member: &Rc<Member>,
         account: Option<Rc<str>>,
-        counted: Counted,
+        guard: OpenGuard,
     ) -> Result<Self, Refused> {
         let upstream = &member.upstream;
         let stream = TcpStream::connect(upstream.address).await;
         let stream = stream.map_err(|_| Refused::Unreachable)?;
         let _ = set_socket_options(&stream);
-        let mut line = Self {
+        let mut connection = Self {
             stream,
             buf: BytesMut::new(),
             out: BytesMut::new(),
             values: Values::new(),
             prepared: HashSet::new(),
-            awaited: 0,
+            outstanding: 0,
             state: State::Idle,
-            answered: Boot.now(),
+            last_answer: Boot.now(),
             account,
             member: Rc::clone(member),
-            _counted: counted,
+            _guard: guard,
         };
-        let account = line.account.clone();
+        let account = connection.account.clone();
         let hello = Command::Start {
             service: &upstream.service,
             account: account.as_deref(),
             id: &upstream.id,
         };
-        if let Ok(reply) = line.ask::<P>(&hello).await {
-            let forgot = reply
+        if let Ok(reply) = connection.request::<P>(&hello).await {
+            let has_lost_log = reply
                 .position
                 .is_some_and(|position| member.check_log_loss(position, Boot.now()));
-            return match forgot {
+            return match has_lost_log {
                 true => Err(Refused::LogLost),
-                false => Ok(line),
+                false => Ok(connection),
             };
         }
-        match P::rejected(&line.buf) {
+        match P::rejected(&connection.buf) {
             Some(Code::TooMany) => Err(Refused::TooMany),
             Some(Code::Misrouted) => Err(Refused::Misrouted),
             _ => Err(Refused::Unreachable),
@@ -163,18 +163,18 @@
     }
 
     /// Whether it was opened for `account`, whose sessions alone may use it.
-    pub fn is_of(&self, account: Option<&Rc<str>>) -> bool {
+    pub fn belongs_to(&self, account: Option<&Rc<str>>) -> bool {
         self.account.as_ref() == account
     }
 
     /// When the upstream last answered here.
-    pub fn answered(&self) -> Instant {
-        self.answered
+    pub fn last_answer(&self) -> Instant {
+        self.last_answer
     }
 
     /// Whether nothing is open or awaited, so that another session may have it.
     pub fn is_clean(&self) -> bool {
-        self.awaited == 0 && self.state == State::Idle && self.buf.is_empty()
+        self.outstanding == 0 && self.state == State::Idle && self.buf.is_empty()
     }
 
     /// Whether the connection has not been closed while it lay idle.
@@ -190,18 +190,18 @@
     }
 
     /// Whether the upstream has just these values for this connection.
-    pub fn has(&self, values: &Values) -> bool {
+    pub fn has_values(&self, values: &Values) -> bool {
         self.values == *values
     }
 
     /// Puts the commands in line that give the connection a session's values.
-    pub fn align<P: Protocol>(&mut self, values: &Values) {
+    pub fn sync_values<P: Protocol>(&mut self, values: &Values) {
         if self.values == *values {
             return;
         }
         let stale = self.values.keys().any(|name| !values.contains_key(name));
         if stale {
-            self.put::<P>(&Command::Reset);
+            self.queue::<P>(&Command::Reset);
             self.values.clear();
             self.prepared.clear();
         }
@@ -209,7 +209,7 @@
             if self.values.get(name) == Some(value) {
                 continue;
             }
-            self.put::<P>(&Command::Set(name, value));
+            self.queue::<P>(&Command::Set(name, value));
             self.values.insert(name.clone(), value.clone());
         }
     }
@@ -218,14 +218,14 @@
     ///
     /// The name is made of the shape, so names of different sessions never collide
     /// and a shape is prepared once for all sessions that use the connection.
-    pub fn prepare<P: Protocol>(&mut self, shape: &Prepared) -> String {
-        let kind = match shape.access {
+    pub fn prepare<P: Protocol>(&mut self, statement: &Prepared) -> String {
+        let kind = match statement.access {
             crate::message::Access::Read => 'r',
             crate::message::Access::Write => 'w',
         };
-        let name = format!("{kind}{:016x}", xxh3_64(&shape.text));
+        let name = format!("{kind}{:016x}", xxh3_64(&statement.text));
         if !self.prepared.contains(&name) {
-            self.put::<P>(&Command::Prepare(&name, shape));
+            self.queue::<P>(&Command::Prepare(&name, statement));
             self.prepared.insert(name.clone());
         }
         name
@@ -239,17 +239,17 @@
     pub async fn reset<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         self.values.clear();
         self.prepared.clear();
-        self.ask::<P>(&Command::Reset).await
+        self.request::<P>(&Command::Reset).await
     }
 
     /// Forgets what is prepared, because the upstream says that it is not.
-    pub fn unprepare(&mut self) {
+    pub fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
 
-    fn put<P: Protocol>(&mut self, command: &Command<'_>) {
+    fn queue<P: Protocol>(&mut self, command: &Command<'_>) {
         P::command(command, &mut self.out);
-        self.awaited += 1;
+        self.outstanding += 1;
     }
 
     /// Sends what is in line and `command`; returns the answer to `command`.
@@ -259,17 +259,17 @@
     /// The connection broke, or the upstream refused what was put in line before:
     /// `command` may have run, and the connection is of no more use. The same
     /// holds if the future is dropped before it is done.
-    pub async fn ask<P: Protocol>(&mut self, command: &Command<'_>) -> Result<Reply, Broken> {
-        self.put::<P>(command);
+    pub async fn request<P: Protocol>(&mut self, command: &Command<'_>) -> Result<Reply, Broken> {
+        self.queue::<P>(command);
         let out = self.out.split();
         self.stream.write_all(&out).await?;
         loop {
-            let reply = self.next::<P>().await?;
-            self.awaited -= 1;
+            let reply = self.read_reply::<P>().await?;
+            self.outstanding -= 1;
             self.state = reply.state;
-            if self.awaited == 0 {
-                self.answered = Boot.now();
-                self.member.note_answer(self.answered);
+            if self.outstanding == 0 {
+                self.last_answer = Boot.now();
+                self.member.note_answer(self.last_answer);
                 return Ok(reply);
             }
             if reply.verdict.is_err() {
@@ -278,14 +278,14 @@
         }
     }
 
-    async fn next<P: Protocol>(&mut self) -> Result<Reply, Broken> {
+    async fn read_reply<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         loop {
             match P::reply(&mut self.buf) {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(_) => return Err(Broken),
             }
-            self.buf.reserve(CHUNK);
+            self.buf.reserve(READ_SIZE);
             if self.stream.read_buf(&mut self.buf).await? == 0 {
                 return Err(Broken);
             }
@@ -301,7 +301,7 @@
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED))?;
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
         .with_time(Duration::from_secs(1))
         .with_interval(Duration::from_secs(1))
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -22,51 +22,52 @@
 /// How long an answer of the store may be silent. How long it takes in all says nothing:
 /// a catalogue of 1,524 routes takes a link of 2 Mbit/s two seconds, and where each
 /// reading was broken off and begun anew, nobody was served any more.
-const READ: Duration = Duration::from_millis(400);
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a watch waits. The kernel's keep-alive finds a connection that went
 /// silent sooner.
-const WATCH: Duration = Duration::from_secs(25);
+const WATCH_WAIT: Duration = Duration::from_secs(25);
 
 /// How long a watch's answer may come behind its wait.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
 /// From which size on a catalogue is read again before it is watched: on a link that it
 /// takes for long, each of the changes that came meanwhile would take it as long.
-const LARGE: usize = 64 << 10;
+const LARGE_CATALOG: usize = 64 << 10;
 
 /// How long an instance goes on watching though others are its zone's relays by now.
-const KEPT: Duration = Duration::from_secs(3);
+const WATCH_LINGER: Duration = Duration::from_secs(3);
 
 /// How often the list of instances is read by one that knows no other, and by a relay.
-const LIST: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
+const LIST_INTERVALS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
 
 /// How often it is looked who the relays are.
-const LOOK: Duration = Duration::from_millis(100);
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The pause behind a failed call, and how far it grows.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(1_600));
+const RETRY_PAUSES: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_millis(1_600));
 
 /// How long an instance stays in the store's list without a sign of life. Who there is
 /// is told by beats; the list introduces those who start.
-const LISTED: Duration = Duration::from_secs(30);
+const REGISTRATION_TTL: Duration = Duration::from_secs(30);
 
 /// How long news are gathered that nobody waits for, until more are asked for: instances,
 /// upstreams and first records come one by one where all of them start at once. Each would
 /// wake all who watch: 24 calls each for the 15 upstreams and 5 groups of a small fleet.
-const GATHER: Duration = Duration::from_millis(400);
+const BATCH_DELAY: Duration = Duration::from_millis(400);
 
 /// How long an instance that starts waits until others of its zone answer.
-const GREETED: Duration = Duration::from_millis(60);
+const GREETING_WAIT: Duration = Duration::from_millis(60);
 
 /// How long it waits while most others, which may start with it, are not heard.
-const CROWDED: Duration = Duration::from_millis(600);
+const CROWDED_GREETING_WAIT: Duration = Duration::from_millis(600);
 
 /// How often connections are looked through.
-const TIDY: Duration = Duration::from_millis(100);
+const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a connection beyond an even share may lie idle.
-const IDLE: Duration = Duration::from_millis(400);
+const IDLE_LIMIT: Duration = Duration::from_millis(400);
 
 /// The key of a group's record.
 pub fn record_key<E: Edge>(service: &str) -> String {
@@ -84,18 +85,18 @@
 
 /// Starts all tasks that keep the node's knowledge up to date.
 pub fn spawn<E: Edge>(node: &Rc<Node<E>>) {
-    spawn_local(begin(Rc::clone(node)));
+    spawn_local(start(Rc::clone(node)));
     spawn_local(proof_lease::run(Rc::clone(node)));
     spawn_local(register(Rc::clone(node)));
     spawn_local(freshness::run(Rc::clone(node)));
     spawn_local(shares::run(Rc::clone(node)));
-    spawn_local(tidy(Rc::clone(node)));
+    spawn_local(maintain_pools(Rc::clone(node)));
     spawn_local(takeover::run(Rc::clone(node)));
 }
 
 /// Reads a prefix from the store, or through another instance.
 pub async fn read<E: Edge>(node: &Node<E>, prefix: &str) -> Result<Items, Fault> {
-    if let Ok(items) = node.store().read(prefix, READ).await {
+    if let Ok(items) = node.store().read(prefix, READ_TIMEOUT).await {
         node.store_answered();
         return Ok(items);
     }
@@ -107,26 +108,26 @@
 ///
 /// The others are met before anything else is read: whoever knows them can follow one of
 /// them, and a fleet that starts at once asks the store for little more than its list.
-async fn begin<E: Edge>(node: Rc<Node<E>>) {
-    if list(&node).await.is_ok() && node.peers.count() > 1 {
+async fn start<E: Edge>(node: Rc<Node<E>>) {
+    if read_instances(&node).await.is_ok() && node.peers.count() > 1 {
         node.note_instances_listed();
     }
     let since = Boot.now();
-    while relay::is_relay(&node) && since + patience(&node) > Boot.now() {
-        sleep(LOOK / 10).await;
+    while relay::is_relay(&node) && since + greeting_wait(&node) > Boot.now() {
+        sleep(RELAY_CHECK_INTERVAL / 10).await;
     }
-    let mut pause = AGAIN.0;
+    let mut pause = RETRY_PAUSES.0;
     while relay::is_reader(&node) && read_section(&node, Section::Records).await.is_err() {
         sleep(pause).await;
-        pause = (pause * 2).min(AGAIN.1);
+        pause = (pause * 2).min(RETRY_PAUSES.1);
     }
     node.note_instances_listed();
     // What is learnt does no harm if more than the relays ask for it.
-    sleep(GREETED).await;
+    sleep(GREETING_WAIT).await;
     spawn_local(relay::follow(Rc::clone(&node)));
-    spawn_local(introduce(Rc::clone(&node)));
+    spawn_local(refresh_instances(Rc::clone(&node)));
     for section in SECTIONS {
-        spawn_local(follow(Rc::clone(&node), section));
+        spawn_local(follow_section(Rc::clone(&node), section));
     }
 }
 
@@ -134,17 +135,17 @@
 /// relay of its zone: longer while most that are listed were not heard.
 ///
 /// Where all start at once, each one that did not wait would read the whole store.
-fn patience<E: Edge>(node: &Node<E>) -> Duration {
+fn greeting_wait<E: Edge>(node: &Node<E>) -> Duration {
     match node.peers.is_mostly_unheard() {
-        true => CROWDED,
-        false => GREETED,
+        true => CROWDED_GREETING_WAIT,
+        false => GREETING_WAIT,
     }
 }
 
 /// Reads the list of instances, which may be seconds old.
-async fn list<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
+async fn read_instances<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let prefix = instances_prefix::<E>();
-    let listed = node.store().read_stale(&prefix, READ).await?;
+    let listed = node.store().read_stale(&prefix, READ_TIMEOUT).await?;
     let missing = node
         .mirror
         .borrow()
@@ -158,23 +159,23 @@
 
 /// Reads the list again and again while this instance is a relay, so that instances which
 /// don't know each other greet each other: who starts greets all that it lists.
-async fn introduce<E: Edge>(node: Rc<Node<E>>) {
-    let mut pause = LIST.0;
+async fn refresh_instances<E: Edge>(node: Rc<Node<E>>) {
+    let mut pause = LIST_INTERVALS.0;
     loop {
         sleep(pause).await;
         // Those that start at once may not be listed yet when it is read first.
         pause = match node.peers.count() {
-            1 => LIST.0,
-            _ => (pause * 2).min(LIST.1),
+            1 => LIST_INTERVALS.0,
+            _ => (pause * 2).min(LIST_INTERVALS.1),
         };
         if relay::is_relay(&node) {
-            let _ = list(&node).await;
+            let _ = read_instances(&node).await;
         }
     }
 }
 
 /// Whether this instance is to follow `section` in the store.
-fn is_due<E: Edge>(node: &Node<E>, section: Section) -> bool {
+fn is_followed<E: Edge>(node: &Node<E>, section: Section) -> bool {
     match section {
         // Where nobody has one yet, those who could pass it on would be waited for.
         Section::Catalog => {
@@ -195,42 +196,44 @@
 }
 
 /// Follows one section in the store while this instance is one of its zone's relays.
-async fn follow<E: Edge>(node: Rc<Node<E>>, section: Section) {
-    let mut pause = AGAIN.0;
-    let mut lost = false;
-    let mut whole = false;
+async fn follow_section<E: Edge>(node: Rc<Node<E>>, section: Section) {
+    let mut pause = RETRY_PAUSES.0;
+    let mut is_store_lost = false;
+    let mut needs_full_read = false;
     loop {
-        if !is_due(&node, section) {
-            sleep(LOOK).await;
+        if !is_followed(&node, section) {
+            sleep(RELAY_CHECK_INTERVAL).await;
             continue;
         }
         let known = node.mirror.borrow().known(section);
-        let asked = match known == 0 || whole {
-            true => read_section(&node, section).await.map(|()| News::Gradual),
+        let asked = match known == 0 || needs_full_read {
+            true => read_section(&node, section)
+                .await
+                .map(|()| Urgency::Deferrable),
             false => watch(&node, section, known).await,
         };
-        whole = matches!(asked, Err(Fault::Compacted));
-        let news = match asked {
-            Ok(news) => news,
+        needs_full_read = matches!(asked, Err(Fault::Compacted));
+        let urgency = match asked {
+            Ok(urgency) => urgency,
             Err(Fault::Compacted) => continue,
             Err(_) => {
-                if !lost && section == Section::Records {
+                if !is_store_lost && section == Section::Records {
                     log::warn!(dependency = "store"; "lost");
                 }
-                lost = true;
+                is_store_lost = true;
                 // Whoever renews the era tells when the store answers again.
                 let _ = timeout(pause, node.store_returned.notified()).await;
-                pause = (pause * 2).min(AGAIN.1);
+                pause = (pause * 2).min(RETRY_PAUSES.1);
                 continue;
             }
         };
-        if lost && section == Section::Records {
+        if is_store_lost && section == Section::Records {
             log::info!(dependency = "store"; "regained");
         }
-        lost = false;
-        pause = AGAIN.0;
-        if news == News::Gradual {
-            sleep(GATHER).await;
+        is_store_lost = false;
+        pause = RETRY_PAUSES.0;
+        if urgency == Urgency::Deferrable {
+            sleep(BATCH_DELAY).await;
         }
     }
 }
@@ -264,14 +267,14 @@
     }
     match &change {
         Change::Put(item) => {
-            take(node, item);
-            if let Some((name, address)) = instance::<E>(item) {
+            apply_item(node, item);
+            if let Some((name, address)) = parse_instance::<E>(item) {
                 node.peers.add(name, address);
             }
         }
         Change::Gone(key, _) => {
             if key.starts_with(E::UPSTREAMS_PREFIX) {
-                node.unlist_upstream(id_of::<E>(key));
+                node.unlist_upstream(upstream_id::<E>(key));
             }
             if let Some(name) = key.strip_prefix(&instances_prefix::<E>()) {
                 node.peers.unlist(name);
@@ -282,7 +285,7 @@
 }
 
 /// The name and the address of an instance, if `item` is an instance's entry.
-fn instance<E: Edge>(item: &Item) -> Option<(&str, SocketAddr)> {
+fn parse_instance<E: Edge>(item: &Item) -> Option<(&str, SocketAddr)> {
     let prefix = instances_prefix::<E>();
     let name = item.key.strip_prefix(&prefix)?;
     let text = std::str::from_utf8(&item.value).ok()?;
@@ -291,58 +294,63 @@
 
 /// What a watch's answer told of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum News {
+enum Urgency {
     /// Nothing, or what comes in one by one and nobody waits for.
-    Gradual,
+    Deferrable,
     /// Anything else.
-    Other,
+    Immediate,
 }
 
 /// Whether a change is one of those that come in one by one: all but a catalogue and the
 /// record of a primary that takes another's place.
-fn is_gradual<E: Edge>(node: &Node<E>, change: &Change) -> bool {
+fn is_deferrable<E: Edge>(node: &Node<E>, change: &Change) -> bool {
     let record = change.key().strip_prefix(&record_key::<E>(""));
     let is_replaced = record.is_some_and(|service| node.has_primary(service));
     !is_replaced && change.key() != E::CATALOG_KEY
 }
 
 /// Waits for changes of a section behind revision `after`, and takes them in.
-async fn watch<E: Edge>(node: &Rc<Node<E>>, section: Section, after: u64) -> Result<News, Fault> {
+async fn watch<E: Edge>(
+    node: &Rc<Node<E>>,
+    section: Section,
+    after: u64,
+) -> Result<Urgency, Fault> {
     let store = node.store();
     let prefix = section_prefix::<E>(section);
-    let watching = store.watch(&prefix, after, WATCH, WATCH_SLACK);
-    let told = tokio::select! {
-        told = watching => told,
+    let watching = store.watch(&prefix, after, WATCH_WAIT, WATCH_SLACK);
+    let answer = tokio::select! {
+        answer = watching => answer,
         () = node.refresh.notified() => return Err(Fault::Compacted),
-        () = relieved(node, section) => return Ok(News::Other),
+        () = wait_until_relieved(node, section) => return Ok(Urgency::Immediate),
     };
-    let told = told.inspect_err(|_| node.store_failed())?;
+    let answer = answer.inspect_err(|_| node.store_failed())?;
     node.store_answered();
     node.watch_answered_at.set(Boot.now());
-    let mut changes = told.changes.iter();
-    let news = match changes.all(|change| is_gradual(node, change)) {
-        true => News::Gradual,
-        false => News::Other,
+    let mut changes = answer.changes.iter();
+    let urgency = match changes.all(|change| is_deferrable(node, change)) {
+        true => Urgency::Deferrable,
+        false => Urgency::Immediate,
     };
-    let is_large = |change: &Change| matches!(change, Change::Put(i) if i.value.len() >= LARGE);
-    let is_large = section == Section::Catalog && told.changes.iter().any(is_large);
-    let mut at = told.at;
-    for change in told.changes {
+    let is_large =
+        |change: &Change| matches!(change, Change::Put(i) if i.value.len() >= LARGE_CATALOG);
+    let is_large = section == Section::Catalog && answer.changes.iter().any(is_large);
+    let mut at = answer.at;
+    for change in answer.changes {
         apply_change(node, change);
     }
     if is_large {
-        at = at.max(overtake(node).await?);
+        at = at.max(read_newest_catalog(node).await?);
     }
     node.mirror.borrow_mut().advance(section, at);
-    Ok(news)
+    Ok(urgency)
 }
 
 /// Reads the catalogue until there is no newer one; its revision.
-async fn overtake<E: Edge>(node: &Rc<Node<E>>) -> Result<u64, Fault> {
+async fn read_newest_catalog<E: Edge>(node: &Rc<Node<E>>) -> Result<u64, Fault> {
     loop {
         let revision = node.catalog_item().map_or(0, |item| item.revision);
         let known = [(E::CATALOG_KEY, revision)];
-        let newer = node.store().read_newer(&known, READ).await?;
+        let newer = node.store().read_newer(&known, READ_TIMEOUT).await?;
         let Some(item) = newer.into_iter().next() else {
             return Ok(revision);
         };
@@ -351,11 +359,11 @@
 }
 
 /// Waits until others have been the zone's relays for a while.
-async fn relieved<E: Edge>(node: &Node<E>, section: Section) {
+async fn wait_until_relieved<E: Edge>(node: &Node<E>, section: Section) {
     let mut since = Boot.now();
-    while since + KEPT > Boot.now() {
-        sleep(LOOK).await;
-        if is_due(node, section) {
+    while since + WATCH_LINGER > Boot.now() {
+        sleep(RELAY_CHECK_INTERVAL).await;
+        if is_followed(node, section) {
             since = Boot.now();
         }
     }
@@ -383,12 +391,12 @@
     }
 }
 
-fn id_of<E: Edge>(key: &str) -> &str {
+fn upstream_id<E: Edge>(key: &str) -> &str {
     key.strip_prefix(E::UPSTREAMS_PREFIX).unwrap_or(key)
 }
 
 /// Takes in one item of the store.
-fn take<E: Edge>(node: &Rc<Node<E>>, item: &Item) {
+fn apply_item<E: Edge>(node: &Rc<Node<E>>, item: &Item) {
     if item.key == E::CATALOG_KEY {
         node.peers.announce();
     } else if item.key == shares::table_key::<E>() {
@@ -400,7 +408,7 @@
             Ok(upstream) => node.put_upstream(upstream),
             Err(error) => {
                 log::error!(error:%, key = &*item.key; "an upstream can't be read");
-                node.unlist_upstream(id_of::<E>(&item.key));
+                node.unlist_upstream(upstream_id::<E>(&item.key));
             }
         }
     } else if let Some(group) = record(node, item) {
@@ -439,42 +447,45 @@
     let mut lease = 0;
     loop {
         if lease == 0 {
-            lease = enlist(&node).await.unwrap_or_default();
+            lease = create_registration(&node).await.unwrap_or_default();
         } else {
-            let kept = timeout(READ, node.store().keep_alive(lease)).await;
+            let kept = timeout(READ_TIMEOUT, node.store().keep_alive(lease)).await;
             if kept == Ok(Err(Fault::Missing)) {
                 lease = 0;
                 continue;
             }
         }
         let pause = match lease {
-            0 => AGAIN.1,
-            _ => LISTED / 3,
+            0 => RETRY_PAUSES.1,
+            _ => REGISTRATION_TTL / 3,
         };
         sleep(pause).await;
     }
 }
 
-async fn enlist<E: Edge>(node: &Node<E>) -> Option<u64> {
+async fn create_registration<E: Edge>(node: &Node<E>) -> Option<u64> {
     let store = node.store();
-    let lease = timeout(READ, store.grant(LISTED)).await.ok()?.ok()?;
+    let lease = timeout(READ_TIMEOUT, store.grant(REGISTRATION_TTL))
+        .await
+        .ok()?
+        .ok()?;
     let key = format!("{}{}", instances_prefix::<E>(), node.settings.name);
     let value = Bytes::from(node.settings.peers.to_string());
     let swap = Swap {
         puts: vec![(key, value, lease)],
         ..Swap::default()
     };
-    match timeout(READ, store.swap(&swap)).await {
+    match timeout(READ_TIMEOUT, store.swap(&swap)).await {
         Ok(Ok(Swapped::Done(_))) => Some(lease),
         _ => None,
     }
 }
 
 /// Closes connections that others may need.
-async fn tidy<E: Edge>(node: Rc<Node<E>>) {
+async fn maintain_pools<E: Edge>(node: Rc<Node<E>>) {
     let mut unable = None;
     loop {
-        sleep(TIDY).await;
+        sleep(POOL_CHECK_INTERVAL).await;
         let now: Instant = Boot.now();
         node.peers.unstalled_now();
         let since = node.unable_since();
@@ -501,7 +512,7 @@
                 if member.pool.is_locked_out(now) {
                     node.peers.announce();
                 }
-                member.pool.trim(now, share, IDLE);
+                member.pool.close_excess(now, share, IDLE_LIMIT);
             }
         }
         node.sweep(now);
--- a/crates/proxy/src/counted.rs
+++ b/crates/proxy/src/counted.rs
@@ -25,22 +25,22 @@
         kind: &'static str,
         call: impl Future<Output = Result<T, Fault>>,
     ) -> Result<T, Fault> {
-        let counting = Counting::open(self.metrics, kind);
+        let guard = CallGuard::start(self.metrics, kind);
         let result = call.await;
-        counting.answer.set(answer(result.as_ref().err()));
+        guard.answer.set(answer(result.as_ref().err()));
         result
     }
 }
 
 /// Counts a call when it ends, also one whose future is dropped.
-struct Counting<'a> {
+struct CallGuard<'a> {
     metrics: &'a Metrics,
     kind: &'static str,
     answer: Cell<&'static str>,
 }
 
-impl<'a> Counting<'a> {
-    fn open(metrics: &'a Metrics, kind: &'static str) -> Self {
+impl<'a> CallGuard<'a> {
+    fn start(metrics: &'a Metrics, kind: &'static str) -> Self {
         Self {
             metrics,
             kind,
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Counting<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.metrics.called(self.kind, self.answer.get());
     }
@@ -68,12 +68,13 @@
 }
 
 impl<S: Store> Store for Counted<'_, S> {
-    async fn read(&self, prefix: &str, quiet: Duration) -> Result<Items, Fault> {
-        self.call("read", self.store.read(prefix, quiet)).await
+    async fn read(&self, prefix: &str, idle_timeout: Duration) -> Result<Items, Fault> {
+        self.call("read", self.store.read(prefix, idle_timeout))
+            .await
     }
 
-    async fn read_stale(&self, prefix: &str, quiet: Duration) -> Result<Items, Fault> {
-        self.call("glance", self.store.read_stale(prefix, quiet))
+    async fn read_stale(&self, prefix: &str, idle_timeout: Duration) -> Result<Items, Fault> {
+        self.call("glance", self.store.read_stale(prefix, idle_timeout))
             .await
     }
 
@@ -81,8 +82,12 @@
         self.store.era()
     }
 
-    async fn read_newer(&self, known: &[(&str, u64)], quiet: Duration) -> Result<Vec<Item>, Fault> {
-        self.call("newer", self.store.read_newer(known, quiet))
+    async fn read_newer(
+        &self,
+        known: &[(&str, u64)],
+        idle_timeout: Duration,
+    ) -> Result<Vec<Item>, Fault> {
+        self.call("newer", self.store.read_newer(known, idle_timeout))
             .await
     }
 
@@ -91,9 +96,9 @@
         prefix: &str,
         after: u64,
         wait: Duration,
-        quiet: Duration,
+        idle_timeout: Duration,
     ) -> Result<Changes, Fault> {
-        let watching = self.store.watch(prefix, after, wait, quiet);
+        let watching = self.store.watch(prefix, after, wait, idle_timeout);
         self.call("watch", watching).await
     }
 
--- a/crates/proxy/src/edge.rs
+++ b/crates/proxy/src/edge.rs
@@ -88,7 +88,7 @@
 }
 
 /// How many bits of a revision count the store's own revisions; above them stands its era.
-const OWN_BITS: u32 = 40;
+const REVISION_BITS: u32 = 40;
 
 /// A revision in the order that counts: a store that comes back from a copy begins the next
 /// era, and gives revisions out again there.
@@ -102,18 +102,18 @@
 pub fn join_era(era: u64, revision: u64) -> u64 {
     match revision {
         0 => 0,
-        revision => era << OWN_BITS | revision,
+        revision => era << REVISION_BITS | revision,
     }
 }
 
 /// The era of the store that a revision is of.
 pub fn era_of(revision: u64) -> u64 {
-    revision >> OWN_BITS
+    revision >> REVISION_BITS
 }
 
 /// What the store itself calls a revision.
 pub fn store_revision(revision: u64) -> u64 {
-    revision & ((1 << OWN_BITS) - 1)
+    revision & ((1 << REVISION_BITS) - 1)
 }
 
 /// An item of the store.
@@ -212,12 +212,12 @@
 pub struct IdleTimeout {
     /// Until it begins, and between two parts of it; `None` if whoever calls bounds the
     /// whole call.
-    spans: Option<(Duration, Duration)>,
+    limits: Option<(Duration, Duration)>,
 }
 
 impl IdleTimeout {
     /// Whoever calls bounds the whole call.
-    pub const NONE: Self = Self { spans: None };
+    pub const NONE: Self = Self { limits: None };
 
     /// The answer begins within `span`, and no pause in it is longer.
     pub fn new(span: Duration) -> Self {
@@ -227,7 +227,7 @@
     /// The same behind a `wait` that was asked for.
     pub fn after_wait(wait: Duration, span: Duration) -> Self {
         Self {
-            spans: Some((wait + span, span)),
+            limits: Some((wait + span, span)),
         }
     }
 
@@ -240,7 +240,7 @@
         self,
         call: impl Future<Output = Result<T, F>>,
     ) -> Result<T, Fault> {
-        within(self.spans.map(|(first, _)| first), call).await
+        with_limit(self.limits.map(|(first, _)| first), call).await
     }
 
     /// Waits for the next part of the answer.
@@ -252,11 +252,11 @@
         self,
         call: impl Future<Output = Result<T, F>>,
     ) -> Result<T, Fault> {
-        within(self.spans.map(|(_, next)| next), call).await
+        with_limit(self.limits.map(|(_, next)| next), call).await
     }
 }
 
-async fn within<T, F>(
+async fn with_limit<T, F>(
     span: Option<Duration>,
     call: impl Future<Output = Result<T, F>>,
 ) -> Result<T, Fault> {
@@ -281,19 +281,23 @@
     fn era(&self) -> u64;
     /// Reads all items of a prefix; current, not cached. Gives up once nothing of the
     /// answer came for `quiet`, however long all of it takes.
-    fn read(&self, prefix: &str, quiet: Duration) -> impl Future<Output = Result<Items, Fault>>;
+    fn read(
+        &self,
+        prefix: &str,
+        idle_timeout: Duration,
+    ) -> impl Future<Output = Result<Items, Fault>>;
     /// Reads the first page of a prefix, for a tenth of the price; it may be seconds old.
     fn read_stale(
         &self,
         prefix: &str,
-        quiet: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Items, Fault>>;
     /// Reads those of the items whose newest revision is not the one beside its key, zero
     /// for none. Those that don't exist are left out.
     fn read_newer(
         &self,
         known: &[(&str, u64)],
-        quiet: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Vec<Item>, Fault>>;
     /// Waits up to `wait` for changes behind revision `after`: each of them as it was,
     /// also where a later one overtook it. Gives up once nothing of the answer came for
@@ -305,7 +309,7 @@
         prefix: &str,
         after: u64,
         wait: Duration,
-        quiet: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Changes, Fault>>;
     /// Changes items under a condition.
     fn swap(&self, swap: &Swap) -> impl Future<Output = Result<Swapped, Fault>>;
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -22,11 +22,11 @@
 pub const LIST_MEMORY: Duration = Duration::from_secs(15);
 
 /// How long a need for proofs lasts.
-const WANTED: Duration = Duration::from_secs(2);
+const PROOF_DEMAND_TTL: Duration = Duration::from_secs(2);
 
 /// How long others must have held a group's connections until sessions move to them: a
 /// holder that was not heard for a moment is back by then.
-const SETTLED: Duration = Duration::from_secs(1);
+const MIGRATION_DELAY: Duration = Duration::from_secs(1);
 
 /// The record of a primary and the revision that it has in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,9 +39,9 @@
 
 /// Counts a session that is served here.
 #[derive(Debug)]
-pub struct Served(Rc<Group>);
+pub struct SessionGuard(Rc<Group>);
 
-impl Served {
+impl SessionGuard {
     /// Counts one more session on `group`.
     pub fn new(group: Rc<Group>) -> Self {
         group.sessions.set(group.sessions.get() + 1);
@@ -50,7 +50,7 @@
     }
 }
 
-impl Drop for Served {
+impl Drop for SessionGuard {
     fn drop(&mut self) {
         let sessions = &self.0.sessions;
         sessions.set(sessions.get() - 1);
@@ -73,7 +73,7 @@
     /// Whether this instance is replacing the primary.
     pub replacing: Cell<bool>,
     /// When somebody last needed a proof.
-    wanted: Cell<Instant>,
+    proof_wanted_at: Cell<Instant>,
     /// The lease under which the record was read, zero for none.
     pub proof_lease: Cell<u64>,
     /// When the record was learnt.
@@ -85,8 +85,8 @@
     pub held_elsewhere_since: Cell<Option<Instant>>,
     /// Since when the list of upstreams lacks the primary.
     pub unlisted: Cell<Option<Instant>>,
-    leaving: Cell<Option<Instant>>,
-    most: Cell<(usize, Instant)>,
+    leaving_since: Cell<Option<Instant>>,
+    largest_list: Cell<(usize, Instant)>,
     furthest: Cell<(Position, Instant)>,
     pending: Rc<Pending>,
     is_active: Cell<bool>,
@@ -107,14 +107,14 @@
             changed: Notify::new(),
             asking: Cell::new(false),
             replacing: Cell::new(false),
-            wanted: Cell::default(),
+            proof_wanted_at: Cell::default(),
             proof_lease: Cell::default(),
             record_learnt_at: Cell::default(),
             sessions: Cell::default(),
             held_elsewhere_since: Cell::default(),
             unlisted: Cell::default(),
-            leaving: Cell::default(),
-            most: Cell::default(),
+            leaving_since: Cell::default(),
+            largest_list: Cell::default(),
             furthest: Cell::default(),
         }
     }
@@ -128,12 +128,12 @@
 
     /// Lets the group rest if nothing is left to do; whether it rests.
     pub(crate) fn deactivate_if_quiet(&self, now: Instant) -> bool {
-        let rests = self.is_quiet(now);
-        if rests {
+        let is_quiet = self.is_quiet(now);
+        if is_quiet {
             self.is_active.set(false);
             self.held_elsewhere_since.set(None);
         }
-        rests
+        is_quiet
     }
 
     /// Has the group looked after if something is to be done.
@@ -243,8 +243,8 @@
 
     /// Since when the primary is known to leave, first asked at `now`.
     pub fn leaving_since(&self, now: Instant) -> Instant {
-        let since = self.leaving.get().unwrap_or(now);
-        self.leaving.set(Some(since));
+        let since = self.leaving_since.get().unwrap_or(now);
+        self.leaving_since.set(Some(since));
         since
     }
 
@@ -252,18 +252,18 @@
     pub fn is_migration_due(&self, now: Instant) -> bool {
         self.held_elsewhere_since
             .get()
-            .is_some_and(|since| since + SETTLED < now)
+            .is_some_and(|since| since + MIGRATION_DELAY < now)
     }
 
     /// Notes that somebody needs a proof.
     pub(crate) fn want_proof(&self, now: Instant) {
-        self.wanted.set(now);
+        self.proof_wanted_at.set(now);
         self.activate();
     }
 
     /// Whether somebody needed a proof lately.
     pub fn is_proof_wanted(&self, now: Instant) -> bool {
-        self.wanted.get() + WANTED > now
+        self.proof_wanted_at.get() + PROOF_DEMAND_TTL > now
     }
 
     /// What is known of the primary.
@@ -289,8 +289,8 @@
             return None;
         }
         let member = self.member(&record.upstream)?;
-        let deposed = member.deposed_since(record.term).is_some();
-        (!deposed).then_some((member, record.term))
+        let is_deposed = member.deposed_since(record.term).is_some();
+        (!is_deposed).then_some((member, record.term))
     }
 
     /// Takes in the record as it stood at `revision`; `true` if it is news.
@@ -301,23 +301,23 @@
         if known.as_ref().is_some_and(|k| k.revision >= revision) {
             return false;
         }
-        let same = known.as_ref().is_some_and(|k| k.record == record);
-        let leads_on =
+        let is_unchanged = known.as_ref().is_some_and(|k| k.record == record);
+        let is_same_primary =
             |k: &StoredRecord| k.record.term == record.term && k.record.upstream == record.upstream;
-        let replaced = !known.as_ref().is_some_and(leads_on);
+        let is_replaced = !known.as_ref().is_some_and(is_same_primary);
         *known = Some(StoredRecord { record, revision });
         drop(known);
         self.proof_lease.set(0);
         self.record_learnt_at.set(Boot.now());
-        self.leaving.set(None);
+        self.leaving_since.set(None);
         self.unlisted.set(None);
-        if replaced {
+        if is_replaced {
             // The log of one that led may be cut back now: that is no new start.
             for member in self.members.borrow().values() {
                 member.led_position.set(Position::default());
             }
         }
-        if !same {
+        if !is_unchanged {
             let mut proof = self.proof.get();
             proof.invalidate();
             self.proof.set(proof);
@@ -329,8 +329,9 @@
 
     /// Takes in that the record still had `revision` for a question sent at `sent`.
     pub fn prove(&self, revision: u64, sent: Instant, span: Duration) {
-        let stands = |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
-        if !self.known.borrow().as_ref().is_some_and(stands) {
+        let is_current =
+            |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
+        if !self.known.borrow().as_ref().is_some_and(is_current) {
             return;
         }
         let mut proof = self.proof.get();
@@ -375,10 +376,10 @@
     /// while ago, since an entry may expire though its upstream lives.
     pub fn replica_count(&self, now: Instant, memory: Duration) -> usize {
         let count = self.members.borrow().len();
-        let (most, at) = self.most.get();
+        let (largest_list, at) = self.largest_list.get();
         let members = match at + memory < now {
             true => count,
-            false => count.max(most),
+            false => count.max(largest_list),
         };
         members.saturating_sub(1)
     }
@@ -389,9 +390,9 @@
     /// must not take the rest for all.
     pub fn is_list_complete(&self, now: Instant, memory: Duration) -> bool {
         let count = self.members.borrow().len();
-        let (most, at) = self.most.get();
-        if count >= most || at + memory < now {
-            self.most.set((count, now));
+        let (largest_list, at) = self.largest_list.get();
+        if count >= largest_list || at + memory < now {
+            self.largest_list.set((count, now));
             return true;
         }
         false
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -15,13 +15,13 @@
 };
 
 /// An upstream that answered within this span is fine.
-const FRESH: Duration = Duration::from_millis(1_000);
+const HEALTH_TTL: Duration = Duration::from_millis(1_000);
 
 /// How many failures in a row make an upstream a failing one.
-const FAILURES: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 
 /// The weight of one more measured duration, as a divisor.
-const SMOOTH: u64 = 8;
+const LATENCY_WEIGHT_DIVISOR: u64 = 8;
 
 /// How long a replica that lags is left alone, first and at most.
 const LAG_PAUSE: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(640));
@@ -34,7 +34,7 @@
 pub const RELISTED: Duration = Duration::from_millis(2_500);
 
 /// The duration that is assumed of an upstream that has not been used yet.
-const UNKNOWN_LATENCY: Duration = Duration::from_millis(5);
+const INITIAL_LATENCY: Duration = Duration::from_millis(5);
 
 /// What is known of an upstream's health.
 #[derive(Debug, Clone, Copy, Default)]
@@ -54,7 +54,7 @@
     pub upstream: Upstream,
     /// Whether it takes new work.
     pub readiness: Cell<Readiness>,
-    leaving: Cell<Option<Instant>>,
+    leaving_since: Cell<Option<Instant>>,
     /// Since when the list lacks it.
     pub(crate) unlisted: Cell<Option<Instant>>,
     deposed: Cell<Option<(Term, Instant)>>,
@@ -72,7 +72,7 @@
     pub running: Cell<usize>,
     health: Cell<Health>,
     /// Whether somebody is probing it.
-    pub probed: Cell<bool>,
+    pub is_probed: Cell<bool>,
     latency: Cell<Duration>,
     lag_until: Cell<Instant>,
     lag_pause: Cell<Duration>,
@@ -82,7 +82,9 @@
     pub(crate) fn new(upstream: Upstream) -> Self {
         Self {
             readiness: Cell::new(upstream.readiness),
-            leaving: Cell::new((upstream.readiness == Readiness::Draining).then(|| Boot.now())),
+            leaving_since: Cell::new(
+                (upstream.readiness == Readiness::Draining).then(|| Boot.now()),
+            ),
             upstream,
             unlisted: Cell::default(),
             deposed: Cell::default(),
@@ -93,26 +95,26 @@
             refusals: Counts::default(),
             running: Cell::new(0),
             health: Cell::default(),
-            probed: Cell::new(false),
-            latency: Cell::new(UNKNOWN_LATENCY),
+            is_probed: Cell::new(false),
+            latency: Cell::new(INITIAL_LATENCY),
             lag_until: Cell::default(),
             lag_pause: Cell::new(LAG_PAUSE.0),
         }
     }
 
     pub(crate) fn set_readiness(&self, readiness: Readiness) {
-        let leaves = match readiness {
+        let leaving_since = match readiness {
             Readiness::Ready => None,
-            Readiness::Draining => self.leaving.get().or(Some(Boot.now())),
+            Readiness::Draining => self.leaving_since.get().or(Some(Boot.now())),
         };
-        self.leaving.set(leaves);
+        self.leaving_since.set(leaving_since);
         self.readiness.set(readiness);
     }
 
     /// How much longer it may take new work if it is about to leave; `drain` is how
     /// long it may from the announcement on.
     pub fn leaves_in(&self, now: Instant, drain: Duration) -> Option<Duration> {
-        let since = self.leaving.get()?;
+        let since = self.leaving_since.get()?;
         Some(drain.saturating_sub(now.since(since)))
     }
 
@@ -127,12 +129,12 @@
     /// log; the list tells that a second later, and reads there would miss commits.
     /// But a log that only grows is never shorter than it was.
     pub fn check_log_loss(&self, position: Position, now: Instant) -> bool {
-        let shown = self.led_position.get();
-        let forgot = position < shown;
-        if forgot {
-            self.depose(shown.term, now);
+        let led = self.led_position.get();
+        let is_lost = position < led;
+        if is_lost {
+            self.depose(led.term, now);
         }
-        forgot
+        is_lost
     }
 
     /// Notes that it does not lead `term` any more, by its own word.
@@ -159,7 +161,7 @@
     /// to it is open.
     pub(crate) fn is_quiet(&self) -> bool {
         let stays = self.readiness.get() == Readiness::Ready && self.unlisted.get().is_none();
-        stays && !self.is_failing() && !self.probed.get() && self.pool.open.get() == 0
+        stays && !self.is_failing() && !self.is_probed.get() && self.pool.open.get() == 0
     }
 
     /// Notes that it answered.
@@ -181,7 +183,7 @@
     /// Notes that it failed: refused, broke off, or did not answer in time.
     pub fn note_failure(&self, now: Instant) {
         let health = self.health.get();
-        if health.failures + 1 >= FAILURES {
+        if health.failures + 1 >= FAILURE_THRESHOLD {
             self.failing_notify.notify_waiters();
         }
         self.health.set(Health {
@@ -199,7 +201,7 @@
     /// Whether it fails again and again.
     pub fn is_failing(&self) -> bool {
         let health = self.health.get();
-        health.failing_since.is_some() && health.failures >= FAILURES
+        health.failing_since.is_some() && health.failures >= FAILURE_THRESHOLD
     }
 
     /// What this instance says of it to others.
@@ -211,7 +213,7 @@
             return Verdict::Full;
         }
         let answered = self.health.get().answered;
-        match answered + FRESH > now {
+        match answered + HEALTH_TTL > now {
             true => Verdict::Fine,
             false => Verdict::Unknown,
         }
@@ -226,7 +228,10 @@
     pub fn note_latency(&self, span: Duration) {
         let old = u64::try_from(self.latency.get().as_micros()).unwrap_or(u64::MAX);
         let new = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        let mean = (old.saturating_mul(SMOOTH - 1).saturating_add(new)) / SMOOTH;
+        let mean = (old
+            .saturating_mul(LATENCY_WEIGHT_DIVISOR - 1)
+            .saturating_add(new))
+            / LATENCY_WEIGHT_DIVISOR;
         self.latency.set(Duration::from_micros(mean));
     }
 
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -17,11 +17,11 @@
 const BOUNDS: [f64; 10] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
 /// How a statement ended: its service, its class, the outcome and the cause.
-type End = (Rc<str>, &'static str, &'static str, &'static str);
+type Labels = (Rc<str>, &'static str, &'static str, &'static str);
 
 /// How long statements of a service and a class took.
 #[derive(Debug, Clone, Copy, Default)]
-struct Spans {
+struct Histogram {
     buckets: [u64; BOUNDS.len()],
     sum: f64,
     count: u64,
@@ -33,9 +33,9 @@
 /// every start, and that long an instance would serve nobody (docs/MEASUREMENTS.md).
 #[derive(Debug, Default)]
 pub struct Metrics {
-    ends: RefCell<BTreeMap<End, u64>>,
-    spans: RefCell<BTreeMap<(Rc<str>, &'static str), Spans>>,
-    waits: [RefCell<Spans>; 2],
+    statements: RefCell<BTreeMap<Labels, u64>>,
+    latencies: RefCell<BTreeMap<(Rc<str>, &'static str), Histogram>>,
+    waits: [RefCell<Histogram>; 2],
     calls: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
 }
 
@@ -51,19 +51,19 @@
 /// A wait that goes on; it is counted when it is dropped.
 #[derive(Debug)]
 #[must_use = "a wait that is dropped at once took no time"]
-pub struct Waiting<'a> {
-    spans: &'a RefCell<Spans>,
+pub struct WaitTimer<'a> {
+    histogram: &'a RefCell<Histogram>,
     since: Instant,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitTimer<'_> {
     fn drop(&mut self) {
         let span = Boot.now().since(self.since);
-        self.spans.borrow_mut().add(span);
+        self.histogram.borrow_mut().add(span);
     }
 }
 
-impl Spans {
+impl Histogram {
     fn add(&mut self, span: Duration) {
         let seconds = span.as_secs_f64();
         self.sum += seconds;
@@ -86,7 +86,7 @@
 
 impl Metrics {
     /// Counts an answered statement, by service and class, never by a caller's words.
-    pub fn answered(&self, route: Option<&Route>, outcome: &Outcome, span: Duration) {
+    pub fn observe_statement(&self, route: Option<&Route>, outcome: &Outcome, span: Duration) {
         let service = route.map_or_else(|| "none".into(), |route| Rc::clone(&route.service));
         let class = match route.map(|route| route.freshness) {
             Some(Freshness::Current) => "current",
@@ -96,12 +96,12 @@
         };
         let (code, cause) = match outcome.failure {
             None => ("done", "none"),
-            Some((code, cause)) => (word(code), reason(cause)),
+            Some((code, cause)) => (code_label(code), cause_label(cause)),
         };
         let end = (Rc::clone(&service), class, code, cause);
-        *self.ends.borrow_mut().entry(end).or_default() += 1;
-        let mut spans = self.spans.borrow_mut();
-        spans.entry((service, class)).or_default().add(span);
+        *self.statements.borrow_mut().entry(end).or_default() += 1;
+        let mut latencies = self.latencies.borrow_mut();
+        latencies.entry((service, class)).or_default().add(span);
     }
 
     /// Counts a call of the platform, by kind and answer.
@@ -110,13 +110,13 @@
     }
 
     /// Counts a wait until what is returned is dropped.
-    pub fn wait(&self, wait: Wait) -> Waiting<'_> {
-        let spans = match wait {
+    pub fn wait(&self, wait: Wait) -> WaitTimer<'_> {
+        let histogram = match wait {
             Wait::Proof => &self.waits[0],
             Wait::Connection => &self.waits[1],
         };
         let since = Boot.now();
-        Waiting { spans, since }
+        WaitTimer { histogram, since }
     }
 
     /// The calls of the platform so far, by kind and answer.
@@ -129,7 +129,7 @@
     }
 
     fn write(&self, page: &mut String) {
-        for ((service, class, outcome, cause), count) in self.ends.borrow().iter() {
+        for ((service, class, outcome, cause), count) in self.statements.borrow().iter() {
             let _ = writeln!(
                 page,
                 "dandelionlink_statements_total{{service=\"{service}\",class=\"{class}\",\
@@ -137,14 +137,14 @@
             );
         }
         let name = "dandelionlink_statement_seconds";
-        for ((service, class), spans) in self.spans.borrow().iter() {
+        for ((service, class), histogram) in self.latencies.borrow().iter() {
             let labels = format!("service=\"{service}\",class=\"{class}\"");
-            spans.write(page, name, &labels);
+            histogram.write(page, name, &labels);
         }
-        for (spans, what) in self.waits.iter().zip(["proof", "connection"]) {
+        for (histogram, what) in self.waits.iter().zip(["proof", "connection"]) {
             let labels = format!("for=\"{what}\"");
             let name = "dandelionlink_wait_seconds";
-            spans.borrow().write(page, name, &labels);
+            histogram.borrow().write(page, name, &labels);
         }
         for ((kind, answer), count) in self.calls.borrow().iter() {
             let _ = writeln!(
@@ -155,7 +155,7 @@
     }
 }
 
-fn word(code: Code) -> &'static str {
+fn code_label(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
         Code::Aborted => "aborted",
@@ -174,7 +174,7 @@
     }
 }
 
-fn reason(cause: Cause) -> &'static str {
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::NoProof => "no_proof",
         Cause::NoConnection => "no_connection",
@@ -207,8 +207,8 @@
         let _ = writeln!(page, "dandelionlink_{name}{labels} {value}");
     };
     put("ready", "", f64::from(u8::from(node.is_ready())));
-    put("sessions", "", count(node.sessions.get()));
-    put("instances", "", count(node.peers.count()));
+    put("sessions", "", to_f64(node.sessions.get()));
+    put("instances", "", to_f64(node.peers.count()));
     put(
         "catalogue_fetches_total",
         "",
@@ -251,9 +251,9 @@
         for member in group.members() {
             let (service, upstream) = (&group.service, &member.upstream.id);
             let labels = format!("{{service=\"{service}\",upstream=\"{upstream}\"}}");
-            put("connections", &labels, count(member.pool.open.get()));
-            put("waiting", &labels, count(member.pool.waiting()));
-            put("running", &labels, count(member.running.get()));
+            put("connections", &labels, to_f64(member.pool.open.get()));
+            put("waiting", &labels, to_f64(member.pool.waiting()));
+            put("running", &labels, to_f64(member.running.get()));
             put("failing", &labels, f64::from(u8::from(member.is_failing())));
             put("latency_seconds", &labels, member.latency().as_secs_f64());
             let refusals = &member.refusals;
@@ -272,6 +272,6 @@
     page
 }
 
-fn count(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -37,38 +37,38 @@
     work::{Kind, Work},
 };
 /// How long the store may be silent until it counts as having been away.
-const AWAY: Duration = Duration::from_millis(1_200);
+const STORE_GAP: Duration = Duration::from_millis(1_200);
 
 /// How long behind an answer of the store an instance counts as hearing it: a relay asks
 /// it at least every half second.
-const HEARS: Duration = Duration::from_millis(1_500);
+const STORE_REACHABLE_TTL: Duration = Duration::from_millis(1_500);
 
 /// How long an instance that asked the store in vain is passed over as a relay.
-const DEAF: Duration = Duration::from_secs(10);
+const STORE_UNREACHABLE_TTL: Duration = Duration::from_secs(10);
 
 /// How many instances look at a primary that one sees fail, beside those that use it.
-const JUDGES: usize = 9;
+const JUDGE_COUNT: usize = 9;
 
 /// How often it is looked whether a catalogue is in force.
-const LOOK: Duration = Duration::from_millis(5);
+const CATALOG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How long before its time is over an upstream that leaves is sent its last work.
-const LAST_WORK: Duration = Duration::from_millis(1_500);
+const DRAIN_MARGIN: Duration = Duration::from_millis(1_500);
 
 /// How long behind its first reading of the list an instance may not have heard the
 /// others: they answer its first beat at once, and their processors may be busy.
-const MEET: Duration = Duration::from_millis(200);
+const PEER_WAIT: Duration = Duration::from_millis(200);
 
 /// How long nothing may be proved until an instance counts as unable to serve.
-const LAPSED: Duration = Duration::from_millis(150);
+const LAPSE_TOLERANCE: Duration = Duration::from_millis(150);
 
 /// How far an instance is with its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// It serves.
-    Serve,
+    Serving,
     /// It was told to stop at this moment.
-    Stop(Instant),
+    Stopping(Instant),
 }
 
 /// Whether an instance serves.
@@ -123,11 +123,11 @@
     pub(crate) started_at: Instant,
     /// When the list of instances was read first.
     pub instances_listed_at: Cell<Option<Instant>>,
-    able: Cell<Instant>,
+    able_at: Cell<Instant>,
     /// The right to give orders as it was last seen, and since when.
     pub duty: Cell<(u64, Instant)>,
     /// The era of the store, and when this instance met it.
-    met_era: Cell<(u64, Instant)>,
+    store_era: Cell<(u64, Instant)>,
     /// Whether this instance has that right.
     pub(crate) has_right: Cell<bool>,
     /// Who had that right before this instance took it last.
@@ -141,7 +141,7 @@
     /// When the store last answered this instance.
     pub store_answered_at: Cell<Instant>,
     /// When the store last did not answer this instance.
-    refused: Cell<Instant>,
+    store_failed_at: Cell<Instant>,
     /// How many renewals in a row it did not answer.
     pub(crate) renewal_failures: Cell<u32>,
     /// Which relay did not answer, and when.
@@ -186,7 +186,7 @@
             incarnation: rand::random(),
             catalog: RefCell::default(),
             registry: Registry::default(),
-            stage: Cell::new(Stage::Serve),
+            stage: Cell::new(Stage::Serving),
             stage_changed: Notify::new(),
             proof_wanted: Notify::new(),
             proof_lease: Cell::default(),
@@ -200,16 +200,16 @@
             is_upstream_list_read: Cell::new(false),
             started_at: Boot.now(),
             instances_listed_at: Cell::default(),
-            able: Cell::new(Boot.now()),
+            able_at: Cell::new(Boot.now()),
             duty: Cell::default(),
-            met_era: Cell::default(),
+            store_era: Cell::default(),
             has_right: Cell::new(false),
             previous_holders: RefCell::default(),
             last_order_at: Cell::default(),
             store_contact_at: Cell::default(),
             store_heard_at: Cell::default(),
             store_answered_at: Cell::default(),
-            refused: Cell::default(),
+            store_failed_at: Cell::default(),
             renewal_failures: Cell::default(),
             silent_relay: Cell::default(),
             mirror: RefCell::default(),
@@ -232,10 +232,10 @@
     /// Since when the store has been in the era that it is in, as far as is known here.
     pub(crate) fn era_since(&self) -> Instant {
         let era = self.edge.store().era();
-        if self.met_era.get().0 != era {
-            self.met_era.set((era, Boot.now()));
+        if self.store_era.get().0 != era {
+            self.store_era.set((era, Boot.now()));
         }
-        self.met_era.get().1
+        self.store_era.get().1
     }
 
     /// The platform's store, its calls counted.
@@ -264,7 +264,7 @@
                 continue;
             }
             for member in self.group_of(service).members() {
-                member.pool.limit.set(limit(entry.connections));
+                member.pool.limit.set(connection_limit(entry.connections));
             }
         }
         self.work.add(Kind::Catalogue, 1);
@@ -313,7 +313,7 @@
     /// Where to reach the instances that serve sessions on `service`, if this one is to
     /// hand them over.
     pub fn holders(&self, service: &Rc<str>) -> Vec<SocketAddr> {
-        let Some(count) = self.most_holders(service) else {
+        let Some(count) = self.max_holders(service) else {
             return Vec::new();
         };
         self.peers.holders(service, count, self.candidate())
@@ -329,7 +329,7 @@
 
     /// The names of the instances that hold its connections, the first one first.
     pub fn holder_names(&self, service: &Rc<str>) -> Vec<String> {
-        let count = self.most_holders(service).unwrap_or(0);
+        let count = self.max_holders(service).unwrap_or(0);
         self.peers.holder_names(service, count, self.candidate())
     }
 
@@ -340,7 +340,9 @@
         let own = &self.settings.name;
         let is_named = || {
             let duty = format!("judge {}", group.service);
-            let judges = self.peers.holder_names(&duty, JUDGES, self.candidate());
+            let judges = self
+                .peers
+                .holder_names(&duty, JUDGE_COUNT, self.candidate());
             judges.contains(own) || self.holder_names(&group.service).contains(own)
         };
         self.has_right.get() || group.is_proof_wanted(Boot.now()) || is_named()
@@ -358,12 +360,12 @@
     /// How many instances hold the connections to `service`.
     pub fn holder_count(&self, service: &Rc<str>) -> usize {
         let instances = self.peers.count();
-        let most = self.most_holders(service);
+        let most = self.max_holders(service);
         most.map_or(instances, |most| most.min(instances))
     }
 
     /// How many hold them if there are so many; `None` if no catalogue names the service.
-    fn most_holders(&self, service: &Rc<str>) -> Option<usize> {
+    fn max_holders(&self, service: &Rc<str>) -> Option<usize> {
         let connections = self.catalog().services.get(service)?.connections;
         let slots = self.group_of(service).slots();
         Some(holders::count(connections, slots))
@@ -411,7 +413,7 @@
         let connections = catalog.services.get(&upstream.service);
         group.put(upstream);
         if let (Some(member), Some(entry)) = (group.member(&id), connections) {
-            member.pool.limit.set(limit(entry.connections));
+            member.pool.limit.set(connection_limit(entry.connections));
         }
     }
 
@@ -436,7 +438,7 @@
             if Boot.now().since(since) > wait {
                 return false;
             }
-            sleep(LOOK).await;
+            sleep(CATALOG_CHECK_INTERVAL).await;
         }
         true
     }
@@ -449,7 +451,7 @@
     pub async fn wait_for_peers(&self) {
         loop {
             let since = self.instances_listed_at.get().unwrap_or(self.started_at);
-            let left = (since + MEET).since(Boot.now());
+            let left = (since + PEER_WAIT).since(Boot.now());
             if left.is_zero() {
                 return;
             }
@@ -477,7 +479,7 @@
     /// One that can't serve while others may says so: the balancer then sends its
     /// zone's callers to another zone.
     pub fn is_ready(&self) -> bool {
-        if self.stage.get() != Stage::Serve || !self.is_upstream_list_read.get() {
+        if self.stage.get() != Stage::Serving || !self.is_upstream_list_read.get() {
             return false;
         }
         if !self.catalog().accounts.is_empty() && !self.is_fresh(Boot.now()) {
@@ -506,7 +508,7 @@
     fn is_able(&self) -> bool {
         let now = Boot.now();
         self.active().iter().any(|group| {
-            let proved = group.proof().until() + LAPSED > now;
+            let proved = group.proof().until() + LAPSE_TOLERANCE > now;
             proved
                 && group
                     .primary()
@@ -518,10 +520,10 @@
     pub fn unable_since(&self) -> Option<Instant> {
         let now = Boot.now();
         if self.service() != ServiceState::Unable || !self.peers.may_others_serve() {
-            self.able.set(now);
+            self.able_at.set(now);
             return None;
         }
-        let since = self.able.get() + LAPSED;
+        let since = self.able_at.get() + LAPSE_TOLERANCE;
         (since < now).then_some(since)
     }
 
@@ -529,29 +531,29 @@
     ///
     /// One that leaves is replaced. If that does not come about in time, nothing is
     /// sent to it any more all the same: it may end at any moment.
-    fn leader(&self, group: &Group, moment: Instant) -> Option<Rc<Member>> {
+    fn proved_primary(&self, group: &Group, moment: Instant) -> Option<Rc<Member>> {
         let (member, _) = group.primary()?;
         let left = member.leaves_in(Boot.now(), self.settings.drain);
-        let stays = left.is_none_or(|left| left > LAST_WORK);
+        let stays = left.is_none_or(|left| left > DRAIN_MARGIN);
         (stays && group.proof().covers(moment)).then_some(member)
     }
 
     /// Waits until it is proved that the primary led at `moment`, or `wait` is over.
     pub async fn proved(&self, group: &Group, moment: Instant, wait: Duration) -> Proved {
         group.want_proof(Boot.now());
-        if let Some(member) = self.leader(group, moment) {
+        if let Some(member) = self.proved_primary(group, moment) {
             return Proved::Primary(member);
         }
         // A group that rested was not proved with the others.
         proof_lease::adopt_proof(self, group);
-        if let Some(member) = self.leader(group, moment) {
+        if let Some(member) = self.proved_primary(group, moment) {
             return Proved::Primary(member);
         }
         let _waited = self.metrics.wait(Wait::Proof);
         let proved = async {
             loop {
                 let changed = group.changed.notified();
-                if let Some(member) = self.leader(group, moment) {
+                if let Some(member) = self.proved_primary(group, moment) {
                     return Proved::Primary(member);
                 }
                 // Who replaces the primary tells when it is over.
@@ -561,7 +563,7 @@
                 changed.await;
             }
         };
-        timeout(wait, proved).await.unwrap_or(Proved::Nobody)
+        timeout(wait, proved).await.unwrap_or(Proved::NoPrimary)
     }
 
     /// Takes in settings that were changed while the process runs: tells which, and
@@ -587,22 +589,22 @@
 
     /// Notes that the store did not answer this instance, or turned it away.
     pub fn store_failed(&self) {
-        self.refused.set(Boot.now());
+        self.store_failed_at.set(Boot.now());
     }
 
     /// When the store last did not answer this instance.
     pub(crate) fn failed_at(&self) -> Instant {
-        self.refused.get()
+        self.store_failed_at.get()
     }
 
     /// Whether this instance hears the store itself.
     pub fn store_contact(&self) -> StoreContact {
         let now = Boot.now();
-        let (direct, refused) = (self.store_answered_at.get(), self.refused.get());
-        if direct != Instant::ZERO && direct + HEARS > now {
+        let (answered, failed) = (self.store_answered_at.get(), self.store_failed_at.get());
+        if answered != Instant::ZERO && answered + STORE_REACHABLE_TTL > now {
             return StoreContact::Reachable;
         }
-        match refused > direct && refused + DEAF > now {
+        match failed > answered && failed + STORE_UNREACHABLE_TTL > now {
             true => StoreContact::Unreachable,
             false => StoreContact::Unknown,
         }
@@ -629,7 +631,7 @@
     /// Notes that the store answered this instance, or a relay for it.
     pub fn store_heard(&self) {
         let now = Boot.now();
-        if self.store_heard_at.get() + AWAY < now {
+        if self.store_heard_at.get() + STORE_GAP < now {
             self.store_returned.notify_waiters();
             self.store_up_since.set(now);
         }
@@ -638,7 +640,7 @@
 
     /// Whether a stop was asked for.
     pub fn is_stopping(&self) -> bool {
-        matches!(self.stage.get(), Stage::Stop(_))
+        matches!(self.stage.get(), Stage::Stopping(_))
     }
 }
 
@@ -648,12 +650,12 @@
     /// This upstream.
     Primary(Rc<Member>),
     /// Nobody, as far as could be told in time.
-    Nobody,
+    NoPrimary,
 }
 
 /// How many of an upstream's connections one instance may take.
 ///
 /// Half, so that no instance keeps all others out.
-fn limit(connections: usize) -> usize {
+fn connection_limit(connections: usize) -> usize {
     (connections / 2).max(1)
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -17,29 +17,29 @@
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
 use crate::{
-    connection::{Connection, Counted, Refused, Values},
+    connection::{Connection, OpenGuard, Refused, Values},
     edge::Protocol,
     member::Member,
     refusal::{self, Refusal},
 };
 
 /// How long connections are given up after use once somebody has none at all.
-const SCARCE: Duration = Duration::from_millis(600);
+const SCARCITY_PERIOD: Duration = Duration::from_millis(600);
 
 /// Somebody who waits for a connection.
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     sender: oneshot::Sender<Result<Connection, Refused>>,
     account: Option<Rc<str>>,
 }
 
 /// What somebody wants a connection for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct Request<'a> {
     /// Who goes first; zero is the highest.
     pub priority: u8,
     /// When an answer is late.
-    pub aim: Instant,
+    pub late_at: Instant,
     /// Whose session it is.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<Vec<Connection>>,
-    waiters: RefCell<Queue<Waiting>>,
+    waiters: RefCell<Queue<Pending>>,
     budget: RefCell<Budget>,
     /// For whose sessions connections are being opened.
     opening: RefCell<Vec<Option<Rc<str>>>>,
@@ -75,7 +75,7 @@
     }
 
     /// How many connections lie idle.
-    pub fn resting(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().len()
     }
 
@@ -86,33 +86,41 @@
     }
 
     /// An idle connection of `account`, the one with just these values if there is one.
-    pub fn idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
+    pub fn take_idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
-            let same = |line: &Connection| line.is_of(account) && line.has(values);
+            let same = |connection: &Connection| {
+                connection.belongs_to(account) && connection.has_values(values)
+            };
             let same = idle.iter().rposition(same);
-            let at = same.or_else(|| idle.iter().rposition(|line| line.is_of(account)))?;
-            let line = idle.remove(at);
-            if line.is_open() {
-                return Some(line);
+            let at = same.or_else(|| {
+                idle.iter()
+                    .rposition(|connection| connection.belongs_to(account))
+            })?;
+            let connection = idle.remove(at);
+            if connection.is_open() {
+                return Some(connection);
             }
         }
     }
 
     /// An idle connection, whosever it is, for a question of this process itself.
-    pub fn idle_any(&self) -> Option<Connection> {
+    pub fn take_any_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(line) = idle.pop() {
-            if line.is_open() {
-                return Some(line);
+        while let Some(connection) = idle.pop() {
+            if connection.is_open() {
+                return Some(connection);
             }
         }
         None
     }
 
     /// Whether an idle connection is one of `account`.
-    fn rests(&self, account: Option<&Rc<str>>) -> bool {
-        self.idle.borrow().iter().any(|line| line.is_of(account))
+    fn has_idle(&self, account: Option<&Rc<str>>) -> bool {
+        self.idle
+            .borrow()
+            .iter()
+            .any(|connection| connection.belongs_to(account))
     }
 
     /// Closes the connection that has lain idle for longest, if this instance has its share.
@@ -131,7 +139,7 @@
 
     /// For whom a connection is opened next: for who goes first of those for whom none is
     /// being opened yet.
-    fn wanted(&self, now: Instant, service: Duration) -> Option<Option<Rc<str>>> {
+    fn next_account(&self, now: Instant, service: Duration) -> Option<Option<Rc<str>>> {
         let waiters = self.waiters.borrow();
         let mut missing: HashMap<Option<Rc<str>>, usize> = HashMap::new();
         for waiting in waiters.iter() {
@@ -141,17 +149,17 @@
             let count = missing.entry(account.clone()).or_default();
             *count = count.saturating_sub(1);
         }
-        let is_missing = |waiting: &Waiting| missing[&waiting.account] > 0;
+        let is_missing = |waiting: &Pending| missing[&waiting.account] > 0;
         let first = waiters.peek_where(now, service, is_missing)?;
         Some(first.account.clone())
     }
 
     /// Closes idle connections beyond `share` that were not used for `rest`.
-    pub fn trim(&self, now: Instant, share: usize, rest: Duration) {
+    pub fn close_excess(&self, now: Instant, share: usize, rest: Duration) {
         let mut idle = self.idle.borrow_mut();
         let mut excess = self.open.get().saturating_sub(share);
-        idle.retain(|line| {
-            let close = excess > 0 && line.answered() + rest < now;
+        idle.retain(|connection| {
+            let close = excess > 0 && connection.last_answer() + rest < now;
             excess -= usize::from(close);
             !close
         });
@@ -163,12 +171,12 @@
     /// What is left would stay with those who came first, and the others could
     /// serve nobody. So for a while connections are closed once nobody here waits.
     pub fn release_idle(&self, now: Instant) {
-        self.scarce_until.set(now + SCARCE);
+        self.scarce_until.set(now + SCARCITY_PERIOD);
         self.idle.borrow_mut().clear();
     }
 
     /// Whether connections are so few that none may be held for long.
-    pub fn is_tight(&self, now: Instant) -> bool {
+    pub fn is_scarce(&self, now: Instant) -> bool {
         self.scarce_until.get() > now || self.is_locked_out(now)
     }
 
@@ -205,45 +213,45 @@
 /// A new connection was refused. The future may be dropped at any time.
 pub async fn acquire<P: Protocol>(
     member: &Rc<Member>,
-    wish: Wish<'_>,
+    request: Request<'_>,
 ) -> Result<Connection, Refused> {
     let pool = &member.pool;
     let window = member.window();
     if pool.waiting() == 0
         && pool.active() < window
-        && let Some(line) = pool.idle(wish.account, wish.values)
+        && let Some(connection) = pool.take_idle(request.account, request.values)
     {
-        return Ok(line);
+        return Ok(connection);
     }
     let (sender, receiver) = oneshot::channel();
     pool.waiters.borrow_mut().push(Waiter {
-        priority: wish.priority,
+        priority: request.priority,
         since: Boot.now(),
-        due: wish.aim,
-        reply: Waiting {
+        due: request.late_at,
+        reply: Pending {
             sender,
-            account: wish.account.cloned(),
+            account: request.account.cloned(),
         },
     });
-    serve::<P>(member);
+    dispatch::<P>(member);
     receiver.await.unwrap_or(Err(Refused::Unreachable))
 }
 
 /// Counts a transaction that has a connection of its own.
 #[derive(Debug)]
-pub struct Pin(Rc<Member>);
+pub struct TransactionGuard(Rc<Member>);
 
-impl Pin {
+impl TransactionGuard {
     /// Counts one more at `member`, and lets others have its place.
     pub fn new<P: Protocol>(member: &Rc<Member>) -> Self {
         let pinned = &member.pool.pinned;
         pinned.set(pinned.get() + 1);
-        serve::<P>(member);
+        dispatch::<P>(member);
         Self(Rc::clone(member))
     }
 }
 
-impl Drop for Pin {
+impl Drop for TransactionGuard {
     fn drop(&mut self) {
         let pinned = &self.0.pool.pinned;
         pinned.set(pinned.get() - 1);
@@ -251,28 +259,28 @@
 }
 
 /// Gives a connection back; one that is not clean is closed.
-pub fn release<P: Protocol>(line: Connection) {
-    let member = Rc::clone(line.member());
+pub fn release<P: Protocol>(connection: Connection) {
+    let member = Rc::clone(connection.member());
     let pool = &member.pool;
-    let tight = pool.is_tight(Boot.now());
-    let keep = !pool.retired.get() && (pool.waiting() > 0 || !tight);
-    if line.is_clean() && keep {
-        member.pool.idle.borrow_mut().push(line);
+    let is_scarce = pool.is_scarce(Boot.now());
+    let keep = !pool.retired.get() && (pool.waiting() > 0 || !is_scarce);
+    if connection.is_clean() && keep {
+        member.pool.idle.borrow_mut().push(connection);
     } else {
-        drop(line);
+        drop(connection);
     }
-    serve::<P>(&member);
+    dispatch::<P>(&member);
 }
 
 /// Closes a connection and lets those who wait have another.
-pub fn discard<P: Protocol>(line: Connection) {
-    let member = Rc::clone(line.member());
-    drop(line);
-    serve::<P>(&member);
+pub fn discard<P: Protocol>(connection: Connection) {
+    let member = Rc::clone(connection.member());
+    drop(connection);
+    dispatch::<P>(&member);
 }
 
 /// Hands idle connections to those who wait, and opens as many as are missing.
-fn serve<P: Protocol>(member: &Rc<Member>) {
+fn dispatch<P: Protocol>(member: &Rc<Member>) {
     let pool = &member.pool;
     pool.waiters
         .borrow_mut()
@@ -283,20 +291,20 @@
             .waiters
             .borrow_mut()
             .pop_where(Boot.now(), member.latency(), |waiting| {
-                pool.rests(waiting.account.as_ref())
+                pool.has_idle(waiting.account.as_ref())
             });
         let Some(next) = next else {
             break;
         };
-        let Some(line) = pool.idle(next.reply.account.as_ref(), &Values::new()) else {
+        let Some(connection) = pool.take_idle(next.reply.account.as_ref(), &Values::new()) else {
             // It had been closed; who waits for it goes first again.
             pool.waiters.borrow_mut().push(next);
             continue;
         };
-        if let Err(Ok(line)) = next.reply.sender.send(Ok(line))
+        if let Err(Ok(connection)) = next.reply.sender.send(Ok(connection))
             && !pool.retired.get()
         {
-            pool.idle.borrow_mut().push(line);
+            pool.idle.borrow_mut().push(connection);
         }
     }
     loop {
@@ -304,7 +312,7 @@
         if pool.active() + opening >= window {
             return;
         }
-        let Some(account) = pool.wanted(Boot.now(), member.latency()) else {
+        let Some(account) = pool.next_account(Boot.now(), member.latency()) else {
             return;
         };
         pool.make_room();
@@ -321,16 +329,16 @@
         let member = Rc::clone(member);
         // Counted before the task runs, or one loop opens as many as wait here: 68
         // connections of one instance met an upstream that takes 22 from all.
-        let counted = Counted::new(&member);
-        spawn_local(async move { open::<P>(&member, account, counted).await });
+        let guard = OpenGuard::new(&member);
+        spawn_local(async move { open::<P>(&member, account, guard).await });
     }
 }
 
 /// Gives a connection of `account`, or why there is none, to the next who still waits.
-fn hand(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
+fn deliver(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
     let pool = &member.pool;
     loop {
-        let same = |waiting: &Waiting| waiting.account.as_ref() == account;
+        let same = |waiting: &Pending| waiting.account.as_ref() == account;
         let mut waiters = pool.waiters.borrow_mut();
         let next = waiters.pop_where(Boot.now(), member.latency(), same);
         drop(waiters);
@@ -342,26 +350,26 @@
             Err(back) => result = back,
         }
     }
-    if let Ok(line) = result
+    if let Ok(connection) = result
         && !pool.retired.get()
     {
-        pool.idle.borrow_mut().push(line);
+        pool.idle.borrow_mut().push(connection);
     }
 }
 
-async fn open<P: Protocol>(member: &Rc<Member>, account: Option<Rc<str>>, counted: Counted) {
+async fn open<P: Protocol>(member: &Rc<Member>, account: Option<Rc<str>>, guard: OpenGuard) {
     let pool = &member.pool;
-    let opened = Connection::open::<P>(member, account.clone(), counted).await;
+    let opened = Connection::open::<P>(member, account.clone(), guard).await;
     let mut opening = pool.opening.borrow_mut();
     if let Some(at) = opening.iter().position(|other| *other == account) {
         opening.swap_remove(at);
     }
     drop(opening);
     match opened {
-        Ok(line) => {
+        Ok(connection) => {
             pool.budget.borrow_mut().record_success();
             member.refusals.opened();
-            hand(member, account.as_ref(), Ok(line));
+            deliver(member, account.as_ref(), Ok(connection));
         }
         Err(Refused::TooMany) => {
             // It lives; but it serves nobody here, which is for others to know.
@@ -375,10 +383,10 @@
         }
         Err(refused) => {
             member.note_failure(Boot.now());
-            hand(member, account.as_ref(), Err(refused));
+            deliver(member, account.as_ref(), Err(refused));
         }
     }
-    serve::<P>(member);
+    dispatch::<P>(member);
 }
 
 /// Tries again when the upstream may have room.
@@ -390,6 +398,6 @@
     spawn_local(async move {
         sleep(until.since(Boot.now())).await;
         member.pool.retrying.set(false);
-        serve::<P>(&member);
+        dispatch::<P>(&member);
     });
 }
--- a/crates/proxy/src/presence.rs
+++ b/crates/proxy/src/presence.rs
@@ -7,10 +7,10 @@
 /// Tells who is heard now and was not before, and the other way round.
 ///
 /// One line for all of them: a zone that is lost is one piece of news.
-pub(crate) fn log_changes(mut roll: Changes) {
+pub(crate) fn log_changes(mut changes: Changes) {
     for (names, what) in [
-        (&mut roll.joined, "peers heard"),
-        (&mut roll.silent, "peers silent"),
+        (&mut changes.joined, "peers heard"),
+        (&mut changes.silent, "peers silent"),
     ] {
         if names.is_empty() {
             continue;
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::{
-    connection::{Connection, Counted, Refused},
+    connection::{Connection, OpenGuard, Refused},
     edge::{Edge, Protocol},
     group::Group,
     member::Member,
@@ -25,20 +25,20 @@
 pub const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long one that fails may take to say what it is.
-const HOPELESS: Duration = Duration::from_millis(120);
+const FAILING_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// How long an upstream may take to accept a connection. It needs no slot for that,
 /// so one that is merely slow accepts in no time.
-const ACCEPT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The pause between two tries to reach an upstream that fails.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// How long an upstream that accepts connections may be without an answer.
-const QUIET: Duration = Duration::from_millis(700);
+const SILENCE_LIMIT: Duration = Duration::from_millis(700);
 
 /// How many tries in a row must be accepted until an upstream is trusted again.
-const TRUST: u32 = 2;
+const REQUIRED_SUCCESSES: u32 = 2;
 
 /// What came of a question or an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,13 +65,13 @@
 
 /// Asks `member` what it is.
 pub async fn status<P: Protocol>(member: &Rc<Member>) -> Answer {
-    order::<P>(member, &Command::Status, patience(member)).await
+    order::<P>(member, &Command::Status, status_timeout(member)).await
 }
 
 /// How long `member` may take to answer: one that fails holds nobody up for long.
-fn patience(member: &Member) -> Duration {
+fn status_timeout(member: &Member) -> Duration {
     match member.is_failing() {
-        true => HOPELESS,
+        true => FAILING_TIMEOUT,
         false => STATUS_TIMEOUT,
     }
 }
@@ -82,43 +82,43 @@
     command: &Command<'_>,
     within: Duration,
 ) -> Answer {
-    let said = timeout(within, exchange::<P>(member, command)).await;
-    let said = said.unwrap_or(Answer::Silent);
-    match said {
+    let answer = timeout(within, exchange::<P>(member, command)).await;
+    let answer = answer.unwrap_or(Answer::Silent);
+    match answer {
         Answer::Silent => member.note_failure(Boot.now()),
         Answer::Status(_) | Answer::Full | Answer::Refused(_) => member.note_answer(Boot.now()),
     }
-    said
+    answer
 }
 
 async fn exchange<P: Protocol>(member: &Rc<Member>, command: &Command<'_>) -> Answer {
-    let mut fresh = false;
+    let mut is_new = false;
     loop {
-        let idle = match fresh {
+        let idle = match is_new {
             true => None,
-            false => member.pool.idle_any(),
+            false => member.pool.take_any_idle(),
         };
-        fresh |= idle.is_none();
-        let line = match idle {
-            Some(line) => Ok(line),
-            None => Connection::open::<P>(member, None, Counted::new(member)).await,
+        is_new |= idle.is_none();
+        let connection = match idle {
+            Some(connection) => Ok(connection),
+            None => Connection::open::<P>(member, None, OpenGuard::new(member)).await,
         };
-        let mut line = match line {
-            Ok(line) => line,
+        let mut connection = match connection {
+            Ok(connection) => connection,
             Err(Refused::TooMany) => return Answer::Full,
             Err(Refused::Misrouted | Refused::LogLost | Refused::Unreachable) => {
                 return Answer::Silent;
             }
         };
-        let Ok(reply) = line.ask::<P>(command).await else {
-            pool::discard::<P>(line);
-            if fresh {
+        let Ok(reply) = connection.request::<P>(command).await else {
+            pool::discard::<P>(connection);
+            if is_new {
                 return Answer::Silent;
             }
-            fresh = true;
+            is_new = true;
             continue;
         };
-        pool::release::<P>(line);
+        pool::release::<P>(connection);
         return match &reply.verdict {
             Ok(()) => P::status(&reply).map_or(Answer::Refused(Code::Other), Answer::Status),
             Err(failure) if failure.code == Code::Busy => Answer::Full,
@@ -128,59 +128,59 @@
 }
 
 /// Notes that `member` did not answer a statement, and looks after it.
-pub fn doubt<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
+pub fn suspect<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
     member.note_failure(Boot.now());
     monitor(node, group, member);
 }
 
 /// Whether `member` lives: it accepts connections, and answered a while ago or does
 /// so now. One that hangs accepts connections all the same.
-async fn lives<P: Protocol>(member: &Rc<Member>) -> bool {
+async fn is_alive<P: Protocol>(member: &Rc<Member>) -> bool {
     let connecting = TcpStream::connect(member.upstream.address);
-    let accepts = matches!(timeout(ACCEPT, connecting).await, Ok(Ok(_)));
-    let quiet = member.health().answered + QUIET < Boot.now();
-    accepts && (!quiet || status::<P>(member).await != Answer::Silent)
+    let accepts = matches!(timeout(CONNECT_TIMEOUT, connecting).await, Ok(Ok(_)));
+    let is_quiet = member.health().answered + SILENCE_LIMIT < Boot.now();
+    accepts && (!is_quiet || status::<P>(member).await != Answer::Silent)
 }
 
 /// Tries to reach `member` again and again until it lives, or is no member any more.
 pub fn monitor<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
     group.activate();
-    if member.probed.replace(true) {
+    if member.is_probed.replace(true) {
         return;
     }
     let (node, group, member) = (Rc::clone(node), Rc::clone(group), Rc::clone(member));
     spawn_local(async move {
         let id = &member.upstream.id;
-        let mut told = false;
-        let mut accepted = 0;
-        while accepted < TRUST {
+        let mut is_reported = false;
+        let mut successes = 0;
+        while successes < REQUIRED_SUCCESSES {
             if group.member(id).is_none_or(|m| !Rc::ptr_eq(&m, &member)) {
                 break;
             }
-            if lives::<E::Protocol>(&member).await {
-                accepted += 1;
-                if !told {
+            if is_alive::<E::Protocol>(&member).await {
+                successes += 1;
+                if !is_reported {
                     break;
                 }
             } else {
-                accepted = 0;
+                successes = 0;
                 member.note_failure(Boot.now());
             }
-            if member.is_failing() && !told {
-                told = true;
+            if member.is_failing() && !is_reported {
+                is_reported = true;
                 log::info!(service = &*group.service, upstream = &**id; "upstream fails");
                 node.peers.announce();
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_PAUSE).await;
         }
-        if accepted > 0 {
+        if successes > 0 {
             member.note_contact();
         }
-        if told {
-            log::info!(service = &*group.service, upstream = &**id, back = accepted > 0; "upstream fails no more");
+        if is_reported {
+            log::info!(service = &*group.service, upstream = &**id, back = successes > 0; "upstream fails no more");
             node.peers.announce();
         }
-        member.probed.set(false);
+        member.is_probed.set(false);
     });
 }
 
@@ -193,7 +193,7 @@
 pub async fn order_all<P: Protocol>(members: &[Rc<Member>], command: &Command<'_>) -> Vec<Answer> {
     let mut tasks = Vec::with_capacity(members.len());
     for member in members {
-        tasks.push(order::<P>(member, command, patience(member)));
+        tasks.push(order::<P>(member, command, status_timeout(member)));
     }
     futures_util::future::join_all(tasks).await
 }
@@ -212,8 +212,8 @@
     };
     let mut asked: FuturesUnordered<_> = members.iter().map(ask).collect();
     let (mut leads, mut agree) = (false, 0);
-    while let Some((said, member)) = asked.next().await {
-        let Some(status) = said.status() else {
+    while let Some((answer, member)) = asked.next().await {
+        let Some(status) = answer.status() else {
             continue;
         };
         if status.term > term || status.held > term {
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -7,7 +7,7 @@
 use crate::member::Member;
 
 /// How often it is told.
-const TOLD: Duration = Duration::from_millis(1_000);
+const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// What an upstream refuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,30 +20,30 @@
 
 /// A count since the start, and how far it was when it was told.
 #[derive(Debug, Default)]
-struct Count {
+struct Counter {
     total: Cell<u64>,
-    told: Cell<u64>,
+    reported: Cell<u64>,
 }
 
-impl Count {
+impl Counter {
     fn add(&self) {
         self.total.set(self.total.get() + 1);
     }
 
     /// How many there were since the last time.
-    fn take(&self) -> u64 {
+    fn take_increase(&self) -> u64 {
         let total = self.total.get();
-        total - self.told.replace(total)
+        total - self.reported.replace(total)
     }
 }
 
 /// What was opened at an upstream, and what it refused.
 #[derive(Debug, Default)]
 pub struct Counts {
-    opened: Count,
-    connections: Count,
-    statements: Count,
-    told: Cell<Instant>,
+    opened: Counter,
+    connections: Counter,
+    statements: Counter,
+    reported: Cell<Instant>,
 }
 
 impl Counts {
@@ -76,16 +76,16 @@
             "upstream busy"
         }
     };
-    if refusals.told.get() + TOLD > now {
+    if refusals.reported.get() + LOG_INTERVAL > now {
         return;
     }
-    refusals.told.set(now);
+    refusals.reported.set(now);
     let pool = &member.pool;
     log::info!(
         service = &*member.upstream.service, upstream = &*member.upstream.id,
-        refused = refusals.connections.take(), shed = refusals.statements.take(),
-        opened = refusals.opened.take(),
-        open = pool.open.get(), idle = pool.resting(), waiting = pool.waiting(),
+        refused = refusals.connections.take_increase(), shed = refusals.statements.take_increase(),
+        opened = refusals.opened.take_increase(),
+        open = pool.open.get(), idle = pool.idle_count(), waiting = pool.waiting(),
         running = member.running.get(), starved = pool.is_locked_out(now);
         "{message}"
     );
--- a/crates/proxy/src/remote.rs
+++ b/crates/proxy/src/remote.rs
@@ -27,17 +27,17 @@
 };
 /// How long a holder may take to take over a session: a hop there and back, and a turn
 /// of a busy processor. Behind that the next one is asked; nothing was run.
-const HELLO: Duration = Duration::from_millis(200);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// How much longer than a statement may take its answer is waited for: the holder gives
 /// up in time and says so, unless it is gone.
-const SLACK: Duration = Duration::from_millis(250);
+const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 
 /// How often it is looked whether a holder that has not answered is still heard.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How much is read at once.
-const CHUNK: usize = 4 * 1024;
+const READ_SIZE: usize = 4 * 1024;
 
 /// A session that another instance serves.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     buf: BytesMut,
     out: BytesMut,
     state: State,
-    gone: bool,
+    is_lost: bool,
 }
 
 impl Remote {
@@ -56,9 +56,9 @@
     pub async fn open<E: Edge>(
         node: &Rc<Node<E>>,
         route: &Route,
-        kept: &SessionState,
+        session: &SessionState,
     ) -> Option<Self> {
-        let holders = match &kept.account {
+        let holders = match &session.account {
             Some(account) => node.account_holders(&route.service, account),
             None => node.holders(&route.service),
         };
@@ -66,8 +66,8 @@
             return None;
         }
         for address in &holders {
-            let passed = timeout(HELLO, peers::forward(*address, kept)).await;
-            let Ok(Ok(stream)) = passed else {
+            let opened = timeout(HANDSHAKE_TIMEOUT, peers::forward(*address, session)).await;
+            let Ok(Ok(stream)) = opened else {
                 node.peers.mark_unreachable(*address);
                 continue;
             };
@@ -77,9 +77,10 @@
                 buf: BytesMut::new(),
                 out: BytesMut::new(),
                 state: State::Idle,
-                gone: false,
+                is_lost: false,
             };
-            if let Ok(Ok(_)) = timeout(HELLO, remote.next::<E::Protocol>()).await {
+            if let Ok(Ok(_)) = timeout(HANDSHAKE_TIMEOUT, remote.read_reply::<E::Protocol>()).await
+            {
                 return Some(remote);
             }
         }
@@ -95,7 +96,7 @@
     /// Whether the holder is lost. Its caller's session ends once it stands outside of a
     /// transaction: values and prepared statements are lost with the holder.
     pub fn is_over(&self) -> bool {
-        self.gone && self.state == State::Idle
+        self.is_lost && self.state == State::Idle
     }
 
     /// Runs a statement at the holder. `prepared` is the statement behind the name that
@@ -107,37 +108,37 @@
         prepared: Option<&Prepared>,
         within: Duration,
     ) -> Outcome {
-        if !self.gone {
-            let silent = silence(node, self.address, within + SLACK);
+        if !self.is_lost {
+            let silent = wait_until_silent(node, self.address, within + ANSWER_MARGIN);
             let reply = tokio::select! {
-                reply = self.ask::<E::Protocol>(query) => reply.ok(),
+                reply = self.request::<E::Protocol>(query) => reply.ok(),
                 () = silent => None,
             };
             if let Some(reply) = reply {
                 self.state = reply.state;
                 return Outcome::from_reply(reply);
             }
-            self.gone = true;
+            self.is_lost = true;
         }
-        let outcome = lost::<E>(self.state, &query.statement, prepared);
+        let outcome = lost_outcome::<E>(self.state, &query.statement, prepared);
         self.state = outcome.state;
         outcome
     }
 
     /// Waits until the holder ends the session.
-    pub async fn ended(&self) {
-        if self.gone {
+    pub async fn closed(&self) {
+        if self.is_lost {
             return std::future::pending().await;
         }
         let _ = self.stream.readable().await;
     }
 
     /// Notes that the holder ended the session while nothing was asked.
-    pub fn lose(&mut self) {
-        self.gone = true;
+    pub fn mark_lost(&mut self) {
+        self.is_lost = true;
     }
 
-    async fn ask<P: Protocol>(&mut self, query: &Query) -> Result<Reply, Broken> {
+    async fn request<P: Protocol>(&mut self, query: &Query) -> Result<Reply, Broken> {
         let command = Command::Forward {
             id: &query.id,
             after: None,
@@ -146,17 +147,17 @@
         P::command(&command, &mut self.out);
         let out = self.out.split();
         self.stream.write_all(&out).await?;
-        self.next::<P>().await
+        self.read_reply::<P>().await
     }
 
-    async fn next<P: Protocol>(&mut self) -> Result<Reply, Broken> {
+    async fn read_reply<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         loop {
             match P::reply(&mut self.buf) {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(_) => return Err(Broken),
             }
-            self.buf.reserve(CHUNK);
+            self.buf.reserve(READ_SIZE);
             if self.stream.read_buf(&mut self.buf).await? == 0 {
                 return Err(Broken);
             }
@@ -168,10 +169,10 @@
 ///
 /// Callers of a holder behind a cut were told nothing until their own time was over:
 /// 2,700 of worth on one day of 58 instances.
-async fn silence<E: Edge>(node: &Node<E>, address: SocketAddr, within: Duration) {
+async fn wait_until_silent<E: Edge>(node: &Node<E>, address: SocketAddr, within: Duration) {
     let until = Instant::now() + within;
     while Instant::now() < until && node.peers.was_heard(address, LOST_HEARTBEATS) {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -180,8 +181,12 @@
 ///
 /// Without a `COMMIT` nothing of a transaction is kept, wherever its connection is. A
 /// single write or a `COMMIT` may have been kept, and is never sent again.
-fn lost<E: Edge>(state: State, statement: &Statement, prepared: Option<&Prepared>) -> Outcome {
-    let reads = prepared.is_some_and(|shape| shape.access == Access::Read);
+fn lost_outcome<E: Edge>(
+    state: State,
+    statement: &Statement,
+    prepared: Option<&Prepared>,
+) -> Outcome {
+    let reads = prepared.is_some_and(|prepared| prepared.access == Access::Read);
     let refuse = |code, state| Outcome::refusal::<E::Protocol>(code, Cause::Holder, state);
     match (state, statement) {
         (State::Open, Statement::Commit) => refuse(Code::InDoubt, State::Idle),
--- a/crates/proxy/src/routing.rs
+++ b/crates/proxy/src/routing.rs
@@ -12,14 +12,14 @@
     member::Member,
     message::Access,
     node::{Node, Proved},
-    run::Ask,
+    run::Context,
 };
 
 /// What a way to an upstream in another zone weighs against a wait there.
-const FAR: Duration = Duration::from_millis(12);
+const REMOTE_ZONE_COST: Duration = Duration::from_millis(12);
 
 /// What the primary weighs more, since only it can run writes.
-const LEADER: Duration = Duration::from_millis(25);
+const PRIMARY_COST: Duration = Duration::from_millis(25);
 
 /// Where a read may run.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     /// The position that its log must have reached.
     pub floor: Option<Position>,
     /// Whether it runs there as on the primary.
-    pub leads: bool,
+    pub is_primary: bool,
 }
 
 /// The lowest position that a read on `route` may show, if it can be told.
@@ -51,59 +51,67 @@
 }
 
 /// How soon a statement is likely to be answered by `member`.
-fn cost(member: &Member, zone: &str) -> Duration {
+fn expected_time(member: &Member, zone: &str) -> Duration {
     let queued = member.running.get() + member.pool.waiting();
     let queued = u32::try_from(queued).unwrap_or(u32::MAX);
-    let mut cost = member.latency().saturating_mul(queued.saturating_add(1));
+    let mut expected_time = member.latency().saturating_mul(queued.saturating_add(1));
     if member.upstream.zone != zone {
-        cost += FAR;
+        expected_time += REMOTE_ZONE_COST;
     }
-    cost
+    expected_time
 }
 
 /// Where a read runs next; `None` if nobody may run it now.
 pub async fn choose_target<E: Edge>(
     node: &Node<E>,
     group: &Group,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     tried: &[Rc<str>],
     wait: Duration,
 ) -> Option<Target> {
-    if let Some(floor) = floor(group, ask.route, ask.own, ask.at) {
+    if let Some(floor) = floor(
+        group,
+        context.route,
+        context.last_commit,
+        context.arrived_at,
+    ) {
         let now = Boot.now();
         let primary = group
             .primary()
             .map(|(member, _)| Rc::clone(&member.upstream.id));
-        let leads = |member: &Member| primary.as_deref() == Some(&*member.upstream.id);
-        let usable = |member: &&Rc<Member>| {
-            let fit = member.readiness.get() == Readiness::Ready;
-            let held = member.is_lagging(now) && !leads(member);
-            fit && !held && !member.is_failing() && !tried.contains(&member.upstream.id)
+        let is_primary = |member: &Member| primary.as_deref() == Some(&*member.upstream.id);
+        let is_usable = |member: &&Rc<Member>| {
+            let is_ready = member.readiness.get() == Readiness::Ready;
+            let is_held_back = member.is_lagging(now) && !is_primary(member);
+            is_ready
+                && !is_held_back
+                && !member.is_failing()
+                && !tried.contains(&member.upstream.id)
         };
         let members = group.members();
-        let best = members.iter().filter(usable).min_by_key(|member| {
-            let cost = cost(member, &node.settings.zone);
-            match leads(member) {
-                true => cost + LEADER,
-                false => cost,
+        let best = members.iter().filter(is_usable).min_by_key(|member| {
+            let expected_time = expected_time(member, &node.settings.zone);
+            match is_primary(member) {
+                true => expected_time + PRIMARY_COST,
+                false => expected_time,
             }
         });
         if let Some(member) = best {
-            let leads = leads(member);
+            let is_primary = is_primary(member);
             return Some(Target {
                 member: Rc::clone(member),
                 floor: Some(floor),
-                leads,
+                is_primary,
             });
         }
     }
-    match node.proved(group, ask.at, wait).await {
+    match node.proved(group, context.arrived_at, wait).await {
         Proved::Primary(member) => Some(Target {
             member,
             floor: None,
-            leads: true,
+            is_primary: true,
         }),
-        Proved::Nobody => None,
+        Proved::NoPrimary => None,
     }
 }
 
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -26,26 +26,26 @@
 pub use write::{acknowledged, in_doubt, write};
 
 /// How long a pause between two tries is.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// How long samples of a primary's position are kept beyond any age in use.
-const KEEP: Duration = Duration::from_secs(10);
+const SAMPLE_RETENTION: Duration = Duration::from_secs(10);
 
 /// What is added to a transaction's priority while connections are few.
-const TRANSACTIONS_LAST: u8 = 128;
+const TRANSACTION_PENALTY: u8 = 128;
 
 /// How long a read waits for a connection if it could run elsewhere.
-const ELSEWHERE: Duration = Duration::from_millis(60);
+const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
 /// How long an upstream may be silent until it is checked whether it is there.
-const SILENCE: Duration = Duration::from_millis(100);
+const PROBE_AFTER: Duration = Duration::from_millis(100);
 
 /// The shortest time after which a read is tried elsewhere as well.
-const PATIENCE: Duration = Duration::from_millis(120);
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// What a session brings to a statement.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub struct Context<'a> {
     /// The route it takes.
     pub route: &'a Route,
     /// The statement.
@@ -57,16 +57,16 @@
     /// The session's values.
     pub values: &'a Values,
     /// The position of the session's last commit.
-    pub own: Option<Position>,
+    pub last_commit: Option<Position>,
     /// When its first byte was here.
-    pub at: Instant,
+    pub arrived_at: Instant,
 }
 
 /// How long an upstream's silence is borne.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum SilencePolicy {
     /// For as long as the statement may take: it may have been kept.
-    ToTheEnd,
+    UntilTimeout,
     /// Until the upstream can't be reached: the statement is run elsewhere, or what
     /// it did is undone.
     UntilFailing,
@@ -80,17 +80,17 @@
 pub async fn send<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    line: &mut Connection,
-    ask: &Ask<'_>,
+    connection: &mut Connection,
+    context: &Context<'_>,
     floor: Option<Position>,
-    (within, patience): (Duration, Patience),
-) -> Result<Reply, Lost> {
-    let id = &ask.query.id;
-    let member = Rc::clone(line.member());
+    (within, policy): (Duration, SilencePolicy),
+) -> Result<Reply, NoAnswer> {
+    let id = &context.query.id;
+    let member = Rc::clone(connection.member());
     let name;
-    let command = match ask.prepared {
-        Some((shape, rest)) => {
-            name = line.prepare::<E::Protocol>(shape);
+    let command = match context.prepared {
+        Some((statement, rest)) => {
+            name = connection.prepare::<E::Protocol>(statement);
             Command::Execute {
                 id,
                 after: floor,
@@ -101,57 +101,57 @@
         None => Command::Forward {
             id,
             after: floor,
-            text: &ask.query.text,
+            text: &context.query.text,
         },
     };
     let sent = Boot.now();
-    let mut asked = pin!(timeout(within, line.ask::<E::Protocol>(&command)));
-    let asked = match timeout(SILENCE, &mut asked).await {
+    let mut asked = pin!(timeout(within, connection.request::<E::Protocol>(&command)));
+    let asked = match timeout(PROBE_AFTER, &mut asked).await {
         Ok(asked) => asked,
         Err(_) => {
             if member.health().answered < sent {
                 probe::monitor(node, group, &member);
             }
-            match patience {
-                Patience::UntilFailing if member.is_failing() => return Err(Lost::Late),
-                Patience::UntilFailing => tokio::select! {
+            match policy {
+                SilencePolicy::UntilFailing if member.is_failing() => return Err(NoAnswer::Late),
+                SilencePolicy::UntilFailing => tokio::select! {
                     asked = &mut asked => asked,
-                    () = member.failing_notify.notified() => return Err(Lost::Late),
+                    () = member.failing_notify.notified() => return Err(NoAnswer::Late),
                 },
-                Patience::ToTheEnd => asked.await,
+                SilencePolicy::UntilTimeout => asked.await,
             }
         }
     };
     match asked {
         Ok(Ok(reply)) => Ok(reply),
-        Ok(Err(Broken)) => Err(Lost::Broken),
-        Err(_) => Err(Lost::Late),
+        Ok(Err(Broken)) => Err(NoAnswer::Broken),
+        Err(_) => Err(NoAnswer::Late),
     }
 }
 
 /// Why a statement that was sent has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum NoAnswer {
     /// The connection broke.
     Broken,
     /// It took too long.
     Late,
 }
 
-impl From<Lost> for Cause {
-    fn from(lost: Lost) -> Self {
+impl From<NoAnswer> for Cause {
+    fn from(lost: NoAnswer) -> Self {
         match lost {
-            Lost::Broken => Self::Broken,
-            Lost::Late => Self::Late,
+            NoAnswer::Broken => Self::Broken,
+            NoAnswer::Late => Self::Late,
         }
     }
 }
 
 /// Counts a statement that runs at an upstream.
 #[derive(Debug)]
-pub struct Running(Rc<Member>, Instant);
+pub struct RunningGuard(Rc<Member>, Instant);
 
-impl Running {
+impl RunningGuard {
     /// Begins to count.
     pub fn new(member: &Rc<Member>) -> Self {
         member.running.set(member.running.get() + 1);
@@ -164,7 +164,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
         self.0.note_latency(Boot.now().since(self.1));
@@ -185,8 +185,14 @@
 }
 
 /// Notes what an upstream's answer says about it.
-pub fn note<E: Edge>(node: &Node<E>, group: &Group, place: &Target, sent: Instant, reply: &Reply) {
-    let member = &place.member;
+pub fn record_answer<E: Edge>(
+    node: &Node<E>,
+    group: &Group,
+    target: &Target,
+    sent: Instant,
+    reply: &Reply,
+) {
+    let member = &target.member;
     match &reply.verdict {
         Ok(()) => {
             member.caught_up();
@@ -196,13 +202,13 @@
                 && position.term == term
             {
                 member.note_led(position);
-                group.sample(term, sent, position, KEEP);
+                group.sample(term, sent, position, SAMPLE_RETENTION);
             }
         }
-        Err(failure) if failure.code == Code::Lagging && !place.leads => {
+        Err(failure) if failure.code == Code::Lagging && !target.is_primary => {
             member.note_lag(Boot.now());
         }
-        Err(failure) if failure.code == Code::ReadOnly => read_only(node, group, member),
+        Err(failure) if failure.code == Code::ReadOnly => record_read_only(node, group, member),
         Err(failure) if failure.code == Code::Busy => {
             refusal::record(member, Refusal::Statement, Boot.now());
         }
@@ -215,7 +221,7 @@
 /// One that is recorded as the primary started again as a replica, or was told to
 /// step down by somebody whose word has not come yet. Unless it is replaced, every
 /// write of its group is refused from then on.
-pub fn read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
+pub fn record_read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
     node.proof_wanted.notify_one();
     if let Some((lead, term)) = group.primary()
         && Rc::ptr_eq(&lead, member)
@@ -225,14 +231,18 @@
 }
 
 /// What is left of a span that began at `since`.
-pub fn left(span: Duration, since: Instant) -> Duration {
+pub fn remaining(span: Duration, since: Instant) -> Duration {
     span.saturating_sub(Boot.now().since(since))
 }
 
 /// Runs a single read.
-pub async fn read<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, ask: &Ask<'_>) -> Outcome {
+pub async fn read<E: Edge>(
+    node: &Rc<Node<E>>,
+    group: &Rc<Group>,
+    context: &Context<'_>,
+) -> Outcome {
     let mut attempts = Attempts::default();
-    let outcome = try_read(node, group, ask, &mut attempts).await;
+    let outcome = try_read(node, group, context, &mut attempts).await;
     Outcome {
         attempts,
         ..outcome
@@ -242,50 +252,50 @@
 async fn try_read<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     attempts: &mut Attempts,
 ) -> Outcome {
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = None;
-    let timeout_at = ask.route.timeout;
+    let limit = context.route.timeout;
     let mut cause = Cause::NoProof;
     loop {
-        let hold = left(node.settings.hold.min(timeout_at), ask.at);
+        let hold = remaining(node.settings.hold.min(limit), context.arrived_at);
         if hold.is_zero() {
             break;
         }
-        let Some(place) = choose_target(node, group, ask, &tried, hold).await else {
+        let Some(target) = choose_target(node, group, context, &tried, hold).await else {
             break;
         };
-        let wait = match place.floor {
-            Some(_) if tried.len() + 1 < group.members().len() => hold.min(ELSEWHERE),
+        let wait = match target.floor {
+            Some(_) if tried.len() + 1 < group.members().len() => hold.min(CONNECTION_WAIT),
             _ => hold,
         };
-        let Some(mut line) = connect::<E>(node, &place.member, ask, wait).await else {
+        let Some(mut connection) = connect::<E>(node, &target.member, context, wait).await else {
             cause = Cause::NoConnection;
             attempts.unconnected += 1;
-            probe::monitor(node, group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
-            pause(&tried, group).await;
+            probe::monitor(node, group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
+            pause_after_round(&tried, group).await;
             continue;
         };
-        let running = Running::new(&place.member);
-        line.align::<E::Protocol>(ask.values);
-        let rest = left(timeout_at, ask.at);
-        let patience = (
-            ask.route.latency_target.max(PATIENCE).min(rest),
-            Patience::UntilFailing,
+        let running = RunningGuard::new(&target.member);
+        connection.sync_values::<E::Protocol>(context.values);
+        let rest = remaining(limit, context.arrived_at);
+        let policy = (
+            context.route.latency_target.max(MIN_READ_TIMEOUT).min(rest),
+            SilencePolicy::UntilFailing,
         );
         let sent = running.since();
-        let reply = send(node, group, &mut line, ask, place.floor, patience).await;
+        let reply = send(node, group, &mut connection, context, target.floor, policy).await;
         drop(running);
         match reply {
             Ok(reply) => {
-                note(node, group, &place, sent, &reply);
+                record_answer(node, group, &target, sent, &reply);
                 if matches!(&reply.verdict, Err(f) if f.code == Code::NoStatement) {
-                    line.unprepare();
+                    connection.clear_prepared();
                 }
-                pool::release::<E::Protocol>(line);
+                pool::release::<E::Protocol>(connection);
                 let again = match &reply.verdict {
                     Ok(()) => false,
                     Err(failure) => {
@@ -303,12 +313,12 @@
             Err(lost) => {
                 attempts.lost += 1;
                 cause = lost.into();
-                pool::discard::<E::Protocol>(line);
-                probe::doubt(node, group, &place.member);
+                pool::discard::<E::Protocol>(connection);
+                probe::suspect(node, group, &target.member);
             }
         }
-        tried.push(Rc::clone(&place.member.upstream.id));
-        pause(&tried, group).await;
+        tried.push(Rc::clone(&target.member.upstream.id));
+        pause_after_round(&tried, group).await;
         if tried.len() >= group.members().len() {
             tried.clear();
         }
@@ -329,9 +339,9 @@
 }
 
 /// Waits a little once everybody was tried.
-async fn pause(tried: &[Rc<str>], group: &Group) {
+async fn pause_after_round(tried: &[Rc<str>], group: &Group) {
     if tried.len() >= group.members().len() {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -339,25 +349,25 @@
 pub async fn connect<E: Edge>(
     node: &Rc<Node<E>>,
     member: &Rc<Member>,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     wait: Duration,
 ) -> Option<Connection> {
-    let mut priority = ask.route.priority;
-    if member.pool.is_tight(Boot.now()) && matches!(ask.query.statement, Statement::Begin(_)) {
+    let mut priority = context.route.priority;
+    if member.pool.is_scarce(Boot.now()) && matches!(context.query.statement, Statement::Begin(_)) {
         // A transaction holds its connection through its pauses; in that time many
         // single statements run on it.
-        priority = priority.saturating_add(TRANSACTIONS_LAST);
+        priority = priority.saturating_add(TRANSACTION_PENALTY);
     }
     let _waited = node.metrics.wait(Wait::Connection);
-    let wish = pool::Wish {
+    let request = pool::Request {
         priority,
-        aim: ask.at + ask.route.latency_target,
-        account: ask.account,
-        values: ask.values,
+        late_at: context.arrived_at + context.route.latency_target,
+        account: context.account,
+        values: context.values,
     };
-    let acquired = pool::acquire::<E::Protocol>(member, wish);
+    let acquired = pool::acquire::<E::Protocol>(member, request);
     match timeout(wait, acquired).await {
-        Ok(Ok(line)) => Some(line),
+        Ok(Ok(connection)) => Some(connection),
         Ok(Err(Refused::TooMany)) | Err(_) => None,
         Ok(Err(Refused::Unreachable | Refused::Misrouted | Refused::LogLost)) => {
             node.refresh.notify_one();
--- a/crates/proxy/src/run/write.rs
+++ b/crates/proxy/src/run/write.rs
@@ -5,7 +5,10 @@
 use clock::Boot;
 use tokio::time::timeout;
 
-use super::{Ask, PAUSE, Patience, Running, connect, is_not_run, left, not_run, note, send};
+use super::{
+    Context, RETRY_PAUSE, RunningGuard, SilencePolicy, connect, is_not_run, not_run, record_answer,
+    remaining, send,
+};
 use crate::{
     connection::Connection,
     edge::{Edge, Protocol},
@@ -19,15 +22,19 @@
 };
 
 /// A connection that lay idle longer is asked for a sign of life before a write.
-const STALE_LINE: Duration = Duration::from_millis(500);
+const IDLE_LIMIT: Duration = Duration::from_millis(500);
 
 /// How long the sign of life may take.
-const SIGN: Duration = Duration::from_millis(150);
+const TEST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Runs a single write.
-pub async fn write<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, ask: &Ask<'_>) -> Outcome {
+pub async fn write<E: Edge>(
+    node: &Rc<Node<E>>,
+    group: &Rc<Group>,
+    context: &Context<'_>,
+) -> Outcome {
     let mut attempts = Attempts::default();
-    let outcome = try_write(node, group, ask, &mut attempts).await;
+    let outcome = try_write(node, group, context, &mut attempts).await;
     Outcome {
         attempts,
         ..outcome
@@ -37,80 +44,83 @@
 async fn try_write<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     attempts: &mut Attempts,
 ) -> Outcome {
     let mut last = None;
     let mut cause = Cause::NoProof;
     loop {
-        let hold = left(node.settings.hold.min(ask.route.timeout), ask.at);
+        let hold = remaining(
+            node.settings.hold.min(context.route.timeout),
+            context.arrived_at,
+        );
         if hold.is_zero() {
             break;
         }
         let Proved::Primary(member) = node.proved(group, Boot.now(), hold).await else {
             break;
         };
-        let Some(mut line) = connect::<E>(node, &member, ask, hold).await else {
+        let Some(mut connection) = connect::<E>(node, &member, context, hold).await else {
             cause = Cause::NoConnection;
             attempts.unconnected += 1;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        if !is_alive::<E::Protocol>(&mut line).await {
+        if !is_alive::<E::Protocol>(&mut connection).await {
             attempts.lost += 1;
-            pool::discard::<E::Protocol>(line);
-            probe::doubt(node, group, &member);
+            pool::discard::<E::Protocol>(connection);
+            probe::suspect(node, group, &member);
             continue;
         }
         let Some((lead, _)) = group.primary() else {
-            pool::release::<E::Protocol>(line);
+            pool::release::<E::Protocol>(connection);
             continue;
         };
         if !Rc::ptr_eq(&lead, &member) || !group.proof().covers(Boot.now()) {
-            pool::release::<E::Protocol>(line);
+            pool::release::<E::Protocol>(connection);
             continue;
         }
-        let running = Running::new(&member);
-        line.align::<E::Protocol>(ask.values);
-        let rest = left(ask.route.timeout, ask.at);
+        let running = RunningGuard::new(&member);
+        connection.sync_values::<E::Protocol>(context.values);
+        let rest = remaining(context.route.timeout, context.arrived_at);
         let sent = running.since();
         let reply = send(
             node,
             group,
-            &mut line,
-            ask,
+            &mut connection,
+            context,
             None,
-            (rest, Patience::ToTheEnd),
+            (rest, SilencePolicy::UntilTimeout),
         )
         .await;
         drop(running);
         let reply = match reply {
             Ok(reply) => reply,
             Err(lost) => {
-                pool::discard::<E::Protocol>(line);
-                probe::doubt(node, group, &member);
+                pool::discard::<E::Protocol>(connection);
+                probe::suspect(node, group, &member);
                 return in_doubt::<E>(lost.into());
             }
         };
         if matches!(&reply.verdict, Err(f) if f.code == Code::NoStatement) {
-            line.unprepare();
+            connection.clear_prepared();
         }
-        pool::release::<E::Protocol>(line);
-        let place = Target {
+        pool::release::<E::Protocol>(connection);
+        let target = Target {
             member,
             floor: None,
-            leads: true,
+            is_primary: true,
         };
-        note(node, group, &place, sent, &reply);
+        record_answer(node, group, &target, sent, &reply);
         match &reply.verdict {
-            Ok(()) => return acknowledged(node, group, &place.member, reply, ask).await,
+            Ok(()) => return acknowledged(node, group, &target.member, reply, context).await,
             Err(failure) if !is_not_run(failure.code) => return Outcome::from_reply(reply),
             Err(_) => {
                 attempts.refused += 1;
                 last = Some(reply);
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     match last {
         Some(reply) => Outcome::from_reply(reply),
@@ -122,11 +132,14 @@
 ///
 /// A connection can go silent without a reset. A write that is sent on one ends as
 /// unknown; one that was never sent can be sent elsewhere.
-async fn is_alive<P: Protocol>(line: &mut Connection) -> bool {
-    if line.answered() + STALE_LINE > Boot.now() {
+async fn is_alive<P: Protocol>(connection: &mut Connection) -> bool {
+    if connection.last_answer() + IDLE_LIMIT > Boot.now() {
         return true;
     }
-    matches!(timeout(SIGN, line.reset::<P>()).await, Ok(Ok(_)))
+    matches!(
+        timeout(TEST_TIMEOUT, connection.reset::<P>()).await,
+        Ok(Ok(_))
+    )
 }
 
 /// The answer to a write whose upstream's answer never came.
@@ -144,10 +157,10 @@
     group: &Group,
     member: &Rc<Member>,
     reply: Reply,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
 ) -> Outcome {
     let now = Boot.now();
-    let wait = left(ask.route.timeout, ask.at);
+    let wait = remaining(context.route.timeout, context.arrived_at);
     match node.proved(group, now, wait).await {
         Proved::Primary(lead) if Rc::ptr_eq(&lead, member) => Outcome::from_reply(reply),
         _ => in_doubt::<E>(Cause::Unproved),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -19,22 +19,22 @@
 };
 
 /// How often a stopping instance looks whether anybody is left.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a stopping instance takes new callers at least: the balancer needs two
 /// misses, a second apart, to send them elsewhere.
-const STAY: Duration = Duration::from_millis(2_600);
+const MIN_STOP_TIME: Duration = Duration::from_millis(2_600);
 
 /// The sockets that an instance listens on.
 #[derive(Debug)]
 pub struct Sockets {
     callers: TcpListener,
-    passing: TcpListener,
-    beats: UdpSocket,
+    peers: TcpListener,
+    heartbeats: UdpSocket,
 }
 
 /// How many ports are tried that must be free for TCP and UDP alike.
-const PORTS: usize = 20;
+const MAX_TRIES: usize = 20;
 
 /// Binds the sockets of an instance. A port of zero is replaced in `settings` by
 /// the one that was found.
@@ -47,19 +47,19 @@
     settings.callers = callers.local_addr()?;
     let mut tries = 0;
     loop {
-        let passing = TcpListener::bind(settings.peers).await?;
-        let address = passing.local_addr()?;
+        let peers = TcpListener::bind(settings.peers).await?;
+        let address = peers.local_addr()?;
         tries += 1;
         match UdpSocket::bind(address).await {
-            Ok(beats) => {
+            Ok(heartbeats) => {
                 settings.peers = address;
                 return Ok(Sockets {
                     callers,
-                    passing,
-                    beats,
+                    peers,
+                    heartbeats,
                 });
             }
-            Err(error) if settings.peers.port() != 0 || tries == PORTS => return Err(error),
+            Err(error) if settings.peers.port() != 0 || tries == MAX_TRIES => return Err(error),
             Err(_) => {}
         }
     }
@@ -75,10 +75,10 @@
     );
     control::spawn(node);
     spawn_local(stall::watch());
-    spawn_local(work::watch(Rc::clone(node)));
+    spawn_local(work::log_periodically(Rc::clone(node)));
     spawn_local(assignment::watch(Rc::clone(node)));
-    spawn_local(peers::run_heartbeats(Rc::clone(node), sockets.beats));
-    spawn_local(peers::serve(Rc::clone(node), sockets.passing));
+    spawn_local(peers::run_heartbeats(Rc::clone(node), sockets.heartbeats));
+    spawn_local(peers::serve(Rc::clone(node), sockets.peers));
     spawn_local(session::listen(Rc::clone(node), sockets.callers));
 }
 
@@ -86,20 +86,20 @@
 /// end, and returns when nobody is left or the time is over.
 pub async fn stop<E: Edge>(node: &Rc<Node<E>>) {
     let since = Boot.now();
-    node.stage.set(Stage::Stop(since));
+    node.stage.set(Stage::Stopping(since));
     node.stage_changed.notify_waiters();
     node.peers.announce_to_all();
     log::info!(sessions = node.sessions.get(); "stopping");
     let grace = node.settings.grace;
-    let stay = STAY.min(grace / 2);
-    let last = grace * 9 / 10;
+    let min_time = MIN_STOP_TIME.min(grace / 2);
+    let max_time = grace * 9 / 10;
     loop {
-        let spent = Boot.now().since(since);
-        let empty = node.sessions.get() == 0 && spent >= stay;
-        if empty || spent >= last {
+        let elapsed = Boot.now().since(since);
+        let empty = node.sessions.get() == 0 && elapsed >= min_time;
+        if empty || elapsed >= max_time {
             break;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
     let ms = u64::try_from(Boot.now().since(since).as_millis()).unwrap_or(u64::MAX);
     log::info!(cut = node.sessions.get(), ms; "stopped");
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -27,24 +27,24 @@
 use statement::Session;
 
 /// How long a caller may take to say which database it wants.
-const HELLO: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a caller waits for an instance's first catalogue.
-const INFORMED: Duration = Duration::from_millis(1_500);
+const CATALOG_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How much is read at once.
-const CHUNK: usize = 4 * 1024;
+const READ_SIZE: usize = 4 * 1024;
 
 /// How long a transaction may rest if the catalogue does not say.
-const REST: Duration = Duration::from_secs(60);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// How long after an instance said that it can't serve the balancer still sends
 /// callers here: it asks every second, and needs two misses.
-const ELSEWHERE: Duration = Duration::from_millis(2_100);
+const BALANCER_DELAY: Duration = Duration::from_millis(2_100);
 
 /// How long after the order to stop idle sessions are kept: the balancer still
 /// sends callers for a while, and a caller's statement may be on its way.
-const LINGER: Duration = Duration::from_millis(1_500);
+const STOP_LINGER: Duration = Duration::from_millis(1_500);
 
 /// Takes callers until the process ends.
 pub async fn listen<E: Edge>(node: Rc<Node<E>>, listener: TcpListener) {
@@ -71,20 +71,20 @@
 /// What a session waits for.
 enum Wake {
     Read(usize),
-    Rested,
-    Lost,
+    IdleLimit,
+    HolderLost,
     Stopped,
 }
 
 async fn serve<E: Edge>(node: &Rc<Node<E>>, mut stream: TcpStream) -> io::Result<()> {
     let _ = connection::set_socket_options(&stream);
     let mut buf = BytesMut::new();
-    let hello = timeout(HELLO, hello::<E>(&mut stream, &mut buf)).await;
+    let hello = timeout(START_TIMEOUT, read_start::<E>(&mut stream, &mut buf)).await;
     let Ok(Ok(Some(hello))) = hello else {
         return Ok(());
     };
     let mut out = BytesMut::new();
-    if !node.wait_for_catalog(INFORMED).await {
+    if !node.wait_for_catalog(CATALOG_TIMEOUT).await {
         E::Protocol::rejection(
             Code::Busy,
             "no catalogue yet, come back in 500 ms",
@@ -93,7 +93,7 @@
         return stream.write_all(&out).await;
     }
     node.wait_for_peers().await;
-    let caller = match access::enter(node, &hello, Boot.now()).await {
+    let caller = match access::authenticate(node, &hello, Boot.now()).await {
         Ok(caller) => caller,
         Err((code, cause)) => {
             E::Protocol::rejection(code, cause.text(), &mut out);
@@ -103,9 +103,9 @@
     let mut session = Session::open(node, hello.database, caller).await;
     E::Protocol::welcome(&mut out);
     stream.write_all(&out).await?;
-    let ended = converse(node, &mut session, &mut stream, &mut buf).await;
-    session.end::<E>();
-    ended
+    let result = run_session(node, &mut session, &mut stream, &mut buf).await;
+    session.abandon::<E>();
+    result
 }
 
 /// Serves a session that another instance handed over.
@@ -116,27 +116,30 @@
 pub async fn serve_forwarded<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
-    kept: SessionState,
+    state: SessionState,
 ) -> io::Result<()> {
     let _ = connection::set_socket_options(&stream);
     let mut out = BytesMut::new();
-    if node.route(&kept.database).is_none() {
+    if node.route(&state.database).is_none() {
         E::Protocol::rejection(Code::NoDatabase, "no such database", &mut out);
         return stream.write_all(&out).await;
     }
     E::Protocol::welcome(&mut out);
     stream.write_all(&out).await?;
-    let mut session = Session::host(node, kept);
+    let mut session = Session::from_forwarded(node, state);
     // A stop waits for these as for its own callers' sessions.
     node.sessions.set(node.sessions.get() + 1);
-    let ended = converse(node, &mut session, &mut stream, &mut BytesMut::new()).await;
+    let result = run_session(node, &mut session, &mut stream, &mut BytesMut::new()).await;
     node.sessions.set(node.sessions.get() - 1);
-    session.end::<E>();
-    ended
+    session.abandon::<E>();
+    result
 }
 
 /// Reads which database the caller wants, and who it is.
-async fn hello<E: Edge>(stream: &mut TcpStream, buf: &mut BytesMut) -> io::Result<Option<Hello>> {
+async fn read_start<E: Edge>(
+    stream: &mut TcpStream,
+    buf: &mut BytesMut,
+) -> io::Result<Option<Hello>> {
     loop {
         match E::Protocol::request(buf) {
             Ok(Some(Request::Start(hello))) => return Ok(Some(hello)),
@@ -148,20 +151,20 @@
                 return Ok(None);
             }
         }
-        buf.reserve(CHUNK);
+        buf.reserve(READ_SIZE);
         if stream.read_buf(buf).await? == 0 {
             return Ok(None);
         }
     }
 }
 
-async fn converse<E: Edge>(
+async fn run_session<E: Edge>(
     node: &Rc<Node<E>>,
     session: &mut Session,
     stream: &mut TcpStream,
     buf: &mut BytesMut,
 ) -> io::Result<()> {
-    let mut rest_from = Boot.now();
+    let mut idle_since = Boot.now();
     loop {
         if session.is_over() {
             return Ok(());
@@ -170,10 +173,10 @@
             Ok(Some(Request::Query(query))) => {
                 let outcome = session.answer(node, &query).await;
                 if let Err(error) = stream.write_all(&outcome.bytes).await {
-                    session.unheard(&query, &error);
+                    session.log_lost_answer(&query, &error);
                     return Err(error);
                 }
-                rest_from = Boot.now();
+                idle_since = Boot.now();
                 continue;
             }
             Ok(Some(Request::Bye)) => return Ok(()),
@@ -185,12 +188,12 @@
             }
             Ok(None) => {}
         }
-        buf.reserve(CHUNK);
-        match wake(node, session, stream, buf, rest_from).await? {
+        buf.reserve(READ_SIZE);
+        match wake(node, session, stream, buf, idle_since).await? {
             Wake::Read(0) => return Ok(()),
             Wake::Read(_) => {}
-            Wake::Rested => session.rested::<E>(),
-            Wake::Lost => session.lose(),
+            Wake::IdleLimit => session.expire_transaction::<E>(),
+            Wake::HolderLost => session.mark_lost(),
             Wake::Stopped => return Ok(()),
         }
     }
@@ -202,7 +205,7 @@
     session: &Session,
     stream: &mut TcpStream,
     buf: &mut BytesMut,
-    rest_from: Instant,
+    idle_since: Instant,
 ) -> io::Result<Wake> {
     loop {
         let staged = node.stage_changed.notified();
@@ -210,10 +213,10 @@
         let rest = match &session.transaction {
             Transaction::Pinned(_) | Transaction::Begun(_) => {
                 let limit = match node.catalog().rest {
-                    Duration::ZERO => REST,
+                    Duration::ZERO => DEFAULT_IDLE_LIMIT,
                     limit => limit,
                 };
-                Some(tokio::time::Instant::now() + run::left(limit, rest_from))
+                Some(tokio::time::Instant::now() + run::remaining(limit, idle_since))
             }
             _ => None,
         };
@@ -221,14 +224,14 @@
             biased;
             read = stream.read_buf(buf) => return Ok(Wake::Read(read?)),
             () = staged => {}
-            () = session.lost() => return Ok(Wake::Lost),
-            () = maybe(rest) => return Ok(Wake::Rested),
-            () = maybe(stop) => return Ok(Wake::Stopped),
+            () = session.holder_lost() => return Ok(Wake::HolderLost),
+            () = sleep_until_some(rest) => return Ok(Wake::IdleLimit),
+            () = sleep_until_some(stop) => return Ok(Wake::Stopped),
         }
     }
 }
 
-async fn maybe(at: Option<tokio::time::Instant>) {
+async fn sleep_until_some(at: Option<tokio::time::Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
@@ -246,14 +249,14 @@
     session: &Session,
     buf: &BytesMut,
 ) -> Option<tokio::time::Instant> {
-    let Stage::Stop(since) = node.stage.get() else {
+    let Stage::Stopping(since) = node.stage.get() else {
         let since = node.unable_since()?;
         let idle = session.state() == State::Idle && buf.is_empty();
-        return idle.then(|| tokio::time::Instant::now() + run::left(ELSEWHERE, since));
+        return idle.then(|| tokio::time::Instant::now() + run::remaining(BALANCER_DELAY, since));
     };
     let span = match session.state() {
-        State::Idle if buf.is_empty() => LINGER.min(node.settings.grace / 3),
+        State::Idle if buf.is_empty() => STOP_LINGER.min(node.settings.grace / 3),
         _ => node.settings.grace / 2,
     };
-    Some(tokio::time::Instant::now() + run::left(span, since))
+    Some(tokio::time::Instant::now() + run::remaining(span, since))
 }
--- a/crates/proxy/src/session/statement.rs
+++ b/crates/proxy/src/session/statement.rs
@@ -13,12 +13,12 @@
     catalog::Route,
     connection::Values,
     edge::Edge,
-    group::Served,
+    group::SessionGuard,
     message::{Access, Code, Prepared, Query, State, Statement},
     node::Node,
     outcome::{Cause, Outcome},
     remote::Remote,
-    run::{self, Ask},
+    run::{self, Context},
     session_state::SessionState,
     shares,
     transaction::{self, Begun, Start, Transaction},
@@ -30,39 +30,39 @@
     pub(super) database: Bytes,
     pub(super) values: Values,
     pub(super) prepared: HashMap<Bytes, Prepared>,
-    pub(super) own: Option<(Rc<str>, Position)>,
+    pub(super) last_commit: Option<(Rc<str>, Position)>,
     pub(super) transaction: Transaction,
     /// The ids of the transaction's statements so far, for the log.
     pub(super) ids: Vec<Bytes>,
     /// Where it is served.
-    at: At,
+    location: Location,
     /// The account whose session it is.
     account: Option<Rc<str>>,
     /// Whose key is checked before each statement; `None` where none is asked for, and for
     /// a session that another instance handed over, which goes on checking.
     caller: Option<Caller>,
     /// Whether it has only read so far.
-    is_bare: bool,
+    has_only_read: bool,
     /// Whether it ends once it stands outside of a transaction.
-    is_ended: bool,
+    ends_when_idle: bool,
 }
 
 /// Where a session is served.
 #[derive(Debug)]
-enum At {
+enum Location {
     /// Here; it may move to another instance.
-    Here { _served: Option<Served> },
+    Local { _served: Option<SessionGuard> },
     /// Here, for another instance's caller: it was handed over once and stays.
-    Hosted { _served: Option<Served> },
+    Forwarded { _served: Option<SessionGuard> },
     /// At another instance.
-    There(Remote),
+    Remote(Remote),
 }
 
 /// How long a statement may take on a route that is gone.
-const LONGEST: Duration = Duration::from_secs(2);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How many ids of a transaction are kept for the log.
-const IDS: usize = 16;
+const MAX_IDS: usize = 16;
 
 impl Session {
     /// A session of `caller` on `database`, handed over if others hold its connections.
@@ -72,57 +72,59 @@
         caller: Option<Caller>,
     ) -> Self {
         let account = caller.as_ref().map(|caller| Rc::clone(&caller.account));
-        let kept = SessionState::new(database, account);
-        let mut session = Self::new(kept, At::Here { _served: None });
+        let state = SessionState::new(database, account);
+        let mut session = Self::new(state, Location::Local { _served: None });
         session.caller = caller;
-        session.settle(node).await;
+        session.place(node).await;
         session
     }
 
     /// A session that another instance handed over.
-    pub(super) fn host<E: Edge>(node: &Node<E>, kept: SessionState) -> Self {
-        let served = served(node, &kept.database);
-        Self::new(kept, At::Hosted { _served: served })
+    pub(super) fn from_forwarded<E: Edge>(node: &Node<E>, state: SessionState) -> Self {
+        let guard = count_session(node, &state.database);
+        Self::new(state, Location::Forwarded { _served: guard })
     }
 
-    fn new(kept: SessionState, at: At) -> Self {
+    fn new(state: SessionState, location: Location) -> Self {
         Self {
-            database: kept.database,
-            values: kept.values,
-            prepared: kept.prepared,
-            own: kept.last_commit.map(|(service, own)| (service.into(), own)),
+            database: state.database,
+            values: state.values,
+            prepared: state.prepared,
+            last_commit: state
+                .last_commit
+                .map(|(service, position)| (service.into(), position)),
             transaction: Transaction::None,
             ids: Vec::new(),
-            at,
-            account: kept.account,
+            location,
+            account: state.account,
             caller: None,
-            is_bare: true,
-            is_ended: false,
+            has_only_read: true,
+            ends_when_idle: false,
         }
     }
 
     /// What another instance needs to go on with it.
-    fn kept(&self) -> SessionState {
-        let own = self.own.as_ref();
+    fn forwarded_state(&self) -> SessionState {
+        let last_commit = self.last_commit.as_ref();
         SessionState {
             database: self.database.clone(),
             account: self.account.clone(),
             values: self.values.clone(),
             prepared: self.prepared.clone(),
-            last_commit: own.map(|(service, own)| (service.to_string(), *own)),
+            last_commit: last_commit.map(|(service, position)| (service.to_string(), *position)),
         }
     }
 
     /// Hands the session to those who hold its connections, or serves it here.
-    async fn settle<E: Edge>(&mut self, node: &Rc<Node<E>>) {
+    async fn place<E: Edge>(&mut self, node: &Rc<Node<E>>) {
         let remote = match node.route(&self.database) {
-            Some(route) => Remote::open(node, &route, &self.kept()).await,
+            Some(route) => Remote::open(node, &route, &self.forwarded_state()).await,
             None => None,
         };
-        self.at = match remote {
-            Some(remote) => At::There(remote),
-            None => At::Here {
-                _served: served(node, &self.database),
+        self.location = match remote {
+            Some(remote) => Location::Remote(remote),
+            None => Location::Local {
+                _served: count_session(node, &self.database),
             },
         };
     }
@@ -132,8 +134,8 @@
     /// Whoever serves a caller that came while it knew nobody is one more that sends to
     /// the upstreams, for as long as the caller stays: 344 times behind a loss of power of
     /// 91 instances, and 290 times still at the end of the day.
-    async fn follow<E: Edge>(&mut self, node: &Rc<Node<E>>) {
-        let stays = !matches!(self.at, At::Here { .. });
+    async fn migrate_if_due<E: Edge>(&mut self, node: &Rc<Node<E>>) {
+        let stays = !matches!(self.location, Location::Local { .. });
         if stays || !matches!(self.transaction, Transaction::None) {
             return;
         }
@@ -144,91 +146,102 @@
         if !group.is_migration_due(Boot.now()) {
             return;
         }
-        self.settle(node).await;
-        if !matches!(self.at, At::There(_)) {
+        self.place(node).await;
+        if !matches!(self.location, Location::Remote(_)) {
             group.held_elsewhere_since.set(Some(Boot.now()));
         }
     }
 
     /// What the caller is told of where it stands.
     pub(super) fn state(&self) -> State {
-        match &self.at {
-            At::There(remote) => remote.state(),
-            At::Here { .. } | At::Hosted { .. } => self.transaction.state(),
+        match &self.location {
+            Location::Remote(remote) => remote.state(),
+            Location::Local { .. } | Location::Forwarded { .. } => self.transaction.state(),
         }
     }
 
     /// Whether it can't go on, because the instance that served it is lost.
     pub(super) fn is_over(&self) -> bool {
-        if self.is_ended && self.state() == State::Idle {
+        if self.ends_when_idle && self.state() == State::Idle {
             return true;
         }
-        !self.is_bare && matches!(&self.at, At::There(remote) if remote.is_over())
+        !self.has_only_read
+            && matches!(&self.location, Location::Remote(remote) if remote.is_over())
     }
 
     /// Waits until the instance that serves it ends it.
-    pub(super) async fn lost(&self) {
-        match &self.at {
-            At::There(remote) => remote.ended().await,
-            At::Here { .. } | At::Hosted { .. } => std::future::pending().await,
+    pub(super) async fn holder_lost(&self) {
+        match &self.location {
+            Location::Remote(remote) => remote.closed().await,
+            Location::Local { .. } | Location::Forwarded { .. } => std::future::pending().await,
         }
     }
 
     /// Notes that the instance that served it ended it.
-    pub(super) fn lose(&mut self) {
-        if let At::There(remote) = &mut self.at {
-            remote.lose();
+    pub(super) fn mark_lost(&mut self) {
+        if let Location::Remote(remote) = &mut self.location {
+            remote.mark_lost();
         }
     }
 
     /// Has another instance answer.
     ///
     /// What that one refuses it also logs and counts.
-    async fn hand<E: Edge>(&mut self, node: &Rc<Node<E>>, query: &Query, at: Instant) -> Outcome {
+    async fn forward<E: Edge>(
+        &mut self,
+        node: &Rc<Node<E>>,
+        query: &Query,
+        at: Instant,
+    ) -> Outcome {
         let prepared = match &query.statement {
-            Statement::Prepare(name, shape) => {
-                self.prepared.insert(name.clone(), shape.clone());
+            Statement::Prepare(name, statement) => {
+                self.prepared.insert(name.clone(), statement.clone());
                 None
             }
             Statement::Execute(name, _) => self.prepared.get(name),
             _ => None,
         };
         let route = node.route(&self.database);
-        let within = route.as_ref().map_or(LONGEST, |route| route.timeout);
-        let At::There(remote) = &mut self.at else {
+        let within = route
+            .as_ref()
+            .map_or(DEFAULT_TIMEOUT, |route| route.timeout);
+        let Location::Remote(remote) = &mut self.location else {
             return malformed::<E>(State::Idle);
         };
         let mut outcome = remote.answer(node, query, prepared, within).await;
         let not_run = matches!(outcome.failure, Some((Code::Busy, Cause::Holder)));
-        if not_run && self.is_bare {
+        if not_run && self.has_only_read {
             // It has nothing that was lost with its holder, and the statement only reads.
-            self.settle(node).await;
-            outcome = match &mut self.at {
-                At::There(remote) => remote.answer(node, query, None, within).await,
-                At::Here { .. } | At::Hosted { .. } => self.dispatch(node, query, at).await,
+            self.place(node).await;
+            outcome = match &mut self.location {
+                Location::Remote(remote) => remote.answer(node, query, None, within).await,
+                Location::Local { .. } | Location::Forwarded { .. } => {
+                    self.dispatch(node, query, at).await
+                }
             };
         }
         if matches!(outcome.failure, Some((_, Cause::Holder))) {
             let span = Boot.now().since(at);
-            node.metrics.answered(route.as_deref(), &outcome, span);
-            self.tell(node, query, route.as_deref(), &outcome, span);
+            node.metrics
+                .observe_statement(route.as_deref(), &outcome, span);
+            self.log_statement(node, query, route.as_deref(), &outcome, span);
         }
         outcome
     }
 
     /// Undoes the open transaction, if there is one.
-    pub(super) fn end<E: Edge>(&mut self) {
+    pub(super) fn abandon<E: Edge>(&mut self) {
         match std::mem::replace(&mut self.transaction, Transaction::None) {
-            Transaction::Pinned(pinned) => transaction::undo::<E::Protocol>(pinned),
-            Transaction::Begun(begun) => begun.undo::<E>(),
+            Transaction::Pinned(pinned) => transaction::roll_back::<E::Protocol>(pinned),
+            Transaction::Begun(begun) => begun.roll_back::<E>(),
             Transaction::None | Transaction::Failed => {}
         }
     }
 
     /// Undoes a transaction that rested too long; the caller hears it with its next
     /// statement, because nothing may be said to it unasked.
-    pub(super) fn rested<E: Edge>(&mut self) {
-        self.end::<E>();
+    pub(super) fn expire_transaction<E: Edge>(&mut self) {
+        self.abandon::<E>();
         self.transaction = Transaction::Failed;
     }
 
@@ -237,13 +250,13 @@
         if self.state() == State::Idle {
             self.ids.clear();
         }
-        if self.ids.len() < IDS {
+        if self.ids.len() < MAX_IDS {
             self.ids.push(query.id.clone());
         }
         // Whoever handed a session over goes on checking its caller's key.
-        let is_own = !matches!(self.at, At::Hosted { .. });
+        let is_own = !matches!(self.location, Location::Forwarded { .. });
         if is_own
-            && let Err(refused) = access::admit(node, &self.database, self.caller.as_ref(), at)
+            && let Err(refused) = access::authorise(node, &self.database, self.caller.as_ref(), at)
         {
             return self.refuse(node, query, refused, at);
         }
@@ -254,7 +267,7 @@
             _ => None,
         };
         if let Some(account) = &counted
-            && let Err(cause) = shares::charge(node, account, self.patience(node)).await
+            && let Err(cause) = shares::charge(node, account, self.quota_wait(node)).await
         {
             return self.refuse(node, query, (Code::Busy, cause), at);
         }
@@ -269,27 +282,28 @@
 
     /// Has a statement that its caller may ask for answered, here or elsewhere.
     async fn serve<E: Edge>(&mut self, node: &Rc<Node<E>>, query: &Query, at: Instant) -> Outcome {
-        self.follow(node).await;
-        let bare = query.statement == Statement::Read;
-        if matches!(self.at, At::There(_)) {
-            let outcome = self.hand(node, query, at).await;
-            self.is_bare &= bare;
+        self.migrate_if_due(node).await;
+        let only_reads = query.statement == Statement::Read;
+        if matches!(self.location, Location::Remote(_)) {
+            let outcome = self.forward(node, query, at).await;
+            self.has_only_read &= only_reads;
             return outcome;
         }
-        self.is_bare &= bare;
+        self.has_only_read &= only_reads;
         let outcome = self.dispatch(node, query, at).await;
         let route = node.route(&self.database);
         let span = Boot.now().since(at);
-        node.metrics.answered(route.as_deref(), &outcome, span);
+        node.metrics
+            .observe_statement(route.as_deref(), &outcome, span);
         if outcome.failure.is_some() || route.as_ref().is_some_and(|r| span > r.latency_target) {
-            self.tell(node, query, route.as_deref(), &outcome, span);
+            self.log_statement(node, query, route.as_deref(), &outcome, span);
         }
         outcome
     }
 
     /// How long an operation waits for its account's quota: half of what an answer may take,
     /// so that the other half is left for it.
-    fn patience<E: Edge>(&self, node: &Node<E>) -> Duration {
+    fn quota_wait<E: Edge>(&self, node: &Node<E>) -> Duration {
         let route = node.route(&self.database);
         route.map_or(Duration::ZERO, |route| route.latency_target / 2)
     }
@@ -305,14 +319,15 @@
     ) -> Outcome {
         let outcome = match self.state() {
             State::Idle => {
-                self.is_ended |= code == Code::NoAccount;
+                self.ends_when_idle |= code == Code::NoAccount;
                 Outcome::refusal::<E::Protocol>(code, cause, State::Idle)
             }
             State::Open | State::Failed => {
-                self.end::<E>();
+                self.abandon::<E>();
                 // What the session had at another instance is lost with this connection.
-                self.is_ended |= code == Code::NoAccount || matches!(self.at, At::There(_));
-                self.at = At::Here { _served: None };
+                self.ends_when_idle |=
+                    code == Code::NoAccount || matches!(self.location, Location::Remote(_));
+                self.location = Location::Local { _served: None };
                 match query.statement {
                     Statement::Rollback => Outcome::done::<E::Protocol>(State::Idle),
                     Statement::Commit => {
@@ -327,13 +342,14 @@
         };
         let route = node.route(&self.database);
         let span = Boot.now().since(at);
-        node.metrics.answered(route.as_deref(), &outcome, span);
-        self.tell(node, query, route.as_deref(), &outcome, span);
+        node.metrics
+            .observe_statement(route.as_deref(), &outcome, span);
+        self.log_statement(node, query, route.as_deref(), &outcome, span);
         outcome
     }
 
     /// Logs a statement that was refused, failed or slow, with what decided it.
-    fn tell<E: Edge>(
+    fn log_statement<E: Edge>(
         &self,
         node: &Node<E>,
         query: &Query,
@@ -375,7 +391,7 @@
     }
 
     /// Logs a statement whose answer its caller did not get.
-    pub(super) fn unheard(&self, query: &Query, error: &io::Error) {
+    pub(super) fn log_lost_answer(&self, query: &Query, error: &io::Error) {
         log::info!(
             request = &*String::from_utf8_lossy(&query.id),
             transaction = &*self.transaction_ids(),
@@ -416,8 +432,8 @@
                 self.values.insert(name.clone(), value.clone());
                 Outcome::done::<E::Protocol>(state)
             }
-            Statement::Prepare(name, shape) => {
-                self.prepared.insert(name.clone(), shape.clone());
+            Statement::Prepare(name, statement) => {
+                self.prepared.insert(name.clone(), statement.clone());
                 Outcome::done::<E::Protocol>(state)
             }
             Statement::Deallocate(name) => match self.prepared.remove(name) {
@@ -425,9 +441,9 @@
                 None => unknown::<E>(state),
             },
             Statement::Execute(name, rest) => match self.prepared.get(name).cloned() {
-                Some(shape) => {
-                    let access = shape.access;
-                    let prepared = Some((&shape, &**rest));
+                Some(statement) => {
+                    let access = statement.access;
+                    let prepared = Some((&statement, &**rest));
                     self.run(node, query, prepared, access, at).await
                 }
                 None => unknown::<E>(state),
@@ -453,7 +469,7 @@
         node: &Rc<Node<E>>,
         query: &Query,
         access: Access,
-        at: Instant,
+        arrived_at: Instant,
     ) -> Outcome {
         if self.transaction.state() != State::Idle {
             return malformed::<E>(self.transaction.state());
@@ -461,22 +477,22 @@
         let Some(route) = node.route(&self.database) else {
             return no_database::<E>();
         };
-        let own = self.own_on(&route);
+        let last_commit = self.last_commit_on(&route);
         let start = Start {
             query: query.clone(),
             access,
             route,
             account: self.account.clone(),
             values: self.values.clone(),
-            own,
-            at,
+            last_commit,
+            arrived_at,
         };
         self.transaction = Transaction::Begun(Begun::spawn(node, start));
         Outcome::done::<E::Protocol>(State::Open)
     }
 
     fn rollback<E: Edge>(&mut self) -> Outcome {
-        self.end::<E>();
+        self.abandon::<E>();
         Outcome::done::<E::Protocol>(State::Idle)
     }
 
@@ -504,10 +520,10 @@
             Transaction::None | Transaction::Failed => return malformed::<E>(State::Idle),
         };
         let account = self.account.clone();
-        let ask = self.ask(&route, query, None, (&values, account.as_ref()), at);
-        let (outcome, transaction) = transaction::commit(node, pinned, &ask).await;
+        let context = self.context(&route, query, None, (&values, account.as_ref()), at);
+        let (outcome, transaction) = transaction::commit(node, pinned, &context).await;
         self.transaction = transaction;
-        self.learn(&route, &outcome, Access::Write);
+        self.update_position(&route, &outcome, Access::Write);
         outcome
     }
 
@@ -522,7 +538,7 @@
         let values = self.values.clone();
         let transaction = std::mem::replace(&mut self.transaction, Transaction::None);
         let pinned = match transaction {
-            Transaction::None => return self.single(node, query, prepared, access, at).await,
+            Transaction::None => return self.run_single(node, query, prepared, access, at).await,
             Transaction::Failed => return malformed::<E>(State::Failed),
             Transaction::Pinned(pinned) => pinned,
             Transaction::Begun(begun) => match begun.pinned::<E>().await {
@@ -535,13 +551,14 @@
         };
         let route = Rc::clone(&pinned.route);
         let account = self.account.clone();
-        let ask = self.ask(&route, query, prepared, (&values, account.as_ref()), at);
-        let (outcome, transaction) = transaction::step(node, pinned, &ask, access).await;
+        let context = self.context(&route, query, prepared, (&values, account.as_ref()), at);
+        let (outcome, transaction) =
+            transaction::run_statement(node, pinned, &context, access).await;
         self.transaction = transaction;
         outcome
     }
 
-    async fn single<E: Edge>(
+    async fn run_single<E: Edge>(
         &mut self,
         node: &Rc<Node<E>>,
         query: &Query,
@@ -555,38 +572,41 @@
         let group = node.group_of(&route.service);
         let values = self.values.clone();
         let account = self.account.clone();
-        let ask = self.ask(&route, query, prepared, (&values, account.as_ref()), at);
+        let context = self.context(&route, query, prepared, (&values, account.as_ref()), at);
         let outcome = match access {
-            Access::Read => run::read(node, &group, &ask).await,
-            Access::Write => run::write(node, &group, &ask).await,
+            Access::Read => run::read(node, &group, &context).await,
+            Access::Write => run::write(node, &group, &context).await,
         };
-        self.learn(&route, &outcome, access);
+        self.update_position(&route, &outcome, access);
         outcome
     }
 
-    fn ask<'a>(
+    fn context<'a>(
         &self,
         route: &'a Route,
         query: &'a Query,
         prepared: Option<(&'a Prepared, &'a [u8])>,
         (values, account): (&'a Values, Option<&'a Rc<str>>),
-        at: Instant,
-    ) -> Ask<'a> {
-        Ask {
+        arrived_at: Instant,
+    ) -> Context<'a> {
+        Context {
             route,
             query,
             prepared,
             account,
             values,
-            own: self.own_on(route),
-            at,
+            last_commit: self.last_commit_on(route),
+            arrived_at,
         }
     }
 
     /// The position of the session's last commit on the service of `route`.
-    fn own_on(&self, route: &Route) -> Option<Position> {
-        let own = self.own.as_ref().filter(|(of, _)| *of == route.service);
-        own.map(|(_, position)| *position)
+    fn last_commit_on(&self, route: &Route) -> Option<Position> {
+        let last_commit = self
+            .last_commit
+            .as_ref()
+            .filter(|(of, _)| *of == route.service);
+        last_commit.map(|(_, position)| *position)
     }
 
     /// Remembers how far the session must see from now on.
@@ -594,26 +614,29 @@
     /// After a commit that is the commit's position. A read that was proved to run
     /// on the primary of a later term shows all that is left of earlier commits, so
     /// its position takes the place of one that no log may have any more.
-    fn learn(&mut self, route: &Route, outcome: &Outcome, access: Access) {
+    fn update_position(&mut self, route: &Route, outcome: &Outcome, access: Access) {
         let Some(position) = outcome.position else {
             return;
         };
         if outcome.failure.is_some() {
             return;
         }
-        let own = self.own.as_ref().filter(|(of, _)| *of == route.service);
-        let later = own.is_some_and(|(_, own)| own.term < position.term);
-        let further = own.is_none_or(|(_, own)| *own < position);
+        let last_commit = self
+            .last_commit
+            .as_ref()
+            .filter(|(of, _)| *of == route.service);
+        let later = last_commit.is_some_and(|(_, last)| last.term < position.term);
+        let further = last_commit.is_none_or(|(_, last)| *last < position);
         if (access == Access::Write && further) || later {
-            self.own = Some((Rc::clone(&route.service), position));
+            self.last_commit = Some((Rc::clone(&route.service), position));
         }
     }
 }
 
 /// Counts a session on `database` that is served here.
-fn served<E: Edge>(node: &Node<E>, database: &Bytes) -> Option<Served> {
+fn count_session<E: Edge>(node: &Node<E>, database: &Bytes) -> Option<SessionGuard> {
     let route = node.route(database)?;
-    Some(Served::new(node.group_of(&route.service)))
+    Some(SessionGuard::new(node.group_of(&route.service)))
 }
 
 fn millis(span: Duration) -> u64 {
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -40,7 +40,7 @@
     /// How long what the operators and all instances agreed on may be used by an instance
     /// that has not heard that it changed.
     pub fn agreement_ttl(&self) -> Duration {
-        self.revocation.unwrap_or(AGREED)
+        self.revocation.unwrap_or(DEFAULT_AGREEMENT_TTL)
     }
 
     /// The names of the settings that `other` has otherwise.
@@ -66,7 +66,7 @@
 }
 
 /// How long what was agreed on may be used unseen, where no time is set for keys.
-const AGREED: Duration = Duration::from_secs(5);
+const DEFAULT_AGREEMENT_TTL: Duration = Duration::from_secs(5);
 
 /// How long one proof of a primary holds, unless set.
 pub const PROOF: Duration = Duration::from_millis(600);
--- a/crates/proxy/src/transaction.rs
+++ b/crates/proxy/src/transaction.rs
@@ -20,14 +20,14 @@
     pool, probe,
     refusal::{self, Refusal},
     routing::{self, Target},
-    run::{self, Ask, Lost, Patience},
+    run::{self, Context, NoAnswer, SilencePolicy},
 };
 
 /// How long undoing a transaction may take until its connection is closed instead.
-const UNDO: Duration = Duration::from_millis(300);
+const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a pause between two tries is.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Where a session's transaction stands.
 #[derive(Debug)]
@@ -56,9 +56,9 @@
     /// The session's values then.
     pub values: Values,
     /// The position of the session's last commit.
-    pub own: Option<Position>,
+    pub last_commit: Option<Position>,
     /// When its first byte was here.
-    pub at: Instant,
+    pub arrived_at: Instant,
 }
 
 /// A transaction whose connection is being found.
@@ -77,7 +77,7 @@
     pub fn spawn<E: Edge>(node: &Rc<Node<E>>, start: Start) -> Self {
         let node = Rc::clone(node);
         let route = Rc::clone(&start.route);
-        let pinned = spawn_local(async move { pin(&node, &start).await });
+        let pinned = spawn_local(async move { begin_on_upstream(&node, &start).await });
         Self { route, pinned }
     }
 
@@ -87,15 +87,15 @@
     ///
     /// Nobody may run the transaction now, or nobody had room: nothing was run.
     pub async fn pinned<E: Edge>(self) -> Result<Pinned, Outcome> {
-        let unknown = || given_up::<E>((Code::Busy, Cause::NoConnection));
+        let unknown = || refusal::<E>((Code::Busy, Cause::NoConnection));
         self.pinned.await.unwrap_or_else(|_| Err(unknown()))
     }
 
     /// Undoes it: its caller does not want it any more.
-    pub fn undo<E: Edge>(self) {
+    pub fn roll_back<E: Edge>(self) {
         spawn_local(async move {
             if let Ok(Ok(pinned)) = self.pinned.await {
-                undo::<E::Protocol>(pinned);
+                roll_back::<E::Protocol>(pinned);
             }
         });
     }
@@ -104,8 +104,8 @@
 /// A transaction on its connection.
 #[derive(Debug)]
 pub struct Pinned {
-    line: Box<Connection>,
-    pin: pool::Pin,
+    connection: Box<Connection>,
+    pin: pool::TransactionGuard,
     group: Rc<Group>,
     /// The route it takes.
     pub route: Rc<Route>,
@@ -121,16 +121,24 @@
     async fn send<E: Edge>(
         &mut self,
         node: &Rc<Node<E>>,
-        ask: &Ask<'_>,
-        patience: Patience,
-    ) -> Result<Reply, Lost> {
-        let rest = run::left(self.route.timeout, ask.at);
-        let member = Rc::clone(self.line.member());
-        let _running = run::Running::new(&member);
-        let within = (rest, patience);
-        let reply = run::send(node, &self.group, &mut self.line, ask, None, within).await;
+        context: &Context<'_>,
+        policy: SilencePolicy,
+    ) -> Result<Reply, NoAnswer> {
+        let rest = run::remaining(self.route.timeout, context.arrived_at);
+        let member = Rc::clone(self.connection.member());
+        let _running = run::RunningGuard::new(&member);
+        let within = (rest, policy);
+        let reply = run::send(
+            node,
+            &self.group,
+            &mut self.connection,
+            context,
+            None,
+            within,
+        )
+        .await;
         if reply.is_err() {
-            probe::doubt(node, &self.group, &member);
+            probe::suspect(node, &self.group, &member);
         }
         reply
     }
@@ -151,82 +159,92 @@
 ///
 /// The connection is used again once the upstream has confirmed it. Otherwise it
 /// is closed, which undoes the transaction as well.
-pub fn undo<P: Protocol>(pinned: Pinned) {
-    let Pinned { mut line, pin, .. } = pinned;
+pub fn roll_back<P: Protocol>(pinned: Pinned) {
+    let Pinned {
+        mut connection,
+        pin,
+        ..
+    } = pinned;
     spawn_local(async move {
         let _pin = pin;
-        match timeout(UNDO, line.ask::<P>(&Command::Rollback)).await {
-            Ok(Ok(reply)) if reply.state == State::Idle => pool::release::<P>(*line),
-            _ => pool::discard::<P>(*line),
+        match timeout(
+            ROLLBACK_TIMEOUT,
+            connection.request::<P>(&Command::Rollback),
+        )
+        .await
+        {
+            Ok(Ok(reply)) if reply.state == State::Idle => pool::release::<P>(*connection),
+            _ => pool::discard::<P>(*connection),
         }
     });
 }
 
 /// Gives a begun transaction its connection.
-async fn pin<E: Edge>(node: &Rc<Node<E>>, begun: &Start) -> Result<Pinned, Outcome> {
+async fn begin_on_upstream<E: Edge>(node: &Rc<Node<E>>, begun: &Start) -> Result<Pinned, Outcome> {
     let group = node.group_of(&begun.route.service);
-    let begin = Ask {
+    let begin = Context {
         route: &begun.route,
         query: &begun.query,
         prepared: None,
         account: begun.account.as_ref(),
         values: &begun.values,
-        own: begun.own,
-        at: begun.at,
+        last_commit: begun.last_commit,
+        arrived_at: begun.arrived_at,
     };
     let started = Boot.now();
     let limit = node.settings.hold.min(begun.route.timeout);
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = (Code::Busy, Cause::NoProof);
     loop {
-        let hold = run::left(limit, started);
+        let hold = run::remaining(limit, started);
         if hold.is_zero() {
-            return Err(given_up::<E>(last));
+            return Err(refusal::<E>(last));
         }
-        let place = match routing::needs_primary(&begun.route, begun.access) {
-            true => match node.proved(&group, begun.at, hold).await {
+        let target = match routing::needs_primary(&begun.route, begun.access) {
+            true => match node.proved(&group, begun.arrived_at, hold).await {
                 Proved::Primary(member) => Some(Target {
                     member,
                     floor: None,
-                    leads: true,
+                    is_primary: true,
                 }),
-                Proved::Nobody => None,
+                Proved::NoPrimary => None,
             },
             false => routing::choose_target(node, &group, &begin, &tried, hold).await,
         };
-        let Some(place) = place else {
-            return Err(given_up::<E>(last));
+        let Some(target) = target else {
+            return Err(refusal::<E>(last));
         };
-        let Some(mut line) = run::connect::<E>(node, &place.member, &begin, hold).await else {
+        let Some(mut connection) = run::connect::<E>(node, &target.member, &begin, hold).await
+        else {
             last = (Code::Busy, Cause::NoConnection);
-            probe::monitor(node, &group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
-            tokio::time::sleep(PAUSE).await;
+            probe::monitor(node, &group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        line.align::<E::Protocol>(&begun.values);
+        connection.sync_values::<E::Protocol>(&begun.values);
         let sent = Boot.now();
         let reply = run::send(
             node,
             &group,
-            &mut line,
+            &mut connection,
             &begin,
-            place.floor,
-            (hold, Patience::UntilFailing),
+            target.floor,
+            (hold, SilencePolicy::UntilFailing),
         )
         .await;
         let Ok(reply) = reply else {
             last = (Code::Busy, Cause::Broken);
-            pool::discard::<E::Protocol>(line);
-            probe::doubt(node, &group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
+            pool::discard::<E::Protocol>(connection);
+            probe::suspect(node, &group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
             continue;
         };
-        run::note(node, &group, &place, sent, &reply);
+        run::record_answer(node, &group, &target, sent, &reply);
         if reply.verdict.is_ok() && reply.state == State::Open {
             return Ok(Pinned {
-                line: Box::new(line),
-                pin: pool::Pin::new::<E::Protocol>(&place.member),
+                connection: Box::new(connection),
+                pin: pool::TransactionGuard::new::<E::Protocol>(&target.member),
                 group,
                 route: Rc::clone(&begun.route),
                 wrote: false,
@@ -235,17 +253,17 @@
         if let Err(failure) = &reply.verdict {
             last = (failure.code, Cause::Upstream);
         }
-        pool::release::<E::Protocol>(line);
-        tried.push(Rc::clone(&place.member.upstream.id));
+        pool::release::<E::Protocol>(connection);
+        tried.push(Rc::clone(&target.member.upstream.id));
         if tried.len() >= group.members().len() {
             tried.clear();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 /// The refusal of a transaction that never had a connection.
-fn given_up<E: Edge>((code, cause): (Code, Cause)) -> Outcome {
+fn refusal<E: Edge>((code, cause): (Code, Cause)) -> Outcome {
     let code = match run::is_not_run(code) && code != Code::NoStatement {
         true => code,
         false => Code::Busy,
@@ -254,16 +272,19 @@
 }
 
 /// Runs a read or write of a transaction. The second part is the transaction behind it.
-pub async fn step<E: Edge>(
+pub async fn run_statement<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     access: Access,
 ) -> (Outcome, Transaction) {
     loop {
-        pinned.line.align::<E::Protocol>(ask.values);
+        pinned.connection.sync_values::<E::Protocol>(context.values);
         pinned.wrote |= access == Access::Write;
-        let reply = match pinned.send(node, ask, Patience::UntilFailing).await {
+        let reply = match pinned
+            .send(node, context, SilencePolicy::UntilFailing)
+            .await
+        {
             Ok(reply) => reply,
             Err(lost) => {
                 let outcome = aborted::<E>(pinned, lost.into(), State::Failed);
@@ -272,29 +293,31 @@
         };
         let code = reply.verdict.as_ref().err().map(|failure| failure.code);
         if code == Some(Code::NoStatement) {
-            pinned.line.unprepare();
+            pinned.connection.clear_prepared();
         }
         if code == Some(Code::Busy) {
-            refusal::record(pinned.line.member(), Refusal::Statement, Boot.now());
+            refusal::record(pinned.connection.member(), Refusal::Statement, Boot.now());
         }
         let again = matches!(code, Some(Code::Busy | Code::NoStatement));
-        if again && reply.state == State::Open && !run::left(pinned.route.timeout, ask.at).is_zero()
+        if again
+            && reply.state == State::Open
+            && !run::remaining(pinned.route.timeout, context.arrived_at).is_zero()
         {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         if code == Some(Code::ReadOnly) {
-            run::read_only(node, &pinned.group, pinned.line.member());
+            run::record_read_only(node, &pinned.group, pinned.connection.member());
         }
         let outcome = Outcome::from_reply(reply);
         return match outcome.state {
             State::Open => (outcome, Transaction::Pinned(pinned)),
             State::Failed => {
-                undo::<E::Protocol>(pinned);
+                roll_back::<E::Protocol>(pinned);
                 (outcome, Transaction::Failed)
             }
             State::Idle => {
-                pool::release::<E::Protocol>(*pinned.line);
+                pool::release::<E::Protocol>(*pinned.connection);
                 (outcome, Transaction::None)
             }
         };
@@ -303,7 +326,7 @@
 
 /// Closes a transaction's connection: whatever it did is undone with it.
 fn aborted<E: Edge>(pinned: Pinned, cause: Cause, state: State) -> Outcome {
-    pool::discard::<E::Protocol>(*pinned.line);
+    pool::discard::<E::Protocol>(*pinned.connection);
     Outcome::refusal::<E::Protocol>(Code::Aborted, cause, state)
 }
 
@@ -311,13 +334,13 @@
 pub async fn commit<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
 ) -> (Outcome, Transaction) {
-    let member = Rc::clone(pinned.line.member());
+    let member = Rc::clone(pinned.connection.member());
     if pinned.wrote {
         // A primary that has been replaced must not be asked for a commit that is
         // then known to no log.
-        let rest = run::left(pinned.route.timeout, ask.at);
+        let rest = run::remaining(pinned.route.timeout, context.arrived_at);
         let lead = node.proved(&pinned.group, Boot.now(), rest.min(node.settings.hold));
         match lead.await {
             Proved::Primary(lead) if Rc::ptr_eq(&lead, &member) => {}
@@ -328,7 +351,10 @@
         }
     }
     loop {
-        let reply = match pinned.send(node, ask, Patience::ToTheEnd).await {
+        let reply = match pinned
+            .send(node, context, SilencePolicy::UntilTimeout)
+            .await
+        {
             Ok(reply) => reply,
             Err(lost) => {
                 let wrote = pinned.wrote;
@@ -341,15 +367,17 @@
             }
         };
         let busy = matches!(&reply.verdict, Err(f) if f.code == Code::Busy);
-        if busy && reply.state == State::Open && !run::left(pinned.route.timeout, ask.at).is_zero()
+        if busy
+            && reply.state == State::Open
+            && !run::remaining(pinned.route.timeout, context.arrived_at).is_zero()
         {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         if reply.state == State::Idle {
-            pool::release::<E::Protocol>(*pinned.line);
+            pool::release::<E::Protocol>(*pinned.connection);
         } else {
-            undo::<E::Protocol>(Pinned {
+            roll_back::<E::Protocol>(Pinned {
                 wrote: false,
                 ..pinned
             });
@@ -363,7 +391,7 @@
         }
         let group = Rc::clone(&pinned.group);
         let outcome = match (&reply.verdict, pinned.wrote) {
-            (Ok(()), true) => run::acknowledged(node, &group, &member, reply, ask).await,
+            (Ok(()), true) => run::acknowledged(node, &group, &member, reply, context).await,
             _ => Outcome::from_reply(reply),
         };
         return (outcome, Transaction::None);
--- a/crates/proxy/src/work.rs
+++ b/crates/proxy/src/work.rs
@@ -7,7 +7,7 @@
 use crate::{edge::Edge, node::Node};
 
 /// How often the counts go into the log.
-const TOLD: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A kind of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -104,9 +104,9 @@
 }
 
 /// Tells the counts in the log until the process ends, one line for all of them.
-pub(crate) async fn watch<E: Edge>(node: Rc<Node<E>>) {
+pub(crate) async fn log_periodically<E: Edge>(node: Rc<Node<E>>) {
     loop {
-        sleep(TOLD).await;
+        sleep(LOG_INTERVAL).await;
         let mut done = String::new();
         for (name, count) in counts(&node) {
             let _ = write!(done, "{name}={count} ");
