--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -206,14 +206,14 @@
             continue;
         }
         let known = node.mirror.borrow().known(section);
-        let asked = match known == 0 || needs_full_read {
+        let result = match known == 0 || needs_full_read {
             true => read_section(&node, section)
                 .await
                 .map(|()| Urgency::Deferrable),
             false => watch(&node, section, known).await,
         };
-        needs_full_read = matches!(asked, Err(Fault::Compacted));
-        let urgency = match asked {
+        needs_full_read = matches!(result, Err(Fault::Compacted));
+        let urgency = match result {
             Ok(urgency) => urgency,
             Err(Fault::Compacted) => continue,
             Err(_) => {
@@ -449,8 +449,8 @@
         if lease == 0 {
             lease = create_registration(&node).await.unwrap_or_default();
         } else {
-            let kept = timeout(READ_TIMEOUT, node.store().keep_alive(lease)).await;
-            if kept == Ok(Err(Fault::Missing)) {
+            let renewed = timeout(READ_TIMEOUT, node.store().keep_alive(lease)).await;
+            if renewed == Ok(Err(Fault::Missing)) {
                 lease = 0;
                 continue;
             }
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -328,14 +328,14 @@
     }
 
     /// Takes in that the record still had `revision` for a question sent at `sent`.
-    pub fn prove(&self, revision: u64, sent: Instant, span: Duration) {
+    pub fn prove(&self, revision: u64, sent: Instant, validity: Duration) {
         let is_current =
             |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
         if !self.known.borrow().as_ref().is_some_and(is_current) {
             return;
         }
         let mut proof = self.proof.get();
-        proof.extend(sent, span);
+        proof.extend(sent, validity);
         self.proof.set(proof);
         self.changed.notify_waiters();
     }
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -225,9 +225,9 @@
     }
 
     /// Notes how long a statement took.
-    pub fn note_latency(&self, span: Duration) {
+    pub fn note_latency(&self, duration: Duration) {
         let old = u64::try_from(self.latency.get().as_micros()).unwrap_or(u64::MAX);
-        let new = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+        let new = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         let mean = (old
             .saturating_mul(LATENCY_WEIGHT_DIVISOR - 1)
             .saturating_add(new))
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -58,14 +58,14 @@
 
 impl Drop for WaitTimer<'_> {
     fn drop(&mut self) {
-        let span = Boot.now().since(self.since);
-        self.histogram.borrow_mut().add(span);
+        let duration = Boot.now().since(self.since);
+        self.histogram.borrow_mut().add(duration);
     }
 }
 
 impl Histogram {
-    fn add(&mut self, span: Duration) {
-        let seconds = span.as_secs_f64();
+    fn add(&mut self, duration: Duration) {
+        let seconds = duration.as_secs_f64();
         self.sum += seconds;
         self.count += 1;
         for (bucket, bound) in self.buckets.iter_mut().zip(BOUNDS) {
@@ -86,7 +86,7 @@
 
 impl Metrics {
     /// Counts an answered statement, by service and class, never by a caller's words.
-    pub fn observe_statement(&self, route: Option<&Route>, outcome: &Outcome, span: Duration) {
+    pub fn observe_statement(&self, route: Option<&Route>, outcome: &Outcome, duration: Duration) {
         let service = route.map_or_else(|| "none".into(), |route| Rc::clone(&route.service));
         let class = match route.map(|route| route.freshness) {
             Some(Freshness::Current) => "current",
@@ -101,7 +101,7 @@
         let end = (Rc::clone(&service), class, code, cause);
         *self.statements.borrow_mut().entry(end).or_default() += 1;
         let mut latencies = self.latencies.borrow_mut();
-        latencies.entry((service, class)).or_default().add(span);
+        latencies.entry((service, class)).or_default().add(duration);
     }
 
     /// Counts a call of the platform, by kind and answer.
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -296,8 +296,8 @@
     /// Without the proof a customer whose key was taken away would be served on by an
     /// instance that is cut off, for as long as that lasts.
     pub fn is_fresh(&self, moment: Instant) -> bool {
-        let span = self.settings.revocation;
-        span.is_none_or(|span| self.freshness.covers(moment, span))
+        let limit = self.settings.revocation;
+        limit.is_none_or(|limit| self.freshness.covers(moment, limit))
     }
 
     /// The route that callers of `database` take.
@@ -486,8 +486,8 @@
             return false;
         }
         let groups = self.groups();
-        let begun = groups.iter().any(|group| group.stored_record().is_some());
-        begun && self.unable_since().is_none()
+        let has_record = groups.iter().any(|group| group.stored_record().is_some());
+        has_record && self.unable_since().is_none()
     }
 
     /// Whether it serves, or would.
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -155,11 +155,11 @@
     }
 
     /// Closes idle connections beyond `share` that were not used for `rest`.
-    pub fn close_excess(&self, now: Instant, share: usize, rest: Duration) {
+    pub fn close_excess(&self, now: Instant, share: usize, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let mut excess = self.open.get().saturating_sub(share);
         idle.retain(|connection| {
-            let close = excess > 0 && connection.last_answer() + rest < now;
+            let close = excess > 0 && connection.last_answer() + idle_limit < now;
             excess -= usize::from(close);
             !close
         });
@@ -316,11 +316,11 @@
             return;
         };
         pool.make_room();
-        let asked =
+        let decision =
             pool.budget
                 .borrow()
                 .check(Boot.now(), pool.open.get(), opening, pool.limit.get());
-        match asked {
+        match decision {
             Decision::Now => {}
             Decision::Wait(until) => return retry::<P>(member, until),
             Decision::Blocked => return,
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -210,9 +210,9 @@
         let member = Rc::clone(member);
         async move { (status::<P>(&member).await, member) }
     };
-    let mut asked: FuturesUnordered<_> = members.iter().map(ask).collect();
+    let mut pending: FuturesUnordered<_> = members.iter().map(ask).collect();
     let (mut leads, mut agree) = (false, 0);
-    while let Some((answer, member)) = asked.next().await {
+    while let Some((answer, member)) = pending.next().await {
         let Some(status) = answer.status() else {
             continue;
         };
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -105,9 +105,9 @@
         },
     };
     let sent = Boot.now();
-    let mut asked = pin!(timeout(within, connection.request::<E::Protocol>(&command)));
-    let asked = match timeout(PROBE_AFTER, &mut asked).await {
-        Ok(asked) => asked,
+    let mut reply = pin!(timeout(within, connection.request::<E::Protocol>(&command)));
+    let reply = match timeout(PROBE_AFTER, &mut reply).await {
+        Ok(reply) => reply,
         Err(_) => {
             if member.health().answered < sent {
                 probe::monitor(node, group, &member);
@@ -115,14 +115,14 @@
             match policy {
                 SilencePolicy::UntilFailing if member.is_failing() => return Err(NoAnswer::Late),
                 SilencePolicy::UntilFailing => tokio::select! {
-                    asked = &mut asked => asked,
+                    reply = &mut reply => reply,
                     () = member.failing_notify.notified() => return Err(NoAnswer::Late),
                 },
-                SilencePolicy::UntilTimeout => asked.await,
+                SilencePolicy::UntilTimeout => reply.await,
             }
         }
     };
-    match asked {
+    match reply {
         Ok(Ok(reply)) => Ok(reply),
         Ok(Err(Broken)) => Err(NoAnswer::Broken),
         Err(_) => Err(NoAnswer::Late),
@@ -260,16 +260,16 @@
     let limit = context.route.timeout;
     let mut cause = Cause::NoProof;
     loop {
-        let hold = remaining(node.settings.hold.min(limit), context.arrived_at);
-        if hold.is_zero() {
+        let wait_limit = remaining(node.settings.hold.min(limit), context.arrived_at);
+        if wait_limit.is_zero() {
             break;
         }
-        let Some(target) = choose_target(node, group, context, &tried, hold).await else {
+        let Some(target) = choose_target(node, group, context, &tried, wait_limit).await else {
             break;
         };
         let wait = match target.floor {
-            Some(_) if tried.len() + 1 < group.members().len() => hold.min(CONNECTION_WAIT),
-            _ => hold,
+            Some(_) if tried.len() + 1 < group.members().len() => wait_limit.min(CONNECTION_WAIT),
+            _ => wait_limit,
         };
         let Some(mut connection) = connect::<E>(node, &target.member, context, wait).await else {
             cause = Cause::NoConnection;
@@ -281,9 +281,13 @@
         };
         let running = RunningGuard::new(&target.member);
         connection.sync_values::<E::Protocol>(context.values);
-        let rest = remaining(limit, context.arrived_at);
+        let time_left = remaining(limit, context.arrived_at);
         let policy = (
-            context.route.latency_target.max(MIN_READ_TIMEOUT).min(rest),
+            context
+                .route
+                .latency_target
+                .max(MIN_READ_TIMEOUT)
+                .min(time_left),
             SilencePolicy::UntilFailing,
         );
         let sent = running.since();
--- a/crates/proxy/src/run/write.rs
+++ b/crates/proxy/src/run/write.rs
@@ -50,17 +50,17 @@
     let mut last = None;
     let mut cause = Cause::NoProof;
     loop {
-        let hold = remaining(
+        let wait_limit = remaining(
             node.settings.hold.min(context.route.timeout),
             context.arrived_at,
         );
-        if hold.is_zero() {
+        if wait_limit.is_zero() {
             break;
         }
-        let Proved::Primary(member) = node.proved(group, Boot.now(), hold).await else {
+        let Proved::Primary(member) = node.proved(group, Boot.now(), wait_limit).await else {
             break;
         };
-        let Some(mut connection) = connect::<E>(node, &member, context, hold).await else {
+        let Some(mut connection) = connect::<E>(node, &member, context, wait_limit).await else {
             cause = Cause::NoConnection;
             attempts.unconnected += 1;
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -82,7 +82,7 @@
         }
         let running = RunningGuard::new(&member);
         connection.sync_values::<E::Protocol>(context.values);
-        let rest = remaining(context.route.timeout, context.arrived_at);
+        let time_left = remaining(context.route.timeout, context.arrived_at);
         let sent = running.since();
         let reply = send(
             node,
@@ -90,7 +90,7 @@
             &mut connection,
             context,
             None,
-            (rest, SilencePolicy::UntilTimeout),
+            (time_left, SilencePolicy::UntilTimeout),
         )
         .await;
         drop(running);
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -210,7 +210,7 @@
     loop {
         let staged = node.stage_changed.notified();
         let stop = stop_at(node, session, buf);
-        let rest = match &session.transaction {
+        let idle_until = match &session.transaction {
             Transaction::Pinned(_) | Transaction::Begun(_) => {
                 let limit = match node.catalog().rest {
                     Duration::ZERO => DEFAULT_IDLE_LIMIT,
@@ -225,7 +225,7 @@
             read = stream.read_buf(buf) => return Ok(Wake::Read(read?)),
             () = staged => {}
             () = session.holder_lost() => return Ok(Wake::HolderLost),
-            () = sleep_until_some(rest) => return Ok(Wake::IdleLimit),
+            () = sleep_until_some(idle_until) => return Ok(Wake::IdleLimit),
             () = sleep_until_some(stop) => return Ok(Wake::Stopped),
         }
     }
@@ -254,9 +254,9 @@
         let idle = session.state() == State::Idle && buf.is_empty();
         return idle.then(|| tokio::time::Instant::now() + run::remaining(BALANCER_DELAY, since));
     };
-    let span = match session.state() {
+    let delay = match session.state() {
         State::Idle if buf.is_empty() => STOP_LINGER.min(node.settings.grace / 3),
         _ => node.settings.grace / 2,
     };
-    Some(tokio::time::Instant::now() + run::remaining(span, since))
+    Some(tokio::time::Instant::now() + run::remaining(delay, since))
 }
--- a/crates/proxy/src/session/statement.rs
+++ b/crates/proxy/src/session/statement.rs
@@ -221,10 +221,10 @@
             };
         }
         if matches!(outcome.failure, Some((_, Cause::Holder))) {
-            let span = Boot.now().since(at);
+            let duration = Boot.now().since(at);
             node.metrics
-                .observe_statement(route.as_deref(), &outcome, span);
-            self.log_statement(node, query, route.as_deref(), &outcome, span);
+                .observe_statement(route.as_deref(), &outcome, duration);
+            self.log_statement(node, query, route.as_deref(), &outcome, duration);
         }
         outcome
     }
@@ -292,11 +292,12 @@
         self.has_only_read &= only_reads;
         let outcome = self.dispatch(node, query, at).await;
         let route = node.route(&self.database);
-        let span = Boot.now().since(at);
+        let duration = Boot.now().since(at);
         node.metrics
-            .observe_statement(route.as_deref(), &outcome, span);
-        if outcome.failure.is_some() || route.as_ref().is_some_and(|r| span > r.latency_target) {
-            self.log_statement(node, query, route.as_deref(), &outcome, span);
+            .observe_statement(route.as_deref(), &outcome, duration);
+        if outcome.failure.is_some() || route.as_ref().is_some_and(|r| duration > r.latency_target)
+        {
+            self.log_statement(node, query, route.as_deref(), &outcome, duration);
         }
         outcome
     }
@@ -341,10 +342,10 @@
             }
         };
         let route = node.route(&self.database);
-        let span = Boot.now().since(at);
+        let duration = Boot.now().since(at);
         node.metrics
-            .observe_statement(route.as_deref(), &outcome, span);
-        self.log_statement(node, query, route.as_deref(), &outcome, span);
+            .observe_statement(route.as_deref(), &outcome, duration);
+        self.log_statement(node, query, route.as_deref(), &outcome, duration);
         outcome
     }
 
@@ -355,7 +356,7 @@
         query: &Query,
         route: Option<&Route>,
         outcome: &Outcome,
-        span: Duration,
+        duration: Duration,
     ) {
         let now = Boot.now();
         let group = route.map(|route| node.group_of(&route.service));
@@ -376,7 +377,7 @@
             statement = query.statement.kind(),
             state:? = outcome.state,
             code:?, cause:?,
-            ms = millis(span),
+            ms = millis(duration),
             refused = outcome.attempts.refused,
             unconnected = outcome.attempts.unconnected,
             lost = outcome.attempts.lost,
@@ -639,8 +640,8 @@
     Some(SessionGuard::new(node.group_of(&route.service)))
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 fn malformed<E: Edge>(state: State) -> Outcome {
--- a/crates/proxy/src/transaction.rs
+++ b/crates/proxy/src/transaction.rs
@@ -124,10 +124,10 @@
         context: &Context<'_>,
         policy: SilencePolicy,
     ) -> Result<Reply, NoAnswer> {
-        let rest = run::remaining(self.route.timeout, context.arrived_at);
+        let time_left = run::remaining(self.route.timeout, context.arrived_at);
         let member = Rc::clone(self.connection.member());
         let _running = run::RunningGuard::new(&member);
-        let within = (rest, policy);
+        let within = (time_left, policy);
         let reply = run::send(
             node,
             &self.group,
@@ -196,12 +196,12 @@
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = (Code::Busy, Cause::NoProof);
     loop {
-        let hold = run::remaining(limit, started);
-        if hold.is_zero() {
+        let wait_limit = run::remaining(limit, started);
+        if wait_limit.is_zero() {
             return Err(refusal::<E>(last));
         }
         let target = match routing::needs_primary(&begun.route, begun.access) {
-            true => match node.proved(&group, begun.arrived_at, hold).await {
+            true => match node.proved(&group, begun.arrived_at, wait_limit).await {
                 Proved::Primary(member) => Some(Target {
                     member,
                     floor: None,
@@ -209,12 +209,13 @@
                 }),
                 Proved::NoPrimary => None,
             },
-            false => routing::choose_target(node, &group, &begin, &tried, hold).await,
+            false => routing::choose_target(node, &group, &begin, &tried, wait_limit).await,
         };
         let Some(target) = target else {
             return Err(refusal::<E>(last));
         };
-        let Some(mut connection) = run::connect::<E>(node, &target.member, &begin, hold).await
+        let Some(mut connection) =
+            run::connect::<E>(node, &target.member, &begin, wait_limit).await
         else {
             last = (Code::Busy, Cause::NoConnection);
             probe::monitor(node, &group, &target.member);
@@ -230,7 +231,7 @@
             &mut connection,
             &begin,
             target.floor,
-            (hold, SilencePolicy::UntilFailing),
+            (wait_limit, SilencePolicy::UntilFailing),
         )
         .await;
         let Ok(reply) = reply else {
@@ -340,8 +341,8 @@
     if pinned.wrote {
         // A primary that has been replaced must not be asked for a commit that is
         // then known to no log.
-        let rest = run::remaining(pinned.route.timeout, context.arrived_at);
-        let lead = node.proved(&pinned.group, Boot.now(), rest.min(node.settings.hold));
+        let time_left = run::remaining(pinned.route.timeout, context.arrived_at);
+        let lead = node.proved(&pinned.group, Boot.now(), time_left.min(node.settings.hold));
         match lead.await {
             Proved::Primary(lead) if Rc::ptr_eq(&lead, &member) => {}
             _ => {
--- a/crates/proxy/tests/beat.rs
+++ b/crates/proxy/tests/beat.rs
@@ -17,7 +17,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000))
 }
 
-fn own() -> (Heartbeat, Extension) {
+fn sample_heartbeat() -> (Heartbeat, Extension) {
     let belief = Observation {
         service: "db".to_owned(),
         term: Term(3),
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_beat_is_read_as_it_was_written() {
-    let (beat, more) = own();
+fn heartbeat_round_trips() {
+    let (beat, more) = sample_heartbeat();
     let bytes = heartbeat::encode(&beat, &more).unwrap();
     let read = heartbeat::decode(&bytes).unwrap();
     assert_eq!(read, Datagram::Heartbeat(beat, Some(more)));
@@ -57,15 +57,15 @@
 /// While a release goes on, instances of the version before hear beats of this one. They
 /// read a beat alone, and nothing may be missing for them.
 #[test]
-fn the_version_before_reads_a_beat_of_this_one() {
-    let (beat, more) = own();
+fn previous_version_decodes_the_current_heartbeat() {
+    let (beat, more) = sample_heartbeat();
     let bytes = heartbeat::encode(&beat, &more).unwrap();
     assert_eq!(postcard::from_bytes::<Heartbeat>(&bytes).unwrap(), beat);
 }
 
 #[test]
-fn a_beat_of_the_version_before_is_read() {
-    let (beat, _) = own();
+fn heartbeat_of_the_previous_version_is_decoded() {
+    let (beat, _) = sample_heartbeat();
     let bytes = postcard::to_stdvec(&beat).unwrap();
     assert_eq!(
         heartbeat::decode(&bytes),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_question_for_a_proof_is_no_beat() {
+fn proof_request_is_not_decoded_as_a_heartbeat() {
     let ask = Message::LeaseRequest {
         id: 9,
         reply_to: address(),
@@ -92,8 +92,8 @@
     })]
 
     #[test]
-    fn a_beat_that_was_cut_short_names_nobody_else(cut in 0_usize..200) {
-        let (beat, more) = own();
+    fn truncated_heartbeat_decodes_to_no_other_heartbeat(cut in 0_usize..200) {
+        let (beat, more) = sample_heartbeat();
         let mut bytes = heartbeat::encode(&beat, &more).unwrap();
         bytes.truncate(cut);
         if let Some(Datagram::Heartbeat(read, _)) = heartbeat::decode(&bytes) {
--- a/crates/proxy/tests/greet.rs
+++ b/crates/proxy/tests/greet.rs
@@ -31,12 +31,12 @@
 /// greets one of those anew whenever somebody names it, until it answers; who is busy
 /// answers late, and is greeted the more for it.
 #[test]
-fn who_is_named_by_many_is_greeted_once() {
+fn peer_named_by_many_is_greeted_once() {
     let peers = Peers::new(&settings());
-    let named: Vec<_> = (10..26).map(address).collect();
-    assert_eq!(peers.greet(named.clone()), named);
+    let addresses: Vec<_> = (10..26).map(address).collect();
+    assert_eq!(peers.greet(addresses.clone()), addresses);
     for _ in 0..300 {
-        assert_eq!(peers.greet(named.clone()), []);
+        assert_eq!(peers.greet(addresses.clone()), []);
     }
     assert_eq!(peers.greet(vec![address(2)]), [], "itself");
 }
--- a/crates/proxy/tests/mirror.rs
+++ b/crates/proxy/tests/mirror.rs
@@ -14,7 +14,7 @@
     })
 }
 
-fn gone(key: u8, revision: u64) -> Change {
+fn deleted(key: u8, revision: u64) -> Change {
     Change::Gone(format!("k/{key}"), revision)
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn of_many_changes_of_a_key_only_the_newest_is_told() {
+fn only_the_newest_change_of_a_key_is_returned() {
     let mut mirror = Mirror::default();
     for revision in 1..=25 {
         mirror.apply(&put(1, revision));
@@ -37,24 +37,24 @@
 
 /// An instance changes to a relay that is behind: it forgets nothing that it knows.
 #[test]
-fn what_a_relay_does_not_know_yet_is_not_missing() {
+fn item_newer_than_the_relay_is_not_missing() {
     let mut mirror = Mirror::default();
     mirror.apply(&put(1, 5));
     mirror.apply(&put(2, 9));
-    assert_eq!(mirror.missing("k/", &[], 7), vec![gone(1, 7)]);
+    assert_eq!(mirror.missing("k/", &[], 7), vec![deleted(1, 7)]);
 }
 
 #[test]
-fn a_key_that_was_deleted_stays_deleted_for_those_who_are_behind() {
+fn deleted_key_ignores_older_changes() {
     let mut mirror = Mirror::default();
     mirror.apply(&put(1, 5));
-    mirror.apply(&gone(1, 8));
+    mirror.apply(&deleted(1, 8));
     assert!(!mirror.apply(&put(1, 5)));
     assert!(mirror.apply(&put(1, 9)));
 }
 
 #[test]
-fn who_is_behind_what_was_forgotten_is_told_all() {
+fn follower_behind_the_history_gets_a_full_copy() {
     let mut mirror = Mirror::default();
     for round in 0..2_000 {
         mirror.apply(&put(0, round * 2 + 1));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_known_is_known_of_the_section_that_lags() {
+fn known_revision_is_that_of_the_slowest_section() {
     let mut mirror = Mirror::default();
     mirror.advance(Section::Catalog, 9);
     mirror.advance(Section::Records, 7);
@@ -91,20 +91,20 @@
     /// Whoever follows step by step knows the same as whoever was there all the time, and
     /// so does one to whom the changes came in another order.
     #[test]
-    fn those_who_follow_know_the_same(
+    fn followers_converge_in_any_order(
         keys in proptest::collection::vec((0_u8..6, any::<bool>()), 1..60),
         steps in proptest::collection::vec(1_usize..7, 1..20),
         order in any::<prop::sample::Index>(),
     ) {
         let change = |((key, is_put), revision): (&(u8, bool), u64)| match is_put {
             true => put(*key, revision),
-            false => gone(*key, revision),
+            false => deleted(*key, revision),
         };
         let changes: Vec<_> = keys.iter().zip(1..).map(change).collect();
         let (mut relay, mut follower, mut seq) = (Mirror::default(), Mirror::default(), 0);
-        let mut left = changes.iter();
+        let mut remaining = changes.iter();
         for step in steps.iter().cycle().take(60) {
-            for change in left.by_ref().take(*step) {
+            for change in remaining.by_ref().take(*step) {
                 relay.apply(change);
             }
             for change in relay.changes_since(seq).unwrap() {
@@ -113,10 +113,10 @@
             seq = relay.seq();
         }
         prop_assert_eq!(newest(&follower), newest(&relay));
-        let mut crossed = changes.clone();
-        crossed.rotate_left(order.index(changes.len()));
+        let mut reordered = changes.clone();
+        reordered.rotate_left(order.index(changes.len()));
         let mut other = Mirror::default();
-        for change in &crossed {
+        for change in &reordered {
             other.apply(change);
         }
         prop_assert_eq!(newest(&other), newest(&relay));
@@ -126,25 +126,25 @@
 /// An instance that changes to another relay and is told everything anew costs that relay's
 /// link as much as one that starts.
 #[test]
-fn another_relay_tells_only_what_changed_behind_the_revision_that_is_known() {
+fn new_relay_returns_only_changes_after_the_known_revision() {
     let mut mirror = Mirror::default();
     for revision in 1..=1_000 {
         mirror.apply(&put((revision % 200) as u8, revision));
     }
-    mirror.apply(&gone(1, 1_001));
+    mirror.apply(&deleted(1, 1_001));
     assert_eq!(
         mirror.changes_after(999, "list/"),
-        Some(vec![put(0, 1_000), gone(1, 1_001)])
+        Some(vec![put(0, 1_000), deleted(1, 1_001)])
     );
     assert_eq!(mirror.changes_after(1_001, "list/"), Some(vec![]));
 }
 
 /// A deletion that is forgotten would leave an upstream that has left in use.
 #[test]
-fn who_is_behind_a_forgotten_deletion_is_told_everything() {
+fn follower_behind_a_forgotten_deletion_gets_a_full_copy() {
     let mut mirror = Mirror::default();
     mirror.apply(&put(1, 1));
-    mirror.apply(&gone(1, 2));
+    mirror.apply(&deleted(1, 2));
     for revision in 3..2_000 {
         mirror.apply(&Change::Gone(format!("k/{revision}"), revision));
     }
@@ -155,7 +155,7 @@
 /// An instance that changes its relay and does not learn of those that only the new one has
 /// listed chooses other holders than they do, and refuses its callers.
 #[test]
-fn another_relay_tells_all_that_is_listed_whatever_its_revision() {
+fn new_relay_returns_all_listed_items() {
     let listed = |revision| {
         Change::Put(Item {
             key: "list/one".into(),
