--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -1,4 +1,4 @@
-//! Whether a caller may ask: its key, how surely that is known, and its account's quota.
+//! Access control: authentication by account key, and proof that the key is still valid.
 
 use std::time::Duration;
 
@@ -15,18 +15,19 @@
     outcome::Cause,
 };
 
-/// How long a caller waits for the first proof of an instance that has just started.
+/// Time for which a caller waits for the first proof of an instance that has just started.
 const FIRST_PROOF_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a caller is refused.
+/// Code and cause of a refusal.
 pub type Refusal = (Code, Cause);
 
-/// Who a caller is that begins a session at `at`; `None` where nobody is asked.
+/// Authenticates the caller of a session that begins at `at`. Returns `None` if the route is open
+/// to callers without a key.
 ///
 /// # Errors
 ///
-/// There is no such database, no account holds the caller's key, or it can't be proved that
-/// one still does.
+/// There is no such database, no account holds the caller's key, or the key can't be proved to be
+/// valid still.
 pub async fn authenticate<E: Edge>(
     node: &Node<E>,
     hello: &Hello,
@@ -51,10 +52,10 @@
     Ok(Some(Caller { key, account }))
 }
 
-/// Waits until it is proved for the first time that the keys in force were not taken away.
+/// Waits for the first proof that the keys in force have not been revoked.
 ///
-/// An instance that has lost its proof refuses at once: it asks again and again, and its
-/// callers are served sooner elsewhere.
+/// An instance that had a proof and has lost it refuses at once: it keeps asking for a new one, and
+/// other instances serve its callers sooner.
 async fn wait_for_proof<E: Edge>(node: &Node<E>, at: Instant) -> Result<(), Refusal> {
     let freshness = &node.freshness;
     let waiting = async {
@@ -74,11 +75,11 @@
     }
 }
 
-/// Whether `caller` may go on with a session on `database` at `at`.
+/// Checks that `caller` may continue a session on `database` at `at`.
 ///
 /// # Errors
 ///
-/// Its key was taken away or went to another account, or it can't be proved that it was not.
+/// The caller's key was revoked or moved to another account, or can't be proved to be valid still.
 pub fn authorise<E: Edge>(
     node: &Node<E>,
     database: &Bytes,
@@ -86,7 +87,7 @@
     at: Instant,
 ) -> Result<(), Refusal> {
     let Some(route) = node.route(database) else {
-        // It is refused where its route is looked for.
+        // The lookup of the route refuses the statement later.
         return Ok(());
     };
     if route.access == Access::Anyone {
--- a/crates/proxy/src/account.rs
+++ b/crates/proxy/src/account.rs
@@ -1,7 +1,7 @@
-//! Client accounts: who may ask, by which key, and how often.
+//! Client accounts, their keys and quotas.
 //!
-//! A key is kept as its digest only, from the moment it is read. Logs, metrics, upstreams
-//! and other instances are told the account's name.
+//! A key is kept only as its digest, from the moment it is read. Logs, metrics, upstreams and other
+//! instances get the account's name.
 
 use std::{
     collections::HashMap,
@@ -15,13 +15,13 @@
 
 /// The digest of a key.
 ///
-/// Two are compared in constant time: an early end would tell whoever guesses keys how
-/// much of a digest is right.
+/// Digests are compared in constant time: an early exit would tell an attacker how many bytes of a
+/// guess are right.
 #[derive(Debug, Clone, Copy)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     ///
     /// ```
     /// use proxy::account::Digest;
@@ -50,22 +50,22 @@
 /// A client account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// The account's name.
     pub name: Rc<str>,
-    /// How many operations it may ask for, all instances together.
+    /// Limit on the account's operations.
     pub quota: Option<Quota>,
 }
 
-/// How many operations an account may ask for, all instances together.
+/// Limit on an account's operations, over all instances together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// In a second.
+    /// Operations per second.
     pub rate: f64,
-    /// At once, beyond the rate.
+    /// Operations that may come at once beyond the rate.
     pub burst: f64,
 }
 
-/// The accounts of a catalogue, by the digests of their keys.
+/// The accounts of a catalogue, indexed by the digests of their keys.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Accounts {
     keys: HashMap<Digest, Rc<Account>>,
@@ -84,41 +84,41 @@
         }
     }
 
-    /// The account that holds the key with this digest.
+    /// Returns the account that holds the key with this digest.
     pub fn by_key(&self, key: &Digest) -> Option<&Rc<Account>> {
         self.keys.get(key)
     }
 
-    /// Whether there is none.
+    /// Returns true if no account has a key.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The names of the accounts that have a quota.
+    /// Returns the names of the accounts that have a quota.
     pub fn with_quota(&self) -> impl Iterator<Item = &str> {
         self.quotas.keys().map(|name| &**name)
     }
 
-    /// The quota of the account with this name, if it has one.
+    /// Returns the quota of the account with this name, if it has one.
     pub fn quota(&self, account: &str) -> Option<Quota> {
         self.quotas.get(account).copied()
     }
 }
 
-/// Who a session belongs to.
+/// The authenticated caller of a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
-    /// The key that it came with.
+    /// Digest of the key that the caller presented.
     pub key: Digest,
-    /// The name of the account that held the key then.
+    /// Name of the account that held the key when the session started.
     pub account: Rc<str>,
 }
 
-/// How a session begins: which database is wanted, and by whom.
+/// The request that starts a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hello {
-    /// The name of the database.
+    /// Name of the requested database.
     pub database: Bytes,
-    /// The digest of the key that the caller gave.
+    /// Digest of the caller's key.
     pub key: Option<Digest>,
 }
--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The operators' catalogue and the upstreams, as one instance uses them.
+//! The operators' catalogue and the registered upstreams.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -6,104 +6,105 @@
 
 use crate::account::Accounts;
 
-/// How fresh a route's reads must be.
+/// Freshness that a route's reads require.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// Every commit that anybody was told of.
+    /// Reads see every acknowledged commit.
     Current,
-    /// The session's own commits, and everybody's up to this age.
+    /// Reads see the session's own commits, and all other commits older than this age.
     OwnWrites(Duration),
-    /// Everybody's commits up to this age.
+    /// Reads see all commits older than this age.
     Bounded(Duration),
 }
 
-/// An entry of the catalogue.
+/// A route: the catalogue's entry for one database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The name that operators gave it.
+    /// The route's name in the catalogue.
     pub name: String,
-    /// The name that callers give.
+    /// The database name that callers use.
     pub database: Bytes,
-    /// The group of upstreams that it goes to.
+    /// The group of upstreams that serves the database.
     pub service: Rc<str>,
-    /// How fresh reads must be.
+    /// Freshness that reads require.
     pub freshness: Freshness,
-    /// How long a statement may take.
+    /// Time limit of a statement.
     pub timeout: Duration,
-    /// How soon it should be answered.
+    /// Time within which a statement should be answered.
     pub latency_target: Duration,
-    /// Who goes first; zero is the highest.
+    /// Priority in queues; zero is the highest.
     pub priority: u8,
-    /// Who may take it.
+    /// Callers that may use the route.
     pub access: Access,
 }
 
-/// Who may take a route.
+/// Callers that may use a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// Whoever holds an account's key.
+    /// Callers with the key of an account.
     Keyed,
-    /// Everybody.
+    /// All callers.
     Anyone,
 }
 
-/// What the catalogue says of a group of upstreams.
+/// Settings of a group of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// How many connections an upstream takes, from all instances together.
+    /// Connections that an upstream accepts, from all instances together.
     pub connections: usize,
-    /// How many replicas hold a commit before it is acknowledged.
+    /// Number of replicas that hold a commit before it is acknowledged.
     pub sync: usize,
 }
 
 /// The operators' catalogue.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
-    /// Its version; a lower one never comes into force again.
+    /// The catalogue's version; it never decreases on an instance.
     pub version: u64,
-    /// Routes by the names that callers give.
+    /// Routes by the database names that callers use.
     pub routes: HashMap<Bytes, Rc<Route>>,
     /// Services by name.
     pub services: HashMap<Rc<str>, Service>,
-    /// The accounts with their keys.
+    /// The client accounts with their keys.
     pub accounts: Accounts,
-    /// How long a transaction may rest before it is undone.
+    /// Idle time after which a transaction is rolled back.
     pub rest: Duration,
 }
 
-/// Whether an upstream takes new work.
+/// Readiness of an upstream for new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// The upstream accepts new work.
     Ready,
-    /// It is about to leave.
+    /// The upstream is about to leave.
     Draining,
 }
 
-/// An upstream's entry in the list.
+/// A registered upstream.
 ///
-/// The list lags: an entry is neither a proof of life nor one of the role.
+/// The registrations lag behind: an entry proves neither that the upstream is alive nor which role
+/// it has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its id; an address may be used again by another.
+    /// The upstream's id. Another upstream may use the same address later.
     pub id: Rc<str>,
-    /// The group it belongs to.
+    /// The group that the upstream belongs to.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The upstream's availability zone.
     pub zone: String,
-    /// Whether it takes new work.
+    /// Readiness for new work.
     pub readiness: Readiness,
-    /// How many statements it runs at once; zero if it does not say.
+    /// Number of statements that the upstream runs concurrently; zero if unknown.
     pub slots: usize,
-    /// When it started, in milliseconds since the Unix epoch, if it says so. After
-    /// another start under the same id it knows nothing of before.
+    /// Start time in milliseconds since the Unix epoch, if registered. A restart under the same id
+    /// loses all earlier state of the process.
     pub born: Option<u64>,
 }
 
 impl Upstream {
-    /// Whether `other` is the same upstream in the same life.
+    /// Returns true if `other` is the same upstream and has not restarted since.
     pub fn is_same(&self, other: &Self) -> bool {
         let reborn = matches!((self.born, other.born), (Some(a), Some(b)) if a != b);
         self.id == other.id && self.address == other.address && !reborn
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream.
+//! A connection to an upstream.
 
 use std::{collections::BTreeMap, collections::HashSet, io, rc::Rc, time::Duration};
 
@@ -19,35 +19,35 @@
     message::{Code, Command, Prepared, Reply, State},
 };
 
-/// How long a connection may take to be made and greeted.
+/// Time limit for connecting and the handshake.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unconfirmed before the kernel gives up.
+/// Time for which sent bytes may stay unacknowledged before the kernel closes the connection.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How much is read at once.
+/// Bytes that are reserved for a read.
 const READ_SIZE: usize = 8 * 1024;
 
-/// Why there is no connection.
+/// Reason for which no connection could be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refused {
-    /// The upstream has as many as it takes.
+    /// The upstream has reached its limit of connections.
     #[error("the upstream takes no more connections")]
     TooMany,
     /// Another upstream has the address now.
     #[error("another upstream has this address")]
     Misrouted,
-    /// Its log is shorter than it was when it led.
+    /// The upstream's log is shorter than it was when the upstream led.
     #[error("the upstream has lost a part of its log")]
     LogLost,
-    /// Nobody answers there.
+    /// The upstream does not answer at its address.
     #[error("the upstream can't be reached")]
     Unreachable,
 }
 
-/// The connection broke before the answer was whole.
+/// The connection broke before the answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the connection broke before the answer was whole")]
+#[error("the connection broke before the answer was complete")]
 pub struct Broken;
 
 impl From<io::Error> for Broken {
@@ -56,14 +56,14 @@
     }
 }
 
-/// The values of a session.
+/// The values that a session has set, by name.
 pub type Values = BTreeMap<Bytes, Bytes>;
 
-/// One connection to an upstream.
+/// A connection to an upstream.
 ///
-/// It is opened for one client account, is used by one session at a time, and by sessions of
-/// that account only. It knows which values and prepared
-/// statements the upstream has for it, so that a session finds just its own.
+/// It is opened for one client account, and only sessions of that account use it, one at a time. It
+/// tracks the values and prepared statements that the upstream keeps for it, so that a session
+/// finds only its own.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Nothing was run; [`Refused`] tells who is to blame.
+    /// Nothing was run; [`Refused`] gives the reason.
     pub async fn open<P: Protocol>(
         member: &Rc<Member>,
         account: Option<Rc<str>>,
@@ -157,30 +157,32 @@
         }
     }
 
-    /// The upstream behind the connection.
+    /// Returns the upstream at the other end.
     pub fn member(&self) -> &Rc<Member> {
         &self.member
     }
 
-    /// Whether it was opened for `account`, whose sessions alone may use it.
+    /// Returns true if the connection was opened for `account`; only sessions of that account may
+    /// use it.
     pub fn belongs_to(&self, account: Option<&Rc<str>>) -> bool {
         self.account.as_ref() == account
     }
 
-    /// When the upstream last answered here.
+    /// Returns the time of the upstream's last answer on this connection.
     pub fn last_answer(&self) -> Instant {
         self.last_answer
     }
 
-    /// Whether nothing is open or awaited, so that another session may have it.
+    /// Returns true if no transaction is open and no answer outstanding, so that another session
+    /// may use the connection.
     pub fn is_clean(&self) -> bool {
         self.outstanding == 0 && self.state == State::Idle && self.buf.is_empty()
     }
 
-    /// Whether the connection has not been closed while it lay idle.
+    /// Returns true if the connection has not been closed while it was idle.
     ///
-    /// A statement that is sent on a connection which the upstream has closed is
-    /// lost without a trace, and a write would end as unknown for no reason.
+    /// A statement that is sent on a connection which the upstream has closed is lost, and a write
+    /// would end as unknown without need.
     pub fn is_open(&self) -> bool {
         let mut byte = [0];
         match self.stream.try_read(&mut byte) {
@@ -189,12 +191,12 @@
         }
     }
 
-    /// Whether the upstream has just these values for this connection.
+    /// Returns true if the connection has exactly these values at the upstream.
     pub fn has_values(&self, values: &Values) -> bool {
         self.values == *values
     }
 
-    /// Puts the commands in line that give the connection a session's values.
+    /// Queues the commands that set the connection to a session's values.
     pub fn sync_values<P: Protocol>(&mut self, values: &Values) {
         if self.values == *values {
             return;
@@ -214,10 +216,11 @@
         }
     }
 
-    /// Puts the command in line that prepares `shape`, if it is not; its name here.
+    /// Queues the command that prepares `statement` unless it is prepared already, and returns its
+    /// name on this connection.
     ///
-    /// The name is made of the shape, so names of different sessions never collide
-    /// and a shape is prepared once for all sessions that use the connection.
+    /// The name is a hash of the statement: names of different sessions never collide, and a
+    /// statement is prepared once for all sessions that use the connection.
     pub fn prepare<P: Protocol>(&mut self, statement: &Prepared) -> String {
         let kind = match statement.access {
             crate::message::Access::Read => 'r',
@@ -231,18 +234,18 @@
         name
     }
 
-    /// Clears all values and prepared statements, which also shows a sign of life.
+    /// Clears all values and prepared statements; the answer also shows that the upstream is alive.
     ///
     /// # Errors
     ///
-    /// As [`Connection::ask`].
+    /// As for [`Connection::request`].
     pub async fn reset<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         self.values.clear();
         self.prepared.clear();
         self.request::<P>(&Command::Reset).await
     }
 
-    /// Forgets what is prepared, because the upstream says that it is not.
+    /// Clears the record of prepared statements after the upstream has reported one as unknown.
     pub fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
@@ -252,13 +255,13 @@
         self.outstanding += 1;
     }
 
-    /// Sends what is in line and `command`; returns the answer to `command`.
+    /// Sends the queued commands and `command`, and returns the answer to `command`.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the upstream refused what was put in line before:
-    /// `command` may have run, and the connection is of no more use. The same
-    /// holds if the future is dropped before it is done.
+    /// The connection broke, or the upstream refused a queued command. `command` may have run, and
+    /// the connection can't be used any more. The same holds if the future is dropped before it is
+    /// done.
     pub async fn request<P: Protocol>(&mut self, command: &Command<'_>) -> Result<Reply, Broken> {
         self.queue::<P>(command);
         let out = self.out.split();
@@ -293,7 +296,7 @@
     }
 }
 
-/// Sets a socket up so that a peer which went silent is noticed.
+/// Sets the options of a socket so that a dead peer is detected.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,4 +1,4 @@
-//! Keeping what decisions are made with: catalogue, upstreams, records and proofs.
+//! Background tasks that keep a node's catalogue, upstreams, primary records and proofs up to date.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,62 +19,62 @@
     peers, proof_lease, relay, shares, takeover,
 };
 
-/// How long an answer of the store may be silent. How long it takes in all says nothing:
-/// a catalogue of 1,524 routes takes a link of 2 Mbit/s two seconds, and where each
-/// reading was broken off and begun anew, nobody was served any more.
+/// Longest silence within an answer of the store. The total time is not limited: a catalogue of
+/// 1,524 routes takes two seconds on a link of 2 Mbit/s, and with a limit on the total each read
+/// was aborted and started again, so that no caller was served any more.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a watch waits. The kernel's keep-alive finds a connection that went
-/// silent sooner.
+/// Longest wait of a watch. TCP keep-alive detects a dead connection sooner.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// How long a watch's answer may come behind its wait.
+/// Time that a watch's answer may take beyond its wait.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// From which size on a catalogue is read again before it is watched: on a link that it
-/// takes for long, each of the changes that came meanwhile would take it as long.
+/// Size from which a catalogue is read again before it is watched further. On a slow link, each
+/// version written during its transfer would otherwise take just as long.
 const LARGE_CATALOG: usize = 64 << 10;
 
-/// How long an instance goes on watching though others are its zone's relays by now.
+/// Time for which an instance goes on watching after it has ceased to be a relay of its zone.
 const WATCH_LINGER: Duration = Duration::from_secs(3);
 
-/// How often the list of instances is read by one that knows no other, and by a relay.
+/// Intervals between reads of the list of instances: by an instance that knows no other, and by a
+/// relay.
 const LIST_INTERVALS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
 
-/// How often it is looked who the relays are.
+/// Interval between checks of which instances are relays.
 const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause behind a failed call, and how far it grows.
+/// First and longest pause after a failed call.
 const RETRY_PAUSES: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(1_600));
 
-/// How long an instance stays in the store's list without a sign of life. Who there is
-/// is told by beats; the list introduces those who start.
+/// Lifetime of an instance's entry in the store without renewal. Heartbeats tell which instances
+/// are alive; the list only introduces new ones to the others.
 const REGISTRATION_TTL: Duration = Duration::from_secs(30);
 
-/// How long news are gathered that nobody waits for, until more are asked for: instances,
-/// upstreams and first records come one by one where all of them start at once. Each would
-/// wake all who watch: 24 calls each for the 15 upstreams and 5 groups of a small fleet.
+/// Time for which changes without urgency are collected before the next watch: instances, upstreams
+/// and first records arrive one by one if all of them start at once. Each change would wake all
+/// watchers: 24 calls each for the 15 upstreams and 5 groups of a small fleet.
 const BATCH_DELAY: Duration = Duration::from_millis(400);
 
-/// How long an instance that starts waits until others of its zone answer.
+/// Time for which a starting instance waits for answers of its zone.
 const GREETING_WAIT: Duration = Duration::from_millis(60);
 
-/// How long it waits while most others, which may start with it, are not heard.
+/// The same wait while most listed instances, which may be starting too, have not been heard.
 const CROWDED_GREETING_WAIT: Duration = Duration::from_millis(600);
 
-/// How often connections are looked through.
+/// Interval between checks of the connection pools.
 const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a connection beyond an even share may lie idle.
+/// Idle time after which a connection beyond the even share is closed.
 const IDLE_LIMIT: Duration = Duration::from_millis(400);
 
-/// The key of a group's record.
+/// Returns the key of a group's primary record.
 pub fn record_key<E: Edge>(service: &str) -> String {
     format!("{}lead/{service}", E::OWN_PREFIX)
 }
 
-/// The key of the right to give orders.
+/// Returns the key of the takeover lock.
 pub fn duty_key<E: Edge>() -> String {
     format!("{}duty", E::OWN_PREFIX)
 }
@@ -83,7 +83,7 @@
     format!("{}instance/", E::OWN_PREFIX)
 }
 
-/// Starts all tasks that keep the node's knowledge up to date.
+/// Starts the background tasks of a node.
 pub fn spawn<E: Edge>(node: &Rc<Node<E>>) {
     spawn_local(start(Rc::clone(node)));
     spawn_local(proof_lease::run(Rc::clone(node)));
@@ -94,7 +94,7 @@
     spawn_local(takeover::run(Rc::clone(node)));
 }
 
-/// Reads a prefix from the store, or through another instance.
+/// Reads a prefix from the store, or from another instance if the store does not answer.
 pub async fn read<E: Edge>(node: &Node<E>, prefix: &str) -> Result<Items, Fault> {
     if let Ok(items) = node.store().read(prefix, READ_TIMEOUT).await {
         node.store_answered();
@@ -104,10 +104,10 @@
     peers::read(node, prefix).await
 }
 
-/// Reads who there is, and then follows the store as long as the process runs.
+/// Reads the list of instances, then follows the store for the lifetime of the process.
 ///
-/// The others are met before anything else is read: whoever knows them can follow one of
-/// them, and a fleet that starts at once asks the store for little more than its list.
+/// An instance gets to know the others before it reads anything else: it can then follow one of
+/// them, and a fleet that starts at once reads little more than the list from the store.
 async fn start<E: Edge>(node: Rc<Node<E>>) {
     if read_instances(&node).await.is_ok() && node.peers.count() > 1 {
         node.note_instances_listed();
@@ -122,7 +122,7 @@
         pause = (pause * 2).min(RETRY_PAUSES.1);
     }
     node.note_instances_listed();
-    // What is learnt does no harm if more than the relays ask for it.
+    // More instances than the relays may have read the records by now, which does no harm.
     sleep(GREETING_WAIT).await;
     spawn_local(relay::follow(Rc::clone(&node)));
     spawn_local(refresh_instances(Rc::clone(&node)));
@@ -131,10 +131,10 @@
     }
 }
 
-/// How long an instance that starts waits for others to answer before it takes itself for a
-/// relay of its zone: longer while most that are listed were not heard.
+/// Returns how long a starting instance waits for other instances before it acts as a relay of its
+/// zone: longer while most listed instances have not been heard.
 ///
-/// Where all start at once, each one that did not wait would read the whole store.
+/// Without the wait, each instance of a fleet that starts at once would read the whole store.
 fn greeting_wait<E: Edge>(node: &Node<E>) -> Duration {
     match node.peers.is_mostly_unheard() {
         true => CROWDED_GREETING_WAIT,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Reads the list of instances, which may be seconds old.
+/// Reads the list of instances, which may be some seconds old.
 async fn read_instances<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let prefix = instances_prefix::<E>();
     let listed = node.store().read_stale(&prefix, READ_TIMEOUT).await?;
@@ -157,13 +157,13 @@
     Ok(())
 }
 
-/// Reads the list again and again while this instance is a relay, so that instances which
-/// don't know each other greet each other: who starts greets all that it lists.
+/// Reads the list periodically while this instance is a relay, so that instances which do not know
+/// each other get in contact: a starting instance greets all that it finds listed.
 async fn refresh_instances<E: Edge>(node: Rc<Node<E>>) {
     let mut pause = LIST_INTERVALS.0;
     loop {
         sleep(pause).await;
-        // Those that start at once may not be listed yet when it is read first.
+        // Instances that start at the same time may be missing from the first read.
         pause = match node.peers.count() {
             1 => LIST_INTERVALS.0,
             _ => (pause * 2).min(LIST_INTERVALS.1),
@@ -174,10 +174,11 @@
     }
 }
 
-/// Whether this instance is to follow `section` in the store.
+/// Returns true if this instance has to follow `section` in the store.
 fn is_followed<E: Edge>(node: &Node<E>, section: Section) -> bool {
     match section {
-        // Where nobody has one yet, those who could pass it on would be waited for.
+        // While no instance has a catalogue, there is none to pass on, and waiting for one is
+        // useless.
         Section::Catalog => {
             let none = node.catalog().version == 0 && !node.peers.is_catalog_known();
             none && relay::is_relay(node) || relay::is_reader(node)
@@ -186,7 +187,7 @@
     }
 }
 
-/// The keys of a section.
+/// Returns the key prefix of a section.
 pub(crate) fn section_prefix<E: Edge>(section: Section) -> String {
     match section {
         Section::Catalog => E::CATALOG_KEY.to_owned(),
@@ -221,7 +222,7 @@
                     log::warn!(dependency = "store"; "lost");
                 }
                 is_store_lost = true;
-                // Whoever renews the era tells when the store answers again.
+                // The task that renews the proof lease signals when the store answers again.
                 let _ = timeout(pause, node.store_returned.notified()).await;
                 pause = (pause * 2).min(RETRY_PAUSES.1);
                 continue;
@@ -238,7 +239,7 @@
     }
 }
 
-/// Reads a section anew.
+/// Reads a whole section.
 async fn read_section<E: Edge>(node: &Rc<Node<E>>, section: Section) -> Result<(), Fault> {
     let prefix = section_prefix::<E>(section);
     let read = read(node, &prefix).await?;
@@ -254,7 +255,7 @@
     Ok(())
 }
 
-/// Takes in a change of the store, unless something newer is known.
+/// Applies a change of the store, unless a newer one is known.
 pub(crate) fn apply_change<E: Edge>(node: &Rc<Node<E>>, change: Change) {
     if let Change::Put(item) = &change
         && item.key == E::CATALOG_KEY
@@ -284,7 +285,7 @@
     node.store_changed.notify_waiters();
 }
 
-/// The name and the address of an instance, if `item` is an instance's entry.
+/// Returns the name and the address of an instance if `item` is an instance's entry.
 fn parse_instance<E: Edge>(item: &Item) -> Option<(&str, SocketAddr)> {
     let prefix = instances_prefix::<E>();
     let name = item.key.strip_prefix(&prefix)?;
@@ -292,24 +293,24 @@
     Some((name, text.parse().ok()?))
 }
 
-/// What a watch's answer told of.
+/// Urgency of the changes in a watch's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Urgency {
-    /// Nothing, or what comes in one by one and nobody waits for.
+    /// No changes, or only changes that come one by one and are not urgent.
     Deferrable,
-    /// Anything else.
+    /// Any other changes.
     Immediate,
 }
 
-/// Whether a change is one of those that come in one by one: all but a catalogue and the
-/// record of a primary that takes another's place.
+/// Returns true if a change is not urgent: all changes but a new catalogue and the record of a
+/// primary that replaces another one.
 fn is_deferrable<E: Edge>(node: &Node<E>, change: &Change) -> bool {
     let record = change.key().strip_prefix(&record_key::<E>(""));
     let is_replaced = record.is_some_and(|service| node.has_primary(service));
     !is_replaced && change.key() != E::CATALOG_KEY
 }
 
-/// Waits for changes of a section behind revision `after`, and takes them in.
+/// Waits for changes of a section after revision `after`, and applies them.
 async fn watch<E: Edge>(
     node: &Rc<Node<E>>,
     section: Section,
@@ -345,7 +346,7 @@
     Ok(urgency)
 }
 
-/// Reads the catalogue until there is no newer one; its revision.
+/// Reads the catalogue until there is no newer one, and returns its revision.
 async fn read_newest_catalog<E: Edge>(node: &Rc<Node<E>>) -> Result<u64, Fault> {
     loop {
         let revision = node.catalog_item().map_or(0, |item| item.revision);
@@ -358,7 +359,7 @@
     }
 }
 
-/// Waits until others have been the zone's relays for a while.
+/// Waits until this instance has not been a relay of its zone for a while.
 async fn wait_until_relieved<E: Edge>(node: &Node<E>, section: Section) {
     let mut since = Boot.now();
     while since + WATCH_LINGER > Boot.now() {
@@ -369,10 +370,10 @@
     }
 }
 
-/// Puts a catalogue in force, unless a newer one is; whether it is in force now.
+/// Puts a catalogue in force unless a newer one is, and returns whether it is in force now.
 ///
-/// One that is not must not be passed on either: whoever starts would take it from here, and
-/// its keys that were taken away since.
+/// A catalogue that is not in force must not be passed on either: a starting instance would take
+/// it, with keys that have been revoked since.
 fn put_in_force<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> bool {
     let known = node.mirror.borrow().item(E::CATALOG_KEY);
     if known.is_some_and(|known| known.revision >= item.revision) {
@@ -385,7 +386,7 @@
             node.catalog().version == version
         }
         Err(error) => {
-            log::error!(error:%; "the catalogue can't be read");
+            log::error!(error:%; "catalogue can't be parsed");
             false
         }
     }
@@ -395,7 +396,7 @@
     key.strip_prefix(E::UPSTREAMS_PREFIX).unwrap_or(key)
 }
 
-/// Takes in one item of the store.
+/// Applies an item of the store to the node.
 fn apply_item<E: Edge>(node: &Rc<Node<E>>, item: &Item) {
     if item.key == E::CATALOG_KEY {
         node.peers.announce();
@@ -407,7 +408,7 @@
         match E::upstream(&item.key, &item.value) {
             Ok(upstream) => node.put_upstream(upstream),
             Err(error) => {
-                log::error!(error:%, key = &*item.key; "an upstream can't be read");
+                log::error!(error:%, key = &*item.key; "upstream entry can't be parsed");
                 node.unlist_upstream(upstream_id::<E>(&item.key));
             }
         }
@@ -416,7 +417,8 @@
     }
 }
 
-/// Takes in a group's record; one that stands in a copy of the store is written anew.
+/// Applies a group's record. A record that a restored store brought back from before the
+/// restoration is written again by a relay.
 pub fn record<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> Option<Rc<Group>> {
     let service = item.key.strip_prefix(&record_key::<E>(""))?;
     let record: Record = serde_json::from_slice(&item.value).ok()?;
@@ -435,14 +437,14 @@
     Some(group)
 }
 
-/// A record as the store keeps it.
+/// Encodes a record for the store.
 pub fn encode<T: serde::Serialize>(record: &T) -> Bytes {
     serde_json::to_vec(record)
         .map(Bytes::from)
         .unwrap_or_default()
 }
 
-/// Keeps this instance in the store's list.
+/// Keeps this instance registered in the store.
 async fn register<E: Edge>(node: Rc<Node<E>>) {
     let mut lease = 0;
     loop {
@@ -481,7 +483,7 @@
     }
 }
 
-/// Closes connections that others may need.
+/// Closes connections that other instances may need.
 async fn maintain_pools<E: Edge>(node: Rc<Node<E>>) {
     let mut unable = None;
     loop {
@@ -490,7 +492,7 @@
         node.peers.unstalled_now();
         let since = node.unable_since();
         if since.is_some() != unable.is_some() {
-            log::info!(able = since.is_none(); "whether callers can be served here");
+            log::info!(able = since.is_none(); "ability to serve callers changed");
             node.stage_changed.notify_waiters();
         }
         unable = since;
@@ -500,8 +502,8 @@
             let entry = catalog.services.get(&group.service);
             let connections = entry.map_or(1, |entry| entry.connections);
             let holders = node.holder_count(&group.service);
-            // One part more than there are holders: probes, orders and an instance that
-            // has just become one find a free connection.
+            // One share more than there are holders leaves connections free for probes, orders and
+            // an instance that has just become a holder.
             let share = match group.is_proof_wanted(now) {
                 true => (connections / (holders + 1)).max(1),
                 false => 0,
--- a/crates/proxy/src/counted.rs
+++ b/crates/proxy/src/counted.rs
@@ -1,4 +1,4 @@
-//! The store, with its calls counted.
+//! A store decorator that counts calls.
 
 use std::{cell::Cell, time::Duration};
 
@@ -7,7 +7,7 @@
     metrics::Metrics,
 };
 
-/// A store whose calls are counted by kind and answer.
+/// A store that counts its calls by kind and answer.
 #[derive(Debug)]
 pub struct Counted<'a, S> {
     store: &'a S,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Counts a call when it ends, also one whose future is dropped.
+/// Counts a call when it ends, also if its future is dropped.
 struct CallGuard<'a> {
     metrics: &'a Metrics,
     kind: &'static str,
@@ -55,7 +55,7 @@
     }
 }
 
-/// How a call's answer is called in the metrics.
+/// Returns the metric label of a call's answer.
 pub(crate) fn answer(fault: Option<&Fault>) -> &'static str {
     match fault {
         None => "done",
--- a/crates/proxy/src/edge.rs
+++ b/crates/proxy/src/edge.rs
@@ -1,4 +1,4 @@
-//! The edges of the process: all that another platform puts something else in for.
+//! Interfaces to everything outside the process; a platform implements them.
 
 use std::{fmt::Debug, future::Future, time::Duration};
 
@@ -11,32 +11,32 @@
     message::{Code, Command, Reply, Request, State, Status},
 };
 
-/// A platform: its protocol, its store and its orders.
+/// A platform: protocol, store and orders.
 pub trait Edge: Debug + 'static {
-    /// The protocol of callers and upstreams.
+    /// Protocol of callers and upstreams.
     type Protocol: Protocol;
     /// The store.
     type Store: Store;
     /// The orders to upstreams that go through the platform.
     type Orders: Orders;
 
-    /// The store.
+    /// Returns the store.
     fn store(&self) -> &Self::Store;
-    /// The orders.
+    /// Returns the orders.
     fn orders(&self) -> &Self::Orders;
     /// The key of the operators' catalogue.
     const CATALOG_KEY: &str;
-    /// What the keys of upstreams begin with.
+    /// Prefix of the upstreams' keys.
     const UPSTREAMS_PREFIX: &str;
-    /// What the keys begin with that instances write.
+    /// Prefix of the keys that instances write.
     const OWN_PREFIX: &str;
-    /// Reads a catalogue out of the store's value.
+    /// Parses a catalogue from the store's value.
     ///
     /// # Errors
     ///
     /// The value is not a catalogue; the one in force stays.
     fn catalog(value: &[u8]) -> Result<Catalog, Malformed>;
-    /// Reads an upstream out of an item's key and value.
+    /// Parses an upstream's entry from its key and value.
     ///
     /// # Errors
     ///
@@ -44,54 +44,55 @@
     fn upstream(key: &str, value: &[u8]) -> Result<Upstream, Malformed>;
 }
 
-/// The bytes of callers and upstreams.
+/// Wire format of callers and upstreams.
 ///
-/// Callers may send anything: half lines, many lines at once, no line for hours;
-/// they may leave at any byte. Upstreams may answer late, never, or break off in
-/// the middle; none of that is decided here.
+/// Callers may send anything: partial lines, many lines at once, nothing for hours; they may
+/// disconnect at any byte. Upstreams may answer late or never, or break off within an answer. An
+/// implementation only parses and writes; it handles none of these cases.
 pub trait Protocol: 'static {
-    /// Takes a caller's next request out of `buf`, `None` if it is not whole.
+    /// Takes a caller's next request out of `buf`; `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes can't be a request; the connection is of no more use.
+    /// The bytes are not a request; the connection can't be used any more.
     fn request(buf: &mut BytesMut) -> Result<Option<Request>, Malformed>;
-    /// Writes a success without rows, of this process's own making.
+    /// Writes a success without rows that this process produced.
     fn done(state: State, out: &mut BytesMut);
-    /// Writes a refusal, and where the session stands behind it.
+    /// Writes a refusal and the session's state after it.
     fn refusal(code: Code, text: &str, state: State, out: &mut BytesMut);
     /// Writes the answer to a session's start.
     fn welcome(out: &mut BytesMut);
-    /// Writes a refusal of a session's start; the connection is closed behind it.
+    /// Writes a refusal of a session's start; the connection is closed after it.
     fn rejection(code: Code, text: &str, out: &mut BytesMut);
     /// Writes a command to an upstream.
     fn command(command: &Command<'_>, out: &mut BytesMut);
-    /// Takes an upstream's next answer out of `buf`, `None` if it is not whole.
+    /// Takes an upstream's next answer out of `buf`; `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes can't be an answer; the connection is of no more use.
+    /// The bytes are not an answer; the connection can't be used any more.
     fn reply(buf: &mut BytesMut) -> Result<Option<Reply>, Malformed>;
-    /// The code with which an upstream refuses a connection, if `buf` begins with
-    /// one; it closes the connection behind it.
+    /// Returns the code with which an upstream refuses a connection, if `buf` begins with one; the
+    /// upstream closes the connection after it.
     fn rejected(buf: &BytesMut) -> Option<Code>;
-    /// Reads the answer to [`Command::Status`] and to orders.
+    /// Parses the answer to [`Command::Status`] and to orders.
     fn status(reply: &Reply) -> Option<Status>;
 }
 
-/// Bytes that are not what they should be.
+/// Input that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("malformed {what}")]
 pub struct Malformed {
-    /// What they should be.
+    /// Name of the expected format.
     pub what: &'static str,
 }
 
-/// How many bits of a revision count the store's own revisions; above them stands its era.
+/// Number of a revision's low bits that hold the store's own revision; the bits above hold the
+/// store's era.
 const REVISION_BITS: u32 = 40;
 
-/// A revision in the order that counts: a store that comes back from a copy begins the next
-/// era, and gives revisions out again there.
+/// Joins the store's era and its own revision into one number that never goes back: a store that is
+/// restored from a copy begins a new era and issues revision numbers again.
 ///
 /// ```
 /// use proxy::edge::{era_of, join_era, store_revision};
@@ -106,12 +107,12 @@
     }
 }
 
-/// The era of the store that a revision is of.
+/// Returns the store's era in which a revision was issued.
 pub fn era_of(revision: u64) -> u64 {
     revision >> REVISION_BITS
 }
 
-/// What the store itself calls a revision.
+/// Returns the revision by which the store itself knows it.
 pub fn store_revision(revision: u64) -> u64 {
     revision & ((1 << REVISION_BITS) - 1)
 }
@@ -119,9 +120,9 @@
 /// An item of the store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Item {
-    /// Its key.
+    /// The item's key.
     pub key: String,
-    /// Its value.
+    /// The item's value.
     pub value: Bytes,
     /// The revision of its last change.
     pub revision: u64,
@@ -132,16 +133,16 @@
 pub struct Items {
     /// The items.
     pub items: Vec<Item>,
-    /// The store's revision before the first of them was read.
+    /// The store's revision before the first item was read.
     pub at: u64,
 }
 
-/// What was changed behind a revision.
+/// Changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Written items, and the keys of deleted ones without value, oldest first.
+    /// Written items and the keys of deleted ones, oldest first.
     pub changes: Vec<Change>,
-    /// The revision to go on from.
+    /// The revision to continue from.
     pub at: u64,
 }
 
@@ -150,12 +151,12 @@
 pub enum Change {
     /// An item was written.
     Put(Item),
-    /// A key is gone since this revision.
+    /// A key was deleted at this revision.
     Gone(String, u64),
 }
 
 impl Change {
-    /// The key that changed.
+    /// Returns the changed key.
     pub fn key(&self) -> &str {
         match self {
             Self::Put(item) => &item.key,
@@ -164,21 +165,21 @@
     }
 }
 
-/// A change under a condition: all or nothing.
+/// An atomic conditional change of several keys.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Swap {
-    /// Keys with the revision that each must have; zero for none.
+    /// Keys with the revision that each must have; zero for a key that must not exist.
     pub expected: Vec<(String, u64)>,
-    /// What is written, each with its lease, zero for none.
+    /// Keys and values to write, each with its lease; zero for none.
     pub puts: Vec<(String, Bytes, u64)>,
-    /// Keys that are deleted.
+    /// Keys to delete.
     pub deletes: Vec<String>,
 }
 
-/// What a conditional change came to.
+/// Result of a conditional change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swapped {
-    /// It took effect at this revision.
+    /// The change took effect at this revision.
     Done(u64),
     /// A condition did not hold; nothing was changed.
     Conflict,
@@ -186,45 +187,45 @@
     NoLease,
 }
 
-/// Why a call to the platform has no answer.
+/// A failed call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Fault {
     /// Nothing was done.
-    #[error("refused, nothing was done")]
+    #[error("refused; nothing was done")]
     Refused,
-    /// It may have been done, may not, or may be done later.
-    #[error("no answer, it may have been done")]
+    /// The call may have been executed, or may be executed later.
+    #[error("no answer; the call may have been executed")]
     Unknown,
-    /// The history that was asked for is gone: read everything again.
-    #[error("the history is gone")]
+    /// The requested history was compacted: the section has to be read again.
+    #[error("the requested history was compacted")]
     Compacted,
-    /// What was named does not exist.
-    #[error("there is no such thing")]
+    /// The named object does not exist.
+    #[error("not found")]
     Missing,
-    /// The answer makes no sense.
-    #[error("the answer is malformed")]
+    /// The answer can't be parsed.
+    #[error("malformed answer")]
     Malformed,
 }
 
-/// How long a call's answer may be silent; how long all of it takes says nothing, since a
-/// thin link takes a long answer for seconds.
+/// Limits on the silence within a call's answer. The total time is not limited, since a long answer
+/// takes seconds on a slow link.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleTimeout {
-    /// Until it begins, and between two parts of it; `None` if whoever calls bounds the
-    /// whole call.
+    /// Longest wait for the answer's beginning, and between two parts of it; `None` if the calling
+    /// code limits the whole call.
     limits: Option<(Duration, Duration)>,
 }
 
 impl IdleTimeout {
-    /// Whoever calls bounds the whole call.
+    /// No limit: the calling code limits the whole call.
     pub const NONE: Self = Self { limits: None };
 
-    /// The answer begins within `span`, and no pause in it is longer.
+    /// Limits the wait for the answer and each pause in it to `span`.
     pub fn new(span: Duration) -> Self {
         Self::after_wait(Duration::ZERO, span)
     }
 
-    /// The same behind a `wait` that was asked for.
+    /// Adds the requested `wait` to the limit on the answer's beginning.
     pub fn after_wait(wait: Duration, span: Duration) -> Self {
         Self {
             limits: Some((wait + span, span)),
@@ -235,7 +236,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Unknown`] if it does not come, or the call's own fault.
+    /// [`Fault::Unknown`] if the limit is exceeded or the call fails.
     pub async fn until_first<T, F>(
         self,
         call: impl Future<Output = Result<T, F>>,
@@ -247,7 +248,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Unknown`] if it does not come, or the call's own fault.
+    /// [`Fault::Unknown`] if the limit is exceeded or the call fails.
     pub async fn until_next<T, F>(
         self,
         call: impl Future<Output = Result<T, F>>,
@@ -269,41 +270,40 @@
 
 /// The platform's store.
 ///
-/// A call may be answered late or never; one that is not answered may have been
-/// done, or may be done seconds later if its condition still holds. Dropping a
-/// call's future ends its connection. Keys under a lease may vanish unseen.
+/// A call may be answered late or never; a call without an answer may have been executed, or may be
+/// executed seconds later if its condition still holds. Dropping a call's future closes its
+/// connection. Keys under a lease may expire unnoticed.
 ///
-/// It may come back from a copy that is some seconds old: then it is in its next era, and
-/// what was written since is gone, leases too, and what had ended since may be back.
-/// Revisions carry their era ([`join_era`]), and none of an earlier era holds any more.
+/// The store may be restored from a copy that is some seconds old. It is in its next era then:
+/// later writes and leases are lost, and deleted items may be back. Revisions carry their era
+/// ([`join_era`]), and none of an earlier era is valid any more.
 pub trait Store {
-    /// The newest era that an answer named; zero if none did.
+    /// Returns the newest era that an answer named; zero if none did.
     fn era(&self) -> u64;
-    /// Reads all items of a prefix; current, not cached. Gives up once nothing of the
-    /// answer came for `quiet`, however long all of it takes.
+    /// Reads the current items of a prefix, past any cache. Fails if the answer stays silent for
+    /// `quiet`, however long all of it takes.
     fn read(
         &self,
         prefix: &str,
         idle_timeout: Duration,
     ) -> impl Future<Output = Result<Items, Fault>>;
-    /// Reads the first page of a prefix, for a tenth of the price; it may be seconds old.
+    /// Reads the first page of a prefix, for a tenth of the price; it may be some seconds old.
     fn read_stale(
         &self,
         prefix: &str,
         idle_timeout: Duration,
     ) -> impl Future<Output = Result<Items, Fault>>;
-    /// Reads those of the items whose newest revision is not the one beside its key, zero
-    /// for none. Those that don't exist are left out.
+    /// Reads the items whose current revision differs from the one given with the key (zero for
+    /// none). Items that do not exist are left out.
     fn read_newer(
         &self,
         known: &[(&str, u64)],
         idle_timeout: Duration,
     ) -> impl Future<Output = Result<Vec<Item>, Fault>>;
-    /// Waits up to `wait` for changes behind revision `after`: each of them as it was,
-    /// also where a later one overtook it. Gives up once nothing of the answer came for
-    /// `quiet`.
+    /// Waits up to `wait` for changes after revision `after`. Each change is returned as it was,
+    /// also if a later one superseded it. Fails if the answer stays silent for `quiet`.
     ///
-    /// No changes are no proof that there were none.
+    /// An empty answer does not prove that nothing changed.
     fn watch(
         &self,
         prefix: &str,
@@ -311,23 +311,24 @@
         wait: Duration,
         idle_timeout: Duration,
     ) -> impl Future<Output = Result<Changes, Fault>>;
-    /// Changes items under a condition.
+    /// Executes a conditional change.
     fn swap(&self, swap: &Swap) -> impl Future<Output = Result<Swapped, Fault>>;
-    /// Makes a lease.
+    /// Creates a lease.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<u64, Fault>>;
-    /// Renews a lease; the era in which the store did. [`Fault::Missing`] if it has ended.
+    /// Renews a lease and returns the store's era in which it was renewed; [`Fault::Missing`] if
+    /// the lease has ended.
     fn keep_alive(&self, lease: u64) -> impl Future<Output = Result<u64, Fault>>;
-    /// Ends a lease; [`Fault::Missing`] if it has ended before.
+    /// Ends a lease; [`Fault::Missing`] if it had ended before.
     fn revoke(&self, lease: u64) -> impl Future<Output = Result<(), Fault>>;
 }
 
 /// The orders that go through the platform.
 pub trait Orders {
-    /// Tells an upstream to lead its service's next term.
+    /// Orders an upstream to lead its service's next term.
     ///
-    /// The order takes effect some time behind its answer. Without an answer it
-    /// may have been taken, now or later; dropping the future resets the
-    /// connection, so that nothing of it can arrive much later.
+    /// The order takes effect some time after its answer. Without an answer it may have been
+    /// accepted, now or later; dropping the future resets the connection, so that no part of the
+    /// request can arrive much later.
     fn promote(
         &self,
         service: &str,
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -1,4 +1,4 @@
-//! A database's upstreams, who of them leads, and what is proved about it.
+//! A database's upstreams, their primary and its proof.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,26 +18,26 @@
     registry::Pending,
 };
 
-/// How long the list of upstreams is remembered as having been longer.
+/// Time for which the largest recent size of the list of upstreams counts.
 pub const LIST_MEMORY: Duration = Duration::from_secs(15);
 
-/// How long a need for proofs lasts.
+/// Time for which a request for proofs stays in effect.
 const PROOF_DEMAND_TTL: Duration = Duration::from_secs(2);
 
-/// How long others must have held a group's connections until sessions move to them: a
+/// Time for which others must have held a group's connections before sessions migrate to them: a
 /// holder that was not heard for a moment is back by then.
 const MIGRATION_DELAY: Duration = Duration::from_secs(1);
 
-/// The record of a primary and the revision that it has in the store.
+/// The record of a primary and its revision in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRecord {
     /// The record.
     pub record: Record,
-    /// Its revision.
+    /// The record's revision.
     pub revision: u64,
 }
 
-/// Counts a session that is served here.
+/// Counts a session that is served here, until it is dropped.
 #[derive(Debug)]
 pub struct SessionGuard(Rc<Group>);
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// A database's upstreams, who of them leads, and what is proved about it.
+/// A database's upstreams, their primary and its proof.
 #[derive(Debug)]
 pub struct Group {
     /// The group's name.
@@ -66,24 +66,24 @@
     known: RefCell<Option<StoredRecord>>,
     proof: Cell<Proof>,
     samples: RefCell<Samples>,
-    /// Told when the record, the proof or the members change.
+    /// Notified when the record, the proof or the members change.
     pub changed: Notify,
-    /// Whether the members are being asked for a proof.
+    /// True while the members are asked for a proof.
     pub asking: Cell<bool>,
-    /// Whether this instance is replacing the primary.
+    /// True while this instance replaces the primary.
     pub replacing: Cell<bool>,
-    /// When somebody last needed a proof.
+    /// Last time that a proof was requested.
     proof_wanted_at: Cell<Instant>,
-    /// The lease under which the record was read, zero for none.
+    /// Id of the proof lease under which the record was read, zero for none.
     pub proof_lease: Cell<u64>,
-    /// When the record was learnt.
+    /// Time at which the record was learnt.
     pub record_learnt_at: Cell<Instant>,
-    /// How many sessions on it are served here.
+    /// Number of sessions on the group that this instance serves.
     pub sessions: Cell<usize>,
-    /// Since when others hold its connections, or it was tried in vain to hand a session
-    /// to them.
+    /// Time since which other instances hold the group's connections, or of the last failed attempt
+    /// to migrate a session to them.
     pub held_elsewhere_since: Cell<Option<Instant>>,
-    /// Since when the list of upstreams lacks the primary.
+    /// Time since which the primary has been missing from the list of upstreams.
     pub unlisted: Cell<Option<Instant>>,
     leaving_since: Cell<Option<Instant>>,
     largest_list: Cell<(usize, Instant)>,
@@ -93,7 +93,7 @@
 }
 
 impl Group {
-    /// A group of which nothing is known; it tells `stirred` when something happens to it.
+    /// Creates a group without record or members, and adds it to the queue of active groups.
     pub fn new(service: &Rc<str>, pending: &Rc<Pending>) -> Self {
         pending.push(service);
         Self {
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Has the group looked after until nothing is left to do.
+    /// Adds the group to the active ones, which the background tasks look after.
     pub(crate) fn activate(&self) {
         if !self.is_active.replace(true) {
             self.pending.push(&self.service);
         }
     }
 
-    /// Lets the group rest if nothing is left to do; whether it rests.
+    /// Deactivates the group if it is quiet, and returns whether it is.
     pub(crate) fn deactivate_if_quiet(&self, now: Instant) -> bool {
         let is_quiet = self.is_quiet(now);
         if is_quiet {
@@ -136,14 +136,14 @@
         is_quiet
     }
 
-    /// Has the group looked after if something is to be done.
+    /// Activates the group unless it is quiet.
     pub(crate) fn activate_if_needed(&self, now: Instant) {
         if !self.is_active.get() && !self.is_quiet(now) {
             self.activate();
         }
     }
 
-    /// Whether nobody uses the group, its primary leads, and no member comes or goes.
+    /// Returns true if the group is unused, its primary is known, and no member changes.
     fn is_quiet(&self, now: Instant) -> bool {
         let is_used = self.is_proof_wanted(now) || self.sessions.get() > 0;
         let is_changed = self.replacing.get() || self.asking.get();
@@ -154,30 +154,30 @@
         members.values().all(|member| member.is_quiet())
     }
 
-    /// All members, in order of their ids.
+    /// Returns all members in order of their ids.
     pub fn members(&self) -> Vec<Rc<Member>> {
         let mut members: Vec<_> = self.members.borrow().values().cloned().collect();
         members.sort_by(|a, b| a.upstream.id.cmp(&b.upstream.id));
         members
     }
 
-    /// A member by its id.
+    /// Returns the member with this id.
     pub fn member(&self, id: &str) -> Option<Rc<Member>> {
         self.members.borrow().get(id).cloned()
     }
 
-    /// How many statements each upstream runs at once: the fewest of those that say so,
-    /// zero if none does.
+    /// Returns the smallest number of concurrent statements that any member registered; zero if
+    /// none did.
     pub fn slots(&self) -> usize {
         let members = self.members.borrow();
         let slots = members.values().map(|member| member.upstream.slots);
         slots.filter(|slots| *slots > 0).min().unwrap_or(0)
     }
 
-    /// Takes in an entry of the list of upstreams.
+    /// Applies a registered upstream.
     ///
-    /// An entry that only changed its state keeps the member's connections; one
-    /// with another address or another start is another member.
+    /// An entry that changed only its readiness keeps the member's connections; one with another
+    /// address or start time is a new member.
     pub fn put(&self, upstream: Upstream) {
         let mut members = self.members.borrow_mut();
         let old = members.get(&upstream.id).cloned();
@@ -202,8 +202,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in that the list lacks a member: one that was about to leave has left,
-    /// another is dropped by [`Group::expire`] unless its entry comes back.
+    /// Records that a member is missing from the list. A member that was about to leave is removed;
+    /// [`Group::expire`] removes any other unless its entry returns.
     pub fn unlist(&self, id: &str, now: Instant) {
         let Some(member) = self.member(id) else {
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Drops the members whose entries have been gone for too long.
+    /// Removes members whose entries have been missing for too long.
     pub fn expire(&self, now: Instant) {
         for member in self.members() {
             if member.is_gone(now) {
@@ -226,7 +226,7 @@
     }
 
     fn remove(&self, id: &str) {
-        // Until now it was as whole as it is known to have been.
+        // Records the size that the list had until now.
         self.is_list_complete(Boot.now(), LIST_MEMORY);
         self.activate();
         let Some(member) = self.members.borrow_mut().remove(id) else {
@@ -241,47 +241,48 @@
         self.changed.notify_waiters();
     }
 
-    /// Since when the primary is known to leave, first asked at `now`.
+    /// Returns the time since which the primary is known to leave; `now` at the first call.
     pub fn leaving_since(&self, now: Instant) -> Instant {
         let since = self.leaving_since.get().unwrap_or(now);
         self.leaving_since.set(Some(since));
         since
     }
 
-    /// Whether others have held its connections for so long that sessions move to them.
+    /// Returns true if others have held the group's connections for so long that sessions migrate
+    /// to them.
     pub fn is_migration_due(&self, now: Instant) -> bool {
         self.held_elsewhere_since
             .get()
             .is_some_and(|since| since + MIGRATION_DELAY < now)
     }
 
-    /// Notes that somebody needs a proof.
+    /// Records that a proof is needed.
     pub(crate) fn want_proof(&self, now: Instant) {
         self.proof_wanted_at.set(now);
         self.activate();
     }
 
-    /// Whether somebody needed a proof lately.
+    /// Returns true if a proof was needed recently.
     pub fn is_proof_wanted(&self, now: Instant) -> bool {
         self.proof_wanted_at.get() + PROOF_DEMAND_TTL > now
     }
 
-    /// What is known of the primary.
+    /// Returns the primary's record with its revision.
     pub fn stored_record(&self) -> Option<StoredRecord> {
         self.known.borrow().clone()
     }
 
-    /// Whether it has a record.
+    /// Returns true if the group has a record.
     pub fn has_record(&self) -> bool {
         self.known.borrow().is_some()
     }
 
-    /// The revision of its record.
+    /// Returns the revision of the group's record.
     pub fn revision(&self) -> Option<u64> {
         self.known.borrow().as_ref().map(|known| known.revision)
     }
 
-    /// The primary and its term, if it may be used as far as is known here.
+    /// Returns the primary and its term, if as far as is known here it is usable.
     pub fn primary(&self) -> Option<(Rc<Member>, Term)> {
         let known = self.known.borrow();
         let record = &known.as_ref()?.record;
@@ -293,9 +294,9 @@
         (!is_deposed).then_some((member, record.term))
     }
 
-    /// Takes in the record as it stood at `revision`; `true` if it is news.
+    /// Applies the record that the store had at `revision`; returns true if it is newer.
     ///
-    /// Answers may cross, so an older record never replaces a newer one.
+    /// Answers may overtake each other, so an older record never replaces a newer one.
     pub fn update_record(&self, record: Record, revision: u64) -> bool {
         let mut known = self.known.borrow_mut();
         if known.as_ref().is_some_and(|k| k.revision >= revision) {
@@ -312,7 +313,7 @@
         self.leaving_since.set(None);
         self.unlisted.set(None);
         if is_replaced {
-            // The log of one that led may be cut back now: that is no new start.
+            // The log of a former primary may be truncated now; that is not a restart.
             for member in self.members.borrow().values() {
                 member.led_position.set(Position::default());
             }
@@ -327,7 +328,7 @@
         true
     }
 
-    /// Takes in that the record still had `revision` for a question sent at `sent`.
+    /// Records that the record still had `revision` when a question sent at `sent` was answered.
     pub fn prove(&self, revision: u64, sent: Instant, validity: Duration) {
         let is_current =
             |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
@@ -340,12 +341,12 @@
         self.changed.notify_waiters();
     }
 
-    /// The proof that the primary has not been replaced.
+    /// Returns the proof that the primary has not been replaced.
     pub fn proof(&self) -> Proof {
         self.proof.get()
     }
 
-    /// Takes in a position that the primary of `term` answered.
+    /// Records a position that the primary of `term` reported.
     pub fn sample(&self, term: Term, sent: Instant, position: Position, keep: Duration) {
         if !self.proof.get().covers(sent) {
             return;
@@ -353,12 +354,12 @@
         self.samples.borrow_mut().record(term, sent, position, keep);
     }
 
-    /// The lowest position that a read at `now` may show if it may be `age` old.
+    /// Returns the lowest position that a read at `now` may show if its data may be `age` old.
     pub fn floor(&self, now: Instant, age: Duration) -> Option<Position> {
         self.samples.borrow().floor(now, age)
     }
 
-    /// Notes how far a replica's log goes.
+    /// Records how far a replica's log reaches.
     pub fn note_received(&self, position: Position) {
         let (furthest, _) = self.furthest.get();
         if position >= furthest {
@@ -366,14 +367,14 @@
         }
     }
 
-    /// The furthest position that a replica was seen at within `memory`.
+    /// Returns the furthest position that a replica reported within `memory`.
     pub fn furthest(&self, now: Instant, memory: Duration) -> Option<Position> {
         let (furthest, at) = self.furthest.get();
         (at + memory > now).then_some(furthest)
     }
 
-    /// How many replicas the group has: those listed, and those that were listed a
-    /// while ago, since an entry may expire though its upstream lives.
+    /// Returns the number of replicas, counting those that were listed within `memory`: an entry
+    /// may expire though its upstream is alive.
     pub fn replica_count(&self, now: Instant, memory: Duration) -> usize {
         let count = self.members.borrow().len();
         let (largest_list, at) = self.largest_list.get();
@@ -384,10 +385,10 @@
         members.saturating_sub(1)
     }
 
-    /// Whether the list of upstreams has as many members as it had a while ago.
+    /// Returns true if the list has as many members as at any time within `memory`.
     ///
-    /// An entry may expire though its upstream lives; whoever asks all members
-    /// must not take the rest for all.
+    /// An entry may expire though its upstream is alive, so an incomplete list must not be taken
+    /// for all members.
     pub fn is_list_complete(&self, now: Instant, memory: Duration) -> bool {
         let count = self.members.borrow().len();
         let (largest_list, at) = self.largest_list.get();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,10 @@
-//! One instance's whole path on one thread.
+//! One proxy instance, which runs on one thread.
 //!
-//! A statement goes one way: [`session`] reads it from its caller, [`place`] and [`run`] decide
-//! where it may run and [`line`] carries it there and back. [`control`] keeps what
-//! these decide with (catalogue, upstreams, proofs) in [`node::Node`], and
-//! [`takeover`] replaces primaries. What is outside of the process is met at the
-//! edges in [`edge`]; another protocol, store or platform is put there.
+//! A statement takes one path: [`session`] reads it from its caller, [`routing`] and [`run`] choose
+//! the upstream that runs it, and [`connection`] carries it there and its answer back. [`control`]
+//! keeps the data for these decisions (catalogue, upstreams, proofs) in [`node::Node`], and
+//! [`takeover`] replaces primaries. The traits in [`edge`] are the interface to everything outside
+//! the process; another protocol, store or platform is an implementation of them.
 
 pub mod access;
 pub mod account;
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -14,64 +14,64 @@
     refusal::Counts,
 };
 
-/// An upstream that answered within this span is fine.
+/// Time for which an upstream counts as healthy after an answer.
 const HEALTH_TTL: Duration = Duration::from_millis(1_000);
 
-/// How many failures in a row make an upstream a failing one.
+/// Number of consecutive failures after which an upstream counts as failing.
 const FAILURE_THRESHOLD: u32 = 2;
 
-/// The weight of one more measured duration, as a divisor.
+/// Divisor of a new measurement's weight in the moving average of the latency.
 const LATENCY_WEIGHT_DIVISOR: u64 = 8;
 
-/// How long a replica that lags is left alone, first and at most.
+/// First and longest time for which a lagging replica gets no reads.
 const LAG_PAUSE: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(640));
 
-/// How long an upstream whose entry is gone is still used if it answers.
+/// Time for which an upstream without an entry is still used if it answers.
 ///
-/// Entries expire while the store is away, though their upstreams live. Whoever drops
-/// an upstream at once then serves nobody until the entries are written again, which
-/// takes up to two seconds behind the store's return (the platform's pages).
+/// Entries expire while the store is unavailable, though their upstreams are alive. Without this
+/// time no caller would be served until the entries are written again, which takes up to two
+/// seconds after the store is back.
 pub const RELISTED: Duration = Duration::from_millis(2_500);
 
-/// The duration that is assumed of an upstream that has not been used yet.
+/// Latency that is assumed of an upstream that has not been used yet.
 const INITIAL_LATENCY: Duration = Duration::from_millis(5);
 
-/// What is known of an upstream's health.
+/// Health of an upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// When it answered last.
+    /// Time of the last answer.
     pub answered: Instant,
-    /// Since when it only fails.
+    /// Time of the first failure since the last answer.
     pub failing_since: Option<Instant>,
-    /// How often it failed since then.
+    /// Number of failures since the last answer.
     pub failures: u32,
 }
 
 /// One upstream, as this instance sees it.
 #[derive(Debug)]
 pub struct Member {
-    /// Its entry in the list as it first came; another address makes another member.
+    /// The upstream's entry as it first came; another address makes another member.
     pub upstream: Upstream,
-    /// Whether it takes new work.
+    /// Readiness for new work.
     pub readiness: Cell<Readiness>,
     leaving_since: Cell<Option<Instant>>,
-    /// Since when the list lacks it.
+    /// Time since which the list of upstreams lacks the upstream's entry.
     pub(crate) unlisted: Cell<Option<Instant>>,
     deposed: Cell<Option<(Term, Instant)>>,
-    /// How far its log went while it led.
+    /// Position that the upstream's log had reached while the upstream led.
     pub(crate) led_position: Cell<Position>,
-    /// Told when it fails again and again.
+    /// Notified when the upstream starts to count as failing.
     pub failing_notify: Notify,
-    /// How many instances have connections to it, as far as is known here.
+    /// Number of instances that have connections to the upstream, as far as is known here.
     pub holders: Cell<usize>,
-    /// The connections to it.
+    /// The connections to the upstream.
     pub pool: Pool,
-    /// What it refuses.
+    /// Counts of what the upstream refused.
     pub refusals: Counts,
-    /// How many statements run there for this instance.
+    /// Number of this instance's statements that run at the upstream.
     pub running: Cell<usize>,
     health: Cell<Health>,
-    /// Whether somebody is probing it.
+    /// True while a task probes the upstream.
     pub is_probed: Cell<bool>,
     latency: Cell<Duration>,
     lag_until: Cell<Instant>,
@@ -111,23 +111,24 @@
         self.readiness.set(readiness);
     }
 
-    /// How much longer it may take new work if it is about to leave; `drain` is how
-    /// long it may from the announcement on.
+    /// Returns how much longer a leaving upstream may get new work, if it leaves; `drain` is the
+    /// time allowed from the announcement on.
     pub fn leaves_in(&self, now: Instant, drain: Duration) -> Option<Duration> {
         let since = self.leaving_since.get()?;
         Some(drain.saturating_sub(now.since(since)))
     }
 
-    /// Notes that it leads `position.term`, and that its log goes as far as that.
+    /// Records that the upstream leads `position.term` and that its log reaches `position`.
     pub fn note_led(&self, position: Position) {
         self.led_position.set(self.led_position.get().max(position));
     }
 
-    /// Whether its log, which goes as far as `position`, is shorter than when it led.
+    /// Returns true, and deposes the upstream, if its log reaches only `position` and was longer
+    /// when the upstream led.
     ///
-    /// A primary that crashed and started again within a heartbeat may have lost its
-    /// log; the list tells that a second later, and reads there would miss commits.
-    /// But a log that only grows is never shorter than it was.
+    /// A primary that crashed and restarted within a heartbeat may have lost its log. The list
+    /// shows the restart a second later, and reads there would miss commits until then. A log that
+    /// only grows never gets shorter.
     pub fn check_log_loss(&self, position: Position, now: Instant) -> bool {
         let led = self.led_position.get();
         let is_lost = position < led;
@@ -137,7 +138,7 @@
         is_lost
     }
 
-    /// Notes that it does not lead `term` any more, by its own word.
+    /// Records that the upstream reported not to lead `term` any more.
     pub fn depose(&self, term: Term, now: Instant) {
         let since = match self.deposed.get() {
             Some((old, since)) if old >= term => (old, since),
@@ -146,25 +147,25 @@
         self.deposed.set(Some(since));
     }
 
-    /// Since when it is known not to lead `term` any more.
+    /// Returns the time since which the upstream is known not to lead `term` any more.
     pub fn deposed_since(&self, term: Term) -> Option<Instant> {
         let (deposed, since) = self.deposed.get()?;
         (deposed >= term).then_some(since)
     }
 
-    /// Whether its entry has been gone from the list for too long.
+    /// Returns true if the upstream's entry has been missing for too long.
     pub(crate) fn is_gone(&self, now: Instant) -> bool {
         self.unlisted.get().is_some_and(|at| at + RELISTED < now)
     }
 
-    /// Whether nothing is to be done about it: it stays, does not fail, and no connection
-    /// to it is open.
+    /// Returns true if the upstream needs no attention: it stays, does not fail, and has no open
+    /// connection.
     pub(crate) fn is_quiet(&self) -> bool {
         let stays = self.readiness.get() == Readiness::Ready && self.unlisted.get().is_none();
         stays && !self.is_failing() && !self.is_probed.get() && self.pool.open.get() == 0
     }
 
-    /// Notes that it answered.
+    /// Records an answer.
     pub fn note_answer(&self, now: Instant) {
         self.health.set(Health {
             answered: now,
@@ -172,7 +173,7 @@
         });
     }
 
-    /// Notes that it lives, though it has not answered a statement.
+    /// Records that the upstream is alive, without an answer to a statement.
     pub fn note_contact(&self) {
         self.health.set(Health {
             answered: self.health.get().answered,
@@ -180,7 +181,7 @@
         });
     }
 
-    /// Notes that it failed: refused, broke off, or did not answer in time.
+    /// Records a failure: a refusal, a broken connection or a timeout.
     pub fn note_failure(&self, now: Instant) {
         let health = self.health.get();
         if health.failures + 1 >= FAILURE_THRESHOLD {
@@ -193,18 +194,18 @@
         });
     }
 
-    /// What is known of its health.
+    /// Returns the upstream's health.
     pub fn health(&self) -> Health {
         self.health.get()
     }
 
-    /// Whether it fails again and again.
+    /// Returns true if the upstream failed several times in a row.
     pub fn is_failing(&self) -> bool {
         let health = self.health.get();
         health.failing_since.is_some() && health.failures >= FAILURE_THRESHOLD
     }
 
-    /// What this instance says of it to others.
+    /// Returns the verdict on the upstream that this instance reports to others.
     pub fn verdict(&self, now: Instant) -> Verdict {
         if self.is_failing() {
             return Verdict::Failing;
@@ -219,12 +220,12 @@
         }
     }
 
-    /// How many statements this instance may have there at once.
+    /// Returns the number of statements that this instance may run there concurrently.
     pub fn window(&self) -> usize {
         budget::window(self.upstream.slots, self.holders.get())
     }
 
-    /// Notes how long a statement took.
+    /// Records the duration of a statement.
     pub fn note_latency(&self, duration: Duration) {
         let old = u64::try_from(self.latency.get().as_micros()).unwrap_or(u64::MAX);
         let new = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
@@ -235,24 +236,25 @@
         self.latency.set(Duration::from_micros(mean));
     }
 
-    /// How long statements take here of late.
+    /// Returns the moving average of the statements' duration.
     pub fn latency(&self) -> Duration {
         self.latency.get()
     }
 
-    /// Notes that its log lacked a floor: it is left alone for a while.
+    /// Records that the upstream's log had not reached a floor: the upstream gets no reads for a
+    /// while.
     pub fn note_lag(&self, now: Instant) {
         let pause = self.lag_pause.get();
         self.lag_until.set(now + pause);
         self.lag_pause.set((pause * 2).min(LAG_PAUSE.1));
     }
 
-    /// Notes that its log had reached a floor.
+    /// Records that the upstream's log had reached a floor.
     pub fn caught_up(&self) {
         self.lag_pause.set(LAG_PAUSE.0);
     }
 
-    /// Whether it is left alone because its log lacked a floor.
+    /// Returns true if the upstream gets no reads because its log had not reached a floor.
     pub fn is_lagging(&self, now: Instant) -> bool {
         now < self.lag_until.get()
     }
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -1,4 +1,4 @@
-//! What callers ask, what upstreams are told, and what both are answered.
+//! Requests of callers, commands to upstreams, and their answers.
 
 use bytes::Bytes;
 use model::{Position, Term};
@@ -6,65 +6,65 @@
 
 use crate::account::Hello;
 
-/// Whether a statement or a transaction may write.
+/// Access mode of a statement or transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Access {
-    /// It only reads.
+    /// The statement only reads.
     Read,
-    /// It may write.
+    /// The statement may write.
     Write,
 }
 
-/// One line of a caller.
+/// One line from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// The session begins.
+    /// Starts the session.
     Start(Hello),
     /// A statement.
     Query(Query),
-    /// The session ends.
+    /// Ends the session.
     Bye,
 }
 
-/// A statement with its id, as the caller wrote it.
+/// A statement with its id, as the caller sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
     /// The caller's id of the statement.
     pub id: Bytes,
-    /// The statement's text; it is passed on unchanged.
+    /// The statement's text, which is forwarded unchanged.
     pub text: Bytes,
-    /// What the text says.
+    /// The parsed text.
     pub statement: Statement,
 }
 
-/// What a statement's text says.
+/// A parsed statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// A transaction begins.
+    /// Begins a transaction.
     Begin(Access),
-    /// The transaction is to be kept.
+    /// Commits the transaction.
     Commit,
-    /// The transaction is to be undone.
+    /// Rolls the transaction back.
     Rollback,
     /// A read.
     Read,
     /// A write.
     Write,
-    /// A value of the session: its name and text.
+    /// Sets a value of the session: name and value.
     Set(Bytes, Bytes),
-    /// A prepared statement of the session.
+    /// Prepares a statement under a name.
     Prepare(Bytes, Prepared),
-    /// A prepared statement is run: its name and what stands behind it.
+    /// Executes a prepared statement: name and the rest of the text.
     Execute(Bytes, Bytes),
-    /// A prepared statement is forgotten.
+    /// Removes a prepared statement.
     Deallocate(Bytes),
-    /// The text is none of these.
+    /// Any other text.
     Malformed,
 }
 
 impl Statement {
-    /// Whether it begins an operation, outside of a transaction: what needs no upstream is
-    /// none.
+    /// Returns true if the statement counts as an operation outside of a transaction; a statement
+    /// that needs no upstream does not.
     pub fn is_operation(&self) -> bool {
         matches!(
             self,
@@ -72,7 +72,7 @@
         )
     }
 
-    /// What kind of statement it is, without its texts.
+    /// Returns the name of the statement's kind.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Begin(_) => "begin",
@@ -89,45 +89,45 @@
     }
 }
 
-/// What a prepared statement does.
+/// A prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Prepared {
-    /// Whether it writes.
+    /// Access mode of the statement.
     pub access: Access,
-    /// Its text.
+    /// The statement's text.
     pub text: Bytes,
 }
 
-/// What an upstream is told.
+/// A command to an upstream.
 #[derive(Debug, Clone, Copy)]
 pub enum Command<'a> {
-    /// A connection begins.
+    /// Starts a connection.
     Start {
-        /// The service that is meant.
+        /// Name of the service that the upstream has to belong to.
         service: &'a str,
-        /// Whose statements it is for; `None` for this process's own.
+        /// Account whose statements the connection carries; `None` for this process's own.
         account: Option<&'a str>,
-        /// The upstream that is meant.
+        /// Id that the upstream has to have.
         id: &'a str,
     },
-    /// A caller's statement; it may only run on a log that has reached `after`.
+    /// Runs a caller's statement on a log that has reached `after`.
     Forward {
-        /// The caller's id.
+        /// The caller's id of the statement.
         id: &'a [u8],
-        /// The floor.
+        /// Position that the log must have reached.
         after: Option<Position>,
         /// The caller's text.
         text: &'a [u8],
     },
-    /// A caller's prepared statement under the name it has on this connection.
+    /// Executes a caller's prepared statement under its name on this connection.
     Execute {
-        /// The caller's id.
+        /// The caller's id of the statement.
         id: &'a [u8],
-        /// The floor.
+        /// Position that the log must have reached.
         after: Option<Position>,
-        /// The name on this connection.
+        /// Name of the prepared statement on this connection.
         name: &'a str,
-        /// What stood behind the caller's name.
+        /// The text after the caller's name of the prepared statement.
         rest: &'a [u8],
     },
     /// Prepares a statement on this connection.
@@ -136,95 +136,95 @@
     Set(&'a [u8], &'a [u8]),
     /// Clears values and prepared statements of this connection.
     Reset,
-    /// Undoes the open transaction.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Asks what the upstream is.
+    /// Asks for the upstream's status.
     Status,
-    /// Tells a replica to receive nothing from terms below this one.
+    /// Tells a replica to stop replicating from terms below this one.
     Pause(Term),
-    /// Takes a pause back.
+    /// Ends a pause.
     Resume,
     /// Tells a primary of a lower term to become a replica.
     Demote(Term),
 }
 
-/// Where a session or connection stands.
+/// Transaction state of a session or connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Outside of a transaction.
+    /// No transaction is open.
     Idle,
-    /// In a transaction.
+    /// A transaction is open.
     Open,
-    /// In a transaction that failed.
+    /// The transaction has failed.
     Failed,
 }
 
-/// Why a statement did not succeed.
+/// Status code of a statement that did not succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Code {
-    /// Not run: no room, or nobody to run it.
+    /// Not run: no capacity, or no upstream that may run it.
     Busy,
-    /// Not kept: the transaction was undone.
+    /// Not committed: the transaction was rolled back.
     Aborted,
-    /// Not run: the log lacks the floor.
+    /// Not run: the log has not reached the required position.
     Lagging,
-    /// Not run: only a primary may.
+    /// Not run: the upstream is not the primary.
     ReadOnly,
-    /// Not run: another upstream than the one meant.
+    /// Not run: the upstream is not the addressed one.
     Misrouted,
     /// Not run: too many connections.
     TooMany,
-    /// Unknown whether it was kept.
+    /// Unknown whether it was committed.
     InDoubt,
-    /// It ran too long; unknown whether it was kept.
+    /// Time limit exceeded; unknown whether it was committed.
     Timeout,
     /// It ran and failed.
     Failed,
-    /// Not run: there is no such prepared statement.
+    /// Not run: unknown prepared statement.
     NoStatement,
-    /// No route has this name.
+    /// No route has this database name.
     NoDatabase,
     /// No account holds the caller's key.
     NoAccount,
-    /// The statement is not understood, or not now.
+    /// The statement can't be parsed, or is not allowed in this state.
     Malformed,
-    /// A code that is not known here.
+    /// An unknown code.
     Other,
 }
 
-/// An upstream's answer to one command.
+/// An upstream's answer to a command.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// All of its bytes, for the caller.
+    /// All bytes of the answer, for the caller.
     pub raw: Bytes,
-    /// The text of its first row, if there was one.
+    /// Text of the first row, if any.
     pub row: Option<Bytes>,
-    /// Whether it succeeded.
+    /// Success or failure.
     pub verdict: Result<(), Failure>,
-    /// Where the connection stands behind it.
+    /// The connection's transaction state after the command.
     pub state: State,
-    /// How far the upstream's log goes, if it says so.
+    /// Position that the upstream's log has reached, if reported.
     pub position: Option<Position>,
 }
 
 /// An upstream's refusal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// Its code.
+    /// The status code.
     pub code: Code,
-    /// What else it says.
+    /// The rest of the message.
     pub text: Bytes,
 }
 
-/// What an upstream says about itself.
+/// The status that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// Whether it believes that it leads.
+    /// True if the upstream considers itself the primary.
     pub leads: bool,
-    /// The newest term it knows of.
+    /// The newest term that the upstream knows.
     pub term: Term,
-    /// How far its log goes.
+    /// Position that the upstream's log has reached.
     pub received: Position,
-    /// The term that it was told to hold for, zero for none.
+    /// Term for which the upstream paused replication, zero for none.
     pub held: Term,
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an instance counts and shows of itself.
+//! Metrics of an instance.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, rc::Rc, time::Duration};
 
@@ -13,13 +13,13 @@
     work,
 };
 
-/// The upper bounds of the buckets of durations, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const BOUNDS: [f64; 10] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// How a statement ended: its service, its class, the outcome and the cause.
+/// Labels of an answered statement: service, class, outcome and cause.
 type Labels = (Rc<str>, &'static str, &'static str, &'static str);
 
-/// How long statements of a service and a class took.
+/// A histogram of durations.
 #[derive(Debug, Clone, Copy, Default)]
 struct Histogram {
     buckets: [u64; BOUNDS.len()],
@@ -27,10 +27,10 @@
     count: u64,
 }
 
-/// What was counted since the start of the process.
+/// Counters and histograms since the start of the process.
 ///
-/// The `metrics` crate's exporter is not used here: its clock spins for 0.2 s at
-/// every start, and that long an instance would serve nobody (docs/MEASUREMENTS.md).
+/// The `metrics` crate's exporter is not used: its clock spins for 0.2 s at every start, during
+/// which the instance would serve no caller.
 #[derive(Debug, Default)]
 pub struct Metrics {
     statements: RefCell<BTreeMap<Labels, u64>>,
@@ -39,16 +39,16 @@
     calls: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
 }
 
-/// What a statement waited for.
+/// Reason for which a statement waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    /// That a primary is proved.
+    /// Proof of a primary.
     Proof,
     /// A connection to an upstream.
     Connection,
 }
 
-/// A wait that goes on; it is counted when it is dropped.
+/// A running wait; it is recorded when the guard is dropped.
 #[derive(Debug)]
 #[must_use = "a wait that is dropped at once took no time"]
 pub struct WaitTimer<'a> {
@@ -85,7 +85,7 @@
 }
 
 impl Metrics {
-    /// Counts an answered statement, by service and class, never by a caller's words.
+    /// Counts an answered statement by service and class. Text from callers never becomes a label.
     pub fn observe_statement(&self, route: Option<&Route>, outcome: &Outcome, duration: Duration) {
         let service = route.map_or_else(|| "none".into(), |route| Rc::clone(&route.service));
         let class = match route.map(|route| route.freshness) {
@@ -104,12 +104,12 @@
         latencies.entry((service, class)).or_default().add(duration);
     }
 
-    /// Counts a call of the platform, by kind and answer.
+    /// Counts a call to the platform by kind and answer.
     pub fn called(&self, kind: &'static str, answer: &'static str) {
         *self.calls.borrow_mut().entry((kind, answer)).or_default() += 1;
     }
 
-    /// Counts a wait until what is returned is dropped.
+    /// Starts a wait that ends when the returned guard is dropped.
     pub fn wait(&self, wait: Wait) -> WaitTimer<'_> {
         let histogram = match wait {
             Wait::Proof => &self.waits[0],
@@ -119,7 +119,7 @@
         WaitTimer { histogram, since }
     }
 
-    /// The calls of the platform so far, by kind and answer.
+    /// Formats the counts of platform calls by kind and answer for the log.
     pub(crate) fn calls(&self) -> String {
         let mut text = String::new();
         for ((kind, answer), count) in self.calls.borrow().iter() {
@@ -194,11 +194,9 @@
     }
 }
 
-/// What was counted, and what the instance believes and holds just now, as
-/// Prometheus text.
+/// Renders the counters and the instance's current state as Prometheus text.
 ///
-/// It is written anew for each reader, so an upstream that has left is shown no
-/// more.
+/// Each scrape renders the current members, so an upstream that has left disappears.
 pub fn render<E: Edge>(node: &Node<E>) -> String {
     let now = Boot.now();
     let mut page = String::new();
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! What one instance knows, shared by all of its tasks.
+//! The state of an instance, shared by all of its tasks.
 
 use std::{
     cell::{Cell, RefCell},
@@ -36,148 +36,148 @@
     shares::{self, Shares},
     work::{Kind, Work},
 };
-/// How long the store may be silent until it counts as having been away.
+/// Silence of the store after which it counts as having been unavailable.
 const STORE_GAP: Duration = Duration::from_millis(1_200);
 
-/// How long behind an answer of the store an instance counts as hearing it: a relay asks
-/// it at least every half second.
+/// Time for which an instance counts as reaching the store after an answer; a relay asks at least
+/// every half second.
 const STORE_REACHABLE_TTL: Duration = Duration::from_millis(1_500);
 
-/// How long an instance that asked the store in vain is passed over as a relay.
+/// Time for which an instance without an answer of the store is passed over as a relay.
 const STORE_UNREACHABLE_TTL: Duration = Duration::from_secs(10);
 
-/// How many instances look at a primary that one sees fail, beside those that use it.
+/// Number of instances that check a primary which one of them sees fail, besides those that use it.
 const JUDGE_COUNT: usize = 9;
 
-/// How often it is looked whether a catalogue is in force.
+/// Interval between checks for a first catalogue.
 const CATALOG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long before its time is over an upstream that leaves is sent its last work.
+/// Time before the end of a leaving upstream's drain in which it gets no new work.
 const DRAIN_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// How long behind its first reading of the list an instance may not have heard the
-/// others: they answer its first beat at once, and their processors may be busy.
+/// Time after the first read of the list of instances within which the others may not have been
+/// heard: they answer the first heartbeat at once, but their processors may be busy.
 const PEER_WAIT: Duration = Duration::from_millis(200);
 
-/// How long nothing may be proved until an instance counts as unable to serve.
+/// Time without a proof after which an instance counts as unable to serve.
 const LAPSE_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// How far an instance is with its life.
+/// Stage of an instance's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It serves.
+    /// The instance serves.
     Serving,
-    /// It was told to stop at this moment.
+    /// The instance was told to stop at this time.
     Stopping(Instant),
 }
 
-/// Whether an instance serves.
+/// Ability of an instance to serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceState {
-    /// It has proved a primary lately, and reaches it.
+    /// The instance has proved a primary recently, and reaches it.
     Able,
-    /// Nobody asked it lately, because other instances serve its sessions: it has no
-    /// proof, and no reason to doubt.
+    /// No caller asked the instance recently, because other instances serve its sessions: it has no
+    /// proof, and no reason for doubt.
     Idle,
-    /// It was asked, and can prove none.
+    /// Callers asked the instance, and it can prove no primary.
     Unable,
 }
 
-/// What one instance knows, shared by all of its tasks.
+/// The state of an instance, shared by all of its tasks.
 #[derive(Debug)]
 pub struct Node<E: Edge> {
-    /// What is outside of the process.
+    /// The platform outside the process.
     pub edge: E,
-    /// What it was told at its start.
+    /// The settings from the instance's start.
     pub settings: Settings,
-    /// A number of this life of the process.
+    /// Random number of this run of the process.
     pub incarnation: u64,
     catalog: RefCell<Rc<Catalog>>,
     registry: Registry,
-    /// Other instances.
+    /// The other instances.
     pub peers: Peers,
-    /// How far it is with its life.
+    /// Stage of the instance's life.
     pub stage: Cell<Stage>,
-    /// Told when the stage changes.
+    /// Notified when the stage changes.
     pub stage_changed: Notify,
-    /// Told when somebody needs a proof now.
+    /// Notified when a proof is needed now.
     pub proof_wanted: Notify,
-    /// The era that all instances prove, zero if it is not known.
+    /// Id of the proof lease that all instances share, zero if unknown.
     pub proof_lease: Cell<u64>,
-    /// Its lease.
+    /// The proof lease as it was last read from the store.
     pub(crate) lease: Cell<Lease>,
-    /// When the records were last read.
+    /// Time at which the records were last read.
     pub records_read_at: Cell<Instant>,
-    /// How many questions for a proof are on their way to the store.
+    /// Number of outstanding requests to the store for a proof.
     pub proofs_in_flight: Cell<usize>,
-    /// Which era was proved last, and from when on that proof counts.
+    /// Id of the proof lease that was confirmed last, and the time from which that proof counts.
     pub(crate) proved_lease: Cell<(u64, Instant)>,
-    /// When the era was last renewed by this instance.
+    /// Time of this instance's last renewal of the proof lease.
     pub lease_renewed_at: Cell<Instant>,
-    /// Whether another instance is asked for a proof.
+    /// True while another instance is asked for a proof.
     pub is_asking_relay: Cell<bool>,
-    /// Told when the catalogue or the upstreams may have changed.
+    /// Notified when the catalogue or the upstreams may have changed.
     pub refresh: Notify,
-    /// Whether the list of upstreams was read.
+    /// True once the list of upstreams was read.
     pub is_upstream_list_read: Cell<bool>,
     pub(crate) started_at: Instant,
-    /// When the list of instances was read first.
+    /// Time of the first read of the list of instances.
     pub instances_listed_at: Cell<Option<Instant>>,
     able_at: Cell<Instant>,
-    /// The right to give orders as it was last seen, and since when.
+    /// Revision of the takeover lock that was last seen, and the time since which it has been seen.
     pub duty: Cell<(u64, Instant)>,
-    /// The era of the store, and when this instance met it.
+    /// The store's era, and the time at which this instance learnt of it.
     store_era: Cell<(u64, Instant)>,
-    /// Whether this instance has that right.
+    /// True while this instance holds the takeover lock.
     pub(crate) has_right: Cell<bool>,
-    /// Who had that right before this instance took it last.
+    /// Holders of the takeover lock before this instance acquired it last.
     pub(crate) previous_holders: RefCell<Vec<String>>,
-    /// When this instance gave its last order.
+    /// Time of this instance's last order.
     pub(crate) last_order_at: Cell<Option<Instant>>,
-    /// When the last question was sent that the store answered.
+    /// Send time of the last request that the store answered.
     pub store_contact_at: Cell<Instant>,
-    /// When the store last answered, this instance or a relay for it.
+    /// Time of the store's last answer to this instance or to a relay for it.
     pub store_heard_at: Cell<Instant>,
-    /// When the store last answered this instance.
+    /// Time of the store's last answer to this instance.
     pub store_answered_at: Cell<Instant>,
-    /// When the store last did not answer this instance.
+    /// Time of the last request of this instance that the store did not answer.
     store_failed_at: Cell<Instant>,
-    /// How many renewals in a row it did not answer.
+    /// Number of consecutive renewals that the store did not answer.
     pub(crate) renewal_failures: Cell<u32>,
-    /// Which relay did not answer, and when.
+    /// The relay that did not answer, and the time of that.
     pub(crate) silent_relay: Cell<Option<(SocketAddr, Instant)>>,
-    /// What is known of the store.
+    /// The known contents of the store.
     pub mirror: RefCell<Mirror>,
-    /// Told when something was learnt of the store.
+    /// Notified when the mirror changes.
     pub store_changed: Notify,
     packed: RefCell<Option<Compressed>>,
-    /// What those are told who know nothing, and of which state of the mirror and the
-    /// catalogue.
+    /// The encoded answer to a follower that knows nothing, with the versions of the mirror and the
+    /// catalogue that it was made of.
     pub(crate) full_batch: RefCell<Option<((mirror::Version, u64), Bytes)>>,
-    /// Questions for proofs.
+    /// Outstanding requests for proofs.
     pub proofs: Proofs,
-    /// How surely it is known what may be asked for.
+    /// Proof that the catalogue and the shares are current.
     pub freshness: freshness::Tracker,
-    /// What each account may ask for here.
+    /// Shares of the accounts' quotas that this instance may use.
     pub shares: Shares,
-    /// When the store's watch was answered last.
+    /// Time of the last answer to a watch of the store.
     pub watch_answered_at: Cell<Instant>,
-    /// Told when it answers again.
+    /// Notified when the store answers again.
     pub(crate) store_returned: Notify,
-    /// Since when it has answered again and again.
+    /// Time since which the store has answered without a long gap.
     pub store_up_since: Cell<Instant>,
-    /// What was counted.
+    /// Metrics of the instance.
     pub metrics: Metrics,
-    /// What its duties cost.
+    /// Counts of the work for the background duties.
     pub work: Work,
-    /// How many sessions are open.
+    /// Number of open sessions.
     pub sessions: Cell<usize>,
-    /// How many callers' connections broke since it was told.
+    /// Number of broken callers' connections since they were last logged.
     pub(crate) lost_callers: Cell<usize>,
 }
 
 impl<E: Edge> Node<E> {
-    /// A node that knows nothing yet.
+    /// Creates a node without any knowledge.
     pub fn new(edge: E, settings: Settings) -> Self {
         Self {
             edge,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Since when the store has been in the era that it is in, as far as is known here.
+    /// Returns the time since which the store is known to be in its current era.
     pub(crate) fn era_since(&self) -> Instant {
         let era = self.edge.store().era();
         if self.store_era.get().0 != era {
@@ -238,17 +238,17 @@
         self.store_era.get().1
     }
 
-    /// The platform's store, its calls counted.
+    /// Returns the platform's store with its calls counted.
     pub fn store(&self) -> Counted<'_, E::Store> {
         Counted::new(self.edge.store(), &self.metrics)
     }
 
-    /// The catalogue in force.
+    /// Returns the catalogue in force.
     pub fn catalog(&self) -> Rc<Catalog> {
         Rc::clone(&self.catalog.borrow())
     }
 
-    /// Puts a catalogue in force, unless one of the same or a higher version is.
+    /// Puts a catalogue in force unless one of the same or a higher version is.
     pub fn apply(&self, catalog: Catalog) {
         let old = self.catalog();
         if catalog.version <= old.version {
@@ -273,7 +273,7 @@
         self.freshness.advance(self.mark());
     }
 
-    /// How far this instance is with what is agreed on.
+    /// Returns the versions of the catalogue and the shares that this instance has.
     pub fn mark(&self) -> Watermark {
         Watermark {
             catalog: self.catalog().version,
@@ -285,33 +285,32 @@
         }
     }
 
-    /// The quota of an account, if there is such an account and it has one.
+    /// Returns the quota of an account, if the account exists and has one.
     pub fn quota(&self, account: &str) -> Option<Quota> {
         self.catalog.borrow().accounts.quota(account)
     }
 
-    /// Whether keys may be served that are in force here, for requests that came at
-    /// `moment`.
+    /// Returns true if keys in force here may be served for requests that came at `moment`.
     ///
-    /// Without the proof a customer whose key was taken away would be served on by an
-    /// instance that is cut off, for as long as that lasts.
+    /// Without this proof, an instance that is cut off would go on serving a revoked key for as
+    /// long as the partition lasts.
     pub fn is_fresh(&self, moment: Instant) -> bool {
         let limit = self.settings.revocation;
         limit.is_none_or(|limit| self.freshness.covers(moment, limit))
     }
 
-    /// The route that callers of `database` take.
+    /// Returns the route of `database`.
     pub fn route(&self, database: &Bytes) -> Option<Rc<Route>> {
         self.catalog.borrow().routes.get(database).cloned()
     }
 
-    /// Whether this instance asks the store for its zone.
+    /// Returns true if this instance asks the store on behalf of its zone.
     pub fn is_relay(&self) -> bool {
         relay::is_relay(self)
     }
 
-    /// Where to reach the instances that serve sessions on `service`, if this one is to
-    /// hand them over.
+    /// Returns the addresses of the instances that serve sessions on `service`, if this one has to
+    /// forward sessions.
     pub fn holders(&self, service: &Rc<str>) -> Vec<SocketAddr> {
         let Some(count) = self.max_holders(service) else {
             return Vec::new();
@@ -319,23 +318,24 @@
         self.peers.holders(service, count, self.candidate())
     }
 
-    /// Where to reach the instances that serve sessions of `account` on `service`, its home
-    /// first, if this one is to hand them over.
+    /// Returns the addresses of the instances that serve sessions of `account` on `service`, the
+    /// preferred one first, if this one has to forward sessions.
     pub fn account_holders(&self, service: &Rc<str>, account: &str) -> Vec<SocketAddr> {
         let holders = self.holder_names(service);
         let own = &self.settings.name;
         self.peers.homes(service, account, &holders, own)
     }
 
-    /// The names of the instances that hold its connections, the first one first.
+    /// Returns the names of the instances that hold the connections to `service`, in order of
+    /// preference.
     pub fn holder_names(&self, service: &Rc<str>) -> Vec<String> {
         let count = self.max_holders(service).unwrap_or(0);
         self.peers.holder_names(service, count, self.candidate())
     }
 
-    /// Whether this instance is to look at the group's primary when another one sees it
-    /// fail: it uses the group, holds its connections, gives the orders, or is one of a
-    /// few more.
+    /// Returns true if this instance has to check the group's primary when another one sees it
+    /// fail: it uses the group, holds its connections, may replace primaries, or is one of a few
+    /// more instances.
     pub fn is_judge(&self, group: &Group) -> bool {
         let own = &self.settings.name;
         let is_named = || {
@@ -357,38 +357,38 @@
         }
     }
 
-    /// How many instances hold the connections to `service`.
+    /// Returns the number of instances that hold the connections to `service`.
     pub fn holder_count(&self, service: &Rc<str>) -> usize {
         let instances = self.peers.count();
         let most = self.max_holders(service);
         most.map_or(instances, |most| most.min(instances))
     }
 
-    /// How many hold them if there are so many; `None` if no catalogue names the service.
+    /// Returns the number of instances that hold them if that many exist; `None` if no catalogue
+    /// has the service.
     fn max_holders(&self, service: &Rc<str>) -> Option<usize> {
         let connections = self.catalog().services.get(service)?.connections;
         let slots = self.group_of(service).slots();
         Some(holders::count(connections, slots))
     }
 
-    /// The group of a service; made if it is new.
+    /// Returns the group of a service, and creates it if needed.
     pub fn group_of(&self, service: &Rc<str>) -> Rc<Group> {
         self.registry.group(service)
     }
 
-    /// Whether a primary of `service` is known.
+    /// Returns true if a primary of `service` is known.
     pub(crate) fn has_primary(&self, service: &str) -> bool {
         let group = self.registry.find(service);
         group.is_some_and(|group| group.stored_record().is_some())
     }
 
-    /// All groups that the catalogue names, in order of their names.
+    /// Returns all groups of the catalogue, in order of their names.
     pub fn groups(&self) -> Rc<[Rc<Group>]> {
         self.registry.catalogued()
     }
 
-    /// The groups of the catalogue that something is to be done for, in order of their
-    /// names.
+    /// Returns the catalogue's active groups, in order of their names.
     pub fn active(&self) -> Vec<Rc<Group>> {
         let catalog = self.catalog();
         let mut active = self.registry.active();
@@ -397,12 +397,12 @@
         active
     }
 
-    /// Lets groups rest for which nothing is to be done.
+    /// Deactivates groups that need no attention.
     pub fn sweep(&self, now: Instant) {
         self.registry.sweep(now);
     }
 
-    /// Takes in an entry of the list of upstreams.
+    /// Applies a registered upstream.
     pub fn put_upstream(&self, upstream: Upstream) {
         let group = self.group_of(&upstream.service);
         let id = Rc::clone(&upstream.id);
@@ -417,21 +417,21 @@
         }
     }
 
-    /// The upstream with this id, whichever group it is in.
+    /// Returns the upstream with this id from any group.
     pub fn member(&self, id: &str) -> Option<Rc<Member>> {
         self.registry.group_of_upstream(id)?.member(id)
     }
 
-    /// Takes in that the list lacks the upstream with this id.
+    /// Records that the list lacks the upstream with this id.
     pub fn unlist_upstream(&self, id: &str) {
         if let Some(group) = self.registry.group_of_upstream(id) {
             group.unlist(id, Boot.now());
         }
     }
 
-    /// Waits until some catalogue is in force, or `wait` is over; whether one is.
+    /// Waits until a catalogue is in force, at most for `wait`, and returns whether one is.
     ///
-    /// A caller that comes before would be told that its database does not exist.
+    /// A caller that came earlier would be told that its database does not exist.
     pub async fn wait_for_catalog(&self, wait: Duration) -> bool {
         let since = Boot.now();
         while self.catalog().version == 0 {
@@ -443,11 +443,11 @@
         true
     }
 
-    /// Waits until the other instances could be heard.
+    /// Waits until there was time to hear the other instances.
     ///
-    /// Who has heard nobody takes itself for a holder of everything. Behind a loss of
-    /// power each of 91 instances served its first callers itself for as long as they
-    /// stayed, and upstreams shed 35,628 statements in two seconds.
+    /// An instance that has heard no other considers itself a holder of every group. After a loss
+    /// of power, each of 91 instances served its first callers itself for as long as they stayed,
+    /// and upstreams shed 35,628 statements in two seconds.
     pub async fn wait_for_peers(&self) {
         loop {
             let since = self.instances_listed_at.get().unwrap_or(self.started_at);
@@ -459,7 +459,7 @@
         }
     }
 
-    /// Notes that the list of instances was read.
+    /// Records that the list of instances was read.
     pub(crate) fn note_instances_listed(&self) {
         if self.instances_listed_at.get().is_none() {
             self.instances_listed_at.set(Some(Boot.now()));
@@ -467,16 +467,16 @@
         }
     }
 
-    /// Whether nobody asked this instance for a primary lately: its sessions are served
-    /// by others, or it has none.
+    /// Returns true if no caller of this instance needed a primary recently: other instances serve
+    /// its sessions, or it has none.
     pub fn is_idle(&self) -> bool {
         let now = Boot.now();
         !self.active().iter().any(|group| group.is_proof_wanted(now))
     }
 
-    /// Whether the instance can take callers.
+    /// Returns true if the instance can take callers.
     ///
-    /// One that can't serve while others may says so: the balancer then sends its
+    /// An instance that can't serve while others may reports that, so that the balancer sends its
     /// zone's callers to another zone.
     pub fn is_ready(&self) -> bool {
         if self.stage.get() != Stage::Serving || !self.is_upstream_list_read.get() {
@@ -490,7 +490,7 @@
         has_record && self.unable_since().is_none()
     }
 
-    /// Whether it serves, or would.
+    /// Returns the instance's ability to serve.
     pub fn service(&self) -> ServiceState {
         if self.is_idle() {
             return match self.peers.is_unserved() {
@@ -504,7 +504,7 @@
         }
     }
 
-    /// Whether some primary is proved, or was a moment ago, and can be reached.
+    /// Returns true if some primary is reachable and proved, or was a moment ago.
     fn is_able(&self) -> bool {
         let now = Boot.now();
         self.active().iter().any(|group| {
@@ -516,7 +516,7 @@
         })
     }
 
-    /// Since when this instance can't serve though others may.
+    /// Returns the time since which this instance has been unable to serve while others may.
     pub fn unable_since(&self) -> Option<Instant> {
         let now = Boot.now();
         if self.service() != ServiceState::Unable || !self.peers.may_others_serve() {
@@ -527,10 +527,10 @@
         (since < now).then_some(since)
     }
 
-    /// The primary, if it is proved that it led at `moment` and it may be sent work.
+    /// Returns the primary if it is proved that it led at `moment` and it may get work.
     ///
-    /// One that leaves is replaced. If that does not come about in time, nothing is
-    /// sent to it any more all the same: it may end at any moment.
+    /// A leaving primary is replaced before it ends. If the replacement is late, the primary gets no
+    /// work in its last moments.
     fn proved_primary(&self, group: &Group, moment: Instant) -> Option<Rc<Member>> {
         let (member, _) = group.primary()?;
         let left = member.leaves_in(Boot.now(), self.settings.drain);
@@ -538,13 +538,13 @@
         (stays && group.proof().covers(moment)).then_some(member)
     }
 
-    /// Waits until it is proved that the primary led at `moment`, or `wait` is over.
+    /// Waits until it is proved that the primary led at `moment`, at most for `wait`.
     pub async fn proved(&self, group: &Group, moment: Instant, wait: Duration) -> Proved {
         group.want_proof(Boot.now());
         if let Some(member) = self.proved_primary(group, moment) {
             return Proved::Primary(member);
         }
-        // A group that rested was not proved with the others.
+        // An inactive group is not proved with the others.
         proof_lease::adopt_proof(self, group);
         if let Some(member) = self.proved_primary(group, moment) {
             return Proved::Primary(member);
@@ -556,7 +556,7 @@
                 if let Some(member) = self.proved_primary(group, moment) {
                     return Proved::Primary(member);
                 }
-                // Who replaces the primary tells when it is over.
+                // The task that replaces a primary notifies when it is done.
                 if group.primary().is_some() {
                     self.proof_wanted.notify_one();
                 }
@@ -566,38 +566,38 @@
         timeout(wait, proved).await.unwrap_or(Proved::NoPrimary)
     }
 
-    /// Takes in settings that were changed while the process runs: tells which, and
-    /// reads the store anew. What is changed is in force from the next start on.
+    /// Logs which settings have changed while the process runs, and reads the store again. Changed
+    /// settings take effect at the next start.
     pub fn reload(&self, settings: &Settings) {
         let changed = self.settings.changed(settings).join(" ");
-        log::info!(changed = &*changed; "settings read again");
+        log::info!(changed = &*changed; "settings reloaded");
         self.refresh.notify_one();
     }
 
-    /// Notes that a question which was sent to the store at `sent`, by this instance
-    /// or through another, was answered.
+    /// Records the answer to a request that this instance, or another one for it, sent to the store
+    /// at `sent`.
     pub fn heard_from_store(&self, sent: Instant) {
         self.store_contact_at
             .set(self.store_contact_at.get().max(sent));
     }
 
-    /// Notes that the store answered this instance.
+    /// Records that the store answered this instance.
     pub fn store_answered(&self) {
         self.store_answered_at.set(Boot.now());
         self.store_heard();
     }
 
-    /// Notes that the store did not answer this instance, or turned it away.
+    /// Records that the store did not answer this instance, or refused it.
     pub fn store_failed(&self) {
         self.store_failed_at.set(Boot.now());
     }
 
-    /// When the store last did not answer this instance.
+    /// Returns the time of the last request of this instance that the store did not answer.
     pub(crate) fn failed_at(&self) -> Instant {
         self.store_failed_at.get()
     }
 
-    /// Whether this instance hears the store itself.
+    /// Returns whether this instance reaches the store itself.
     pub fn store_contact(&self) -> StoreContact {
         let now = Boot.now();
         let (answered, failed) = (self.store_answered_at.get(), self.store_failed_at.get());
@@ -610,12 +610,12 @@
         }
     }
 
-    /// The catalogue as the store holds it.
+    /// Returns the catalogue as the store holds it.
     pub(crate) fn catalog_item(&self) -> Option<Item> {
         self.mirror.borrow().item(E::CATALOG_KEY)
     }
 
-    /// The same, packed once for all who ask.
+    /// Returns the catalogue compressed, and compresses each one only once.
     pub(crate) fn packed(&self) -> Option<Compressed> {
         let item = self.catalog_item()?;
         let mut packed = self.packed.borrow_mut();
@@ -628,7 +628,7 @@
         packed.clone()
     }
 
-    /// Notes that the store answered this instance, or a relay for it.
+    /// Records that the store answered this instance, or a relay for it.
     pub fn store_heard(&self) {
         let now = Boot.now();
         if self.store_heard_at.get() + STORE_GAP < now {
@@ -638,24 +638,23 @@
         self.store_heard_at.set(now);
     }
 
-    /// Whether a stop was asked for.
+    /// Returns true once the instance was told to stop.
     pub fn is_stopping(&self) -> bool {
         matches!(self.stage.get(), Stage::Stopping(_))
     }
 }
 
-/// Who may be used as the primary.
+/// Result of a wait for a proved primary.
 #[derive(Debug)]
 pub enum Proved {
-    /// This upstream.
+    /// This upstream is the proved primary.
     Primary(Rc<Member>),
-    /// Nobody, as far as could be told in time.
+    /// No primary was proved in time.
     NoPrimary,
 }
 
-/// How many of an upstream's connections one instance may take.
-///
-/// Half, so that no instance keeps all others out.
+/// Returns the number of an upstream's connections that one instance may take: half, so that no
+/// instance keeps all others out.
 fn connection_limit(connections: usize) -> usize {
     (connections / 2).max(1)
 }
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told, and why.
+//! Outcomes of statements.
 
 use bytes::{Bytes, BytesMut};
 use model::Position;
@@ -8,22 +8,22 @@
     message::{Code, Reply, State},
 };
 
-/// Why a statement did not succeed.
+/// Cause for which a statement did not succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// Nobody could be proved to lead in time.
+    /// No primary was proved in time.
     NoProof,
     /// No connection to an upstream was free in time.
     NoConnection,
-    /// The upstream refused it, or it failed there.
+    /// The upstream refused the statement, or the statement failed there.
     Upstream,
-    /// The upstream's connection broke before its answer was whole.
+    /// The upstream's connection broke before the answer was complete.
     Broken,
     /// The upstream's answer did not come in time.
     Late,
-    /// The commit was answered, but by then its upstream may have been replaced.
+    /// The commit was acknowledged, but its upstream may have been replaced by then.
     Unproved,
-    /// The transaction had failed or had been undone before.
+    /// The transaction had failed or had been rolled back before.
     Undone,
     /// The transaction's upstream is no longer the primary.
     Replaced,
@@ -31,20 +31,20 @@
     NoRoute,
     /// No account holds the caller's key any more.
     NoKey,
-    /// It can't be proved that the caller's key was not taken away.
+    /// The caller's key can't be proved to be valid still.
     Stale,
-    /// The account has asked for as much as it may.
+    /// The account has used up its quota.
     OverQuota,
     /// There is no such prepared statement.
     NoStatement,
-    /// The statement is not understood, or not now.
+    /// The statement can't be parsed, or is not allowed in this state.
     Malformed,
     /// The instance that served the session was lost.
     Holder,
 }
 
 impl Cause {
-    /// The cause as callers and logs read it.
+    /// Returns the message for callers and logs.
     pub fn text(self) -> &'static str {
         match self {
             Self::NoProof => "no primary proved, come back in 200 ms",
@@ -66,34 +66,34 @@
     }
 }
 
-/// How often a statement was tried in vain, by what stood in its way.
+/// Number of a statement's failed attempts, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// An upstream refused it without running it.
+    /// An upstream refused the statement without running it.
     pub refused: u32,
     /// No connection became free in time.
     pub unconnected: u32,
-    /// The connection broke or stayed silent.
+    /// The connection broke or the upstream stayed silent.
     pub lost: u32,
 }
 
-/// What a caller is told, and where its session stands then.
+/// The answer to a caller and the session's state after it.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The bytes of the answer.
+    /// Bytes of the answer.
     pub bytes: Bytes,
-    /// Where the session stands.
+    /// Transaction state of the session.
     pub state: State,
-    /// How far the upstream's log went.
+    /// Position that the upstream's log had reached.
     pub position: Option<Position>,
-    /// Why the statement did not succeed.
+    /// Code and cause of a failure.
     pub failure: Option<(Code, Cause)>,
-    /// The tries before.
+    /// Failed attempts before this outcome.
     pub attempts: Attempts,
 }
 
 impl Outcome {
-    /// An upstream's own answer.
+    /// Wraps an upstream's answer.
     pub fn from_reply(reply: Reply) -> Self {
         let failure = reply.verdict.as_ref().err();
         Self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A refusal of this process's own making.
+    /// Creates a refusal by this process.
     pub fn refusal<P: Protocol>(code: Code, cause: Cause, state: State) -> Self {
         let mut out = BytesMut::new();
         P::refusal(code, cause.text(), state, &mut out);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A success of this process's own making.
+    /// Creates a success without an upstream.
     pub fn done<P: Protocol>(state: State) -> Self {
         let mut out = BytesMut::new();
         P::done(state, &mut out);
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,9 +1,8 @@
-//! The connections of this instance to one upstream.
+//! The connection pool of this instance for one upstream.
 //!
-//! An upstream takes few connections from all instances together, and how many
-//! instances there are is never known for sure. So nobody computes a share: an
-//! instance opens a connection when it needs one, the upstream refuses it when it
-//! has as many as it takes, and what lies idle is closed again soon.
+//! An upstream accepts few connections from all instances together, and the number of instances is
+//! never known exactly. So the pool has no fixed size: an instance opens a connection when it needs
+//! one, the upstream refuses it at its limit, and idle connections are closed soon.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,69 +22,69 @@
     refusal::{self, Refusal},
 };
 
-/// How long connections are given up after use once somebody has none at all.
+/// Time for which connections are closed after use once some instance has none at all.
 const SCARCITY_PERIOD: Duration = Duration::from_millis(600);
 
-/// Somebody who waits for a connection.
+/// A waiting request for a connection.
 #[derive(Debug)]
 struct Pending {
     sender: oneshot::Sender<Result<Connection, Refused>>,
     account: Option<Rc<str>>,
 }
 
-/// What somebody wants a connection for.
+/// A request for a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// Who goes first; zero is the highest.
+    /// Priority in the queue; zero is the highest.
     pub priority: u8,
-    /// When an answer is late.
+    /// Time after which an answer is late.
     pub late_at: Instant,
-    /// Whose session it is.
+    /// The session's account.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
     pub values: &'a Values,
 }
 
-/// The connections of this instance to one upstream.
+/// The connection pool of this instance for one upstream.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<Vec<Connection>>,
     waiters: RefCell<Queue<Pending>>,
     budget: RefCell<Budget>,
-    /// For whose sessions connections are being opened.
+    /// Accounts for which connections are being opened.
     opening: RefCell<Vec<Option<Rc<str>>>>,
     scarce_until: Cell<Instant>,
     retrying: Cell<bool>,
     retired: Cell<bool>,
-    /// How many transactions have a connection of their own.
+    /// Number of transactions that have a connection of their own.
     pinned: Cell<usize>,
-    /// How many connections are open or being opened.
+    /// Number of connections that are open or being opened.
     pub open: Cell<usize>,
-    /// How many connections may be open.
+    /// Limit on open connections.
     pub limit: Cell<usize>,
-    /// This instance's even share of them; beyond it a connection of another account is
-    /// closed for each that is opened. Zero while it is not known.
+    /// This instance's even share of the upstream's connections. At or above it, a connection of
+    /// another account is closed for each new one. Zero while unknown.
     pub share: Cell<usize>,
 }
 
 impl Pool {
-    /// How many wait for a connection.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiters.borrow().len()
     }
 
-    /// How many connections lie idle.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle.borrow().len()
     }
 
-    /// How many connections are in use, other than by transactions.
+    /// Returns the number of connections in use outside of transactions.
     fn active(&self) -> usize {
         let unused = self.idle.borrow().len() + self.opening.borrow().len() + self.pinned.get();
         self.open.get().saturating_sub(unused)
     }
 
-    /// An idle connection of `account`, the one with just these values if there is one.
+    /// Takes an idle connection of `account`, with exactly these values if there is one.
     pub fn take_idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -104,7 +103,7 @@
         }
     }
 
-    /// An idle connection, whosever it is, for a question of this process itself.
+    /// Takes an idle connection of any account, for a request of this process itself.
     pub fn take_any_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -115,7 +114,7 @@
         None
     }
 
-    /// Whether an idle connection is one of `account`.
+    /// Returns true if an idle connection belongs to `account`.
     fn has_idle(&self, account: Option<&Rc<str>>) -> bool {
         self.idle
             .borrow()
@@ -123,10 +122,10 @@
             .any(|connection| connection.belongs_to(account))
     }
 
-    /// Closes the connection that has lain idle for longest, if this instance has its share.
+    /// Closes the connection that has been idle longest if this instance has its share.
     ///
-    /// Those who wait are not served by it: they are of other accounts. Were it kept, each
-    /// instance would open more until the upstream refuses all of them.
+    /// The connection belongs to another account than the waiting requests. If it were kept, each
+    /// instance would open more connections until the upstream refuses all of them.
     fn make_room(&self) {
         let share = self.share.get();
         if share > 0 && self.open.get() >= share {
@@ -137,8 +136,8 @@
         }
     }
 
-    /// For whom a connection is opened next: for who goes first of those for whom none is
-    /// being opened yet.
+    /// Returns the account for which a connection is opened next: that of the first waiting request
+    /// for which none is being opened yet.
     fn next_account(&self, now: Instant, service: Duration) -> Option<Option<Rc<str>>> {
         let waiters = self.waiters.borrow();
         let mut missing: HashMap<Option<Rc<str>>, usize> = HashMap::new();
@@ -154,7 +153,7 @@
         Some(first.account.clone())
     }
 
-    /// Closes idle connections beyond `share` that were not used for `rest`.
+    /// Closes connections beyond `share` that have been idle for `idle_limit`.
     pub fn close_excess(&self, now: Instant, share: usize, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let mut excess = self.open.get().saturating_sub(share);
@@ -165,27 +164,27 @@
         });
     }
 
-    /// Notes that some instance has no connection at all and is refused one.
+    /// Records that some instance has no connection and is refused one.
     ///
-    /// Behind a loss of power the upstream still counts the connections of before.
-    /// What is left would stay with those who came first, and the others could
-    /// serve nobody. So for a while connections are closed once nobody here waits.
+    /// After a loss of power, the upstream still counts the connections from before. The remaining
+    /// ones would stay with the first instances, and the others could serve no caller. So for a
+    /// while, connections are closed as soon as no request waits here.
     pub fn release_idle(&self, now: Instant) {
         self.scarce_until.set(now + SCARCITY_PERIOD);
         self.idle.borrow_mut().clear();
     }
 
-    /// Whether connections are so few that none may be held for long.
+    /// Returns true if connections are too scarce to be held for long.
     pub fn is_scarce(&self, now: Instant) -> bool {
         self.scarce_until.get() > now || self.is_locked_out(now)
     }
 
-    /// Whether this instance was lately refused its first connection.
+    /// Returns true if this instance is locked out: it was recently refused its first connection.
     pub fn is_locked_out(&self, now: Instant) -> bool {
         self.locked_out_since(now).is_some()
     }
 
-    /// Since when this instance has been refused its first connection.
+    /// Returns the time since which this instance has been locked out.
     pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
         self.budget.borrow().locked_out_since(now)
     }
@@ -195,18 +194,18 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes all connections, those in use once they are given back.
+    /// Closes all connections: idle ones now, the others when they are released.
     ///
-    /// Idle connections hold the member that holds them. Those of a member that was
-    /// dropped would stay open for good, and where the list lost an upstream for a
-    /// moment it would then refuse everybody: full, though nobody has a connection.
+    /// An idle connection keeps its member alive. Those of a removed member would stay open for
+    /// good. After the list had lost an upstream for a moment, the upstream would refuse all
+    /// connections as too many though none was in use.
     pub fn retire(&self) {
         self.retired.set(true);
         self.close();
     }
 }
 
-/// A connection to `member`: an idle one, a new one, or the next that is free.
+/// Acquires a connection to `member`: an idle one, a new one, or the next that is released.
 ///
 /// # Errors
 ///
@@ -237,12 +236,13 @@
     receiver.await.unwrap_or(Err(Refused::Unreachable))
 }
 
-/// Counts a transaction that has a connection of its own.
+/// Counts a transaction that has a connection of its own, until it is dropped.
 #[derive(Debug)]
 pub struct TransactionGuard(Rc<Member>);
 
 impl TransactionGuard {
-    /// Counts one more at `member`, and lets others have its place.
+    /// Counts one more transaction at `member`, whose place in the window is free for other
+    /// requests.
     pub fn new<P: Protocol>(member: &Rc<Member>) -> Self {
         let pinned = &member.pool.pinned;
         pinned.set(pinned.get() + 1);
@@ -258,7 +258,7 @@
     }
 }
 
-/// Gives a connection back; one that is not clean is closed.
+/// Returns a connection to the pool, or closes it if it is not clean.
 pub fn release<P: Protocol>(connection: Connection) {
     let member = Rc::clone(connection.member());
     let pool = &member.pool;
@@ -272,14 +272,14 @@
     dispatch::<P>(&member);
 }
 
-/// Closes a connection and lets those who wait have another.
+/// Closes a connection, so that a waiting request may get a new one.
 pub fn discard<P: Protocol>(connection: Connection) {
     let member = Rc::clone(connection.member());
     drop(connection);
     dispatch::<P>(&member);
 }
 
-/// Hands idle connections to those who wait, and opens as many as are missing.
+/// Hands idle connections to waiting requests, and opens as many as are missing.
 fn dispatch<P: Protocol>(member: &Rc<Member>) {
     let pool = &member.pool;
     pool.waiters
@@ -297,7 +297,7 @@
             break;
         };
         let Some(connection) = pool.take_idle(next.reply.account.as_ref(), &Values::new()) else {
-            // It had been closed; who waits for it goes first again.
+            // The connection had been closed; its request goes back to the queue.
             pool.waiters.borrow_mut().push(next);
             continue;
         };
@@ -327,14 +327,15 @@
         }
         pool.opening.borrow_mut().push(account.clone());
         let member = Rc::clone(member);
-        // Counted before the task runs, or one loop opens as many as wait here: 68
-        // connections of one instance met an upstream that takes 22 from all.
+        // Counted before the task runs: otherwise one loop opens a connection for each waiting
+        // request, as when one instance opened 68 connections to an upstream that accepts 22 from
+        // all.
         let guard = OpenGuard::new(&member);
         spawn_local(async move { open::<P>(&member, account, guard).await });
     }
 }
 
-/// Gives a connection of `account`, or why there is none, to the next who still waits.
+/// Hands a connection of `account`, or the reason for its absence, to the next waiting request.
 fn deliver(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
     let pool = &member.pool;
     loop {
@@ -372,7 +373,8 @@
             deliver(member, account.as_ref(), Ok(connection));
         }
         Err(Refused::TooMany) => {
-            // It lives; but it serves nobody here, which is for others to know.
+            // The upstream is alive. That it has no room for this instance is reported to the
+            // others.
             member.note_contact();
             let now = Boot.now();
             let chance = rand::random();
@@ -389,7 +391,7 @@
     dispatch::<P>(member);
 }
 
-/// Tries again when the upstream may have room.
+/// Tries again at `until`, when the upstream may have room.
 fn retry<P: Protocol>(member: &Rc<Member>, until: Instant) {
     if member.pool.retrying.replace(true) {
         return;
--- a/crates/proxy/src/presence.rs
+++ b/crates/proxy/src/presence.rs
@@ -1,12 +1,12 @@
-//! Who is heard, told in the log when it changes.
+//! Log lines about instances that are heard or silent, and about lost callers.
 
 use std::cell::Cell;
 
 use crate::peers::Changes;
 
-/// Tells who is heard now and was not before, and the other way round.
+/// Logs the instances that are newly heard, and those newly silent.
 ///
-/// One line for all of them: a zone that is lost is one piece of news.
+/// One line names all of them, since a lost zone is one event.
 pub(crate) fn log_changes(mut changes: Changes) {
     for (names, what) in [
         (&mut changes.joined, "peers heard"),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Tells how many callers' connections broke since the last time.
+/// Logs how many callers' connections broke since the last call.
 pub(crate) fn log_lost_callers(count: &Cell<usize>) {
     let lost = count.take();
     if lost > 0 {
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking upstreams what they are, and telling them what to be.
+//! Status requests and orders to upstreams.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,40 +21,41 @@
     pool,
 };
 
-/// How long an upstream may take to say what it is.
+/// Time limit of a status request.
 pub const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long one that fails may take to say what it is.
+/// Time limit of a status request to a failing upstream.
 const FAILING_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// How long an upstream may take to accept a connection. It needs no slot for that,
-/// so one that is merely slow accepts in no time.
+/// Time limit for an upstream to accept a connection. Accepting needs no slot, so a merely slow
+/// upstream accepts at once.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The pause between two tries to reach an upstream that fails.
+/// Pause between two probes of a failing upstream.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long an upstream that accepts connections may be without an answer.
+/// Time since the last answer after which an upstream that accepts connections has to answer a
+/// status request.
 const SILENCE_LIMIT: Duration = Duration::from_millis(700);
 
-/// How many tries in a row must be accepted until an upstream is trusted again.
+/// Number of consecutive successful probes after which an upstream is trusted again.
 const REQUIRED_SUCCESSES: u32 = 2;
 
-/// What came of a question or an order.
+/// Result of a status request or an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// What the upstream says of itself.
+    /// The upstream's status.
     Status(Status),
-    /// It lives, but has no room to say more.
+    /// The upstream is alive, but has no capacity for an answer.
     Full,
-    /// It refused the order.
+    /// The upstream refused the order.
     Refused(Code),
-    /// It did not answer.
+    /// The upstream did not answer.
     Silent,
 }
 
 impl Answer {
-    /// What the upstream says of itself, if it does.
+    /// Returns the upstream's status, if it is one.
     pub fn status(self) -> Option<Status> {
         match self {
             Self::Status(status) => Some(status),
@@ -63,12 +64,13 @@
     }
 }
 
-/// Asks `member` what it is.
+/// Asks `member` for its status.
 pub async fn status<P: Protocol>(member: &Rc<Member>) -> Answer {
     order::<P>(member, &Command::Status, status_timeout(member)).await
 }
 
-/// How long `member` may take to answer: one that fails holds nobody up for long.
+/// Returns the time limit for `member`: short for a failing one, so that it delays nothing for
+/// long.
 fn status_timeout(member: &Member) -> Duration {
     match member.is_failing() {
         true => FAILING_TIMEOUT,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Gives `member` an order, or asks it, and reads what it says of itself.
+/// Sends `member` an order or a status request, and reads its status.
 pub async fn order<P: Protocol>(
     member: &Rc<Member>,
     command: &Command<'_>,
@@ -127,14 +129,14 @@
     }
 }
 
-/// Notes that `member` did not answer a statement, and looks after it.
+/// Records that `member` did not answer a statement, and probes it.
 pub fn suspect<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
     member.note_failure(Boot.now());
     monitor(node, group, member);
 }
 
-/// Whether `member` lives: it accepts connections, and answered a while ago or does
-/// so now. One that hangs accepts connections all the same.
+/// Returns true if `member` is alive: it accepts connections, and answered recently or answers now.
+/// A hanging upstream still accepts connections.
 async fn is_alive<P: Protocol>(member: &Rc<Member>) -> bool {
     let connecting = TcpStream::connect(member.upstream.address);
     let accepts = matches!(timeout(CONNECT_TIMEOUT, connecting).await, Ok(Ok(_)));
@@ -142,7 +144,7 @@
     accepts && (!is_quiet || status::<P>(member).await != Answer::Silent)
 }
 
-/// Tries to reach `member` again and again until it lives, or is no member any more.
+/// Probes `member` until it is alive or has been removed.
 pub fn monitor<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, member: &Rc<Member>) {
     group.activate();
     if member.is_probed.replace(true) {
@@ -177,19 +179,19 @@
             member.note_contact();
         }
         if is_reported {
-            log::info!(service = &*group.service, upstream = &**id, back = successes > 0; "upstream fails no more");
+            log::info!(service = &*group.service, upstream = &**id, back = successes > 0; "upstream probe ended");
             node.peers.announce();
         }
         member.is_probed.set(false);
     });
 }
 
-/// Asks all members of a group at once.
+/// Asks all members of a group concurrently.
 pub async fn status_of_all<P: Protocol>(members: &[Rc<Member>]) -> Vec<Answer> {
     order_all::<P>(members, &Command::Status).await
 }
 
-/// Gives all members the same order at once.
+/// Sends all members the same order concurrently.
 pub async fn order_all<P: Protocol>(members: &[Rc<Member>], command: &Command<'_>) -> Vec<Answer> {
     let mut tasks = Vec::with_capacity(members.len());
     for member in members {
@@ -198,8 +200,8 @@
     futures_util::future::join_all(tasks).await
 }
 
-/// Whether `leader` answers that it leads `term`, and `others` more members that
-/// they have heard of nothing newer, before anybody says otherwise.
+/// Returns true if `leader` reports that it leads `term` and `others` more members know no newer
+/// term, before any member reports otherwise.
 pub async fn confirm_primary<P: Protocol>(
     members: &[Rc<Member>],
     leader: &Rc<Member>,
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What an upstream refuses this instance, told in the log once in a while.
+//! Counts of what an upstream refuses this instance, logged at intervals.
 
 use std::{cell::Cell, time::Duration};
 
@@ -6,19 +6,19 @@
 
 use crate::member::Member;
 
-/// How often it is told.
+/// Interval between log lines.
 const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What an upstream refuses.
+/// The kind of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A connection: it has as many as it takes.
+    /// A connection was refused: the upstream has reached its limit.
     Connection,
-    /// A statement: as many wait there as may.
+    /// A statement was refused: the upstream's queue is full.
     Statement,
 }
 
-/// A count since the start, and how far it was when it was told.
+/// A counter, and its value at the last log line.
 #[derive(Debug, Default)]
 struct Counter {
     total: Cell<u64>,
@@ -30,14 +30,14 @@
         self.total.set(self.total.get() + 1);
     }
 
-    /// How many there were since the last time.
+    /// Returns the increase since the last call.
     fn take_increase(&self) -> u64 {
         let total = self.total.get();
         total - self.reported.replace(total)
     }
 }
 
-/// What was opened at an upstream, and what it refused.
+/// Counts of opened connections and of refusals at an upstream.
 #[derive(Debug, Default)]
 pub struct Counts {
     opened: Counter,
@@ -47,23 +47,24 @@
 }
 
 impl Counts {
-    /// Counts a connection that was opened.
+    /// Counts an opened connection.
     pub fn opened(&self) {
         self.opened.add();
     }
 
-    /// How many connections were opened since the start.
+    /// Returns the number of connections opened since the start.
     pub fn opened_total(&self) -> u64 {
         self.opened.total.get()
     }
 
-    /// How many statements the upstream refused for want of room since the start.
+    /// Returns the number of statements since the start that the upstream refused for lack of
+    /// capacity.
     pub fn shed_total(&self) -> u64 {
         self.statements.total.get()
     }
 }
 
-/// Counts what `member` refused, and tells how this instance stands there.
+/// Counts a refusal by `member`, and logs the counts and the state of this instance's pool there.
 pub fn record(member: &Member, refusal: Refusal, now: Instant) {
     let refusals = &member.refusals;
     let message = match refusal {
--- a/crates/proxy/src/remote.rs
+++ b/crates/proxy/src/remote.rs
@@ -1,10 +1,10 @@
 //! A session that another instance serves.
 //!
-//! Where a few instances hold the connections to a group ([`admit::holders`]), the
-//! others hand their callers' sessions to them, one hop and never two. Everything that a
-//! session is made of (values, prepared statements, position, transaction, proofs) is at
-//! the holder; here statements and answers pass through, and it is known where the
-//! session stands, so that a lost holder leaves no statement without a true answer.
+//! Where a few instances hold the connections to a group ([`admit::holders`]), the other instances
+//! forward their callers' sessions to them, over one hop and never two. The holder keeps everything
+//! that belongs to the session (values, prepared statements, position, transaction, proofs). This
+//! instance forwards statements and answers, and tracks the session's state, so that a statement
+//! gets a correct answer even if the holder is lost.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -25,18 +25,18 @@
     peers::{self, LOST_HEARTBEATS},
     session_state::SessionState,
 };
-/// How long a holder may take to take over a session: a hop there and back, and a turn
-/// of a busy processor. Behind that the next one is asked; nothing was run.
+/// Time limit for a holder to accept a session: a round trip and a turn on a busy processor. After
+/// it the next holder is asked; nothing was run.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How much longer than a statement may take its answer is waited for: the holder gives
-/// up in time and says so, unless it is gone.
+/// Time that an answer may take beyond the statement's time limit: the holder gives up and reports
+/// that, unless it is lost.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 
-/// How often it is looked whether a holder that has not answered is still heard.
+/// Interval between checks that a holder without an answer is still heard.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How much is read at once.
+/// Bytes that are reserved for a read.
 const READ_SIZE: usize = 4 * 1024;
 
 /// A session that another instance serves.
@@ -51,8 +51,8 @@
 }
 
 impl Remote {
-    /// Hands a session to one of the holders of its route's service; `None` if this
-    /// instance is to serve it.
+    /// Forwards a session to one of the holders of its route's service; `None` if this instance has
+    /// to serve it.
     pub async fn open<E: Edge>(
         node: &Rc<Node<E>>,
         route: &Route,
@@ -84,23 +84,22 @@
                 return Some(remote);
             }
         }
-        log::info!(service = &*route.service, asked = holders.len(); "no holder took the session");
+        log::info!(service = &*route.service, asked = holders.len(); "no holder accepted the session");
         None
     }
 
-    /// Where the session stands.
+    /// Returns the session's transaction state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether the holder is lost. Its caller's session ends once it stands outside of a
-    /// transaction: values and prepared statements are lost with the holder.
+    /// Returns true if the holder is lost and no transaction is open. The caller's session ends
+    /// then, since its values and prepared statements are lost with the holder.
     pub fn is_over(&self) -> bool {
         self.is_lost && self.state == State::Idle
     }
 
-    /// Runs a statement at the holder. `prepared` is the statement behind the name that
-    /// it executes.
+    /// Runs a statement at the holder. `prepared` is the prepared statement that it executes.
     pub async fn answer<E: Edge>(
         &mut self,
         node: &Node<E>,
@@ -125,7 +124,7 @@
         outcome
     }
 
-    /// Waits until the holder ends the session.
+    /// Waits until the holder closes the session.
     pub async fn closed(&self) {
         if self.is_lost {
             return std::future::pending().await;
@@ -133,7 +132,7 @@
         let _ = self.stream.readable().await;
     }
 
-    /// Notes that the holder ended the session while nothing was asked.
+    /// Records that the holder closed the session between statements.
     pub fn mark_lost(&mut self) {
         self.is_lost = true;
     }
@@ -165,10 +164,10 @@
     }
 }
 
-/// Waits until the instance at `address` is heard no more, or `within` is over.
+/// Waits until the instance at `address` is no longer heard, or `within` is over.
 ///
-/// Callers of a holder behind a cut were told nothing until their own time was over:
-/// 2,700 of worth on one day of 58 instances.
+/// Otherwise callers of a holder behind a network partition would wait for the whole time limit of
+/// their statements.
 async fn wait_until_silent<E: Edge>(node: &Node<E>, address: SocketAddr, within: Duration) {
     let until = Instant::now() + within;
     while Instant::now() < until && node.peers.was_heard(address, LOST_HEARTBEATS) {
@@ -176,11 +175,11 @@
     }
 }
 
-/// What a caller is told whose session's holder was lost, at `state`, with `statement`
-/// asked and not answered.
+/// Returns the answer to a caller whose session's holder was lost in `state`, with `statement`
+/// unanswered.
 ///
-/// Without a `COMMIT` nothing of a transaction is kept, wherever its connection is. A
-/// single write or a `COMMIT` may have been kept, and is never sent again.
+/// Without a `COMMIT` nothing of a transaction is kept, wherever its connection is. A single write
+/// or a `COMMIT` may have been executed, and is never sent again.
 fn lost_outcome<E: Edge>(
     state: State,
     statement: &Statement,
--- a/crates/proxy/src/routing.rs
+++ b/crates/proxy/src/routing.rs
@@ -1,4 +1,4 @@
-//! Where a read may run.
+//! Choice of the upstream that runs a read.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,24 +15,24 @@
     run::Context,
 };
 
-/// What a way to an upstream in another zone weighs against a wait there.
+/// Cost of an upstream in another zone, comparable to time in its queue.
 const REMOTE_ZONE_COST: Duration = Duration::from_millis(12);
 
-/// What the primary weighs more, since only it can run writes.
+/// Extra cost of the primary, since only the primary can run writes.
 const PRIMARY_COST: Duration = Duration::from_millis(25);
 
-/// Where a read may run.
+/// The upstream that runs a read, and the conditions for it.
 #[derive(Debug)]
 pub struct Target {
     /// The upstream.
     pub member: Rc<Member>,
-    /// The position that its log must have reached.
+    /// Position that the upstream's log must have reached.
     pub floor: Option<Position>,
-    /// Whether it runs there as on the primary.
+    /// True if the upstream is the primary.
     pub is_primary: bool,
 }
 
-/// The lowest position that a read on `route` may show, if it can be told.
+/// Returns the lowest position that a read on `route` may show, if it is known.
 fn floor(group: &Group, route: &Route, own: Option<Position>, at: Instant) -> Option<Position> {
     match route.freshness {
         Freshness::Current => None,
@@ -41,7 +41,7 @@
             let floor = group.floor(at, age)?;
             let current = group.primary().map(|(_, term)| term);
             match own {
-                // A commit of an earlier term may be on no log any more.
+                // A commit of an earlier term may be lost from every log.
                 Some(own) if current.is_some_and(|term| own.term < term) => None,
                 Some(own) => Some(floor.max(own)),
                 None => Some(floor),
@@ -50,7 +50,7 @@
     }
 }
 
-/// How soon a statement is likely to be answered by `member`.
+/// Estimates the time within which `member` answers a statement.
 fn expected_time(member: &Member, zone: &str) -> Duration {
     let queued = member.running.get() + member.pool.waiting();
     let queued = u32::try_from(queued).unwrap_or(u32::MAX);
@@ -61,7 +61,7 @@
     expected_time
 }
 
-/// Where a read runs next; `None` if nobody may run it now.
+/// Chooses the upstream for a read; `None` if none may run it now.
 pub async fn choose_target<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Whether a transaction on this route has to run on a proved primary.
+/// Returns true if a transaction on this route has to run on a proved primary.
 pub fn needs_primary(route: &Route, access: Access) -> bool {
     access == Access::Write || route.freshness == Freshness::Current
 }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Where a statement runs, and what its caller is told.
+//! Execution of statements on upstreams.
 
 mod write;
 
@@ -25,54 +25,54 @@
 
 pub use write::{acknowledged, in_doubt, write};
 
-/// How long a pause between two tries is.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long samples of a primary's position are kept beyond any age in use.
+/// Time for which samples of a primary's position are kept beyond the longest age in use.
 const SAMPLE_RETENTION: Duration = Duration::from_secs(10);
 
-/// What is added to a transaction's priority while connections are few.
+/// Added to a transaction's priority while connections are scarce.
 const TRANSACTION_PENALTY: u8 = 128;
 
-/// How long a read waits for a connection if it could run elsewhere.
+/// Time for which a read waits for a connection if it could run on another upstream.
 const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
-/// How long an upstream may be silent until it is checked whether it is there.
+/// Silence after which an upstream is probed.
 const PROBE_AFTER: Duration = Duration::from_millis(100);
 
-/// The shortest time after which a read is tried elsewhere as well.
+/// Shortest time after which a read is tried on another upstream.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// What a session brings to a statement.
+/// A statement with the session's context.
 #[derive(Debug)]
 pub struct Context<'a> {
-    /// The route it takes.
+    /// The session's route.
     pub route: &'a Route,
     /// The statement.
     pub query: &'a Query,
-    /// The prepared statement that is run, with what stands behind its name.
+    /// The prepared statement to execute, and the text after its name.
     pub prepared: Option<(&'a Prepared, &'a [u8])>,
-    /// The account whose session it is.
+    /// The session's account.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
     pub values: &'a Values,
     /// The position of the session's last commit.
     pub last_commit: Option<Position>,
-    /// When its first byte was here.
+    /// Arrival time of the statement's first byte.
     pub arrived_at: Instant,
 }
 
-/// How long an upstream's silence is borne.
+/// Reaction to an upstream's silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilencePolicy {
-    /// For as long as the statement may take: it may have been kept.
+    /// Wait for the whole time limit: the statement may have been executed.
     UntilTimeout,
-    /// Until the upstream can't be reached: the statement is run elsewhere, or what
-    /// it did is undone.
+    /// Wait until the upstream counts as failing: the statement is run elsewhere, or its effects
+    /// are rolled back.
     UntilFailing,
 }
 
-/// Sends a statement on a connection that is already its own.
+/// Sends a statement on a connection that was acquired for it.
 ///
 /// # Errors
 ///
@@ -129,12 +129,12 @@
     }
 }
 
-/// Why a statement that was sent has no answer.
+/// Reason for which a sent statement has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAnswer {
     /// The connection broke.
     Broken,
-    /// It took too long.
+    /// The time limit was exceeded.
     Late,
 }
 
@@ -147,18 +147,18 @@
     }
 }
 
-/// Counts a statement that runs at an upstream.
+/// Counts a statement that runs at an upstream, until it is dropped.
 #[derive(Debug)]
 pub struct RunningGuard(Rc<Member>, Instant);
 
 impl RunningGuard {
-    /// Begins to count.
+    /// Starts counting.
     pub fn new(member: &Rc<Member>) -> Self {
         member.running.set(member.running.get() + 1);
         Self(Rc::clone(member), Boot.now())
     }
 
-    /// When it began.
+    /// Returns the start time.
     pub fn since(&self) -> Instant {
         self.1
     }
@@ -171,7 +171,7 @@
     }
 }
 
-/// Whether an upstream's code says that the statement did not run.
+/// Returns true if an upstream's code means that the statement did not run.
 pub fn is_not_run(code: Code) -> bool {
     matches!(
         code,
@@ -184,7 +184,7 @@
     )
 }
 
-/// Notes what an upstream's answer says about it.
+/// Records what an upstream's answer reveals about the upstream.
 pub fn record_answer<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -216,11 +216,11 @@
     }
 }
 
-/// Takes in that `member` runs no writes.
+/// Records that `member` runs no writes.
 ///
-/// One that is recorded as the primary started again as a replica, or was told to
-/// step down by somebody whose word has not come yet. Unless it is replaced, every
-/// write of its group is refused from then on.
+/// If it is the recorded primary, it restarted as a replica, or an instance told it to step down
+/// whose announcement has not arrived yet. Until it is replaced, every write of its group is
+/// refused.
 pub fn record_read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
     node.proof_wanted.notify_one();
     if let Some((lead, term)) = group.primary()
@@ -230,12 +230,12 @@
     }
 }
 
-/// What is left of a span that began at `since`.
+/// Returns what is left of a span that began at `since`.
 pub fn remaining(span: Duration, since: Instant) -> Duration {
     span.saturating_sub(Boot.now().since(since))
 }
 
-/// Runs a single read.
+/// Runs a read outside of a transaction.
 pub async fn read<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
@@ -333,7 +333,7 @@
     }
 }
 
-/// The answer to a statement that nobody ran, or whose answer does not matter.
+/// Returns the answer to a statement that was not run, or whose result does not matter.
 fn not_run<E: Edge>(cause: Cause) -> Outcome {
     let code = match cause {
         Cause::Broken | Cause::Late => Code::Timeout,
@@ -342,14 +342,14 @@
     Outcome::refusal::<E::Protocol>(code, cause, State::Idle)
 }
 
-/// Waits a little once everybody was tried.
+/// Pauses once all members were tried.
 async fn pause_after_round(tried: &[Rc<str>], group: &Group) {
     if tried.len() >= group.members().len() {
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// A connection to `member` within `wait`.
+/// Acquires a connection to `member` within `wait`.
 pub async fn connect<E: Edge>(
     node: &Rc<Node<E>>,
     member: &Rc<Member>,
@@ -358,8 +358,8 @@
 ) -> Option<Connection> {
     let mut priority = context.route.priority;
     if member.pool.is_scarce(Boot.now()) && matches!(context.query.statement, Statement::Begin(_)) {
-        // A transaction holds its connection through its pauses; in that time many
-        // single statements run on it.
+        // A transaction holds its connection through its pauses, in which many single statements
+        // could use it.
         priority = priority.saturating_add(TRANSACTION_PENALTY);
     }
     let _waited = node.metrics.wait(Wait::Connection);
--- a/crates/proxy/src/run/write.rs
+++ b/crates/proxy/src/run/write.rs
@@ -1,4 +1,4 @@
-//! Statements that change something: on the proved primary, once.
+//! Writes outside of a transaction: on the proved primary, and at most once.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,13 +21,13 @@
     routing::Target,
 };
 
-/// A connection that lay idle longer is asked for a sign of life before a write.
+/// Idle time after which a connection is tested before a write.
 const IDLE_LIMIT: Duration = Duration::from_millis(500);
 
-/// How long the sign of life may take.
+/// Time limit of that test.
 const TEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Runs a single write.
+/// Runs a write outside of a transaction.
 pub async fn write<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
@@ -128,10 +128,10 @@
     }
 }
 
-/// Whether a connection that lay idle for long still has its upstream.
+/// Returns true if a connection that was idle for long still reaches its upstream.
 ///
-/// A connection can go silent without a reset. A write that is sent on one ends as
-/// unknown; one that was never sent can be sent elsewhere.
+/// A connection can go silent without a reset. A write that is sent on such a connection ends as
+/// unknown; a write that was never sent can run on another one.
 async fn is_alive<P: Protocol>(connection: &mut Connection) -> bool {
     if connection.last_answer() + IDLE_LIMIT > Boot.now() {
         return true;
@@ -142,16 +142,16 @@
     )
 }
 
-/// The answer to a write whose upstream's answer never came.
+/// Returns the answer to a write whose upstream's answer never came.
 pub fn in_doubt<E: Edge>(cause: Cause) -> Outcome {
     Outcome::refusal::<E::Protocol>(Code::InDoubt, cause, State::Idle)
 }
 
-/// Passes on a commit's answer once it is proved that its upstream still led then.
+/// Forwards a commit's answer once it is proved that its upstream was the primary then.
 ///
-/// A replaced primary that has not noticed keeps on committing, and what it commits
-/// is undone later. So its word counts only if it had not been replaced when its
-/// answer was here; if that can't be told, the caller hears that it is unknown.
+/// A replaced primary that has not noticed goes on committing, and those commits are lost later.
+/// Its answer counts only if it had not been replaced when the answer arrived; without that proof
+/// the caller is told that the result is unknown.
 pub async fn acknowledged<E: Edge>(
     node: &Node<E>,
     group: &Group,
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! The start and the stop of an instance.
+//! Start and stop of an instance.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -18,11 +18,11 @@
     stall, work,
 };
 
-/// How often a stopping instance looks whether anybody is left.
+/// Interval at which a stopping instance checks for open sessions.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a stopping instance takes new callers at least: the balancer needs two
-/// misses, a second apart, to send them elsewhere.
+/// Shortest time for which a stopping instance accepts callers: the balancer needs two failed
+/// health checks, a second apart, to send them elsewhere.
 const MIN_STOP_TIME: Duration = Duration::from_millis(2_600);
 
 /// The sockets that an instance listens on.
@@ -33,11 +33,10 @@
     heartbeats: UdpSocket,
 }
 
-/// How many ports are tried that must be free for TCP and UDP alike.
+/// Number of attempts to find a port that is free for both TCP and UDP.
 const MAX_TRIES: usize = 20;
 
-/// Binds the sockets of an instance. A port of zero is replaced in `settings` by
-/// the one that was found.
+/// Binds the sockets of an instance. A port of zero in `settings` is replaced by the bound one.
 ///
 /// # Errors
 ///
@@ -82,8 +81,8 @@
     spawn_local(session::listen(Rc::clone(node), sockets.callers));
 }
 
-/// Stops an instance: takes callers until the balancer has noticed, lets what runs
-/// end, and returns when nobody is left or the time is over.
+/// Stops an instance: accepts callers until the balancer has noticed, lets running work end, and
+/// returns when no session is left or the time is over.
 pub async fn stop<E: Edge>(node: &Rc<Node<E>>) {
     let since = Boot.now();
     node.stage.set(Stage::Stopping(since));
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session: one connection, its values, prepared statements and position.
+//! A caller's session: connection, values, prepared statements and position.
 
 mod statement;
 
@@ -26,27 +26,27 @@
 };
 use statement::Session;
 
-/// How long a caller may take to say which database it wants.
+/// Time limit for a caller to send the start of its session.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller waits for an instance's first catalogue.
+/// Time for which a caller waits for an instance's first catalogue.
 const CATALOG_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How much is read at once.
+/// Bytes that are reserved for a read.
 const READ_SIZE: usize = 4 * 1024;
 
-/// How long a transaction may rest if the catalogue does not say.
+/// Idle limit of transactions if the catalogue has none.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long after an instance said that it can't serve the balancer still sends
-/// callers here: it asks every second, and needs two misses.
+/// Time for which the balancer still sends callers here after the instance has reported that it
+/// can't serve: it checks every second, and needs two failed checks.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_100);
 
-/// How long after the order to stop idle sessions are kept: the balancer still
-/// sends callers for a while, and a caller's statement may be on its way.
+/// Time for which idle sessions are kept after the order to stop: the balancer still sends callers
+/// for a while, and a statement may be in transit.
 const STOP_LINGER: Duration = Duration::from_millis(1_500);
 
-/// Takes callers until the process ends.
+/// Accepts callers until the process ends.
 pub async fn listen<E: Edge>(node: Rc<Node<E>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -61,14 +61,14 @@
                 });
             }
             Err(error) => {
-                log::warn!(error:%; "no caller could be taken");
+                log::warn!(error:%; "accepting a caller failed");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// What a session waits for.
+/// Events that wake a waiting session.
 enum Wake {
     Read(usize),
     IdleLimit,
@@ -108,7 +108,7 @@
     result
 }
 
-/// Serves a session that another instance handed over.
+/// Serves a session that another instance forwards.
 ///
 /// # Errors
 ///
@@ -127,7 +127,7 @@
     E::Protocol::welcome(&mut out);
     stream.write_all(&out).await?;
     let mut session = Session::from_forwarded(node, state);
-    // A stop waits for these as for its own callers' sessions.
+    // A stop waits for forwarded sessions as for those of its own callers.
     node.sessions.set(node.sessions.get() + 1);
     let result = run_session(node, &mut session, &mut stream, &mut BytesMut::new()).await;
     node.sessions.set(node.sessions.get() - 1);
@@ -135,7 +135,7 @@
     result
 }
 
-/// Reads which database the caller wants, and who it is.
+/// Reads the start of a session.
 async fn read_start<E: Edge>(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
@@ -199,7 +199,7 @@
     }
 }
 
-/// Waits for the caller, for the end of its transaction's rest, or for the stop.
+/// Waits for the caller, for the idle limit of its transaction, or for the stop.
 async fn wake<E: Edge>(
     node: &Rc<Node<E>>,
     session: &Session,
@@ -238,12 +238,11 @@
     }
 }
 
-/// When a session is closed because the instance stops, or can't serve though
-/// others may: its caller comes back through the balancer, which by then sends it
-/// to another zone.
+/// Returns the time at which a session is closed because the instance stops, or can't serve while
+/// others may. Its caller reconnects through the balancer, which sends it to another zone by then.
 ///
-/// Between transactions soon; in one, it has the first half of the time until the
-/// process is killed.
+/// A session without an open transaction is closed soon; an open transaction has the first half of
+/// the time until the process is killed.
 fn stop_at<E: Edge>(
     node: &Node<E>,
     session: &Session,
--- a/crates/proxy/src/session/statement.rs
+++ b/crates/proxy/src/session/statement.rs
@@ -1,5 +1,5 @@
-//! What a session's statements come to: its values, prepared statements, position
-//! and transaction.
+//! Execution of a session's statements, and the state that they leave: values, prepared statements,
+//! position and transaction.
 
 use std::{collections::HashMap, io, rc::Rc, time::Duration};
 
@@ -32,40 +32,41 @@
     pub(super) prepared: HashMap<Bytes, Prepared>,
     pub(super) last_commit: Option<(Rc<str>, Position)>,
     pub(super) transaction: Transaction,
-    /// The ids of the transaction's statements so far, for the log.
+    /// Ids of the transaction's statements so far, for the log.
     pub(super) ids: Vec<Bytes>,
-    /// Where it is served.
+    /// The instance that serves the session.
     location: Location,
-    /// The account whose session it is.
+    /// The session's account.
     account: Option<Rc<str>>,
-    /// Whose key is checked before each statement; `None` where none is asked for, and for
-    /// a session that another instance handed over, which goes on checking.
+    /// The caller whose key is checked before each statement. `None` if the route needs no key, and
+    /// for a forwarded session, whose key the forwarding instance goes on checking.
     caller: Option<Caller>,
-    /// Whether it has only read so far.
+    /// True while the session has only read.
     has_only_read: bool,
-    /// Whether it ends once it stands outside of a transaction.
+    /// True if the session ends once no transaction is open.
     ends_when_idle: bool,
 }
 
-/// Where a session is served.
+/// The instance that serves a session.
 #[derive(Debug)]
 enum Location {
-    /// Here; it may move to another instance.
+    /// This instance; the session may migrate to another one.
     Local { _served: Option<SessionGuard> },
-    /// Here, for another instance's caller: it was handed over once and stays.
+    /// This instance, for a caller of another one. A session is forwarded only once, so it stays.
     Forwarded { _served: Option<SessionGuard> },
-    /// At another instance.
+    /// Another instance.
     Remote(Remote),
 }
 
-/// How long a statement may take on a route that is gone.
+/// Time limit of a statement whose route is gone.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many ids of a transaction are kept for the log.
+/// Number of a transaction's ids that are kept for the log.
 const MAX_IDS: usize = 16;
 
 impl Session {
-    /// A session of `caller` on `database`, handed over if others hold its connections.
+    /// Opens a session of `caller` on `database`, and forwards it if other instances hold the
+    /// connections.
     pub(super) async fn open<E: Edge>(
         node: &Rc<Node<E>>,
         database: Bytes,
@@ -79,7 +80,7 @@
         session
     }
 
-    /// A session that another instance handed over.
+    /// Creates a session that another instance forwards.
     pub(super) fn from_forwarded<E: Edge>(node: &Node<E>, state: SessionState) -> Self {
         let guard = count_session(node, &state.database);
         Self::new(state, Location::Forwarded { _served: guard })
@@ -103,7 +104,7 @@
         }
     }
 
-    /// What another instance needs to go on with it.
+    /// Returns the state that another instance needs to serve the session.
     fn forwarded_state(&self) -> SessionState {
         let last_commit = self.last_commit.as_ref();
         SessionState {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Hands the session to those who hold its connections, or serves it here.
+    /// Forwards the session to a holder of its connections, or serves it here.
     async fn place<E: Edge>(&mut self, node: &Rc<Node<E>>) {
         let remote = match node.route(&self.database) {
             Some(route) => Remote::open(node, &route, &self.forwarded_state()).await,
@@ -129,11 +130,11 @@
         };
     }
 
-    /// Moves the session if others have held its connections for a while.
+    /// Migrates the session if other instances have held its connections for a while.
     ///
-    /// Whoever serves a caller that came while it knew nobody is one more that sends to
-    /// the upstreams, for as long as the caller stays: 344 times behind a loss of power of
-    /// 91 instances, and 290 times still at the end of the day.
+    /// An instance that serves a caller which came before it had heard the others would remain an
+    /// additional client of the upstreams for as long as that caller stays. After a loss of power
+    /// of 91 instances that happened 344 times, and 290 of them lasted to the end of the day.
     async fn migrate_if_due<E: Edge>(&mut self, node: &Rc<Node<E>>) {
         let stays = !matches!(self.location, Location::Local { .. });
         if stays || !matches!(self.transaction, Transaction::None) {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What the caller is told of where it stands.
+    /// Returns the session's transaction state as its caller knows it.
     pub(super) fn state(&self) -> State {
         match &self.location {
             Location::Remote(remote) => remote.state(),
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Whether it can't go on, because the instance that served it is lost.
+    /// Returns true if the session has to end: it was told to, or the instance that served it is
+    /// lost with its state.
     pub(super) fn is_over(&self) -> bool {
         if self.ends_when_idle && self.state() == State::Idle {
             return true;
@@ -169,7 +171,7 @@
             && matches!(&self.location, Location::Remote(remote) if remote.is_over())
     }
 
-    /// Waits until the instance that serves it ends it.
+    /// Waits until the instance that serves the session closes it.
     pub(super) async fn holder_lost(&self) {
         match &self.location {
             Location::Remote(remote) => remote.closed().await,
@@ -177,16 +179,16 @@
         }
     }
 
-    /// Notes that the instance that served it ended it.
+    /// Records that the instance that served the session closed it.
     pub(super) fn mark_lost(&mut self) {
         if let Location::Remote(remote) = &mut self.location {
             remote.mark_lost();
         }
     }
 
-    /// Has another instance answer.
+    /// Forwards a statement to the instance that serves the session.
     ///
-    /// What that one refuses it also logs and counts.
+    /// That instance also logs and counts its refusals.
     async fn forward<E: Edge>(
         &mut self,
         node: &Rc<Node<E>>,
@@ -211,7 +213,7 @@
         let mut outcome = remote.answer(node, query, prepared, within).await;
         let not_run = matches!(outcome.failure, Some((Code::Busy, Cause::Holder)));
         if not_run && self.has_only_read {
-            // It has nothing that was lost with its holder, and the statement only reads.
+            // No state of the session was lost with its holder, and the statement only reads.
             self.place(node).await;
             outcome = match &mut self.location {
                 Location::Remote(remote) => remote.answer(node, query, None, within).await,
@@ -229,7 +231,7 @@
         outcome
     }
 
-    /// Undoes the open transaction, if there is one.
+    /// Rolls back the open transaction, if there is one.
     pub(super) fn abandon<E: Edge>(&mut self) {
         match std::mem::replace(&mut self.transaction, Transaction::None) {
             Transaction::Pinned(pinned) => transaction::roll_back::<E::Protocol>(pinned),
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Undoes a transaction that rested too long; the caller hears it with its next
-    /// statement, because nothing may be said to it unasked.
+    /// Rolls back a transaction that exceeded its idle limit. The caller is told in the answer to
+    /// its next statement, since the protocol has no unsolicited messages.
     pub(super) fn expire_transaction<E: Edge>(&mut self) {
         self.abandon::<E>();
         self.transaction = Transaction::Failed;
@@ -253,7 +255,7 @@
         if self.ids.len() < MAX_IDS {
             self.ids.push(query.id.clone());
         }
-        // Whoever handed a session over goes on checking its caller's key.
+        // The instance that forwards a session goes on checking its caller's key.
         let is_own = !matches!(self.location, Location::Forwarded { .. });
         if is_own
             && let Err(refused) = access::authorise(node, &self.database, self.caller.as_ref(), at)
@@ -280,7 +282,7 @@
         outcome
     }
 
-    /// Has a statement that its caller may ask for answered, here or elsewhere.
+    /// Runs an admitted statement, here or at another instance.
     async fn serve<E: Edge>(&mut self, node: &Rc<Node<E>>, query: &Query, at: Instant) -> Outcome {
         self.migrate_if_due(node).await;
         let only_reads = query.statement == Statement::Read;
@@ -302,15 +304,15 @@
         outcome
     }
 
-    /// How long an operation waits for its account's quota: half of what an answer may take,
-    /// so that the other half is left for it.
+    /// Returns how long an operation may wait for its account's quota: half of the route's target,
+    /// so that the other half is left for the statement.
     fn quota_wait<E: Edge>(&self, node: &Node<E>) -> Duration {
         let route = node.route(&self.database);
         route.map_or(Duration::ZERO, |route| route.latency_target / 2)
     }
 
-    /// Refuses a statement that its caller may not ask for. Nothing of an open transaction is
-    /// kept, wherever it runs.
+    /// Refuses a statement for want of authorisation or quota, and rolls back an open transaction
+    /// wherever it runs.
     fn refuse<E: Edge>(
         &mut self,
         node: &Node<E>,
@@ -325,7 +327,7 @@
             }
             State::Open | State::Failed => {
                 self.abandon::<E>();
-                // What the session had at another instance is lost with this connection.
+                // State at another instance is lost with this connection.
                 self.ends_when_idle |=
                     code == Code::NoAccount || matches!(self.location, Location::Remote(_));
                 self.location = Location::Local { _served: None };
@@ -349,7 +351,7 @@
         outcome
     }
 
-    /// Logs a statement that was refused, failed or slow, with what decided it.
+    /// Logs a refused, failed or slow statement with the state that decided its outcome.
     fn log_statement<E: Edge>(
         &self,
         node: &Node<E>,
@@ -391,7 +393,7 @@
         );
     }
 
-    /// Logs a statement whose answer its caller did not get.
+    /// Logs a statement whose answer could not be sent to its caller.
     pub(super) fn log_lost_answer(&self, query: &Query, error: &io::Error) {
         log::info!(
             request = &*String::from_utf8_lossy(&query.id),
@@ -402,8 +404,8 @@
         );
     }
 
-    /// The ids of the transaction's statements, so that one which was answered
-    /// leads to the commit that failed.
+    /// Returns the ids of the transaction's statements, so that an answered statement can be traced
+    /// to the failed commit.
     fn transaction_ids(&self) -> String {
         let ids: Vec<_> = self
             .ids
@@ -453,7 +455,7 @@
         }
     }
 
-    /// A statement in a transaction that failed: only its end is taken.
+    /// Handles a statement in a failed transaction: only the end of the transaction is allowed.
     fn failed<E: Edge>(&mut self, query: &Query) -> Outcome {
         match query.statement {
             Statement::Rollback => self.rollback::<E>(),
@@ -601,7 +603,7 @@
         }
     }
 
-    /// The position of the session's last commit on the service of `route`.
+    /// Returns the position of the session's last commit on the service of `route`.
     fn last_commit_on(&self, route: &Route) -> Option<Position> {
         let last_commit = self
             .last_commit
@@ -610,11 +612,11 @@
         last_commit.map(|(_, position)| *position)
     }
 
-    /// Remembers how far the session must see from now on.
+    /// Updates the position that the session must see from now on.
     ///
-    /// After a commit that is the commit's position. A read that was proved to run
-    /// on the primary of a later term shows all that is left of earlier commits, so
-    /// its position takes the place of one that no log may have any more.
+    /// After a commit it is the commit's position. A read that was proved to run on the primary of
+    /// a later term shows all that is left of earlier commits, so its position replaces one that
+    /// may be lost from every log.
     fn update_position(&mut self, route: &Route, outcome: &Outcome, access: Access) {
         let Some(position) = outcome.position else {
             return;
--- a/crates/proxy/src/session_state.rs
+++ b/crates/proxy/src/session_state.rs
@@ -1,5 +1,4 @@
-//! What makes a session outside of a transaction, so that another instance can go on
-//! with it.
+//! The state of a session outside of a transaction, with which another instance can serve it.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -9,26 +8,26 @@
 
 use crate::{connection::Values, message::Prepared};
 
-/// What makes a session outside of a transaction.
+/// The state of a session outside of a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionState {
     /// The database that the caller named.
     pub database: Bytes,
-    /// The account whose session it is. Whoever hands it over has checked its caller's key,
-    /// and goes on checking it; the frame beside it carries the name
+    /// The session's account. The instance that forwards the session has checked the caller's key,
+    /// and goes on checking it; the frame beside this state carries the account's name
     /// ([`crate::peers`]).
     #[serde(skip)]
     pub account: Option<Rc<str>>,
     /// The session's values.
     pub values: Values,
-    /// Its prepared statements.
+    /// The session's prepared statements.
     pub prepared: HashMap<Bytes, Prepared>,
-    /// The position of its last commit, and the service whose log that is in.
+    /// The position of the session's last commit, and the service whose log contains it.
     pub last_commit: Option<(String, Position)>,
 }
 
 impl SessionState {
-    /// A session of `account` on `database` that has nothing yet.
+    /// Returns the state of a new session of `account` on `database`.
     pub fn new(database: Bytes, account: Option<Rc<str>>) -> Self {
         Self {
             database,
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,49 +1,49 @@
-//! What an instance is told at its start.
+//! Settings of an instance.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::shares::Slack;
 
-/// What an instance is told at its start.
+/// Settings of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This instance's name, unlike any other's.
+    /// The instance's unique name.
     pub name: String,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where other instances reach this one, by UDP and TCP.
+    /// Listening address for other instances, UDP and TCP.
     pub peers: SocketAddr,
-    /// Some other instances, to be asked first; they may be gone.
+    /// Addresses of other instances to contact first; they may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// How much processor it has, in hundredths of a core.
+    /// Processor capacity in hundredths of a core.
     pub weight: u32,
-    /// How long a stop may take until the process is killed.
+    /// Time between the order to stop and the kill of the process.
     pub grace: Duration,
-    /// How long an upstream that is about to leave may be sent new work.
+    /// Time for which a leaving upstream may get new work.
     pub drain: Duration,
-    /// How long one proof of a primary holds; the same for all instances.
+    /// Validity of a proof of a primary; the same on all instances.
     pub proof: Duration,
-    /// How often a proof is renewed.
+    /// Interval between renewals of a proof.
     pub renew: Duration,
-    /// How long a request may wait for somebody to run it.
+    /// Longest time for which a request waits for an upstream that may run it.
     pub hold: Duration,
-    /// How long a key may be served after it was taken away, by any instance; `None` if
-    /// it is enough that those do in time whom the change reaches.
+    /// Limit on how long any instance may serve a key after its revocation; `None` if only the
+    /// instances that the change reaches have to stop in time.
     pub revocation: Option<Duration>,
-    /// What may be asked for beyond a quota; nothing if it is not said.
+    /// Usage allowed beyond a quota; none if not set.
     pub slack: Option<Slack>,
 }
 
 impl Settings {
-    /// How long what the operators and all instances agreed on may be used by an instance
-    /// that has not heard that it changed.
+    /// Returns how long an instance that has not heard of a change may use the operators' settings
+    /// and the instances' agreements.
     pub fn agreement_ttl(&self) -> Duration {
         self.revocation.unwrap_or(DEFAULT_AGREEMENT_TTL)
     }
 
-    /// The names of the settings that `other` has otherwise.
+    /// Returns the names of the settings that differ in `other`.
     pub fn changed(&self, other: &Self) -> Vec<&'static str> {
         let same = [
             ("name", self.name == other.name),
@@ -65,14 +65,15 @@
     }
 }
 
-/// How long what was agreed on may be used unseen, where no time is set for keys.
+/// Validity of the operators' settings and the instances' agreements without news, if no time is
+/// set for keys.
 const DEFAULT_AGREEMENT_TTL: Duration = Duration::from_secs(5);
 
-/// How long one proof of a primary holds, unless set.
+/// Default validity of a proof of a primary.
 pub const PROOF: Duration = Duration::from_millis(600);
 
-/// How often a proof is renewed, unless set.
+/// Default interval between renewals of a proof.
 pub const RENEW: Duration = Duration::from_millis(200);
 
-/// How long a request may wait for somebody to run it, unless set.
+/// Default limit on the wait for an upstream.
 pub const HOLD: Duration = Duration::from_millis(300);
--- a/crates/proxy/src/transaction.rs
+++ b/crates/proxy/src/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: one upstream connection from the first statement to the end.
+//! Transactions: each uses one upstream connection from its first statement to its end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,57 +23,57 @@
     run::{self, Context, NoAnswer, SilencePolicy},
 };
 
-/// How long undoing a transaction may take until its connection is closed instead.
+/// Time limit of a rollback, after which the connection is closed instead.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a pause between two tries is.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Where a session's transaction stands.
+/// A session's transaction.
 #[derive(Debug)]
 pub enum Transaction {
-    /// There is none.
+    /// No transaction is open.
     None,
-    /// It was begun, but no statement needed an upstream yet.
+    /// The transaction has begun; its connection is being acquired.
     Begun(Begun),
-    /// It runs on a connection of its own.
+    /// The transaction runs on a connection of its own.
     Pinned(Pinned),
-    /// It failed and was undone; it waits for its end.
+    /// The transaction failed and was rolled back; its caller has not ended it yet.
     Failed,
 }
 
-/// A transaction that was begun, as its caller left it.
+/// The parameters of a transaction that begins.
 #[derive(Debug)]
 pub struct Start {
-    /// The statement that began it.
+    /// The statement that began the transaction.
     pub query: Query,
-    /// Whether it may write.
+    /// Access mode of the transaction.
     pub access: Access,
-    /// The route it takes, whatever the catalogue becomes meanwhile.
+    /// The transaction's route, kept if the catalogue changes meanwhile.
     pub route: Rc<Route>,
-    /// The account whose session it is.
+    /// The session's account.
     pub account: Option<Rc<str>>,
-    /// The session's values then.
+    /// The session's values at the beginning.
     pub values: Values,
     /// The position of the session's last commit.
     pub last_commit: Option<Position>,
-    /// When its first byte was here.
+    /// Arrival time of the first byte.
     pub arrived_at: Instant,
 }
 
-/// A transaction whose connection is being found.
+/// A transaction whose connection is being acquired.
 ///
-/// The caller was told at once that it has begun, and sends its first statement a
-/// round trip later at the earliest; until then the connection is there.
+/// The caller was told at once that the transaction has begun, and sends its first statement a
+/// round trip later at the earliest; the connection is usually ready by then.
 #[derive(Debug)]
 pub struct Begun {
-    /// The route it takes.
+    /// The transaction's route.
     pub route: Rc<Route>,
     pinned: JoinHandle<Result<Pinned, Outcome>>,
 }
 
 impl Begun {
-    /// Begins to find a connection.
+    /// Starts acquiring a connection.
     pub fn spawn<E: Edge>(node: &Rc<Node<E>>, start: Start) -> Self {
         let node = Rc::clone(node);
         let route = Rc::clone(&start.route);
@@ -81,17 +81,18 @@
         Self { route, pinned }
     }
 
-    /// The connection, or the refusal if there is none.
+    /// Waits for the transaction on its connection.
     ///
     /// # Errors
     ///
-    /// Nobody may run the transaction now, or nobody had room: nothing was run.
+    /// The refusal, if no upstream may run the transaction now or none had capacity. Nothing was
+    /// run.
     pub async fn pinned<E: Edge>(self) -> Result<Pinned, Outcome> {
         let unknown = || refusal::<E>((Code::Busy, Cause::NoConnection));
         self.pinned.await.unwrap_or_else(|_| Err(unknown()))
     }
 
-    /// Undoes it: its caller does not want it any more.
+    /// Rolls back the transaction, which its caller no longer needs.
     pub fn roll_back<E: Edge>(self) {
         spawn_local(async move {
             if let Ok(Ok(pinned)) = self.pinned.await {
@@ -107,7 +108,7 @@
     connection: Box<Connection>,
     pin: pool::TransactionGuard,
     group: Rc<Group>,
-    /// The route it takes.
+    /// The transaction's route.
     pub route: Rc<Route>,
     wrote: bool,
 }
@@ -117,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// No answer came; the connection is of no more use.
+    /// No answer came; the connection can't be used any more.
     async fn send<E: Edge>(
         &mut self,
         node: &Rc<Node<E>>,
@@ -145,7 +146,7 @@
 }
 
 impl Transaction {
-    /// What the caller is told of where it stands.
+    /// Returns the transaction state as the caller knows it.
     pub fn state(&self) -> State {
         match self {
             Self::None => State::Idle,
@@ -155,10 +156,10 @@
     }
 }
 
-/// Undoes a transaction behind the caller's back.
+/// Rolls back a transaction in the background.
 ///
-/// The connection is used again once the upstream has confirmed it. Otherwise it
-/// is closed, which undoes the transaction as well.
+/// The connection is used again once the upstream has confirmed the rollback. Otherwise it is
+/// closed, which rolls back the transaction as well.
 pub fn roll_back<P: Protocol>(pinned: Pinned) {
     let Pinned {
         mut connection,
@@ -179,7 +180,7 @@
     });
 }
 
-/// Gives a begun transaction its connection.
+/// Acquires the connection of a transaction and begins it there.
 async fn begin_on_upstream<E: Edge>(node: &Rc<Node<E>>, begun: &Start) -> Result<Pinned, Outcome> {
     let group = node.group_of(&begun.route.service);
     let begin = Context {
@@ -263,7 +264,7 @@
     }
 }
 
-/// The refusal of a transaction that never had a connection.
+/// Creates the refusal of a transaction that never had a connection.
 fn refusal<E: Edge>((code, cause): (Code, Cause)) -> Outcome {
     let code = match run::is_not_run(code) && code != Code::NoStatement {
         true => code,
@@ -272,7 +273,8 @@
     Outcome::refusal::<E::Protocol>(code, cause, State::Failed)
 }
 
-/// Runs a read or write of a transaction. The second part is the transaction behind it.
+/// Runs a read or write in a transaction, and returns its outcome with the transaction's next
+/// state.
 pub async fn run_statement<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
@@ -325,13 +327,13 @@
     }
 }
 
-/// Closes a transaction's connection: whatever it did is undone with it.
+/// Closes a transaction's connection, which rolls the transaction back.
 fn aborted<E: Edge>(pinned: Pinned, cause: Cause, state: State) -> Outcome {
     pool::discard::<E::Protocol>(*pinned.connection);
     Outcome::refusal::<E::Protocol>(Code::Aborted, cause, state)
 }
 
-/// Commits.
+/// Commits a transaction.
 pub async fn commit<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
@@ -339,8 +341,7 @@
 ) -> (Outcome, Transaction) {
     let member = Rc::clone(pinned.connection.member());
     if pinned.wrote {
-        // A primary that has been replaced must not be asked for a commit that is
-        // then known to no log.
+        // A replaced primary must not be asked to commit: no other log would contain that commit.
         let time_left = run::remaining(pinned.route.timeout, context.arrived_at);
         let lead = node.proved(&pinned.group, Boot.now(), time_left.min(node.settings.hold));
         match lead.await {
