--- a/crates/proxy/src/work.rs
+++ b/crates/proxy/src/work.rs
@@ -1,4 +1,4 @@
-//! What an instance's duties cost it, counted where the work is done.
+//! Counts of the work for an instance's background duties.
 
 use std::{cell::Cell, fmt::Write, rc::Rc, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use crate::{edge::Edge, node::Node};
 
-/// How often the counts go into the log.
+/// Interval at which the counts are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A kind of work.
@@ -14,25 +14,25 @@
 pub enum Kind {
     /// A heartbeat to an instance that waits for it.
     FrequentHeartbeat,
-    /// A heartbeat to an instance that only wants to know who there is.
+    /// A heartbeat to an instance that only keeps track of the members.
     InfrequentHeartbeat,
-    /// A heartbeat that came.
+    /// A received heartbeat.
     HeardHeartbeat,
-    /// A byte of heartbeats sent.
+    /// A byte of sent heartbeats.
     HeartbeatByte,
-    /// An instance that came or went.
+    /// An instance that appeared or disappeared.
     ChangedInstance,
-    /// An answer to an instance that follows this one.
+    /// A change batch sent to a follower.
     ChangeBatch,
-    /// A byte of these answers.
+    /// A byte of sent change batches.
     ChangeBatchByte,
-    /// A change that a relay told of.
+    /// A change received from a relay.
     Change,
-    /// A question for a proof that came from another instance.
+    /// A request of another instance for a proof.
     ProofQuestion,
     /// A catalogue put in force.
     Catalogue,
-    /// A group looked at, by any of the duties that look again and again.
+    /// A group that a periodic duty examined.
     Group,
 }
 
@@ -51,7 +51,7 @@
         Self::Group,
     ];
 
-    /// Its name among the metrics.
+    /// Returns the kind's name in metrics and logs.
     fn name(self) -> &'static str {
         match self {
             Self::FrequentHeartbeat => "prompt_heartbeats",
@@ -76,13 +76,13 @@
 }
 
 impl Work {
-    /// Counts `more` of a kind.
+    /// Adds `more` to the count of `kind`.
     pub(crate) fn add(&self, kind: Kind, more: usize) {
         let count = &self.counts[kind as usize];
         count.set(count.get() + more as u64);
     }
 
-    /// How much of a kind was done.
+    /// Returns the count of `kind`.
     ///
     /// ```
     /// use proxy::work::{Kind, Work};
@@ -94,7 +94,7 @@
     }
 }
 
-/// All counts of an instance, by name.
+/// Returns all counts of an instance by name.
 pub fn counts<E: Edge>(node: &Node<E>) -> Vec<(&'static str, u64)> {
     let (looks, draws) = node.peers.counters();
     let own = Kind::ALL.map(|kind| (kind.name(), node.work.count(kind)));
@@ -103,7 +103,7 @@
         .collect()
 }
 
-/// Tells the counts in the log until the process ends, one line for all of them.
+/// Logs the counts periodically until the process ends, one line for all of them.
 pub(crate) async fn log_periodically<E: Edge>(node: Rc<Node<E>>) {
     loop {
         sleep(LOG_INTERVAL).await;
--- a/crates/proxy/tests/beat.rs
+++ b/crates/proxy/tests/beat.rs
@@ -1,4 +1,4 @@
-//! What instances of this version and of the one before make of each other's datagrams.
+//! Compatibility of heartbeat datagrams between this version and the one before.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -54,8 +54,8 @@
     assert_eq!(read, Datagram::Heartbeat(beat, Some(more)));
 }
 
-/// While a release goes on, instances of the version before hear beats of this one. They
-/// read a beat alone, and nothing may be missing for them.
+/// Guards against a format change that older instances can't read: during a rolling upgrade they
+/// receive heartbeats of this version, and decode only the part that they know.
 #[test]
 fn previous_version_decodes_the_current_heartbeat() {
     let (beat, more) = sample_heartbeat();
--- a/crates/proxy/tests/greet.rs
+++ b/crates/proxy/tests/greet.rs
@@ -1,4 +1,4 @@
-//! Whom an instance greets that starts.
+//! Greetings that a starting instance sends.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -26,10 +26,9 @@
     }
 }
 
-/// Symptom: instances that start at once send each other many times the greetings that they
-/// need. Events: each greets its seed, and is told of others by all who answer. Cause: it
-/// greets one of those anew whenever somebody names it, until it answers; who is busy
-/// answers late, and is greeted the more for it.
+/// Guards against a flood of greetings when many instances start at once: an instance that greeted
+/// a peer again whenever another one named it would send the most to those that are too busy to
+/// answer.
 #[test]
 fn peer_named_by_many_is_greeted_once() {
     let peers = Peers::new(&settings());
@@ -38,5 +37,5 @@
     for _ in 0..300 {
         assert_eq!(peers.greet(addresses.clone()), []);
     }
-    assert_eq!(peers.greet(vec![address(2)]), [], "itself");
+    assert_eq!(peers.greet(vec![address(2)]), [], "its own address");
 }
--- a/crates/proxy/tests/mirror.rs
+++ b/crates/proxy/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What an instance that follows another one learns, whatever order it comes in.
+//! Contents of a mirror that follows another one, for any order of the changes.
 
 use proptest::prelude::*;
 use proxy::{
@@ -18,7 +18,7 @@
     Change::Gone(format!("k/{key}"), revision)
 }
 
-/// The newest of each key, as all items and deletions tell it.
+/// Returns the newest change of each key, deletions included.
 fn newest(mirror: &Mirror) -> Vec<Change> {
     let mut all = mirror.changes_since(0).unwrap();
     all.sort_by(|a, b| a.key().cmp(b.key()));
@@ -35,7 +35,8 @@
     assert_eq!(mirror.changes_since(24), Some(vec![put(1, 25)]));
 }
 
-/// An instance changes to a relay that is behind: it forgets nothing that it knows.
+/// Guards against loss of known items: an instance that changes to a relay which lags behind must
+/// not take newer items for deleted ones.
 #[test]
 fn item_newer_than_the_relay_is_not_missing() {
     let mut mirror = Mirror::default();
@@ -65,7 +66,7 @@
     assert_eq!(
         mirror.changes_since(mirror.seq() + 1),
         None,
-        "of another life"
+        "of another incarnation"
     );
 }
 
@@ -88,8 +89,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever follows step by step knows the same as whoever was there all the time, and
-    /// so does one to whom the changes came in another order.
+    /// A mirror that follows another one step by step ends with the same contents, and so does one
+    /// that gets the changes in another order.
     #[test]
     fn followers_converge_in_any_order(
         keys in proptest::collection::vec((0_u8..6, any::<bool>()), 1..60),
@@ -123,8 +124,8 @@
     }
 }
 
-/// An instance that changes to another relay and is told everything anew costs that relay's
-/// link as much as one that starts.
+/// Guards against a full transfer to an instance that changes its relay, which costs the new
+/// relay's link as much as an instance that starts.
 #[test]
 fn new_relay_returns_only_changes_after_the_known_revision() {
     let mut mirror = Mirror::default();
@@ -139,7 +140,8 @@
     assert_eq!(mirror.changes_after(1_001, "list/"), Some(vec![]));
 }
 
-/// A deletion that is forgotten would leave an upstream that has left in use.
+/// Guards against use of an upstream that has left: its deletion is no longer in the history when
+/// an instance that lags behind asks for changes.
 #[test]
 fn follower_behind_a_forgotten_deletion_gets_a_full_copy() {
     let mut mirror = Mirror::default();
@@ -152,8 +154,9 @@
     assert!(mirror.changes_after(2_000, "list/").is_some());
 }
 
-/// An instance that changes its relay and does not learn of those that only the new one has
-/// listed chooses other holders than they do, and refuses its callers.
+/// Guards against different choices of holders: an instance that changes its relay and does not
+/// learn of the entries listed only there chooses other holders than its peers, and refuses its
+/// callers.
 #[test]
 fn new_relay_returns_all_listed_items() {
     let listed = |revision| {
