--- a/crates/proxy/src/edge.rs
+++ b/crates/proxy/src/edge.rs
@@ -112,7 +112,7 @@
     revision >> REVISION_BITS
 }
 
-/// Returns the revision by which the store itself knows it.
+/// Returns the number by which the store itself knows a revision.
 pub fn store_revision(revision: u64) -> u64 {
     revision & ((1 << REVISION_BITS) - 1)
 }
@@ -124,7 +124,7 @@
     pub key: String,
     /// The item's value.
     pub value: Bytes,
-    /// The revision of its last change.
+    /// The revision of the item's last change.
     pub revision: u64,
 }
 
@@ -220,15 +220,15 @@
     /// No limit: the calling code limits the whole call.
     pub const NONE: Self = Self { limits: None };
 
-    /// Limits the wait for the answer and each pause in it to `span`.
-    pub fn new(span: Duration) -> Self {
-        Self::after_wait(Duration::ZERO, span)
+    /// Limits the wait for the answer and each pause in it to `limit`.
+    pub fn new(limit: Duration) -> Self {
+        Self::after_wait(Duration::ZERO, limit)
     }
 
     /// Adds the requested `wait` to the limit on the answer's beginning.
-    pub fn after_wait(wait: Duration, span: Duration) -> Self {
+    pub fn after_wait(wait: Duration, limit: Duration) -> Self {
         Self {
-            limits: Some((wait + span, span)),
+            limits: Some((wait + limit, limit)),
         }
     }
 
@@ -258,11 +258,11 @@
 }
 
 async fn with_limit<T, F>(
-    span: Option<Duration>,
+    limit: Option<Duration>,
     call: impl Future<Output = Result<T, F>>,
 ) -> Result<T, Fault> {
-    let called = match span {
-        Some(span) => timeout(span, call).await.map_err(|_| Fault::Unknown)?,
+    let called = match limit {
+        Some(limit) => timeout(limit, call).await.map_err(|_| Fault::Unknown)?,
         None => call.await,
     };
     called.map_err(|_| Fault::Unknown)
@@ -281,7 +281,7 @@
     /// Returns the newest era that an answer named; zero if none did.
     fn era(&self) -> u64;
     /// Reads the current items of a prefix, past any cache. Fails if the answer stays silent for
-    /// `quiet`, however long all of it takes.
+    /// `idle_timeout`, however long all of it takes.
     fn read(
         &self,
         prefix: &str,
@@ -301,7 +301,7 @@
         idle_timeout: Duration,
     ) -> impl Future<Output = Result<Vec<Item>, Fault>>;
     /// Waits up to `wait` for changes after revision `after`. Each change is returned as it was,
-    /// also if a later one superseded it. Fails if the answer stays silent for `quiet`.
+    /// also if a later one superseded it. Fails if the answer stays silent for `idle_timeout`.
     ///
     /// An empty answer does not prove that nothing changed.
     fn watch(
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -63,7 +63,7 @@
     /// The group's name.
     pub service: Rc<str>,
     members: RefCell<HashMap<Rc<str>, Rc<Member>>>,
-    known: RefCell<Option<StoredRecord>>,
+    stored: RefCell<Option<StoredRecord>>,
     proof: Cell<Proof>,
     samples: RefCell<Samples>,
     /// Notified when the record, the proof or the members change.
@@ -101,7 +101,7 @@
             pending: Rc::clone(pending),
             is_active: Cell::new(true),
             members: RefCell::default(),
-            known: RefCell::default(),
+            stored: RefCell::default(),
             proof: Cell::default(),
             samples: RefCell::default(),
             changed: Notify::new(),
@@ -233,11 +233,14 @@
             return;
         };
         member.pool.retire();
-        let known = self.known.borrow();
-        if known.as_ref().is_some_and(|k| k.record.upstream == id) {
+        let stored = self.stored.borrow();
+        if stored
+            .as_ref()
+            .is_some_and(|stored| stored.record.upstream == id)
+        {
             self.unlisted.set(Some(Boot.now()));
         }
-        drop(known);
+        drop(stored);
         self.changed.notify_waiters();
     }
 
@@ -269,23 +272,23 @@
 
     /// Returns the primary's record with its revision.
     pub fn stored_record(&self) -> Option<StoredRecord> {
-        self.known.borrow().clone()
+        self.stored.borrow().clone()
     }
 
     /// Returns true if the group has a record.
     pub fn has_record(&self) -> bool {
-        self.known.borrow().is_some()
+        self.stored.borrow().is_some()
     }
 
     /// Returns the revision of the group's record.
     pub fn revision(&self) -> Option<u64> {
-        self.known.borrow().as_ref().map(|known| known.revision)
+        self.stored.borrow().as_ref().map(|stored| stored.revision)
     }
 
-    /// Returns the primary and its term, if as far as is known here it is usable.
+    /// Returns the primary and its term, unless this instance knows that it can't be used.
     pub fn primary(&self) -> Option<(Rc<Member>, Term)> {
-        let known = self.known.borrow();
-        let record = &known.as_ref()?.record;
+        let stored = self.stored.borrow();
+        let record = &stored.as_ref()?.record;
         if record.phase != Phase::Stable {
             return None;
         }
@@ -298,16 +301,22 @@
     ///
     /// Answers may overtake each other, so an older record never replaces a newer one.
     pub fn update_record(&self, record: Record, revision: u64) -> bool {
-        let mut known = self.known.borrow_mut();
-        if known.as_ref().is_some_and(|k| k.revision >= revision) {
+        let mut stored = self.stored.borrow_mut();
+        if stored
+            .as_ref()
+            .is_some_and(|stored| stored.revision >= revision)
+        {
             return false;
         }
-        let is_unchanged = known.as_ref().is_some_and(|k| k.record == record);
-        let is_same_primary =
-            |k: &StoredRecord| k.record.term == record.term && k.record.upstream == record.upstream;
-        let is_replaced = !known.as_ref().is_some_and(is_same_primary);
-        *known = Some(StoredRecord { record, revision });
-        drop(known);
+        let is_unchanged = stored
+            .as_ref()
+            .is_some_and(|stored| stored.record == record);
+        let is_same_primary = |stored: &StoredRecord| {
+            stored.record.term == record.term && stored.record.upstream == record.upstream
+        };
+        let is_replaced = !stored.as_ref().is_some_and(is_same_primary);
+        *stored = Some(StoredRecord { record, revision });
+        drop(stored);
         self.proof_lease.set(0);
         self.record_learnt_at.set(Boot.now());
         self.leaving_since.set(None);
@@ -330,9 +339,10 @@
 
     /// Records that the record still had `revision` when a question sent at `sent` was answered.
     pub fn prove(&self, revision: u64, sent: Instant, validity: Duration) {
-        let is_current =
-            |k: &StoredRecord| k.revision == revision && k.record.phase == Phase::Stable;
-        if !self.known.borrow().as_ref().is_some_and(is_current) {
+        let is_current = |stored: &StoredRecord| {
+            stored.revision == revision && stored.record.phase == Phase::Stable
+        };
+        if !self.stored.borrow().as_ref().is_some_and(is_current) {
             return;
         }
         let mut proof = self.proof.get();
