--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -60,12 +60,12 @@
     let freshness = &node.freshness;
     let waiting = async {
         loop {
-            let learnt = freshness.updated.notified();
+            let updated = freshness.updated.notified();
             if node.is_fresh(at) || freshness.age(Boot.now()).is_some() {
                 return;
             }
             freshness.requested.notify_one();
-            learnt.await;
+            updated.await;
         }
     };
     let _ = timeout(FIRST_PROOF_TIMEOUT, waiting).await;
--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -68,7 +68,7 @@
     /// The client accounts with their keys.
     pub accounts: Accounts,
     /// Idle time after which a transaction is rolled back.
-    pub rest: Duration,
+    pub transaction_idle_limit: Duration,
 }
 
 /// Readiness of an upstream for new work.
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -75,7 +75,7 @@
 }
 
 /// Returns the key of the takeover lock.
-pub fn duty_key<E: Edge>() -> String {
+pub fn takeover_lock_key<E: Edge>() -> String {
     format!("{}duty", E::OWN_PREFIX)
 }
 
@@ -412,14 +412,14 @@
                 node.unlist_upstream(upstream_id::<E>(&item.key));
             }
         }
-    } else if let Some(group) = record(node, item) {
+    } else if let Some(group) = apply_record(node, item) {
         takeover::track_replacement(node, &group);
     }
 }
 
 /// Applies a group's record. A record that a restored store brought back from before the
 /// restoration is written again by a relay.
-pub fn record<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> Option<Rc<Group>> {
+pub fn apply_record<E: Edge>(node: &Rc<Node<E>>, item: &Item) -> Option<Rc<Group>> {
     let service = item.key.strip_prefix(&record_key::<E>(""))?;
     let record: Record = serde_json::from_slice(&item.value).ok()?;
     let group = node.group_of(&service.into());
--- a/crates/proxy/src/counted.rs
+++ b/crates/proxy/src/counted.rs
@@ -51,7 +51,7 @@
 
 impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
-        self.metrics.called(self.kind, self.answer.get());
+        self.metrics.count_call(self.kind, self.answer.get());
     }
 }
 
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -338,7 +338,7 @@
     }
 
     /// Records that the record still had `revision` when a question sent at `sent` was answered.
-    pub fn prove(&self, revision: u64, sent: Instant, validity: Duration) {
+    pub fn extend_proof(&self, revision: u64, sent: Instant, validity: Duration) {
         let is_current = |stored: &StoredRecord| {
             stored.revision == revision && stored.record.phase == Phase::Stable
         };
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -105,7 +105,7 @@
     }
 
     /// Counts a call to the platform by kind and answer.
-    pub fn called(&self, kind: &'static str, answer: &'static str) {
+    pub fn count_call(&self, kind: &'static str, answer: &'static str) {
         *self.calls.borrow_mut().entry((kind, answer)).or_default() += 1;
     }
 
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -125,11 +125,11 @@
     pub instances_listed_at: Cell<Option<Instant>>,
     able_at: Cell<Instant>,
     /// Revision of the takeover lock that was last seen, and the time since which it has been seen.
-    pub duty: Cell<(u64, Instant)>,
+    pub takeover_lock: Cell<(u64, Instant)>,
     /// The store's era, and the time at which this instance learnt of it.
     store_era: Cell<(u64, Instant)>,
     /// True while this instance holds the takeover lock.
-    pub(crate) has_right: Cell<bool>,
+    pub(crate) holds_takeover_lock: Cell<bool>,
     /// Holders of the takeover lock before this instance acquired it last.
     pub(crate) previous_holders: RefCell<Vec<String>>,
     /// Time of this instance's last order.
@@ -201,9 +201,9 @@
             started_at: Boot.now(),
             instances_listed_at: Cell::default(),
             able_at: Cell::new(Boot.now()),
-            duty: Cell::default(),
+            takeover_lock: Cell::default(),
             store_era: Cell::default(),
-            has_right: Cell::new(false),
+            holds_takeover_lock: Cell::new(false),
             previous_holders: RefCell::default(),
             last_order_at: Cell::default(),
             store_contact_at: Cell::default(),
@@ -345,7 +345,7 @@
                 .holder_names(&duty, JUDGE_COUNT, self.candidate());
             judges.contains(own) || self.holder_names(&group.service).contains(own)
         };
-        self.has_right.get() || group.is_proof_wanted(Boot.now()) || is_named()
+        self.holds_takeover_lock.get() || group.is_proof_wanted(Boot.now()) || is_named()
     }
 
     fn candidate(&self) -> Candidate<'_> {
--- a/crates/proxy/src/proof_lease.rs
+++ b/crates/proxy/src/proof_lease.rs
@@ -35,7 +35,7 @@
 };
 
 use crate::{
-    control::{self, record, record_key},
+    control::{self, apply_record, record_key},
     edge::{Change, Edge, Fault, Items, Store, Swap, Swapped},
     freshness,
     group::{Group, LIST_MEMORY},
@@ -399,7 +399,7 @@
     }
     for group in node.active().iter().filter(|g| g.proof_lease.get() == era) {
         if let Some(revision) = group.revision() {
-            group.prove(revision, sent, node.settings.proof);
+            group.extend_proof(revision, sent, node.settings.proof);
         }
     }
 }
@@ -409,8 +409,8 @@
     node.heard_from_store(sent);
     for item in &items.items {
         control::apply_change(node, Change::Put(item.clone()));
-        if let Some(group) = record(node, item) {
-            group.prove(item.revision, sent, node.settings.proof);
+        if let Some(group) = apply_record(node, item) {
+            group.extend_proof(item.revision, sent, node.settings.proof);
         }
     }
     if !relay::is_reader(node) {
@@ -499,6 +499,6 @@
         return;
     }
     if probe::confirm_primary::<E::Protocol>(&members, &leader, term, others).await {
-        group.prove(known.revision, sent, node.settings.proof);
+        group.extend_proof(known.revision, sent, node.settings.proof);
     }
 }
--- a/crates/proxy/src/proof_lease/adopt.rs
+++ b/crates/proxy/src/proof_lease/adopt.rs
@@ -80,6 +80,6 @@
         return;
     }
     if let Some(revision) = group.revision() {
-        group.prove(revision, since, node.settings.proof);
+        group.extend_proof(revision, since, node.settings.proof);
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -212,7 +212,7 @@
         let stop = stop_at(node, session, buf);
         let idle_until = match &session.transaction {
             Transaction::Pinned(_) | Transaction::Begun(_) => {
-                let limit = match node.catalog().rest {
+                let limit = match node.catalog().transaction_idle_limit {
                     Duration::ZERO => DEFAULT_IDLE_LIMIT,
                     limit => limit,
                 };
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -65,7 +65,7 @@
         if let Some(lock) = held.take_if(|lock| !lock.holds()) {
             log::warn!(fence = lock.token; "the right to give orders ran out");
         }
-        node.has_right.set(held.is_some());
+        node.holds_takeover_lock.set(held.is_some());
         let due: Vec<_> = node
             .active()
             .into_iter()
@@ -211,7 +211,7 @@
             Ok(ordered) => counted::answer(ordered.as_ref().err()),
             Err(_) => "given_up",
         };
-        node.metrics.called("promote", answer);
+        node.metrics.count_call("promote", answer);
         log::info!(service = &*group.service, upstream = &**id, fence = lock.token, ordered:?; "promote");
         if matches!(ordered, Ok(Err(Fault::Missing | Fault::Refused))) {
             continue;
--- a/crates/proxy/src/takeover/lock.rs
+++ b/crates/proxy/src/takeover/lock.rs
@@ -8,7 +8,7 @@
 
 use super::Failed;
 use crate::{
-    control::{duty_key, encode},
+    control::{encode, takeover_lock_key},
     edge::{Edge, Fault, Store, Swap, Swapped},
     node::Node,
 };
@@ -80,17 +80,17 @@
 /// Takes the right to give orders.
 pub(super) async fn claim<E: Edge>(node: &Node<E>) -> Result<Lock, Failed> {
     let store = node.store();
-    let key = duty_key::<E>();
+    let key = takeover_lock_key::<E>();
     let duties = timeout(CALL, store.read(&key, CALL)).await;
     let duties = duties.map_err(|_| Fault::Unknown)??;
     let item = duties.items.iter().find(|item| item.key == key);
     let revision = item.map_or(0, |item| item.revision);
     let duty = item.and_then(|item| serde_json::from_slice::<Duty>(&item.value).ok());
     let now = Boot.now();
-    if node.duty.get().0 != revision {
-        node.duty.set((revision, now));
+    if node.takeover_lock.get().0 != revision {
+        node.takeover_lock.set((revision, now));
     }
-    let (_, seen) = node.duty.get();
+    let (_, seen) = node.takeover_lock.get();
     let era = store.era();
     // A copy of the store may have lost who has the right, and that one goes on to give orders
     // until it has run out. Whoever took it at once would send its first order behind or
@@ -126,13 +126,13 @@
 
 /// Looks who has the right.
 pub(super) async fn look<E: Edge>(node: &Node<E>) {
-    let key = duty_key::<E>();
+    let key = takeover_lock_key::<E>();
     let Ok(Ok(read)) = timeout(CALL, node.store().read(&key, CALL)).await else {
         return;
     };
     let item = read.items.iter().find(|item| item.key == key);
-    if let Some(item) = item.filter(|item| node.duty.get().0 < item.revision) {
-        node.duty.set((item.revision, Boot.now()));
+    if let Some(item) = item.filter(|item| node.takeover_lock.get().0 < item.revision) {
+        node.takeover_lock.set((item.revision, Boot.now()));
     }
 }
 
@@ -162,8 +162,8 @@
         written: node.store().era(),
     };
     let swap = Swap {
-        expected: vec![(duty_key::<E>(), revision)],
-        puts: vec![(duty_key::<E>(), encode(&duty), 0)],
+        expected: vec![(takeover_lock_key::<E>(), revision)],
+        puts: vec![(takeover_lock_key::<E>(), encode(&duty), 0)],
         deletes: Vec::new(),
     };
     let sent = Boot.now();
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -16,7 +16,7 @@
     lock::{CALL, Lock},
 };
 use crate::{
-    control::{duty_key, encode, record_key},
+    control::{encode, record_key, takeover_lock_key},
     edge::{Edge, Fault, Store, Swap, Swapped},
     group::Group,
     member::Member,
@@ -41,7 +41,7 @@
     };
     let key = record_key::<E>(&group.service);
     let mut swap = Swap {
-        expected: vec![(key.clone(), known.revision), (duty_key::<E>(), 0)],
+        expected: vec![(key.clone(), known.revision), (takeover_lock_key::<E>(), 0)],
         puts: vec![(key, encode(&record), 0)],
         deletes: Vec::new(),
     };
