--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream.
+//! A connection to an upstream.
 
 use std::{collections::BTreeMap, collections::HashSet, io, rc::Rc, time::Duration};
 
@@ -19,35 +19,35 @@
     message::{Code, Command, Prepared, Reply, State},
 };
 
-/// How long a connection may take to be made and greeted.
-const OPEN: Duration = Duration::from_millis(400);
+/// Time limit for connecting and the handshake.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unconfirmed before the kernel gives up.
-const UNCONFIRMED: Duration = Duration::from_millis(2_000);
+/// Time for which sent bytes may stay unacknowledged before the kernel closes the connection.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How much is read at once.
-const CHUNK: usize = 8 * 1024;
+/// Bytes that are reserved for a read.
+const READ_SIZE: usize = 8 * 1024;
 
-/// Why there is no connection.
+/// Reason for which no connection could be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refused {
-    /// The upstream has as many as it takes.
+    /// The upstream has reached its limit of connections.
     #[error("the upstream takes no more connections")]
     TooMany,
     /// Another upstream has the address now.
     #[error("another upstream has this address")]
     Misrouted,
-    /// Its log is shorter than it was when it led.
+    /// The upstream's log is shorter than it was when the upstream led.
     #[error("the upstream has lost a part of its log")]
     LogLost,
-    /// Nobody answers there.
+    /// The upstream does not answer at its address.
     #[error("the upstream can't be reached")]
     Unreachable,
 }
 
-/// The connection broke before the answer was whole.
+/// The connection broke before the answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the connection broke before the answer was whole")]
+#[error("the connection broke before the answer was complete")]
 pub struct Broken;
 
 impl From<io::Error> for Broken {
@@ -56,14 +56,14 @@
     }
 }
 
-/// The values of a session.
+/// The values that a session has set, by name.
 pub type Values = BTreeMap<Bytes, Bytes>;
 
-/// One connection to an upstream.
+/// A connection to an upstream.
 ///
-/// It is opened for one client account, is used by one session at a time, and by sessions of
-/// that account only. It knows which values and prepared
-/// statements the upstream has for it, so that a session finds just its own.
+/// It is opened for one client account, and only sessions of that account use it, one at a time. It
+/// tracks the values and prepared statements that the upstream keeps for it, so that a session
+/// finds only its own.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -71,19 +71,19 @@
     out: BytesMut,
     values: Values,
     prepared: HashSet<String>,
-    awaited: usize,
+    outstanding: usize,
     state: State,
-    answered: Instant,
+    last_answer: Instant,
     account: Option<Rc<str>>,
     member: Rc<Member>,
-    _counted: Counted,
+    _guard: OpenGuard,
 }
 
 /// Counts a connection for as long as it is open.
 #[derive(Debug)]
-pub struct Counted(Rc<Member>);
+pub struct OpenGuard(Rc<Member>);
 
-impl Counted {
+impl OpenGuard {
     /// Counts one more connection to `member`.
     pub fn new(member: &Rc<Member>) -> Self {
         member.pool.open.set(member.pool.open.get() + 1);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         let open = &self.0.pool.open;
         open.set(open.get() - 1);
@@ -103,84 +103,86 @@
     ///
     /// # Errors
     ///
-    /// Nothing was run; [`Refused`] tells who is to blame.
+    /// Nothing was run; [`Refused`] gives the reason.
     pub async fn open<P: Protocol>(
         member: &Rc<Member>,
         account: Option<Rc<str>>,
-        counted: Counted,
+        guard: OpenGuard,
     ) -> Result<Self, Refused> {
-        let opened = timeout(OPEN, Self::greet::<P>(member, account, counted)).await;
+        let opened = timeout(OPEN_TIMEOUT, Self::handshake::<P>(member, account, guard)).await;
         opened.unwrap_or(Err(Refused::Unreachable))
     }
 
-    async fn greet<P: Protocol>(
+    async fn handshake<P: Protocol>(
         member: &Rc<Member>,
         account: Option<Rc<str>>,
-        counted: Counted,
+        guard: OpenGuard,
     ) -> Result<Self, Refused> {
         let upstream = &member.upstream;
         let stream = TcpStream::connect(upstream.address).await;
         let stream = stream.map_err(|_| Refused::Unreachable)?;
         let _ = set_socket_options(&stream);
-        let mut line = Self {
+        let mut connection = Self {
             stream,
             buf: BytesMut::new(),
             out: BytesMut::new(),
             values: Values::new(),
             prepared: HashSet::new(),
-            awaited: 0,
+            outstanding: 0,
             state: State::Idle,
-            answered: Boot.now(),
+            last_answer: Boot.now(),
             account,
             member: Rc::clone(member),
-            _counted: counted,
+            _guard: guard,
         };
-        let account = line.account.clone();
+        let account = connection.account.clone();
         let hello = Command::Start {
             service: &upstream.service,
             account: account.as_deref(),
             id: &upstream.id,
         };
-        if let Ok(reply) = line.ask::<P>(&hello).await {
-            let forgot = reply
+        if let Ok(reply) = connection.request::<P>(&hello).await {
+            let has_lost_log = reply
                 .position
                 .is_some_and(|position| member.check_log_loss(position, Boot.now()));
-            return match forgot {
+            return match has_lost_log {
                 true => Err(Refused::LogLost),
-                false => Ok(line),
+                false => Ok(connection),
             };
         }
-        match P::rejected(&line.buf) {
+        match P::rejected(&connection.buf) {
             Some(Code::TooMany) => Err(Refused::TooMany),
             Some(Code::Misrouted) => Err(Refused::Misrouted),
             _ => Err(Refused::Unreachable),
         }
     }
 
-    /// The upstream behind the connection.
+    /// Returns the upstream at the other end.
     pub fn member(&self) -> &Rc<Member> {
         &self.member
     }
 
-    /// Whether it was opened for `account`, whose sessions alone may use it.
-    pub fn is_of(&self, account: Option<&Rc<str>>) -> bool {
+    /// Returns true if the connection was opened for `account`; only sessions of that account may
+    /// use it.
+    pub fn belongs_to(&self, account: Option<&Rc<str>>) -> bool {
         self.account.as_ref() == account
     }
 
-    /// When the upstream last answered here.
-    pub fn answered(&self) -> Instant {
-        self.answered
+    /// Returns the time of the upstream's last answer on this connection.
+    pub fn last_answer(&self) -> Instant {
+        self.last_answer
     }
 
-    /// Whether nothing is open or awaited, so that another session may have it.
+    /// Returns true if no transaction is open and no answer outstanding, so that another session
+    /// may use the connection.
     pub fn is_clean(&self) -> bool {
-        self.awaited == 0 && self.state == State::Idle && self.buf.is_empty()
+        self.outstanding == 0 && self.state == State::Idle && self.buf.is_empty()
     }
 
-    /// Whether the connection has not been closed while it lay idle.
+    /// Returns true if the connection has not been closed while it was idle.
     ///
-    /// A statement that is sent on a connection which the upstream has closed is
-    /// lost without a trace, and a write would end as unknown for no reason.
+    /// A statement that is sent on a connection which the upstream has closed is lost, and a write
+    /// would end as unknown without need.
     pub fn is_open(&self) -> bool {
         let mut byte = [0];
         match self.stream.try_read(&mut byte) {
@@ -189,19 +191,19 @@
         }
     }
 
-    /// Whether the upstream has just these values for this connection.
-    pub fn has(&self, values: &Values) -> bool {
+    /// Returns true if the connection has exactly these values at the upstream.
+    pub fn has_values(&self, values: &Values) -> bool {
         self.values == *values
     }
 
-    /// Puts the commands in line that give the connection a session's values.
-    pub fn align<P: Protocol>(&mut self, values: &Values) {
+    /// Queues the commands that set the connection to a session's values.
+    pub fn sync_values<P: Protocol>(&mut self, values: &Values) {
         if self.values == *values {
             return;
         }
         let stale = self.values.keys().any(|name| !values.contains_key(name));
         if stale {
-            self.put::<P>(&Command::Reset);
+            self.queue::<P>(&Command::Reset);
             self.values.clear();
             self.prepared.clear();
         }
@@ -209,67 +211,68 @@
             if self.values.get(name) == Some(value) {
                 continue;
             }
-            self.put::<P>(&Command::Set(name, value));
+            self.queue::<P>(&Command::Set(name, value));
             self.values.insert(name.clone(), value.clone());
         }
     }
 
-    /// Puts the command in line that prepares `shape`, if it is not; its name here.
+    /// Queues the command that prepares `statement` unless it is prepared already, and returns its
+    /// name on this connection.
     ///
-    /// The name is made of the shape, so names of different sessions never collide
-    /// and a shape is prepared once for all sessions that use the connection.
-    pub fn prepare<P: Protocol>(&mut self, shape: &Prepared) -> String {
-        let kind = match shape.access {
+    /// The name is a hash of the statement: names of different sessions never collide, and a
+    /// statement is prepared once for all sessions that use the connection.
+    pub fn prepare<P: Protocol>(&mut self, statement: &Prepared) -> String {
+        let kind = match statement.access {
             crate::message::Access::Read => 'r',
             crate::message::Access::Write => 'w',
         };
-        let name = format!("{kind}{:016x}", xxh3_64(&shape.text));
+        let name = format!("{kind}{:016x}", xxh3_64(&statement.text));
         if !self.prepared.contains(&name) {
-            self.put::<P>(&Command::Prepare(&name, shape));
+            self.queue::<P>(&Command::Prepare(&name, statement));
             self.prepared.insert(name.clone());
         }
         name
     }
 
-    /// Clears all values and prepared statements, which also shows a sign of life.
+    /// Clears all values and prepared statements; the answer also shows that the upstream is alive.
     ///
     /// # Errors
     ///
-    /// As [`Connection::ask`].
+    /// As for [`Connection::request`].
     pub async fn reset<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         self.values.clear();
         self.prepared.clear();
-        self.ask::<P>(&Command::Reset).await
+        self.request::<P>(&Command::Reset).await
     }
 
-    /// Forgets what is prepared, because the upstream says that it is not.
-    pub fn unprepare(&mut self) {
+    /// Clears the record of prepared statements after the upstream has reported one as unknown.
+    pub fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
 
-    fn put<P: Protocol>(&mut self, command: &Command<'_>) {
+    fn queue<P: Protocol>(&mut self, command: &Command<'_>) {
         P::command(command, &mut self.out);
-        self.awaited += 1;
+        self.outstanding += 1;
     }
 
-    /// Sends what is in line and `command`; returns the answer to `command`.
+    /// Sends the queued commands and `command`, and returns the answer to `command`.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the upstream refused what was put in line before:
-    /// `command` may have run, and the connection is of no more use. The same
-    /// holds if the future is dropped before it is done.
-    pub async fn ask<P: Protocol>(&mut self, command: &Command<'_>) -> Result<Reply, Broken> {
-        self.put::<P>(command);
+    /// The connection broke, or the upstream refused a queued command. `command` may have run, and
+    /// the connection can't be used any more. The same holds if the future is dropped before it is
+    /// done.
+    pub async fn request<P: Protocol>(&mut self, command: &Command<'_>) -> Result<Reply, Broken> {
+        self.queue::<P>(command);
         let out = self.out.split();
         self.stream.write_all(&out).await?;
         loop {
-            let reply = self.next::<P>().await?;
-            self.awaited -= 1;
+            let reply = self.read_reply::<P>().await?;
+            self.outstanding -= 1;
             self.state = reply.state;
-            if self.awaited == 0 {
-                self.answered = Boot.now();
-                self.member.note_answer(self.answered);
+            if self.outstanding == 0 {
+                self.last_answer = Boot.now();
+                self.member.note_answer(self.last_answer);
                 return Ok(reply);
             }
             if reply.verdict.is_err() {
@@ -278,14 +281,14 @@
         }
     }
 
-    async fn next<P: Protocol>(&mut self) -> Result<Reply, Broken> {
+    async fn read_reply<P: Protocol>(&mut self) -> Result<Reply, Broken> {
         loop {
             match P::reply(&mut self.buf) {
                 Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(_) => return Err(Broken),
             }
-            self.buf.reserve(CHUNK);
+            self.buf.reserve(READ_SIZE);
             if self.stream.read_buf(&mut self.buf).await? == 0 {
                 return Err(Broken);
             }
@@ -293,7 +296,7 @@
     }
 }
 
-/// Sets a socket up so that a peer which went silent is noticed.
+/// Sets the options of a socket so that a dead peer is detected.
 ///
 /// # Errors
 ///
@@ -301,7 +304,7 @@
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED))?;
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
         .with_time(Duration::from_secs(1))
         .with_interval(Duration::from_secs(1))
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an instance counts and shows of itself.
+//! Metrics of an instance.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, rc::Rc, time::Duration};
 
@@ -13,59 +13,59 @@
     work,
 };
 
-/// The upper bounds of the buckets of durations, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const BOUNDS: [f64; 10] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// How a statement ended: its service, its class, the outcome and the cause.
-type End = (Rc<str>, &'static str, &'static str, &'static str);
+/// Labels of an answered statement: service, class, outcome and cause.
+type Labels = (Rc<str>, &'static str, &'static str, &'static str);
 
-/// How long statements of a service and a class took.
+/// A histogram of durations.
 #[derive(Debug, Clone, Copy, Default)]
-struct Spans {
+struct Histogram {
     buckets: [u64; BOUNDS.len()],
     sum: f64,
     count: u64,
 }
 
-/// What was counted since the start of the process.
+/// Counters and histograms since the start of the process.
 ///
-/// The `metrics` crate's exporter is not used here: its clock spins for 0.2 s at
-/// every start, and that long an instance would serve nobody (docs/MEASUREMENTS.md).
+/// The `metrics` crate's exporter is not used: its clock spins for 0.2 s at every start, during
+/// which the instance would serve no caller.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    ends: RefCell<BTreeMap<End, u64>>,
-    spans: RefCell<BTreeMap<(Rc<str>, &'static str), Spans>>,
-    waits: [RefCell<Spans>; 2],
+    statements: RefCell<BTreeMap<Labels, u64>>,
+    latencies: RefCell<BTreeMap<(Rc<str>, &'static str), Histogram>>,
+    waits: [RefCell<Histogram>; 2],
     calls: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
 }
 
-/// What a statement waited for.
+/// Reason for which a statement waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    /// That a primary is proved.
+    /// Proof of a primary.
     Proof,
     /// A connection to an upstream.
     Connection,
 }
 
-/// A wait that goes on; it is counted when it is dropped.
+/// A running wait; it is recorded when the guard is dropped.
 #[derive(Debug)]
 #[must_use = "a wait that is dropped at once took no time"]
-pub struct Waiting<'a> {
-    spans: &'a RefCell<Spans>,
+pub struct WaitTimer<'a> {
+    histogram: &'a RefCell<Histogram>,
     since: Instant,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitTimer<'_> {
     fn drop(&mut self) {
-        let span = Boot.now().since(self.since);
-        self.spans.borrow_mut().add(span);
+        let duration = Boot.now().since(self.since);
+        self.histogram.borrow_mut().add(duration);
     }
 }
 
-impl Spans {
-    fn add(&mut self, span: Duration) {
-        let seconds = span.as_secs_f64();
+impl Histogram {
+    fn add(&mut self, duration: Duration) {
+        let seconds = duration.as_secs_f64();
         self.sum += seconds;
         self.count += 1;
         for (bucket, bound) in self.buckets.iter_mut().zip(BOUNDS) {
@@ -85,8 +85,8 @@
 }
 
 impl Metrics {
-    /// Counts an answered statement, by service and class, never by a caller's words.
-    pub fn answered(&self, route: Option<&Route>, outcome: &Outcome, span: Duration) {
+    /// Counts an answered statement by service and class. Text from callers never becomes a label.
+    pub fn observe_statement(&self, route: Option<&Route>, outcome: &Outcome, duration: Duration) {
         let service = route.map_or_else(|| "none".into(), |route| Rc::clone(&route.service));
         let class = match route.map(|route| route.freshness) {
             Some(Freshness::Current) => "current",
@@ -96,30 +96,30 @@
         };
         let (code, cause) = match outcome.failure {
             None => ("done", "none"),
-            Some((code, cause)) => (word(code), reason(cause)),
+            Some((code, cause)) => (code_label(code), cause_label(cause)),
         };
         let end = (Rc::clone(&service), class, code, cause);
-        *self.ends.borrow_mut().entry(end).or_default() += 1;
-        let mut spans = self.spans.borrow_mut();
-        spans.entry((service, class)).or_default().add(span);
+        *self.statements.borrow_mut().entry(end).or_default() += 1;
+        let mut latencies = self.latencies.borrow_mut();
+        latencies.entry((service, class)).or_default().add(duration);
     }
 
-    /// Counts a call of the platform, by kind and answer.
-    pub fn called(&self, kind: &'static str, answer: &'static str) {
+    /// Counts a call to the platform by kind and answer.
+    pub fn count_call(&self, kind: &'static str, answer: &'static str) {
         *self.calls.borrow_mut().entry((kind, answer)).or_default() += 1;
     }
 
-    /// Counts a wait until what is returned is dropped.
-    pub fn wait(&self, wait: Wait) -> Waiting<'_> {
-        let spans = match wait {
+    /// Starts a wait that ends when the returned guard is dropped.
+    pub fn wait(&self, wait: Wait) -> WaitTimer<'_> {
+        let histogram = match wait {
             Wait::Proof => &self.waits[0],
             Wait::Connection => &self.waits[1],
         };
         let since = Boot.now();
-        Waiting { spans, since }
+        WaitTimer { histogram, since }
     }
 
-    /// The calls of the platform so far, by kind and answer.
+    /// Formats the counts of platform calls by kind and answer for the log.
     pub(crate) fn calls(&self) -> String {
         let mut text = String::new();
         for ((kind, answer), count) in self.calls.borrow().iter() {
@@ -129,7 +129,7 @@
     }
 
     fn write(&self, page: &mut String) {
-        for ((service, class, outcome, cause), count) in self.ends.borrow().iter() {
+        for ((service, class, outcome, cause), count) in self.statements.borrow().iter() {
             let _ = writeln!(
                 page,
                 "dandelionlink_statements_total{{service=\"{service}\",class=\"{class}\",\
@@ -137,14 +137,14 @@
             );
         }
         let name = "dandelionlink_statement_seconds";
-        for ((service, class), spans) in self.spans.borrow().iter() {
+        for ((service, class), histogram) in self.latencies.borrow().iter() {
             let labels = format!("service=\"{service}\",class=\"{class}\"");
-            spans.write(page, name, &labels);
+            histogram.write(page, name, &labels);
         }
-        for (spans, what) in self.waits.iter().zip(["proof", "connection"]) {
+        for (histogram, what) in self.waits.iter().zip(["proof", "connection"]) {
             let labels = format!("for=\"{what}\"");
             let name = "dandelionlink_wait_seconds";
-            spans.borrow().write(page, name, &labels);
+            histogram.borrow().write(page, name, &labels);
         }
         for ((kind, answer), count) in self.calls.borrow().iter() {
             let _ = writeln!(
@@ -155,7 +155,7 @@
     }
 }
 
-fn word(code: Code) -> &'static str {
+fn code_label(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
         Code::Aborted => "aborted",
@@ -174,7 +174,7 @@
     }
 }
 
-fn reason(cause: Cause) -> &'static str {
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::NoProof => "no_proof",
         Cause::NoConnection => "no_connection",
@@ -194,11 +194,9 @@
     }
 }
 
-/// What was counted, and what the instance believes and holds just now, as
-/// Prometheus text.
+/// Renders the counters and the instance's current state as Prometheus text.
 ///
-/// It is written anew for each reader, so an upstream that has left is shown no
-/// more.
+/// Each scrape renders the current members, so an upstream that has left disappears.
 pub fn render<E: Edge>(node: &Node<E>) -> String {
     let now = Boot.now();
     let mut page = String::new();
@@ -207,8 +205,8 @@
         let _ = writeln!(page, "dandelionlink_{name}{labels} {value}");
     };
     put("ready", "", f64::from(u8::from(node.is_ready())));
-    put("sessions", "", count(node.sessions.get()));
-    put("instances", "", count(node.peers.count()));
+    put("sessions", "", to_f64(node.sessions.get()));
+    put("instances", "", to_f64(node.peers.count()));
     put(
         "catalogue_fetches_total",
         "",
@@ -251,9 +249,9 @@
         for member in group.members() {
             let (service, upstream) = (&group.service, &member.upstream.id);
             let labels = format!("{{service=\"{service}\",upstream=\"{upstream}\"}}");
-            put("connections", &labels, count(member.pool.open.get()));
-            put("waiting", &labels, count(member.pool.waiting()));
-            put("running", &labels, count(member.running.get()));
+            put("connections", &labels, to_f64(member.pool.open.get()));
+            put("waiting", &labels, to_f64(member.pool.waiting()));
+            put("running", &labels, to_f64(member.running.get()));
             put("failing", &labels, f64::from(u8::from(member.is_failing())));
             put("latency_seconds", &labels, member.latency().as_secs_f64());
             let refusals = &member.refusals;
@@ -272,6 +270,6 @@
     page
 }
 
-fn count(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,9 +1,8 @@
-//! The connections of this instance to one upstream.
+//! The connection pool of this instance for one upstream.
 //!
-//! An upstream takes few connections from all instances together, and how many
-//! instances there are is never known for sure. So nobody computes a share: an
-//! instance opens a connection when it needs one, the upstream refuses it when it
-//! has as many as it takes, and what lies idle is closed again soon.
+//! An upstream accepts few connections from all instances together, and the number of instances is
+//! never known exactly. So the pool has no fixed size: an instance opens a connection when it needs
+//! one, the upstream refuses it at its limit, and idle connections are closed soon.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,108 +16,116 @@
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
 use crate::{
-    connection::{Connection, Counted, Refused, Values},
+    connection::{Connection, OpenGuard, Refused, Values},
     edge::Protocol,
     member::Member,
     refusal::{self, Refusal},
 };
 
-/// How long connections are given up after use once somebody has none at all.
-const SCARCE: Duration = Duration::from_millis(600);
+/// Time for which connections are closed after use once some instance has none at all.
+const SCARCITY_PERIOD: Duration = Duration::from_millis(600);
 
-/// Somebody who waits for a connection.
+/// A waiting request for a connection.
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     sender: oneshot::Sender<Result<Connection, Refused>>,
     account: Option<Rc<str>>,
 }
 
-/// What somebody wants a connection for.
+/// A request for a connection.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
-    /// Who goes first; zero is the highest.
+pub struct Request<'a> {
+    /// Priority in the queue; zero is the highest.
     pub priority: u8,
-    /// When an answer is late.
-    pub aim: Instant,
-    /// Whose session it is.
+    /// Time after which an answer is late.
+    pub late_at: Instant,
+    /// The session's account.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
     pub values: &'a Values,
 }
 
-/// The connections of this instance to one upstream.
+/// The connection pool of this instance for one upstream.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<Vec<Connection>>,
-    waiters: RefCell<Queue<Waiting>>,
+    waiters: RefCell<Queue<Pending>>,
     budget: RefCell<Budget>,
-    /// For whose sessions connections are being opened.
+    /// Accounts for which connections are being opened.
     opening: RefCell<Vec<Option<Rc<str>>>>,
     scarce_until: Cell<Instant>,
     retrying: Cell<bool>,
     retired: Cell<bool>,
-    /// How many transactions have a connection of their own.
+    /// Number of transactions that have a connection of their own.
     pinned: Cell<usize>,
-    /// How many connections are open or being opened.
+    /// Number of connections that are open or being opened.
     pub open: Cell<usize>,
-    /// How many connections may be open.
+    /// Limit on open connections.
     pub limit: Cell<usize>,
-    /// This instance's even share of them; beyond it a connection of another account is
-    /// closed for each that is opened. Zero while it is not known.
+    /// This instance's even share of the upstream's connections. At or above it, a connection of
+    /// another account is closed for each new one. Zero while unknown.
     pub share: Cell<usize>,
 }
 
 impl Pool {
-    /// How many wait for a connection.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiters.borrow().len()
     }
 
-    /// How many connections lie idle.
-    pub fn resting(&self) -> usize {
+    /// Returns the number of idle connections.
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().len()
     }
 
-    /// How many connections are in use, other than by transactions.
+    /// Returns the number of connections in use outside of transactions.
     fn active(&self) -> usize {
         let unused = self.idle.borrow().len() + self.opening.borrow().len() + self.pinned.get();
         self.open.get().saturating_sub(unused)
     }
 
-    /// An idle connection of `account`, the one with just these values if there is one.
-    pub fn idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
+    /// Takes an idle connection of `account`, with exactly these values if there is one.
+    pub fn take_idle(&self, account: Option<&Rc<str>>, values: &Values) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
-            let same = |line: &Connection| line.is_of(account) && line.has(values);
+            let same = |connection: &Connection| {
+                connection.belongs_to(account) && connection.has_values(values)
+            };
             let same = idle.iter().rposition(same);
-            let at = same.or_else(|| idle.iter().rposition(|line| line.is_of(account)))?;
-            let line = idle.remove(at);
-            if line.is_open() {
-                return Some(line);
+            let at = same.or_else(|| {
+                idle.iter()
+                    .rposition(|connection| connection.belongs_to(account))
+            })?;
+            let connection = idle.remove(at);
+            if connection.is_open() {
+                return Some(connection);
             }
         }
     }
 
-    /// An idle connection, whosever it is, for a question of this process itself.
-    pub fn idle_any(&self) -> Option<Connection> {
+    /// Takes an idle connection of any account, for a request of this process itself.
+    pub fn take_any_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(line) = idle.pop() {
-            if line.is_open() {
-                return Some(line);
+        while let Some(connection) = idle.pop() {
+            if connection.is_open() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// Whether an idle connection is one of `account`.
-    fn rests(&self, account: Option<&Rc<str>>) -> bool {
-        self.idle.borrow().iter().any(|line| line.is_of(account))
+    /// Returns true if an idle connection belongs to `account`.
+    fn has_idle(&self, account: Option<&Rc<str>>) -> bool {
+        self.idle
+            .borrow()
+            .iter()
+            .any(|connection| connection.belongs_to(account))
     }
 
-    /// Closes the connection that has lain idle for longest, if this instance has its share.
+    /// Closes the connection that has been idle longest if this instance has its share.
     ///
-    /// Those who wait are not served by it: they are of other accounts. Were it kept, each
-    /// instance would open more until the upstream refuses all of them.
+    /// The connection belongs to another account than the waiting requests. If it were kept, each
+    /// instance would open more connections until the upstream refuses all of them.
     fn make_room(&self) {
         let share = self.share.get();
         if share > 0 && self.open.get() >= share {
@@ -129,9 +136,9 @@
         }
     }
 
-    /// For whom a connection is opened next: for who goes first of those for whom none is
-    /// being opened yet.
-    fn wanted(&self, now: Instant, service: Duration) -> Option<Option<Rc<str>>> {
+    /// Returns the account for which a connection is opened next: that of the first waiting request
+    /// for which none is being opened yet.
+    fn next_account(&self, now: Instant, service: Duration) -> Option<Option<Rc<str>>> {
         let waiters = self.waiters.borrow();
         let mut missing: HashMap<Option<Rc<str>>, usize> = HashMap::new();
         for waiting in waiters.iter() {
@@ -141,43 +148,43 @@
             let count = missing.entry(account.clone()).or_default();
             *count = count.saturating_sub(1);
         }
-        let is_missing = |waiting: &Waiting| missing[&waiting.account] > 0;
+        let is_missing = |waiting: &Pending| missing[&waiting.account] > 0;
         let first = waiters.peek_where(now, service, is_missing)?;
         Some(first.account.clone())
     }
 
-    /// Closes idle connections beyond `share` that were not used for `rest`.
-    pub fn trim(&self, now: Instant, share: usize, rest: Duration) {
+    /// Closes connections beyond `share` that have been idle for `idle_limit`.
+    pub fn close_excess(&self, now: Instant, share: usize, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let mut excess = self.open.get().saturating_sub(share);
-        idle.retain(|line| {
-            let close = excess > 0 && line.answered() + rest < now;
+        idle.retain(|connection| {
+            let close = excess > 0 && connection.last_answer() + idle_limit < now;
             excess -= usize::from(close);
             !close
         });
     }
 
-    /// Notes that some instance has no connection at all and is refused one.
+    /// Records that some instance has no connection and is refused one.
     ///
-    /// Behind a loss of power the upstream still counts the connections of before.
-    /// What is left would stay with those who came first, and the others could
-    /// serve nobody. So for a while connections are closed once nobody here waits.
+    /// After a loss of power, the upstream still counts the connections from before. The remaining
+    /// ones would stay with the first instances, and the others could serve no caller. So for a
+    /// while, connections are closed as soon as no request waits here.
     pub fn release_idle(&self, now: Instant) {
-        self.scarce_until.set(now + SCARCE);
+        self.scarce_until.set(now + SCARCITY_PERIOD);
         self.idle.borrow_mut().clear();
     }
 
-    /// Whether connections are so few that none may be held for long.
-    pub fn is_tight(&self, now: Instant) -> bool {
+    /// Returns true if connections are too scarce to be held for long.
+    pub fn is_scarce(&self, now: Instant) -> bool {
         self.scarce_until.get() > now || self.is_locked_out(now)
     }
 
-    /// Whether this instance was lately refused its first connection.
+    /// Returns true if this instance is locked out: it was recently refused its first connection.
     pub fn is_locked_out(&self, now: Instant) -> bool {
         self.locked_out_since(now).is_some()
     }
 
-    /// Since when this instance has been refused its first connection.
+    /// Returns the time since which this instance has been locked out.
     pub fn locked_out_since(&self, now: Instant) -> Option<Instant> {
         self.budget.borrow().locked_out_since(now)
     }
@@ -187,92 +194,93 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes all connections, those in use once they are given back.
+    /// Closes all connections: idle ones now, the others when they are released.
     ///
-    /// Idle connections hold the member that holds them. Those of a member that was
-    /// dropped would stay open for good, and where the list lost an upstream for a
-    /// moment it would then refuse everybody: full, though nobody has a connection.
+    /// An idle connection keeps its member alive. Those of a removed member would stay open for
+    /// good. After the list had lost an upstream for a moment, the upstream would refuse all
+    /// connections as too many though none was in use.
     pub fn retire(&self) {
         self.retired.set(true);
         self.close();
     }
 }
 
-/// A connection to `member`: an idle one, a new one, or the next that is free.
+/// Acquires a connection to `member`: an idle one, a new one, or the next that is released.
 ///
 /// # Errors
 ///
 /// A new connection was refused. The future may be dropped at any time.
 pub async fn acquire<P: Protocol>(
     member: &Rc<Member>,
-    wish: Wish<'_>,
+    request: Request<'_>,
 ) -> Result<Connection, Refused> {
     let pool = &member.pool;
     let window = member.window();
     if pool.waiting() == 0
         && pool.active() < window
-        && let Some(line) = pool.idle(wish.account, wish.values)
+        && let Some(connection) = pool.take_idle(request.account, request.values)
     {
-        return Ok(line);
+        return Ok(connection);
     }
     let (sender, receiver) = oneshot::channel();
     pool.waiters.borrow_mut().push(Waiter {
-        priority: wish.priority,
+        priority: request.priority,
         since: Boot.now(),
-        due: wish.aim,
-        reply: Waiting {
+        due: request.late_at,
+        reply: Pending {
             sender,
-            account: wish.account.cloned(),
+            account: request.account.cloned(),
         },
     });
-    serve::<P>(member);
+    dispatch::<P>(member);
     receiver.await.unwrap_or(Err(Refused::Unreachable))
 }
 
-/// Counts a transaction that has a connection of its own.
+/// Counts a transaction that has a connection of its own, until it is dropped.
 #[derive(Debug)]
-pub struct Pin(Rc<Member>);
+pub struct TransactionGuard(Rc<Member>);
 
-impl Pin {
-    /// Counts one more at `member`, and lets others have its place.
+impl TransactionGuard {
+    /// Counts one more transaction at `member`, whose place in the window is free for other
+    /// requests.
     pub fn new<P: Protocol>(member: &Rc<Member>) -> Self {
         let pinned = &member.pool.pinned;
         pinned.set(pinned.get() + 1);
-        serve::<P>(member);
+        dispatch::<P>(member);
         Self(Rc::clone(member))
     }
 }
 
-impl Drop for Pin {
+impl Drop for TransactionGuard {
     fn drop(&mut self) {
         let pinned = &self.0.pool.pinned;
         pinned.set(pinned.get() - 1);
     }
 }
 
-/// Gives a connection back; one that is not clean is closed.
-pub fn release<P: Protocol>(line: Connection) {
-    let member = Rc::clone(line.member());
+/// Returns a connection to the pool, or closes it if it is not clean.
+pub fn release<P: Protocol>(connection: Connection) {
+    let member = Rc::clone(connection.member());
     let pool = &member.pool;
-    let tight = pool.is_tight(Boot.now());
-    let keep = !pool.retired.get() && (pool.waiting() > 0 || !tight);
-    if line.is_clean() && keep {
-        member.pool.idle.borrow_mut().push(line);
+    let is_scarce = pool.is_scarce(Boot.now());
+    let keep = !pool.retired.get() && (pool.waiting() > 0 || !is_scarce);
+    if connection.is_clean() && keep {
+        member.pool.idle.borrow_mut().push(connection);
     } else {
-        drop(line);
+        drop(connection);
     }
-    serve::<P>(&member);
+    dispatch::<P>(&member);
 }
 
-/// Closes a connection and lets those who wait have another.
-pub fn discard<P: Protocol>(line: Connection) {
-    let member = Rc::clone(line.member());
-    drop(line);
-    serve::<P>(&member);
+/// Closes a connection, so that a waiting request may get a new one.
+pub fn discard<P: Protocol>(connection: Connection) {
+    let member = Rc::clone(connection.member());
+    drop(connection);
+    dispatch::<P>(&member);
 }
 
-/// Hands idle connections to those who wait, and opens as many as are missing.
-fn serve<P: Protocol>(member: &Rc<Member>) {
+/// Hands idle connections to waiting requests, and opens as many as are missing.
+fn dispatch<P: Protocol>(member: &Rc<Member>) {
     let pool = &member.pool;
     pool.waiters
         .borrow_mut()
@@ -283,20 +291,20 @@
             .waiters
             .borrow_mut()
             .pop_where(Boot.now(), member.latency(), |waiting| {
-                pool.rests(waiting.account.as_ref())
+                pool.has_idle(waiting.account.as_ref())
             });
         let Some(next) = next else {
             break;
         };
-        let Some(line) = pool.idle(next.reply.account.as_ref(), &Values::new()) else {
-            // It had been closed; who waits for it goes first again.
+        let Some(connection) = pool.take_idle(next.reply.account.as_ref(), &Values::new()) else {
+            // The connection had been closed; its request goes back to the queue.
             pool.waiters.borrow_mut().push(next);
             continue;
         };
-        if let Err(Ok(line)) = next.reply.sender.send(Ok(line))
+        if let Err(Ok(connection)) = next.reply.sender.send(Ok(connection))
             && !pool.retired.get()
         {
-            pool.idle.borrow_mut().push(line);
+            pool.idle.borrow_mut().push(connection);
         }
     }
     loop {
@@ -304,33 +312,34 @@
         if pool.active() + opening >= window {
             return;
         }
-        let Some(account) = pool.wanted(Boot.now(), member.latency()) else {
+        let Some(account) = pool.next_account(Boot.now(), member.latency()) else {
             return;
         };
         pool.make_room();
-        let asked =
+        let decision =
             pool.budget
                 .borrow()
                 .check(Boot.now(), pool.open.get(), opening, pool.limit.get());
-        match asked {
+        match decision {
             Decision::Now => {}
             Decision::Wait(until) => return retry::<P>(member, until),
             Decision::Blocked => return,
         }
         pool.opening.borrow_mut().push(account.clone());
         let member = Rc::clone(member);
-        // Counted before the task runs, or one loop opens as many as wait here: 68
-        // connections of one instance met an upstream that takes 22 from all.
-        let counted = Counted::new(&member);
-        spawn_local(async move { open::<P>(&member, account, counted).await });
+        // Counted before the task runs: otherwise one loop opens a connection for each waiting
+        // request, as when one instance opened 68 connections to an upstream that accepts 22 from
+        // all.
+        let guard = OpenGuard::new(&member);
+        spawn_local(async move { open::<P>(&member, account, guard).await });
     }
 }
 
-/// Gives a connection of `account`, or why there is none, to the next who still waits.
-fn hand(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
+/// Hands a connection of `account`, or the reason for its absence, to the next waiting request.
+fn deliver(member: &Member, account: Option<&Rc<str>>, mut result: Result<Connection, Refused>) {
     let pool = &member.pool;
     loop {
-        let same = |waiting: &Waiting| waiting.account.as_ref() == account;
+        let same = |waiting: &Pending| waiting.account.as_ref() == account;
         let mut waiters = pool.waiters.borrow_mut();
         let next = waiters.pop_where(Boot.now(), member.latency(), same);
         drop(waiters);
@@ -342,29 +351,30 @@
             Err(back) => result = back,
         }
     }
-    if let Ok(line) = result
+    if let Ok(connection) = result
         && !pool.retired.get()
     {
-        pool.idle.borrow_mut().push(line);
+        pool.idle.borrow_mut().push(connection);
     }
 }
 
-async fn open<P: Protocol>(member: &Rc<Member>, account: Option<Rc<str>>, counted: Counted) {
+async fn open<P: Protocol>(member: &Rc<Member>, account: Option<Rc<str>>, guard: OpenGuard) {
     let pool = &member.pool;
-    let opened = Connection::open::<P>(member, account.clone(), counted).await;
+    let opened = Connection::open::<P>(member, account.clone(), guard).await;
     let mut opening = pool.opening.borrow_mut();
     if let Some(at) = opening.iter().position(|other| *other == account) {
         opening.swap_remove(at);
     }
     drop(opening);
     match opened {
-        Ok(line) => {
+        Ok(connection) => {
             pool.budget.borrow_mut().record_success();
             member.refusals.opened();
-            hand(member, account.as_ref(), Ok(line));
+            deliver(member, account.as_ref(), Ok(connection));
         }
         Err(Refused::TooMany) => {
-            // It lives; but it serves nobody here, which is for others to know.
+            // The upstream is alive. That it has no room for this instance is reported to the
+            // others.
             member.note_contact();
             let now = Boot.now();
             let chance = rand::random();
@@ -375,13 +385,13 @@
         }
         Err(refused) => {
             member.note_failure(Boot.now());
-            hand(member, account.as_ref(), Err(refused));
+            deliver(member, account.as_ref(), Err(refused));
         }
     }
-    serve::<P>(member);
+    dispatch::<P>(member);
 }
 
-/// Tries again when the upstream may have room.
+/// Tries again at `until`, when the upstream may have room.
 fn retry<P: Protocol>(member: &Rc<Member>, until: Instant) {
     if member.pool.retrying.replace(true) {
         return;
@@ -390,6 +400,6 @@
     spawn_local(async move {
         sleep(until.since(Boot.now())).await;
         member.pool.retrying.set(false);
-        serve::<P>(&member);
+        dispatch::<P>(&member);
     });
 }
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What an upstream refuses this instance, told in the log once in a while.
+//! Counts of what an upstream refuses this instance, logged at intervals.
 
 use std::{cell::Cell, time::Duration};
 
@@ -6,64 +6,65 @@
 
 use crate::member::Member;
 
-/// How often it is told.
-const TOLD: Duration = Duration::from_millis(1_000);
+/// Interval between log lines.
+const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What an upstream refuses.
+/// The kind of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A connection: it has as many as it takes.
+    /// A connection was refused: the upstream has reached its limit.
     Connection,
-    /// A statement: as many wait there as may.
+    /// A statement was refused: the upstream's queue is full.
     Statement,
 }
 
-/// A count since the start, and how far it was when it was told.
+/// A counter, and its value at the last log line.
 #[derive(Debug, Default)]
-struct Count {
+struct Counter {
     total: Cell<u64>,
-    told: Cell<u64>,
+    reported: Cell<u64>,
 }
 
-impl Count {
+impl Counter {
     fn add(&self) {
         self.total.set(self.total.get() + 1);
     }
 
-    /// How many there were since the last time.
-    fn take(&self) -> u64 {
+    /// Returns the increase since the last call.
+    fn take_increase(&self) -> u64 {
         let total = self.total.get();
-        total - self.told.replace(total)
+        total - self.reported.replace(total)
     }
 }
 
-/// What was opened at an upstream, and what it refused.
+/// Counts of opened connections and of refusals at an upstream.
 #[derive(Debug, Default)]
 pub struct Counts {
-    opened: Count,
-    connections: Count,
-    statements: Count,
-    told: Cell<Instant>,
+    opened: Counter,
+    connections: Counter,
+    statements: Counter,
+    reported: Cell<Instant>,
 }
 
 impl Counts {
-    /// Counts a connection that was opened.
+    /// Counts an opened connection.
     pub fn opened(&self) {
         self.opened.add();
     }
 
-    /// How many connections were opened since the start.
+    /// Returns the number of connections opened since the start.
     pub fn opened_total(&self) -> u64 {
         self.opened.total.get()
     }
 
-    /// How many statements the upstream refused for want of room since the start.
+    /// Returns the number of statements since the start that the upstream refused for lack of
+    /// capacity.
     pub fn shed_total(&self) -> u64 {
         self.statements.total.get()
     }
 }
 
-/// Counts what `member` refused, and tells how this instance stands there.
+/// Counts a refusal by `member`, and logs the counts and the state of this instance's pool there.
 pub fn record(member: &Member, refusal: Refusal, now: Instant) {
     let refusals = &member.refusals;
     let message = match refusal {
@@ -76,16 +77,16 @@
             "upstream busy"
         }
     };
-    if refusals.told.get() + TOLD > now {
+    if refusals.reported.get() + LOG_INTERVAL > now {
         return;
     }
-    refusals.told.set(now);
+    refusals.reported.set(now);
     let pool = &member.pool;
     log::info!(
         service = &*member.upstream.service, upstream = &*member.upstream.id,
-        refused = refusals.connections.take(), shed = refusals.statements.take(),
-        opened = refusals.opened.take(),
-        open = pool.open.get(), idle = pool.resting(), waiting = pool.waiting(),
+        refused = refusals.connections.take_increase(), shed = refusals.statements.take_increase(),
+        opened = refusals.opened.take_increase(),
+        open = pool.open.get(), idle = pool.idle_count(), waiting = pool.waiting(),
         running = member.running.get(), starved = pool.is_locked_out(now);
         "{message}"
     );
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Where a statement runs, and what its caller is told.
+//! Execution of statements on upstreams.
 
 mod write;
 
@@ -25,54 +25,54 @@
 
 pub use write::{acknowledged, in_doubt, write};
 
-/// How long a pause between two tries is.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long samples of a primary's position are kept beyond any age in use.
-const KEEP: Duration = Duration::from_secs(10);
+/// Time for which samples of a primary's position are kept beyond the longest age in use.
+const SAMPLE_RETENTION: Duration = Duration::from_secs(10);
 
-/// What is added to a transaction's priority while connections are few.
-const TRANSACTIONS_LAST: u8 = 128;
+/// Added to a transaction's priority while connections are scarce.
+const TRANSACTION_PENALTY: u8 = 128;
 
-/// How long a read waits for a connection if it could run elsewhere.
-const ELSEWHERE: Duration = Duration::from_millis(60);
+/// Time for which a read waits for a connection if it could run on another upstream.
+const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
-/// How long an upstream may be silent until it is checked whether it is there.
-const SILENCE: Duration = Duration::from_millis(100);
+/// Silence after which an upstream is probed.
+const PROBE_AFTER: Duration = Duration::from_millis(100);
 
-/// The shortest time after which a read is tried elsewhere as well.
-const PATIENCE: Duration = Duration::from_millis(120);
+/// Shortest time after which a read is tried on another upstream.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// What a session brings to a statement.
+/// A statement with the session's context.
 #[derive(Debug)]
-pub struct Ask<'a> {
-    /// The route it takes.
+pub struct Context<'a> {
+    /// The session's route.
     pub route: &'a Route,
     /// The statement.
     pub query: &'a Query,
-    /// The prepared statement that is run, with what stands behind its name.
+    /// The prepared statement to execute, and the text after its name.
     pub prepared: Option<(&'a Prepared, &'a [u8])>,
-    /// The account whose session it is.
+    /// The session's account.
     pub account: Option<&'a Rc<str>>,
     /// The session's values.
     pub values: &'a Values,
     /// The position of the session's last commit.
-    pub own: Option<Position>,
-    /// When its first byte was here.
-    pub at: Instant,
+    pub last_commit: Option<Position>,
+    /// Arrival time of the statement's first byte.
+    pub arrived_at: Instant,
 }
 
-/// How long an upstream's silence is borne.
+/// Reaction to an upstream's silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
-    /// For as long as the statement may take: it may have been kept.
-    ToTheEnd,
-    /// Until the upstream can't be reached: the statement is run elsewhere, or what
-    /// it did is undone.
+pub enum SilencePolicy {
+    /// Wait for the whole time limit: the statement may have been executed.
+    UntilTimeout,
+    /// Wait until the upstream counts as failing: the statement is run elsewhere, or its effects
+    /// are rolled back.
     UntilFailing,
 }
 
-/// Sends a statement on a connection that is already its own.
+/// Sends a statement on a connection that was acquired for it.
 ///
 /// # Errors
 ///
@@ -80,17 +80,17 @@
 pub async fn send<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    line: &mut Connection,
-    ask: &Ask<'_>,
+    connection: &mut Connection,
+    context: &Context<'_>,
     floor: Option<Position>,
-    (within, patience): (Duration, Patience),
-) -> Result<Reply, Lost> {
-    let id = &ask.query.id;
-    let member = Rc::clone(line.member());
+    (within, policy): (Duration, SilencePolicy),
+) -> Result<Reply, NoAnswer> {
+    let id = &context.query.id;
+    let member = Rc::clone(connection.member());
     let name;
-    let command = match ask.prepared {
-        Some((shape, rest)) => {
-            name = line.prepare::<E::Protocol>(shape);
+    let command = match context.prepared {
+        Some((statement, rest)) => {
+            name = connection.prepare::<E::Protocol>(statement);
             Command::Execute {
                 id,
                 after: floor,
@@ -101,77 +101,77 @@
         None => Command::Forward {
             id,
             after: floor,
-            text: &ask.query.text,
+            text: &context.query.text,
         },
     };
     let sent = Boot.now();
-    let mut asked = pin!(timeout(within, line.ask::<E::Protocol>(&command)));
-    let asked = match timeout(SILENCE, &mut asked).await {
-        Ok(asked) => asked,
+    let mut reply = pin!(timeout(within, connection.request::<E::Protocol>(&command)));
+    let reply = match timeout(PROBE_AFTER, &mut reply).await {
+        Ok(reply) => reply,
         Err(_) => {
             if member.health().answered < sent {
                 probe::monitor(node, group, &member);
             }
-            match patience {
-                Patience::UntilFailing if member.is_failing() => return Err(Lost::Late),
-                Patience::UntilFailing => tokio::select! {
-                    asked = &mut asked => asked,
-                    () = member.failing_notify.notified() => return Err(Lost::Late),
+            match policy {
+                SilencePolicy::UntilFailing if member.is_failing() => return Err(NoAnswer::Late),
+                SilencePolicy::UntilFailing => tokio::select! {
+                    reply = &mut reply => reply,
+                    () = member.failing_notify.notified() => return Err(NoAnswer::Late),
                 },
-                Patience::ToTheEnd => asked.await,
+                SilencePolicy::UntilTimeout => reply.await,
             }
         }
     };
-    match asked {
+    match reply {
         Ok(Ok(reply)) => Ok(reply),
-        Ok(Err(Broken)) => Err(Lost::Broken),
-        Err(_) => Err(Lost::Late),
+        Ok(Err(Broken)) => Err(NoAnswer::Broken),
+        Err(_) => Err(NoAnswer::Late),
     }
 }
 
-/// Why a statement that was sent has no answer.
+/// Reason for which a sent statement has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum NoAnswer {
     /// The connection broke.
     Broken,
-    /// It took too long.
+    /// The time limit was exceeded.
     Late,
 }
 
-impl From<Lost> for Cause {
-    fn from(lost: Lost) -> Self {
+impl From<NoAnswer> for Cause {
+    fn from(lost: NoAnswer) -> Self {
         match lost {
-            Lost::Broken => Self::Broken,
-            Lost::Late => Self::Late,
+            NoAnswer::Broken => Self::Broken,
+            NoAnswer::Late => Self::Late,
         }
     }
 }
 
-/// Counts a statement that runs at an upstream.
+/// Counts a statement that runs at an upstream, until it is dropped.
 #[derive(Debug)]
-pub struct Running(Rc<Member>, Instant);
+pub struct RunningGuard(Rc<Member>, Instant);
 
-impl Running {
-    /// Begins to count.
+impl RunningGuard {
+    /// Starts counting.
     pub fn new(member: &Rc<Member>) -> Self {
         member.running.set(member.running.get() + 1);
         Self(Rc::clone(member), Boot.now())
     }
 
-    /// When it began.
+    /// Returns the start time.
     pub fn since(&self) -> Instant {
         self.1
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
         self.0.note_latency(Boot.now().since(self.1));
     }
 }
 
-/// Whether an upstream's code says that the statement did not run.
+/// Returns true if an upstream's code means that the statement did not run.
 pub fn is_not_run(code: Code) -> bool {
     matches!(
         code,
@@ -184,9 +184,15 @@
     )
 }
 
-/// Notes what an upstream's answer says about it.
-pub fn note<E: Edge>(node: &Node<E>, group: &Group, place: &Target, sent: Instant, reply: &Reply) {
-    let member = &place.member;
+/// Records what an upstream's answer reveals about the upstream.
+pub fn record_answer<E: Edge>(
+    node: &Node<E>,
+    group: &Group,
+    target: &Target,
+    sent: Instant,
+    reply: &Reply,
+) {
+    let member = &target.member;
     match &reply.verdict {
         Ok(()) => {
             member.caught_up();
@@ -196,13 +202,13 @@
                 && position.term == term
             {
                 member.note_led(position);
-                group.sample(term, sent, position, KEEP);
+                group.sample(term, sent, position, SAMPLE_RETENTION);
             }
         }
-        Err(failure) if failure.code == Code::Lagging && !place.leads => {
+        Err(failure) if failure.code == Code::Lagging && !target.is_primary => {
             member.note_lag(Boot.now());
         }
-        Err(failure) if failure.code == Code::ReadOnly => read_only(node, group, member),
+        Err(failure) if failure.code == Code::ReadOnly => record_read_only(node, group, member),
         Err(failure) if failure.code == Code::Busy => {
             refusal::record(member, Refusal::Statement, Boot.now());
         }
@@ -210,12 +216,12 @@
     }
 }
 
-/// Takes in that `member` runs no writes.
+/// Records that `member` runs no writes.
 ///
-/// One that is recorded as the primary started again as a replica, or was told to
-/// step down by somebody whose word has not come yet. Unless it is replaced, every
-/// write of its group is refused from then on.
-pub fn read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
+/// If it is the recorded primary, it restarted as a replica, or an instance told it to step down
+/// whose announcement has not arrived yet. Until it is replaced, every write of its group is
+/// refused.
+pub fn record_read_only<E: Edge>(node: &Node<E>, group: &Group, member: &Rc<Member>) {
     node.proof_wanted.notify_one();
     if let Some((lead, term)) = group.primary()
         && Rc::ptr_eq(&lead, member)
@@ -224,15 +230,19 @@
     }
 }
 
-/// What is left of a span that began at `since`.
-pub fn left(span: Duration, since: Instant) -> Duration {
+/// Returns what is left of a span that began at `since`.
+pub fn remaining(span: Duration, since: Instant) -> Duration {
     span.saturating_sub(Boot.now().since(since))
 }
 
-/// Runs a single read.
-pub async fn read<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>, ask: &Ask<'_>) -> Outcome {
+/// Runs a read outside of a transaction.
+pub async fn read<E: Edge>(
+    node: &Rc<Node<E>>,
+    group: &Rc<Group>,
+    context: &Context<'_>,
+) -> Outcome {
     let mut attempts = Attempts::default();
-    let outcome = try_read(node, group, ask, &mut attempts).await;
+    let outcome = try_read(node, group, context, &mut attempts).await;
     Outcome {
         attempts,
         ..outcome
@@ -242,50 +252,54 @@
 async fn try_read<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     attempts: &mut Attempts,
 ) -> Outcome {
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = None;
-    let timeout_at = ask.route.timeout;
+    let limit = context.route.timeout;
     let mut cause = Cause::NoProof;
     loop {
-        let hold = left(node.settings.hold.min(timeout_at), ask.at);
-        if hold.is_zero() {
+        let wait_limit = remaining(node.settings.hold.min(limit), context.arrived_at);
+        if wait_limit.is_zero() {
             break;
         }
-        let Some(place) = choose_target(node, group, ask, &tried, hold).await else {
+        let Some(target) = choose_target(node, group, context, &tried, wait_limit).await else {
             break;
         };
-        let wait = match place.floor {
-            Some(_) if tried.len() + 1 < group.members().len() => hold.min(ELSEWHERE),
-            _ => hold,
+        let wait = match target.floor {
+            Some(_) if tried.len() + 1 < group.members().len() => wait_limit.min(CONNECTION_WAIT),
+            _ => wait_limit,
         };
-        let Some(mut line) = connect::<E>(node, &place.member, ask, wait).await else {
+        let Some(mut connection) = connect::<E>(node, &target.member, context, wait).await else {
             cause = Cause::NoConnection;
             attempts.unconnected += 1;
-            probe::monitor(node, group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
-            pause(&tried, group).await;
+            probe::monitor(node, group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
+            pause_after_round(&tried, group).await;
             continue;
         };
-        let running = Running::new(&place.member);
-        line.align::<E::Protocol>(ask.values);
-        let rest = left(timeout_at, ask.at);
-        let patience = (
-            ask.route.latency_target.max(PATIENCE).min(rest),
-            Patience::UntilFailing,
+        let running = RunningGuard::new(&target.member);
+        connection.sync_values::<E::Protocol>(context.values);
+        let time_left = remaining(limit, context.arrived_at);
+        let policy = (
+            context
+                .route
+                .latency_target
+                .max(MIN_READ_TIMEOUT)
+                .min(time_left),
+            SilencePolicy::UntilFailing,
         );
         let sent = running.since();
-        let reply = send(node, group, &mut line, ask, place.floor, patience).await;
+        let reply = send(node, group, &mut connection, context, target.floor, policy).await;
         drop(running);
         match reply {
             Ok(reply) => {
-                note(node, group, &place, sent, &reply);
+                record_answer(node, group, &target, sent, &reply);
                 if matches!(&reply.verdict, Err(f) if f.code == Code::NoStatement) {
-                    line.unprepare();
+                    connection.clear_prepared();
                 }
-                pool::release::<E::Protocol>(line);
+                pool::release::<E::Protocol>(connection);
                 let again = match &reply.verdict {
                     Ok(()) => false,
                     Err(failure) => {
@@ -303,12 +317,12 @@
             Err(lost) => {
                 attempts.lost += 1;
                 cause = lost.into();
-                pool::discard::<E::Protocol>(line);
-                probe::doubt(node, group, &place.member);
+                pool::discard::<E::Protocol>(connection);
+                probe::suspect(node, group, &target.member);
             }
         }
-        tried.push(Rc::clone(&place.member.upstream.id));
-        pause(&tried, group).await;
+        tried.push(Rc::clone(&target.member.upstream.id));
+        pause_after_round(&tried, group).await;
         if tried.len() >= group.members().len() {
             tried.clear();
         }
@@ -319,7 +333,7 @@
     }
 }
 
-/// The answer to a statement that nobody ran, or whose answer does not matter.
+/// Returns the answer to a statement that was not run, or whose result does not matter.
 fn not_run<E: Edge>(cause: Cause) -> Outcome {
     let code = match cause {
         Cause::Broken | Cause::Late => Code::Timeout,
@@ -328,36 +342,36 @@
     Outcome::refusal::<E::Protocol>(code, cause, State::Idle)
 }
 
-/// Waits a little once everybody was tried.
-async fn pause(tried: &[Rc<str>], group: &Group) {
+/// Pauses once all members were tried.
+async fn pause_after_round(tried: &[Rc<str>], group: &Group) {
     if tried.len() >= group.members().len() {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// A connection to `member` within `wait`.
+/// Acquires a connection to `member` within `wait`.
 pub async fn connect<E: Edge>(
     node: &Rc<Node<E>>,
     member: &Rc<Member>,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     wait: Duration,
 ) -> Option<Connection> {
-    let mut priority = ask.route.priority;
-    if member.pool.is_tight(Boot.now()) && matches!(ask.query.statement, Statement::Begin(_)) {
-        // A transaction holds its connection through its pauses; in that time many
-        // single statements run on it.
-        priority = priority.saturating_add(TRANSACTIONS_LAST);
+    let mut priority = context.route.priority;
+    if member.pool.is_scarce(Boot.now()) && matches!(context.query.statement, Statement::Begin(_)) {
+        // A transaction holds its connection through its pauses, in which many single statements
+        // could use it.
+        priority = priority.saturating_add(TRANSACTION_PENALTY);
     }
     let _waited = node.metrics.wait(Wait::Connection);
-    let wish = pool::Wish {
+    let request = pool::Request {
         priority,
-        aim: ask.at + ask.route.latency_target,
-        account: ask.account,
-        values: ask.values,
+        late_at: context.arrived_at + context.route.latency_target,
+        account: context.account,
+        values: context.values,
     };
-    let acquired = pool::acquire::<E::Protocol>(member, wish);
+    let acquired = pool::acquire::<E::Protocol>(member, request);
     match timeout(wait, acquired).await {
-        Ok(Ok(line)) => Some(line),
+        Ok(Ok(connection)) => Some(connection),
         Ok(Err(Refused::TooMany)) | Err(_) => None,
         Ok(Err(Refused::Unreachable | Refused::Misrouted | Refused::LogLost)) => {
             node.refresh.notify_one();
--- a/crates/proxy/src/transaction.rs
+++ b/crates/proxy/src/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: one upstream connection from the first statement to the end.
+//! Transactions: each uses one upstream connection from its first statement to its end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,82 +20,83 @@
     pool, probe,
     refusal::{self, Refusal},
     routing::{self, Target},
-    run::{self, Ask, Lost, Patience},
+    run::{self, Context, NoAnswer, SilencePolicy},
 };
 
-/// How long undoing a transaction may take until its connection is closed instead.
-const UNDO: Duration = Duration::from_millis(300);
+/// Time limit of a rollback, after which the connection is closed instead.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a pause between two tries is.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Where a session's transaction stands.
+/// A session's transaction.
 #[derive(Debug)]
 pub enum Transaction {
-    /// There is none.
+    /// No transaction is open.
     None,
-    /// It was begun, but no statement needed an upstream yet.
+    /// The transaction has begun; its connection is being acquired.
     Begun(Begun),
-    /// It runs on a connection of its own.
+    /// The transaction runs on a connection of its own.
     Pinned(Pinned),
-    /// It failed and was undone; it waits for its end.
+    /// The transaction failed and was rolled back; its caller has not ended it yet.
     Failed,
 }
 
-/// A transaction that was begun, as its caller left it.
+/// The parameters of a transaction that begins.
 #[derive(Debug)]
 pub struct Start {
-    /// The statement that began it.
+    /// The statement that began the transaction.
     pub query: Query,
-    /// Whether it may write.
+    /// Access mode of the transaction.
     pub access: Access,
-    /// The route it takes, whatever the catalogue becomes meanwhile.
+    /// The transaction's route, kept if the catalogue changes meanwhile.
     pub route: Rc<Route>,
-    /// The account whose session it is.
+    /// The session's account.
     pub account: Option<Rc<str>>,
-    /// The session's values then.
+    /// The session's values at the beginning.
     pub values: Values,
     /// The position of the session's last commit.
-    pub own: Option<Position>,
-    /// When its first byte was here.
-    pub at: Instant,
+    pub last_commit: Option<Position>,
+    /// Arrival time of the first byte.
+    pub arrived_at: Instant,
 }
 
-/// A transaction whose connection is being found.
+/// A transaction whose connection is being acquired.
 ///
-/// The caller was told at once that it has begun, and sends its first statement a
-/// round trip later at the earliest; until then the connection is there.
+/// The caller was told at once that the transaction has begun, and sends its first statement a
+/// round trip later at the earliest; the connection is usually ready by then.
 #[derive(Debug)]
 pub struct Begun {
-    /// The route it takes.
+    /// The transaction's route.
     pub route: Rc<Route>,
     pinned: JoinHandle<Result<Pinned, Outcome>>,
 }
 
 impl Begun {
-    /// Begins to find a connection.
+    /// Starts acquiring a connection.
     pub fn spawn<E: Edge>(node: &Rc<Node<E>>, start: Start) -> Self {
         let node = Rc::clone(node);
         let route = Rc::clone(&start.route);
-        let pinned = spawn_local(async move { pin(&node, &start).await });
+        let pinned = spawn_local(async move { begin_on_upstream(&node, &start).await });
         Self { route, pinned }
     }
 
-    /// The connection, or the refusal if there is none.
+    /// Waits for the transaction on its connection.
     ///
     /// # Errors
     ///
-    /// Nobody may run the transaction now, or nobody had room: nothing was run.
+    /// The refusal, if no upstream may run the transaction now or none had capacity. Nothing was
+    /// run.
     pub async fn pinned<E: Edge>(self) -> Result<Pinned, Outcome> {
-        let unknown = || given_up::<E>((Code::Busy, Cause::NoConnection));
+        let unknown = || refusal::<E>((Code::Busy, Cause::NoConnection));
         self.pinned.await.unwrap_or_else(|_| Err(unknown()))
     }
 
-    /// Undoes it: its caller does not want it any more.
-    pub fn undo<E: Edge>(self) {
+    /// Rolls back the transaction, which its caller no longer needs.
+    pub fn roll_back<E: Edge>(self) {
         spawn_local(async move {
             if let Ok(Ok(pinned)) = self.pinned.await {
-                undo::<E::Protocol>(pinned);
+                roll_back::<E::Protocol>(pinned);
             }
         });
     }
@@ -104,10 +105,10 @@
 /// A transaction on its connection.
 #[derive(Debug)]
 pub struct Pinned {
-    line: Box<Connection>,
-    pin: pool::Pin,
+    connection: Box<Connection>,
+    pin: pool::TransactionGuard,
     group: Rc<Group>,
-    /// The route it takes.
+    /// The transaction's route.
     pub route: Rc<Route>,
     wrote: bool,
 }
@@ -117,27 +118,35 @@
     ///
     /// # Errors
     ///
-    /// No answer came; the connection is of no more use.
+    /// No answer came; the connection can't be used any more.
     async fn send<E: Edge>(
         &mut self,
         node: &Rc<Node<E>>,
-        ask: &Ask<'_>,
-        patience: Patience,
-    ) -> Result<Reply, Lost> {
-        let rest = run::left(self.route.timeout, ask.at);
-        let member = Rc::clone(self.line.member());
-        let _running = run::Running::new(&member);
-        let within = (rest, patience);
-        let reply = run::send(node, &self.group, &mut self.line, ask, None, within).await;
+        context: &Context<'_>,
+        policy: SilencePolicy,
+    ) -> Result<Reply, NoAnswer> {
+        let time_left = run::remaining(self.route.timeout, context.arrived_at);
+        let member = Rc::clone(self.connection.member());
+        let _running = run::RunningGuard::new(&member);
+        let within = (time_left, policy);
+        let reply = run::send(
+            node,
+            &self.group,
+            &mut self.connection,
+            context,
+            None,
+            within,
+        )
+        .await;
         if reply.is_err() {
-            probe::doubt(node, &self.group, &member);
+            probe::suspect(node, &self.group, &member);
         }
         reply
     }
 }
 
 impl Transaction {
-    /// What the caller is told of where it stands.
+    /// Returns the transaction state as the caller knows it.
     pub fn state(&self) -> State {
         match self {
             Self::None => State::Idle,
@@ -147,86 +156,97 @@
     }
 }
 
-/// Undoes a transaction behind the caller's back.
+/// Rolls back a transaction in the background.
 ///
-/// The connection is used again once the upstream has confirmed it. Otherwise it
-/// is closed, which undoes the transaction as well.
-pub fn undo<P: Protocol>(pinned: Pinned) {
-    let Pinned { mut line, pin, .. } = pinned;
+/// The connection is used again once the upstream has confirmed the rollback. Otherwise it is
+/// closed, which rolls back the transaction as well.
+pub fn roll_back<P: Protocol>(pinned: Pinned) {
+    let Pinned {
+        mut connection,
+        pin,
+        ..
+    } = pinned;
     spawn_local(async move {
         let _pin = pin;
-        match timeout(UNDO, line.ask::<P>(&Command::Rollback)).await {
-            Ok(Ok(reply)) if reply.state == State::Idle => pool::release::<P>(*line),
-            _ => pool::discard::<P>(*line),
+        match timeout(
+            ROLLBACK_TIMEOUT,
+            connection.request::<P>(&Command::Rollback),
+        )
+        .await
+        {
+            Ok(Ok(reply)) if reply.state == State::Idle => pool::release::<P>(*connection),
+            _ => pool::discard::<P>(*connection),
         }
     });
 }
 
-/// Gives a begun transaction its connection.
-async fn pin<E: Edge>(node: &Rc<Node<E>>, begun: &Start) -> Result<Pinned, Outcome> {
+/// Acquires the connection of a transaction and begins it there.
+async fn begin_on_upstream<E: Edge>(node: &Rc<Node<E>>, begun: &Start) -> Result<Pinned, Outcome> {
     let group = node.group_of(&begun.route.service);
-    let begin = Ask {
+    let begin = Context {
         route: &begun.route,
         query: &begun.query,
         prepared: None,
         account: begun.account.as_ref(),
         values: &begun.values,
-        own: begun.own,
-        at: begun.at,
+        last_commit: begun.last_commit,
+        arrived_at: begun.arrived_at,
     };
     let started = Boot.now();
     let limit = node.settings.hold.min(begun.route.timeout);
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut last = (Code::Busy, Cause::NoProof);
     loop {
-        let hold = run::left(limit, started);
-        if hold.is_zero() {
-            return Err(given_up::<E>(last));
+        let wait_limit = run::remaining(limit, started);
+        if wait_limit.is_zero() {
+            return Err(refusal::<E>(last));
         }
-        let place = match routing::needs_primary(&begun.route, begun.access) {
-            true => match node.proved(&group, begun.at, hold).await {
+        let target = match routing::needs_primary(&begun.route, begun.access) {
+            true => match node.proved(&group, begun.arrived_at, wait_limit).await {
                 Proved::Primary(member) => Some(Target {
                     member,
                     floor: None,
-                    leads: true,
+                    is_primary: true,
                 }),
-                Proved::Nobody => None,
+                Proved::NoPrimary => None,
             },
-            false => routing::choose_target(node, &group, &begin, &tried, hold).await,
+            false => routing::choose_target(node, &group, &begin, &tried, wait_limit).await,
         };
-        let Some(place) = place else {
-            return Err(given_up::<E>(last));
+        let Some(target) = target else {
+            return Err(refusal::<E>(last));
         };
-        let Some(mut line) = run::connect::<E>(node, &place.member, &begin, hold).await else {
+        let Some(mut connection) =
+            run::connect::<E>(node, &target.member, &begin, wait_limit).await
+        else {
             last = (Code::Busy, Cause::NoConnection);
-            probe::monitor(node, &group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
-            tokio::time::sleep(PAUSE).await;
+            probe::monitor(node, &group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        line.align::<E::Protocol>(&begun.values);
+        connection.sync_values::<E::Protocol>(&begun.values);
         let sent = Boot.now();
         let reply = run::send(
             node,
             &group,
-            &mut line,
+            &mut connection,
             &begin,
-            place.floor,
-            (hold, Patience::UntilFailing),
+            target.floor,
+            (wait_limit, SilencePolicy::UntilFailing),
         )
         .await;
         let Ok(reply) = reply else {
             last = (Code::Busy, Cause::Broken);
-            pool::discard::<E::Protocol>(line);
-            probe::doubt(node, &group, &place.member);
-            tried.push(Rc::clone(&place.member.upstream.id));
+            pool::discard::<E::Protocol>(connection);
+            probe::suspect(node, &group, &target.member);
+            tried.push(Rc::clone(&target.member.upstream.id));
             continue;
         };
-        run::note(node, &group, &place, sent, &reply);
+        run::record_answer(node, &group, &target, sent, &reply);
         if reply.verdict.is_ok() && reply.state == State::Open {
             return Ok(Pinned {
-                line: Box::new(line),
-                pin: pool::Pin::new::<E::Protocol>(&place.member),
+                connection: Box::new(connection),
+                pin: pool::TransactionGuard::new::<E::Protocol>(&target.member),
                 group,
                 route: Rc::clone(&begun.route),
                 wrote: false,
@@ -235,17 +255,17 @@
         if let Err(failure) = &reply.verdict {
             last = (failure.code, Cause::Upstream);
         }
-        pool::release::<E::Protocol>(line);
-        tried.push(Rc::clone(&place.member.upstream.id));
+        pool::release::<E::Protocol>(connection);
+        tried.push(Rc::clone(&target.member.upstream.id));
         if tried.len() >= group.members().len() {
             tried.clear();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-/// The refusal of a transaction that never had a connection.
-fn given_up<E: Edge>((code, cause): (Code, Cause)) -> Outcome {
+/// Creates the refusal of a transaction that never had a connection.
+fn refusal<E: Edge>((code, cause): (Code, Cause)) -> Outcome {
     let code = match run::is_not_run(code) && code != Code::NoStatement {
         true => code,
         false => Code::Busy,
@@ -253,17 +273,21 @@
     Outcome::refusal::<E::Protocol>(code, cause, State::Failed)
 }
 
-/// Runs a read or write of a transaction. The second part is the transaction behind it.
-pub async fn step<E: Edge>(
+/// Runs a read or write in a transaction, and returns its outcome with the transaction's next
+/// state.
+pub async fn run_statement<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
     access: Access,
 ) -> (Outcome, Transaction) {
     loop {
-        pinned.line.align::<E::Protocol>(ask.values);
+        pinned.connection.sync_values::<E::Protocol>(context.values);
         pinned.wrote |= access == Access::Write;
-        let reply = match pinned.send(node, ask, Patience::UntilFailing).await {
+        let reply = match pinned
+            .send(node, context, SilencePolicy::UntilFailing)
+            .await
+        {
             Ok(reply) => reply,
             Err(lost) => {
                 let outcome = aborted::<E>(pinned, lost.into(), State::Failed);
@@ -272,53 +296,54 @@
         };
         let code = reply.verdict.as_ref().err().map(|failure| failure.code);
         if code == Some(Code::NoStatement) {
-            pinned.line.unprepare();
+            pinned.connection.clear_prepared();
         }
         if code == Some(Code::Busy) {
-            refusal::record(pinned.line.member(), Refusal::Statement, Boot.now());
+            refusal::record(pinned.connection.member(), Refusal::Statement, Boot.now());
         }
         let again = matches!(code, Some(Code::Busy | Code::NoStatement));
-        if again && reply.state == State::Open && !run::left(pinned.route.timeout, ask.at).is_zero()
+        if again
+            && reply.state == State::Open
+            && !run::remaining(pinned.route.timeout, context.arrived_at).is_zero()
         {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         if code == Some(Code::ReadOnly) {
-            run::read_only(node, &pinned.group, pinned.line.member());
+            run::record_read_only(node, &pinned.group, pinned.connection.member());
         }
         let outcome = Outcome::from_reply(reply);
         return match outcome.state {
             State::Open => (outcome, Transaction::Pinned(pinned)),
             State::Failed => {
-                undo::<E::Protocol>(pinned);
+                roll_back::<E::Protocol>(pinned);
                 (outcome, Transaction::Failed)
             }
             State::Idle => {
-                pool::release::<E::Protocol>(*pinned.line);
+                pool::release::<E::Protocol>(*pinned.connection);
                 (outcome, Transaction::None)
             }
         };
     }
 }
 
-/// Closes a transaction's connection: whatever it did is undone with it.
+/// Closes a transaction's connection, which rolls the transaction back.
 fn aborted<E: Edge>(pinned: Pinned, cause: Cause, state: State) -> Outcome {
-    pool::discard::<E::Protocol>(*pinned.line);
+    pool::discard::<E::Protocol>(*pinned.connection);
     Outcome::refusal::<E::Protocol>(Code::Aborted, cause, state)
 }
 
-/// Commits.
+/// Commits a transaction.
 pub async fn commit<E: Edge>(
     node: &Rc<Node<E>>,
     mut pinned: Pinned,
-    ask: &Ask<'_>,
+    context: &Context<'_>,
 ) -> (Outcome, Transaction) {
-    let member = Rc::clone(pinned.line.member());
+    let member = Rc::clone(pinned.connection.member());
     if pinned.wrote {
-        // A primary that has been replaced must not be asked for a commit that is
-        // then known to no log.
-        let rest = run::left(pinned.route.timeout, ask.at);
-        let lead = node.proved(&pinned.group, Boot.now(), rest.min(node.settings.hold));
+        // A replaced primary must not be asked to commit: no other log would contain that commit.
+        let time_left = run::remaining(pinned.route.timeout, context.arrived_at);
+        let lead = node.proved(&pinned.group, Boot.now(), time_left.min(node.settings.hold));
         match lead.await {
             Proved::Primary(lead) if Rc::ptr_eq(&lead, &member) => {}
             _ => {
@@ -328,7 +353,10 @@
         }
     }
     loop {
-        let reply = match pinned.send(node, ask, Patience::ToTheEnd).await {
+        let reply = match pinned
+            .send(node, context, SilencePolicy::UntilTimeout)
+            .await
+        {
             Ok(reply) => reply,
             Err(lost) => {
                 let wrote = pinned.wrote;
@@ -341,15 +369,17 @@
             }
         };
         let busy = matches!(&reply.verdict, Err(f) if f.code == Code::Busy);
-        if busy && reply.state == State::Open && !run::left(pinned.route.timeout, ask.at).is_zero()
+        if busy
+            && reply.state == State::Open
+            && !run::remaining(pinned.route.timeout, context.arrived_at).is_zero()
         {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         if reply.state == State::Idle {
-            pool::release::<E::Protocol>(*pinned.line);
+            pool::release::<E::Protocol>(*pinned.connection);
         } else {
-            undo::<E::Protocol>(Pinned {
+            roll_back::<E::Protocol>(Pinned {
                 wrote: false,
                 ..pinned
             });
@@ -363,7 +393,7 @@
         }
         let group = Rc::clone(&pinned.group);
         let outcome = match (&reply.verdict, pinned.wrote) {
-            (Ok(()), true) => run::acknowledged(node, &group, &member, reply, ask).await,
+            (Ok(()), true) => run::acknowledged(node, &group, &member, reply, context).await,
             _ => Outcome::from_reply(reply),
         };
         return (outcome, Transaction::None);
--- a/crates/proxy/tests/greet.rs
+++ b/crates/proxy/tests/greet.rs
@@ -1,4 +1,4 @@
-//! Whom an instance greets that starts.
+//! Greetings that a starting instance sends.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -26,17 +26,16 @@
     }
 }
 
-/// Symptom: instances that start at once send each other many times the greetings that they
-/// need. Events: each greets its seed, and is told of others by all who answer. Cause: it
-/// greets one of those anew whenever somebody names it, until it answers; who is busy
-/// answers late, and is greeted the more for it.
+/// Guards against a flood of greetings when many instances start at once: an instance that greeted
+/// a peer again whenever another one named it would send the most to those that are too busy to
+/// answer.
 #[test]
-fn who_is_named_by_many_is_greeted_once() {
+fn peer_named_by_many_is_greeted_once() {
     let peers = Peers::new(&settings());
-    let named: Vec<_> = (10..26).map(address).collect();
-    assert_eq!(peers.greet(named.clone()), named);
+    let addresses: Vec<_> = (10..26).map(address).collect();
+    assert_eq!(peers.greet(addresses.clone()), addresses);
     for _ in 0..300 {
-        assert_eq!(peers.greet(named.clone()), []);
+        assert_eq!(peers.greet(addresses.clone()), []);
     }
-    assert_eq!(peers.greet(vec![address(2)]), [], "itself");
+    assert_eq!(peers.greet(vec![address(2)]), [], "its own address");
 }
