--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -22,7 +22,7 @@
 use fleet::{Action, Event, Fleet, Notice};
 use model::name;
 use ntex::time::sleep;
-use wire::{Gate, Message, Node, Ring};
+use wire::{Endpoint, Message, Node, Ring};
 
 use crate::{
     board::{self, Asked},
@@ -111,7 +111,7 @@
 struct Peers {
     clock: Clock,
     fleet: Fleet,
-    gate: Gate,
+    gate: Endpoint,
     socket: Rc<tokio::net::UdpSocket>,
     streams: stream::Streams,
     forwards: Forwards,
@@ -146,7 +146,7 @@
     let mut peers = Peers {
         clock: conf.clock,
         fleet,
-        gate: Gate::open(node, incarnation, address, conf.ring),
+        gate: Endpoint::open(node, incarnation, address, conf.ring),
         socket: Rc::new(socket),
         streams,
         forwards,
@@ -279,7 +279,7 @@
     }
 
     async fn tell_members(&mut self) {
-        let workable = self.fleet.table().members().filter(|it| it.workable());
+        let workable = self.fleet.table().members().filter(|it| it.is_available());
         let members: BTreeMap<_, _> = workable
             .map(|it| (it.record.name.clone(), it.record.zone.clone()))
             .collect();
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -123,12 +123,12 @@
     /// Where peers reach it.
     pub address: SocketAddr,
     /// What the platform says of it.
-    pub standing: Standing,
+    pub lifecycle: Lifecycle,
 }
 
 /// What the platform says of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Lifecycle {
     /// It runs.
     Live,
     /// It is being taken away.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -30,12 +30,12 @@
 mod table;
 
 pub use conf::Conf;
-pub use event::{Action, Answer, Call, Event, Listing, Notice, Request, Scope, Standing, Store};
+pub use event::{Action, Answer, Call, Event, Lifecycle, Listing, Notice, Request, Scope, Store};
 pub use fleet::Fleet;
 pub use force::{Held, Reason};
 pub use keys::{HEAD, Head, RANGE_END, RANGE_START};
 pub use member::{Member, Path};
 pub use mirror::{Error, Mirror};
-pub use rank::{Duties, rank, weight};
-pub use status::{Reach, Status, Watch, ZoneStatus};
+pub use rank::{Assignments, rank, weight};
+pub use status::{Reply, Status, Watch, ZoneStatus};
 pub use table::Table;
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -3,12 +3,12 @@
 use clock::Instant;
 use wire::{Node, Record, State};
 
-use crate::{Action, Fleet, Listing, Notice, Standing, fleet::Settled, table::Merge};
+use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Settled, table::Merge};
 
 /// What the list says of this instance.
 #[derive(Debug, Default)]
 pub(crate) struct List {
-    ours: Option<Standing>,
+    ours: Option<Lifecycle>,
 }
 
 impl Fleet {
@@ -65,7 +65,7 @@
             .count();
         let leaving = listings
             .iter()
-            .filter(|listing| listing.standing == Standing::Leaving)
+            .filter(|listing| listing.lifecycle == Lifecycle::Leaving)
             .filter(|listing| {
                 let member = self.table.find(Node::of(&listing.name));
                 member.is_some_and(|member| member.record.state == State::Alive)
@@ -82,26 +82,26 @@
     fn on_listing(&mut self, now: Instant, listing: &Listing) {
         let node = Node::of(&listing.name);
         if node == self.node {
-            self.on_own_listing(now, listing.standing);
+            self.on_own_listing(now, listing.lifecycle);
             return;
         }
-        let changed = self.table.set_listed(node, Some(listing.standing));
+        let changed = self.table.set_listed(node, Some(listing.lifecycle));
         if let Some(member) = changed {
             let record = member.record.clone();
             self.out.push(Action::Member(record));
         }
     }
 
-    fn on_own_listing(&mut self, now: Instant, standing: Standing) {
-        let before = self.list.ours.replace(standing);
-        match (before, standing) {
-            (Some(Standing::Leaving), Standing::Leaving) | (None, Standing::Live) => {}
-            (_, Standing::Leaving) => {
+    fn on_own_listing(&mut self, now: Instant, lifecycle: Lifecycle) {
+        let before = self.list.ours.replace(lifecycle);
+        match (before, lifecycle) {
+            (Some(Lifecycle::Leaving), Lifecycle::Leaving) | (None, Lifecycle::Live) => {}
+            (_, Lifecycle::Leaving) => {
                 self.notice(Notice::ListedLeaving);
                 self.leave(now);
             }
-            (Some(Standing::Leaving), Standing::Live) => self.come_back(now),
-            (Some(Standing::Live), Standing::Live) => {}
+            (Some(Lifecycle::Leaving), Lifecycle::Live) => self.come_back(now),
+            (Some(Lifecycle::Live), Lifecycle::Live) => {}
         }
     }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -3,7 +3,7 @@
 use clock::Instant;
 use wire::{Node, Record, State, View};
 
-use crate::Standing;
+use crate::Lifecycle;
 
 /// Whether a member's zone answers this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// Since when it has this state.
     pub since: Instant,
     /// What the platform's list says of it, unless the list is distrusted.
-    pub listed: Option<Standing>,
+    pub listed: Option<Lifecycle>,
     /// Whether its zone answers this instance.
     pub path: Path,
     /// What it held when it was last heard, and when that was.
@@ -33,10 +33,10 @@
 
 impl Member {
     /// Whether it may be given new work.
-    pub fn workable(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.record.state == State::Alive
             && self.path == Path::Open
-            && self.listed != Some(Standing::Leaving)
+            && self.listed != Some(Lifecycle::Leaving)
     }
 
     /// Whether it is worth sending to: it is not known to be away.
--- a/crates/fleet/src/rank.rs
+++ b/crates/fleet/src/rank.rs
@@ -24,7 +24,7 @@
 pub fn rank<'a>(key: &str, members: impl IntoIterator<Item = &'a Member>) -> Vec<&'a Member> {
     let mut ranked: Vec<_> = members
         .into_iter()
-        .filter(|member| member.workable())
+        .filter(|member| member.is_available())
         .map(|member| (weight(key, member.node), member))
         .collect();
     ranked.sort_unstable_by_key(|&(weight, member)| (std::cmp::Reverse(weight), member.node));
@@ -38,21 +38,21 @@
 /// that joins takes 6,600, and one that leaves 4,000 for each key it stood for.
 ///
 /// ```
-/// use fleet::Duties;
+/// use fleet::Assignments;
 /// use wire::Node;
 ///
-/// let mut duties = Duties::open(1);
+/// let mut duties = Assignments::open(1);
 /// duties.add("a", &[]);
 /// duties.join(Node([1; 8]));
 /// assert_eq!(duties.nodes("a"), [Node([1; 8])]);
 /// ```
 #[derive(Debug, Clone)]
-pub struct Duties {
+pub struct Assignments {
     each: usize,
     keys: BTreeMap<Arc<str>, Vec<(u64, Node)>>,
 }
 
-impl Duties {
+impl Assignments {
     /// Keeps the `each` strongest nodes of each key.
     pub fn open(each: usize) -> Self {
         Self {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -51,11 +51,11 @@
 
 /// Where a member stands, to a `wait` for a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reply {
     /// It was heard since the survey began, and has this catalogue in force.
     Applied(Revision),
     /// It was not heard since.
-    Unheard,
+    Missing,
 }
 
 impl Fleet {
@@ -83,17 +83,17 @@
     ///
     /// A view tells the revision mirrored, and the one in force where another
     /// is held back.
-    pub fn reach(&self, since: Instant) -> impl Iterator<Item = (&name::Instance, Reach)> {
+    pub fn survey_replies(&self, since: Instant) -> impl Iterator<Item = (&name::Instance, Reply)> {
         let members = self
             .table
             .members()
             .filter(|member| member.node != self.node && member.record.state != State::Gone);
         members.map(move |member| {
             let view = member.view.filter(|&(_, heard)| heard >= since);
-            let reach = view.map_or(Reach::Unheard, |(view, _)| {
-                Reach::Applied(view.applied.unwrap_or(view.revision))
+            let reply = view.map_or(Reply::Missing, |(view, _)| {
+                Reply::Applied(view.applied.unwrap_or(view.revision))
             });
-            (&member.record.name, reach)
+            (&member.record.name, reply)
         })
     }
 
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -11,7 +11,7 @@
 use wire::{Mark, Node, Record, State, Update};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::{Member, Path, Standing};
+use crate::{Lifecycle, Member, Path};
 
 /// How many parts the table is compared in; at 4,000 members a part is 62 of
 /// them, and the digests of all parts fit in a datagram.
@@ -182,7 +182,7 @@
         self.members.get_mut(&node)
     }
 
-    pub(crate) fn set_listed(&mut self, node: Node, listed: Option<Standing>) -> Option<&Member> {
+    pub(crate) fn set_listed(&mut self, node: Node, listed: Option<Lifecycle>) -> Option<&Member> {
         let member = self.members.get_mut(&node)?;
         if member.listed == listed {
             return None;
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use fleet::{Event, Listing, Notice, Reach, Standing};
+use fleet::{Event, Lifecycle, Listing, Notice, Reply};
 use model::name;
 use slopes::{Setup, World};
 use wire::{Node, State};
@@ -25,23 +25,23 @@
     table.find(node(world, of)).unwrap().record.state
 }
 
-fn workable(world: &World, at: usize, of: usize) -> bool {
+fn is_available(world: &World, at: usize, of: usize) -> bool {
     let table = world.fleet(at).unwrap().table();
-    table.find(node(world, of)).unwrap().workable()
+    table.find(node(world, of)).unwrap().is_available()
 }
 
 fn others(world: &World, slot: usize) -> Vec<usize> {
     world.running().filter(|&other| other != slot).collect()
 }
 
-fn listing(world: &World, standing: impl Fn(usize) -> Standing) -> Vec<Listing> {
+fn listing(world: &World, lifecycle: impl Fn(usize) -> Lifecycle) -> Vec<Listing> {
     let listed = |slot: usize| {
         let conf = world.conf(slot);
         Listing {
             name: conf.name,
             zone: conf.zone,
             address: conf.address,
-            standing: standing(slot),
+            lifecycle: lifecycle(slot),
         }
     };
     (0..world.len()).map(listed).collect()
@@ -107,7 +107,9 @@
     }
     // It refutes the suspicion, and gets work again.
     let taken = world.run_until(60 * SECOND, |world| {
-        others(world, 4).iter().all(|&at| workable(world, at, 4))
+        others(world, 4)
+            .iter()
+            .all(|&at| is_available(world, at, 4))
     });
     assert!(taken.is_some());
     assert_eq!(world.monitor.violations(), []);
@@ -120,7 +122,9 @@
         world.loss = loss;
         world.tell(40, Event::Leave);
         let taken = world.run_until(10 * SECOND, |world| {
-            others(world, 40).iter().all(|&at| !workable(world, at, 40))
+            others(world, 40)
+                .iter()
+                .all(|&at| !is_available(world, at, 40))
         });
         assert!(taken.unwrap() < 3 * SECOND, "seed {seed}: {taken:?}");
     }
@@ -139,7 +143,11 @@
     );
     world.start(4);
     world.run(3 * SECOND);
-    assert!(others(&world, 4).iter().all(|&at| workable(&world, at, 4)));
+    assert!(
+        others(&world, 4)
+            .iter()
+            .all(|&at| is_available(&world, at, 4))
+    );
     assert_eq!(world.monitor.violations(), []);
 }
 
@@ -149,7 +157,7 @@
     // Events: the platform's list marks all instances as leaving, or is empty.
     // Cause: the list is wrong; the instances answer each other all the while.
     let mut world = world(9, 4);
-    let all = listing(&world, |_| Standing::Leaving);
+    let all = listing(&world, |_| Lifecycle::Leaving);
     for slot in 0..9 {
         world.tell(slot, Event::Instances(all.clone()));
         world.tell(slot, Event::Instances(Vec::new()));
@@ -160,35 +168,35 @@
     };
     assert_eq!(world.notices.iter().filter(distrusted).count(), 18);
     for at in 0..9 {
-        assert!((0..9).all(|of| workable(&world, at, of)));
+        assert!((0..9).all(|of| is_available(&world, at, of)));
     }
 }
 
 #[test]
 fn the_list_takes_one_away_and_gives_it_back() {
     let mut world = world(9, 5);
-    let tell = |world: &mut World, standing: fn(usize) -> Standing| {
-        let list = listing(world, standing);
+    let tell = |world: &mut World, lifecycle: fn(usize) -> Lifecycle| {
+        let list = listing(world, lifecycle);
         for slot in 0..9 {
             world.tell(slot, Event::Instances(list.clone()));
         }
         world.run(3 * SECOND);
     };
     tell(&mut world, |slot| match slot {
-        4 => Standing::Leaving,
-        _ => Standing::Live,
+        4 => Lifecycle::Leaving,
+        _ => Lifecycle::Live,
     });
-    assert!((0..9).all(|at| !workable(&world, at, 4)));
+    assert!((0..9).all(|at| !is_available(&world, at, 4)));
     assert!(world.notices.contains(&(4, Notice::ListedLeaving)));
-    tell(&mut world, |_| Standing::Live);
-    assert!((0..9).all(|at| workable(&world, at, 4)));
+    tell(&mut world, |_| Lifecycle::Live);
+    assert!((0..9).all(|at| is_available(&world, at, 4)));
 }
 
 #[test]
 fn instances_find_each_other_by_the_list_alone() {
     let mut world = World::open(Setup::sized(9, 6));
     let first = world.apply(&[("catalog/entry/a", Some(b"first"))]);
-    let list = listing(&world, |_| Standing::Live);
+    let list = listing(&world, |_| Lifecycle::Live);
     for slot in 0..9 {
         let mut conf = world.conf(slot);
         conf.seeds = Vec::new();
@@ -249,7 +257,7 @@
     // The whole catalogue has a megabyte.
     assert!(bytes.iter().all(|&bytes| bytes < 250_000), "{bytes:?}");
     let doubted = (0..30).flat_map(|at| (0..30).map(move |of| (at, of)));
-    let doubted = doubted.filter(|&(at, of)| !workable(&world, at, of));
+    let doubted = doubted.filter(|&(at, of)| !is_available(&world, at, of));
     assert_eq!(doubted.count(), 0, "all doubts are refuted");
     assert_eq!(world.monitor.violations(), []);
 }
@@ -264,14 +272,14 @@
     world.tell(0, Event::Survey);
     world.run(SECOND);
     let fleet = world.fleet(0).unwrap();
-    let reach: Vec<_> = fleet.reach(since).collect();
-    assert_eq!(reach.len(), 8);
-    for (name, reach) in reach {
+    let replies: Vec<_> = fleet.survey_replies(since).collect();
+    assert_eq!(replies.len(), 8);
+    for (name, reply) in replies {
         let expected = match name.as_str() {
-            "instance-7" => Reach::Unheard,
-            _ => Reach::Applied(second),
+            "instance-7" => Reply::Missing,
+            _ => Reply::Applied(second),
         };
-        assert_eq!(reach, expected, "{name}");
+        assert_eq!(reply, expected, "{name}");
     }
 }
 
@@ -307,7 +315,7 @@
     }
     assert_eq!(record(&world).incarnation, before.incarnation + 1);
     world.run(10 * SECOND);
-    assert!((0..9).all(|at| workable(&world, at, 4)));
+    assert!((0..9).all(|at| is_available(&world, at, 4)));
     assert_eq!(
         name::Instance::new("instance-4").unwrap(),
         record(&world).name
@@ -363,7 +371,7 @@
         let taken = world.run_until(30 * SECOND, |world| {
             let tables = world.running().filter_map(|at| world.fleet(at));
             tables
-                .map(|it| it.table().members().filter(|it| it.workable()).count())
+                .map(|it| it.table().members().filter(|it| it.is_available()).count())
                 .all(|known| known == 9)
         });
         assert!(taken.unwrap() < 6 * SECOND, "seed {seed}: {taken:?}");
--- a/crates/fleet/tests/rank.rs
+++ b/crates/fleet/tests/rank.rs
@@ -1,6 +1,6 @@
-//! Duties by rendezvous hashing.
+//! Assignments by rendezvous hashing.
 
-use fleet::Duties;
+use fleet::Assignments;
 use wire::Node;
 
 fn nodes(count: u64) -> Vec<Node> {
@@ -9,15 +9,15 @@
         .collect()
 }
 
-fn duties(nodes: &[Node]) -> Duties {
-    let mut duties = Duties::open(3);
+fn duties(nodes: &[Node]) -> Assignments {
+    let mut duties = Assignments::open(3);
     for key in 0..500 {
         duties.add(&format!("database-{key}"), nodes);
     }
     duties
 }
 
-fn all(duties: &Duties) -> Vec<Vec<Node>> {
+fn all(duties: &Assignments) -> Vec<Vec<Node>> {
     let key = |key| duties.nodes(&format!("database-{key}"));
     (0..500).map(key).collect()
 }
--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use clock::Instant;
-use fleet::{Duties, Mirror, Watch};
+use fleet::{Assignments, Mirror, Watch};
 use serde::Serialize;
-use wire::{Change, Gate, Mark, Message, Node, Revision, Ring, State, Update, View};
+use wire::{Change, Endpoint, Mark, Message, Node, Revision, Ring, State, Update, View};
 
 use crate::{Setup, World};
 
@@ -395,7 +395,7 @@
         number: 1,
     };
     let taken = mirror.replace(to, None, &changes);
-    let mut duties = Duties::open(PROBERS);
+    let mut duties = Assignments::open(PROBERS);
     let nodes: Vec<Node> = world
         .running()
         .filter_map(|slot| world.fleet(slot))
@@ -415,8 +415,8 @@
     const TURNS: u32 = 20_000;
     let ring = Ring::parse("1:00112233445566778899aabbccddeeff").expect("a well-formed ring");
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut ours = Gate::open(Node([1; 8]), 1 << 50, address, ring.clone());
-    let mut theirs = Gate::open(Node([2; 8]), 1 << 50, address, ring);
+    let mut ours = Endpoint::open(Node([1; 8]), 1 << 50, address, ring.clone());
+    let mut theirs = Endpoint::open(Node([2; 8]), 1 << 50, address, ring);
     let mark = Mark {
         node: Node([3; 8]),
         incarnation: 1 << 50,
--- a/crates/wire/src/gate.rs
+++ b/crates/wire/src/endpoint.rs
@@ -22,12 +22,12 @@
 /// Seals and opens the datagrams of one instance.
 ///
 /// ```
-/// use wire::{Gate, Message, Node, Ring, View};
+/// use wire::{Endpoint, Message, Node, Ring, View};
 ///
 /// let ring = Ring::parse("1:00112233445566778899aabbccddeeff").unwrap();
 /// let [a, b] = ["127.0.0.1:1", "127.0.0.1:2"].map(|text| text.parse().unwrap());
-/// let mut ours = Gate::open(Node([1; 8]), 1, a, ring.clone());
-/// let mut theirs = Gate::open(Node([2; 8]), 1, b, ring);
+/// let mut ours = Endpoint::open(Node([1; 8]), 1, a, ring.clone());
+/// let mut theirs = Endpoint::open(Node([2; 8]), 1, b, ring);
 ///
 /// let ping = Message::Ping { probe: 1, view: View::default(), updates: vec![] };
 /// let bytes = ours.seal(b, &ping).unwrap();
@@ -35,7 +35,7 @@
 /// assert_eq!(theirs.receive(a, &bytes), Err(wire::Error::Replayed));
 /// ```
 #[derive(Debug)]
-pub struct Gate {
+pub struct Endpoint {
     node: Node,
     incarnation: u64,
     address: SocketAddr,
@@ -44,8 +44,8 @@
     windows: Windows,
 }
 
-impl Gate {
-    /// Opens the gate of an instance that peers reach at `address`.
+impl Endpoint {
+    /// Opens the endpoint of an instance that peers reach at `address`.
     pub fn open(node: Node, incarnation: u64, address: SocketAddr, ring: Ring) -> Self {
         Self {
             node,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Gate::seal`].
+    /// As [`Endpoint::seal`].
     pub fn seal_in(
         &mut self,
         format: Format,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,23 +1,23 @@
 //! Frames between instances: their messages, seals and replay windows.
 //!
-//! A [`Gate`] turns a [`Message`] into the bytes of a datagram or of a frame on
+//! An [`Endpoint`] turns a [`Message`] into the bytes of a datagram or of a frame on
 //! a TCP stream, and back. Every frame carries the format's number, a key's id,
 //! its sender, the sender's incarnation and a sequence number, and is sealed
 //! with HMAC-SHA-256 truncated to [`TAG_LEN`] bytes. Nothing is decoded before
 //! its seal was verified.
 
+mod endpoint;
 mod error;
 mod frame;
-mod gate;
 mod key;
 mod message;
 mod previous;
 mod replay;
 mod stream;
 
+pub use endpoint::{Endpoint, Frame};
 pub use error::Error;
 pub use frame::{DATAGRAM_MAX, Format, Header, STREAM_MAX, TAG_LEN};
-pub use gate::{Frame, Gate};
 pub use key::{Key, KeyError, Ring};
 pub use message::{
     Change, Delta, Evidence, Mark, Message, Node, Part, Record, Revision, State, Update, Verdict,
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -50,7 +50,7 @@
     }
 
     /// Writes in `format` from now on; an end answers in the format it hears.
-    pub fn speak(&mut self, format: Format) {
+    pub fn set_format(&mut self, format: Format) {
         self.format = format;
     }
 
--- a/crates/wire/tests/arbitrary.rs
+++ b/crates/wire/tests/arbitrary.rs
@@ -4,7 +4,7 @@
 
 use cap::Cap;
 use proptest::{prelude::*, test_runner::RngSeed};
-use wire::{DATAGRAM_MAX, Error, Format, Gate, Key, Message, Node, Ring, View};
+use wire::{DATAGRAM_MAX, Endpoint, Error, Format, Key, Message, Node, Ring, View};
 
 #[global_allocator]
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
@@ -22,8 +22,8 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-fn gate() -> Gate {
-    Gate::open(Node([1; 8]), 1, address(), ring())
+fn endpoint() -> Endpoint {
+    Endpoint::open(Node([1; 8]), 1, address(), ring())
 }
 
 /// Seals bytes of the test's choice as a holder of the key could.
@@ -64,7 +64,7 @@
     let bytes = prop::collection::vec(any::<u8>(), 0..1_400);
     runner
         .run(&bytes, |bytes| {
-            let error = gate().receive(address(), &bytes).unwrap_err();
+            let error = endpoint().receive(address(), &bytes).unwrap_err();
             let oversized = matches!(error, Error::Oversized { .. });
             prop_assert_eq!(oversized, bytes.len() > DATAGRAM_MAX);
             Ok(())
@@ -80,7 +80,7 @@
             let before = HEAP.allocated();
             let most = before + AHEAD_MAX + GROWTH_MAX * frame.len();
             HEAP.set_limit(most).unwrap();
-            let result = gate().receive(address(), &frame);
+            let result = endpoint().receive(address(), &frame);
             HEAP.set_limit(usize::MAX).unwrap();
             if let Err(error) = result {
                 prop_assert_eq!(error, Error::Malformed);
@@ -95,7 +95,7 @@
     let frame = sealed(Format::Newest, &body);
     HEAP.set_limit(HEAP.allocated() + AHEAD_MAX + GROWTH_MAX * frame.len())
         .unwrap();
-    let result = gate().receive(address(), &frame);
+    let result = endpoint().receive(address(), &frame);
     HEAP.set_limit(usize::MAX).unwrap();
     assert_eq!(result, Err(Error::Malformed));
 
@@ -106,7 +106,7 @@
         updates: Vec::new(),
     };
     let body = postcard::to_allocvec(&ping).unwrap();
-    let frame = gate()
+    let frame = endpoint()
         .receive(address(), &sealed(Format::Newest, &body))
         .unwrap();
     assert_eq!(frame.message, ping);
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use wire::{
-    DATAGRAM_MAX, Error, Evidence, Format, Gate, Message, Node, Revision, Ring, STREAM_MAX, Side,
-    Stream, Verdict, View,
+    DATAGRAM_MAX, Endpoint, Error, Evidence, Format, Message, Node, Revision, Ring, STREAM_MAX,
+    Side, Stream, Verdict, View,
 };
 
 const OLD_KEY: &str = "1:00112233445566778899aabbccddeeff";
@@ -14,9 +14,9 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn gate(id: u8, incarnation: u64, keys: &str) -> Gate {
+fn endpoint(id: u8, incarnation: u64, keys: &str) -> Endpoint {
     let ring = Ring::parse(keys).unwrap();
-    Gate::open(Node([id; 8]), incarnation, address(id.into()), ring)
+    Endpoint::open(Node([id; 8]), incarnation, address(id.into()), ring)
 }
 
 fn ping(probe: u32) -> Message {
@@ -42,8 +42,8 @@
     // Symptom: a host without the key moves the fleet to a revision of its own.
     // Events: it sends frames of the right shape, and changes caught ones.
     // Cause it guards against: decoding before the seal was verified.
-    let mut ours = gate(1, 7, OLD_KEY);
-    let mut theirs = gate(2, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
+    let mut theirs = endpoint(2, 7, OLD_KEY);
     let bytes = ours.seal(address(2), &ping(1)).unwrap();
     for at in 0..bytes.len() {
         let mut forged = bytes.clone();
@@ -56,7 +56,7 @@
         };
         assert_eq!(error, expected, "byte {at}");
     }
-    let mut stranger = gate(1, 7, "1:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa");
+    let mut stranger = endpoint(1, 7, "1:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa");
     let forged = stranger.seal(address(2), &ping(1)).unwrap();
     assert_eq!(
         theirs.receive(address(1), &forged),
@@ -72,9 +72,9 @@
     // sent to another instance that has not seen it.
     // Cause: authentic bytes stay authentic; only windows and the receiver's
     // address under the seal tell the copies apart.
-    let mut ours = gate(1, 7, OLD_KEY);
-    let mut theirs = gate(2, 7, OLD_KEY);
-    let mut others = gate(3, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
+    let mut theirs = endpoint(2, 7, OLD_KEY);
+    let mut others = endpoint(3, 7, OLD_KEY);
     let first = ours.seal(address(2), &ping(1)).unwrap();
     let second = ours.seal(address(2), &ping(2)).unwrap();
     assert!(theirs.receive(address(1), &second).is_ok());
@@ -89,7 +89,7 @@
         Err(Error::Unauthenticated)
     );
 
-    let mut restarted = gate(1, 8, OLD_KEY);
+    let mut restarted = endpoint(1, 8, OLD_KEY);
     let bytes = restarted.seal(address(2), &ping(1)).unwrap();
     assert!(theirs.receive(address(1), &bytes).is_ok());
     let old = ours.seal(address(2), &ping(9)).unwrap();
@@ -101,8 +101,8 @@
 
 #[test]
 fn a_frame_older_than_the_window_is_dropped() {
-    let mut ours = gate(1, 7, OLD_KEY);
-    let mut theirs = gate(2, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
+    let mut theirs = endpoint(2, 7, OLD_KEY);
     let old = ours.seal(address(2), &ping(0)).unwrap();
     let edge = ours.seal(address(2), &ping(1)).unwrap();
     for probe in 2..129 {
@@ -115,7 +115,7 @@
 
 #[test]
 fn keys_rotate_without_a_stop() {
-    let old = gate(1, 7, OLD_KEY);
+    let old = endpoint(1, 7, OLD_KEY);
     let rings = [
         OLD_KEY.to_owned(),
         format!("{OLD_KEY},{NEW_KEY}"),
@@ -123,7 +123,7 @@
         NEW_KEY.to_owned(),
     ];
     let mut ours = old;
-    let mut theirs = gate(2, 7, OLD_KEY);
+    let mut theirs = endpoint(2, 7, OLD_KEY);
     for step in rings.windows(2) {
         // The fleet is between two rounds: each end may have either ring.
         for (a, b) in [(0, 0), (0, 1), (1, 0), (1, 1)] {
@@ -149,8 +149,8 @@
     // Symptom: half of the fleet is deaf to the other during an upgrade.
     // Events: instances of formats 1 and 2 run side by side for minutes.
     // Cause: a new version that writes only what it likes best.
-    let mut new = gate(1, 7, OLD_KEY);
-    let mut old = gate(2, 7, OLD_KEY);
+    let mut new = endpoint(1, 7, OLD_KEY);
+    let mut old = endpoint(2, 7, OLD_KEY);
     let view = View {
         revision: Revision {
             epoch: 0,
@@ -182,7 +182,7 @@
     assert_eq!(formats.iter().filter(|&&format| format == 1).count(), 30);
 
     // Once upgraded it writes format 2, and is answered in it.
-    let mut upgraded = gate(2, 8, OLD_KEY);
+    let mut upgraded = endpoint(2, 8, OLD_KEY);
     let bytes = upgraded.seal(address(1), &message).unwrap();
     new.receive(address(2), &bytes).unwrap();
     let answer = new.seal(address(2), &evidence()).unwrap();
@@ -196,8 +196,8 @@
     // Events: an upgraded instance's first frame is in format 1, because its
     // predecessor's was; the other, upgraded too, answers in what it hears.
     // Cause: each end waits for the other to begin.
-    let mut ours = gate(1, 7, OLD_KEY);
-    let mut theirs = gate(2, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
+    let mut theirs = endpoint(2, 7, OLD_KEY);
     let first = ours
         .seal_in(Format::Previous, address(2), &ping(0))
         .unwrap();
@@ -215,7 +215,7 @@
 
 #[test]
 fn foreign_formats_and_short_frames_are_dropped() {
-    let mut ours = gate(1, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
     assert_eq!(ours.receive(address(2), &[]), Err(Error::Truncated));
     assert_eq!(ours.receive(address(2), &[2, 1]), Err(Error::Truncated));
     assert_eq!(
@@ -232,7 +232,7 @@
 
 #[test]
 fn an_oversized_message_is_not_sent() {
-    let mut ours = gate(1, 7, OLD_KEY);
+    let mut ours = endpoint(1, 7, OLD_KEY);
     let message = Message::Buckets(vec![u32::MAX; 400]);
     let error = ours.seal(address(2), &message).unwrap_err();
     assert_eq!(error.label(), "oversized");
