--- a/crates/daemon/src/callers/batch.rs
+++ b/crates/daemon/src/callers/batch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pg::Front;
+use pg::Frontend;
 use pgwire::messages::extendedquery::Bind;
 use route::statement::{Kind, classify, fingerprint, split};
 
@@ -238,8 +238,8 @@
 
     /// Takes a message in. After a fault all is skipped up to the end, as the
     /// protocol has it.
-    pub(super) fn add(&mut self, session: &mut Session, front: Front, bytes: usize) {
-        self.flushes = matches!(front, Front::Flush);
+    pub(super) fn add(&mut self, session: &mut Session, front: Frontend, bytes: usize) {
+        self.flushes = matches!(front, Frontend::Flush);
         if self.fault.is_some() {
             return;
         }
@@ -254,30 +254,30 @@
         }
     }
 
-    fn step(&mut self, session: &mut Session, front: Front) -> Result<Step, Fault> {
+    fn step(&mut self, session: &mut Session, front: Frontend) -> Result<Step, Fault> {
         match front {
-            Front::Parse(parse) => {
+            Frontend::Parse(parse) => {
                 need(&parse.query)?;
                 let statement = Arc::new(Statement::new(parse.query, parse.type_oids));
                 session.prepare(&parse.name.unwrap_or_default(), &statement)?;
                 Ok(Step::Parse(statement))
             }
-            Front::Bind(bind) => self.bind(session, bind),
-            Front::Describe(it) if it.target_type == b'S' => {
+            Frontend::Bind(bind) => self.bind(session, bind),
+            Frontend::Describe(it) if it.target_type == b'S' => {
                 let statement = statement(session, it.name.as_deref())?;
                 Ok(Step::DescribeStatement(statement))
             }
-            Front::Describe(it) => Ok(Step::DescribePortal(it.name)),
-            Front::Execute(it) => Ok(Step::Execute {
+            Frontend::Describe(it) => Ok(Step::DescribePortal(it.name)),
+            Frontend::Execute(it) => Ok(Step::Execute {
                 portal: it.name,
                 rows: it.max_rows,
             }),
-            Front::Close(it) if it.target_type == b'S' => {
+            Frontend::Close(it) if it.target_type == b'S' => {
                 session.unprepare(it.name.as_deref().unwrap_or_default());
                 Ok(Step::CloseStatement)
             }
-            Front::Close(it) => Ok(Step::ClosePortal(it.name)),
-            Front::Flush => Ok(Step::Flush),
+            Frontend::Close(it) => Ok(Step::ClosePortal(it.name)),
+            Frontend::Flush => Ok(Step::Flush),
             _ => Ok(Step::Sync),
         }
     }
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use catalog::layout::Snapshot;
 use ntex::util::Either;
-use pg::{Codec, Front};
+use pg::{Codec, Frontend};
 use session::{Keys, Token};
 use tokio::sync::mpsc;
 
@@ -315,13 +315,13 @@
         loop {
             let (front, bytes) = self.recv(io, &draft).await?;
             match front {
-                Front::Terminate => return Ok(()),
-                Front::Copy => {}
-                Front::Sync if self.skipping => self.end_skipping(io).await?,
+                Frontend::Terminate => return Ok(()),
+                Frontend::Copy => {}
+                Frontend::Sync if self.skipping => self.end_skipping(io).await?,
                 _ if self.skipping => {}
-                Front::Query(sql) => self.query(io, sql, &mut draft).await?,
+                Frontend::Query(sql) => self.query(io, sql, &mut draft).await?,
                 front => {
-                    let ends = matches!(front, Front::Flush | Front::Sync);
+                    let ends = matches!(front, Frontend::Flush | Frontend::Sync);
                     draft.add(self, front, bytes);
                     if ends {
                         self.run_draft(io, std::mem::take(&mut draft)).await?;
@@ -349,7 +349,7 @@
     /// Runs a simple query, behind what came before it without a Sync.
     async fn query(&mut self, io: &Stream, sql: String, draft: &mut Draft) -> Result<(), End> {
         if !draft.is_empty() {
-            draft.add(self, Front::Flush, 0);
+            draft.add(self, Frontend::Flush, 0);
             self.run_draft(io, std::mem::take(draft)).await?;
             if self.skipping {
                 return Ok(());
@@ -377,7 +377,7 @@
     }
 
     /// Waits for the next message; an idle session ends when the daemon stops.
-    async fn recv(&self, io: &Stream, draft: &Draft) -> Result<(Front, usize), End> {
+    async fn recv(&self, io: &Stream, draft: &Draft) -> Result<(Frontend, usize), End> {
         let mut watch = self.shared.watch.clone();
         // A planned stop cuts nothing: a session with an open transaction or a
         // half-sent batch goes on until it is idle or the stop's bound is over.
--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -78,7 +78,7 @@
     /// before the record of a change reaches it.
     pub(super) fn want_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
         let now = core.now();
-        if self.round.borrow_mut().want(now, since) == Start::Now {
+        if self.round.borrow_mut().request(now, since) == Start::Now {
             ntex::rt::spawn(ask_all(Rc::clone(self), Rc::clone(core)));
         }
     }
--- a/crates/daemon/src/upstreams/choose.rs
+++ b/crates/daemon/src/upstreams/choose.rs
@@ -77,7 +77,7 @@
                     let round = self.confirmed(core, read.began, read.deadline).await?;
                     return Ok(Way::Confirmed(upstream, round));
                 }
-                Choice::Discover => {
+                Choice::AwaitRound => {
                     self.confirmed(core, now, read.deadline).await?;
                 }
                 Choice::Wait { upstream, until } => {
--- a/crates/daemon/src/upstreams/clean.rs
+++ b/crates/daemon/src/upstreams/clean.rs
@@ -38,7 +38,7 @@
     match member.control.execute(statement).await {
         Ok(deleted) => {
             metrics::counter!("dandelionlink_request_ids_cleaned_total").increment(deleted);
-            ledger::clean_again(deleted)
+            ledger::next_cleaning(deleted)
         }
         Err(_) => ledger::CLEAN_INTERVAL,
     }
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -175,7 +175,7 @@
             let sent = self.clock.now();
             let rows = open.run(std::slice::from_ref(last)).await?;
             let row = rows.first().ok_or(Error::Status("no row"))?;
-            Ok((sent, upstream::report(row)?))
+            Ok((sent, upstream::parse_report(row)?))
         };
         self.on_conn(conn, asking).await
     }
@@ -219,7 +219,7 @@
         }
         Error::Timeout => Fault::Timeout,
         Error::Refused { state, .. } if state == TOO_MANY => Fault::Full,
-        Error::Refused { state, message } if state == upstream::FENCED => {
+        Error::Refused { state, message } if state == upstream::TERM_REFUSED => {
             let term = message.rsplit(' ').nth(1).and_then(|it| it.parse().ok());
             term.map_or(Fault::Broken, |term| Fault::Fenced(model::Term(term)))
         }
--- a/crates/daemon/src/upstreams/exchange.rs
+++ b/crates/daemon/src/upstreams/exchange.rs
@@ -184,7 +184,7 @@
 /// The status that a probe brings; none inside a failed transaction.
 async fn status(line: &Line) -> Result<Option<Report>, Error> {
     match status_row(line).await? {
-        Ok(Some(row)) => upstream::report(&row).map(Some),
+        Ok(Some(row)) => upstream::parse_report(&row).map(Some),
         Ok(None) | Err(Refused) => Ok(None),
     }
 }
@@ -217,5 +217,5 @@
     line.conn
         .run(&[upstream::PROBE.to_owned()])
         .await
-        .and_then(|rows| rows.first().map(upstream::report).transpose())
+        .and_then(|rows| rows.first().map(upstream::parse_report).transpose())
 }
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -402,7 +402,7 @@
 
     /// The newest round that was confirmed, if it began at `since` or later.
     pub(super) fn round_since(&self, since: Instant) -> Option<Confirmed> {
-        self.router.borrow().discovered(since)
+        self.router.borrow().first_round_since(since)
     }
 }
 
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -213,7 +213,7 @@
     read: &mut Read,
 ) -> Try {
     let mut sink = Sink::open(core, running, To::Caller(job.caller), Mode::Hold);
-    let verdict = Verdict::Holds;
+    let verdict = Verdict::Fresh;
     let mut errand = Errand {
         core,
         group,
@@ -226,7 +226,7 @@
     let ran = errand.run(&mut sink).await;
     let verdict = errand.verdict;
     match ran {
-        Ran::Heard(heard, held) if verdict != Verdict::Holds => {
+        Ran::Heard(heard, held) if verdict != Verdict::Fresh => {
             held.settle(&heard);
             job.meter.discarded();
             *read = read.discarded(way.target());
--- a/crates/daemon/src/upstreams/site.rs
+++ b/crates/daemon/src/upstreams/site.rs
@@ -137,7 +137,7 @@
 
     /// Whether a status that came before proves that the answer will pass.
     fn proves(&self, report: &Report) -> bool {
-        self.check(report) == Verdict::Holds
+        self.check(report) == Verdict::Fresh
     }
 
     /// What a status says of an answer that came behind it on one connection.
@@ -152,7 +152,7 @@
             let same = position.term == round.position.term;
             let holds = same && position.covers(round.position);
             return if holds {
-                Verdict::Holds
+                Verdict::Fresh
             } else {
                 Verdict::Deposed
             };
@@ -167,7 +167,7 @@
         let now = self.core.now();
         self.group.report(now, self.way.upstream(), sent, *report);
         self.verdict = self.check(report);
-        if self.verdict == Verdict::Holds {
+        if self.verdict == Verdict::Fresh {
             self.mode()
         } else {
             Mode::Discard
--- a/crates/fake/src/server.rs
+++ b/crates/fake/src/server.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use ntex::{io::Io, time::sleep};
-use pg::{Codec, Front, Startup};
+use pg::{Codec, Frontend, Startup};
 use pgwire::messages::{
     Message,
     data::{DataRow, FieldDescription, NoData, ParameterDescription, RowDescription},
@@ -181,8 +181,8 @@
             self.check_fault().await?;
             let front = pg::decode(&frame)?;
             match front {
-                Front::Terminate => return Ok(()),
-                Front::Sync => {
+                Frontend::Terminate => return Ok(()),
+                Frontend::Sync => {
                     skipping = false;
                     self.session.end_batch();
                     // Portals live as long as their transaction.
@@ -192,8 +192,8 @@
                     pg::ready(&mut buf, self.session.status());
                     self.send(buf.split()).await?;
                 }
-                Front::Flush => self.send(buf.split()).await?,
-                Front::Query(text) => {
+                Frontend::Flush => self.send(buf.split()).await?,
+                Frontend::Query(text) => {
                     self.simple(&text, &mut buf).await;
                     pg::ready(&mut buf, self.session.status());
                     self.send(buf.split()).await?;
@@ -278,9 +278,9 @@
         self.session.end_batch();
     }
 
-    async fn extended(&mut self, front: Front, buf: &mut BytesMut) -> Result<(), Refusal> {
+    async fn extended(&mut self, front: Frontend, buf: &mut BytesMut) -> Result<(), Refusal> {
         match front {
-            Front::Parse(it) => {
+            Frontend::Parse(it) => {
                 let plans = sql::parse(&it.query)?;
                 if plans.len() > 1 {
                     return Err(("42601", "cannot insert multiple commands".to_owned()));
@@ -295,15 +295,15 @@
                     .insert(it.name.unwrap_or_default(), Prepared { plans, types });
                 put(buf, &ParseComplete::new());
             }
-            Front::Bind(it) => self.bind(it, buf)?,
-            Front::Describe(it) => {
+            Frontend::Bind(it) => self.bind(it, buf)?,
+            Frontend::Describe(it) => {
                 self.describe(it.target_type, &it.name.unwrap_or_default(), buf)?
             }
-            Front::Execute(it) => {
+            Frontend::Execute(it) => {
                 self.execute(&it.name.unwrap_or_default(), it.max_rows, buf)
                     .await?;
             }
-            Front::Close(it) => {
+            Frontend::Close(it) => {
                 let name = it.name.unwrap_or_default();
                 if it.target_type == b'S' {
                     self.statements.remove(&name);
--- a/crates/pg/src/front.rs
+++ b/crates/pg/src/front.rs
@@ -93,7 +93,7 @@
 
 /// A message of a running session.
 #[derive(Debug)]
-pub enum Front {
+pub enum Frontend {
     /// Simple query.
     Query(String),
     /// Names a statement.
@@ -121,14 +121,14 @@
 /// # Errors
 ///
 /// [`Error`] when the type is unknown or the contents don't fit it.
-pub fn decode(frame: &Frame) -> Result<Front, Error> {
+pub fn decode(frame: &Frame) -> Result<Frontend, Error> {
     let tag = char::from(frame.tag());
     match tag {
         'Q' => return query(frame),
-        'H' => return Ok(Front::Flush),
-        'S' => return Ok(Front::Sync),
-        'X' => return Ok(Front::Terminate),
-        'd' | 'c' | 'f' => return Ok(Front::Copy),
+        'H' => return Ok(Frontend::Flush),
+        'S' => return Ok(Frontend::Sync),
+        'X' => return Ok(Frontend::Terminate),
+        'd' | 'c' | 'f' => return Ok(Frontend::Copy),
         'P' => check_parse(frame.body())?,
         'B' => check_bind(frame.body())?,
         'D' | 'C' => check_target(tag, frame.body())?,
@@ -144,16 +144,16 @@
         what: "its contents",
     };
     match PgWireFrontendMessage::decode(&mut buf, &context) {
-        Ok(Some(PgWireFrontendMessage::Parse(it))) => Ok(Front::Parse(it)),
-        Ok(Some(PgWireFrontendMessage::Bind(it))) => Ok(Front::Bind(it)),
-        Ok(Some(PgWireFrontendMessage::Describe(it))) => Ok(Front::Describe(it)),
-        Ok(Some(PgWireFrontendMessage::Execute(it))) => Ok(Front::Execute(it)),
-        Ok(Some(PgWireFrontendMessage::Close(it))) => Ok(Front::Close(it)),
+        Ok(Some(PgWireFrontendMessage::Parse(it))) => Ok(Frontend::Parse(it)),
+        Ok(Some(PgWireFrontendMessage::Bind(it))) => Ok(Frontend::Bind(it)),
+        Ok(Some(PgWireFrontendMessage::Describe(it))) => Ok(Frontend::Describe(it)),
+        Ok(Some(PgWireFrontendMessage::Execute(it))) => Ok(Frontend::Execute(it)),
+        Ok(Some(PgWireFrontendMessage::Close(it))) => Ok(Frontend::Close(it)),
         _ => Err(malformed),
     }
 }
 
-fn query(frame: &Frame) -> Result<Front, Error> {
+fn query(frame: &Frame) -> Result<Frontend, Error> {
     let body = frame.body();
     let text = body.strip_suffix(&[0]).ok_or(Error::Malformed {
         tag: 'Q',
@@ -164,7 +164,7 @@
         tag: 'Q',
         what: "not UTF-8",
     })?;
-    Ok(Front::Query(text.to_owned()))
+    Ok(Frontend::Query(text.to_owned()))
 }
 
 /// A view of a body that is walked without trusting the lengths in it.
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -8,5 +8,5 @@
 mod reply;
 
 pub use codec::{Codec, Error, Frame, LoginCodec, MAX_FRAME, MAX_LOGIN};
-pub use front::{Front, MAX_STARTUP, Startup, decode, decode_startup};
+pub use front::{Frontend, MAX_STARTUP, Startup, decode, decode_startup};
 pub use reply::{Reply, error, error_state, fatal, parameter, ready};
--- a/crates/pg/tests/decode.rs
+++ b/crates/pg/tests/decode.rs
@@ -2,7 +2,7 @@
 //! no larger than its bytes, and never a panic.
 
 use ntex::{codec::Decoder, util::BytesMut};
-use pg::{Codec, Error, Frame, Front, LoginCodec, MAX_FRAME, MAX_LOGIN, MAX_STARTUP};
+use pg::{Codec, Error, Frame, Frontend, LoginCodec, MAX_FRAME, MAX_LOGIN, MAX_STARTUP};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 fn config() -> ProptestConfig {
@@ -72,11 +72,11 @@
 }
 
 /// How much a message holds, of bytes and of items.
-fn size(front: &Front) -> usize {
+fn size(front: &Frontend) -> usize {
     match front {
-        Front::Query(sql) => sql.len(),
-        Front::Parse(it) => it.query.len() + it.type_oids.len() * 4,
-        Front::Bind(it) => {
+        Frontend::Query(sql) => sql.len(),
+        Frontend::Parse(it) => it.query.len() + it.type_oids.len() * 4,
+        Frontend::Bind(it) => {
             let values = it.parameters.iter().flatten();
             values.map(|it| it.len()).sum::<usize>() + it.parameters.len() * 4
         }
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -342,7 +342,7 @@
         let upstream = match router.choose(self.now, &read, &mut self.rng) {
             Choice::Replica(upstream) | Choice::Primary(upstream) => upstream,
             Choice::Confirmed(upstream) => upstream,
-            Choice::Wait { .. } | Choice::Discover | Choice::Hold { .. } => return None,
+            Choice::Wait { .. } | Choice::AwaitRound | Choice::Hold { .. } => return None,
             Choice::Refuse(_) => return None,
         };
         self.names.iter().position(|name| *name == upstream)
--- a/crates/policy/src/reads/baseline.rs
+++ b/crates/policy/src/reads/baseline.rs
@@ -50,7 +50,7 @@
     /// Any replica that will do when the read gets there, or within the time
     /// that the router may wait for one.
     fn oracle(&self, open: &Open, replicas: &[usize]) -> bool {
-        let patience = route::Conf::default().patience;
+        let patience = route::Conf::default().max_replica_wait;
         let mut wait = Duration::ZERO;
         while wait <= patience {
             let at = self.now + self.site.inside + wait;
--- a/crates/policy/src/reads/serve.rs
+++ b/crates/policy/src/reads/serve.rs
@@ -44,7 +44,7 @@
                 self.poll_all(instance);
             }
             Choice::Wait { until, .. } => self.after(until.since(now), Happening::Choose(request)),
-            Choice::Discover => {
+            Choice::AwaitRound => {
                 open.stage = Stage::Discovering;
                 self.poll_all(instance);
             }
@@ -138,7 +138,7 @@
             return;
         };
         let here = &mut self.instances[instance];
-        if here.router.verify(self.now, &report, &open.read, target) != Verdict::Holds {
+        if here.router.verify(self.now, &report, &open.read, target) != Verdict::Fresh {
             self.outcome.discarded += 1;
             open.stage = Stage::Waiting;
             open.read.trust = Trust::Proved;
@@ -199,7 +199,7 @@
             return;
         };
         let here = &mut self.instances[open.instance];
-        let Some(round) = here.router.discovered(open.read.began) else {
+        let Some(round) = here.router.first_round_since(open.read.began) else {
             open.stage = Stage::Confirming(report, server);
             return;
         };
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -232,7 +232,7 @@
             Choice::Wait { until, .. } => {
                 self.later(instance, until.since(now), Arrival::Again(request));
             }
-            Choice::Discover => self.discover(instance, request),
+            Choice::AwaitRound => self.discover(instance, request),
             Choice::Hold { .. } => self.later(instance, HOLD, Arrival::Again(request)),
             Choice::Refuse(cause) => self.refuse_read(instance, request, cause),
         }
@@ -251,7 +251,7 @@
             return;
         };
         work.stage = Stage::Discovering;
-        if here.round.want(now, work.began) == Start::Now {
+        if here.round.request(now, work.began) == Start::Now {
             self.poll_all(instance);
         }
     }
@@ -381,7 +381,7 @@
         let here = &mut self.instances[instance];
         let work = &here.work[&request];
         let verdict = here.router.verify(now, &report, &work.read, target);
-        if verdict != Verdict::Holds && self.logic != Logic::Unverified {
+        if verdict != Verdict::Fresh && self.logic != Logic::Unverified {
             return self.anew(instance, request);
         }
         if let Some(session) = here.sessions.get_mut(&work.errand.caller) {
@@ -399,7 +399,7 @@
         let Some(work) = here.work.get_mut(&request) else {
             return;
         };
-        let Some(round) = here.router.discovered(work.began) else {
+        let Some(round) = here.router.first_round_since(work.began) else {
             work.stage = Stage::Confirming(report);
             return self.poll_all(instance);
         };
--- a/crates/request/src/cancel.rs
+++ b/crates/request/src/cancel.rs
@@ -82,7 +82,7 @@
 
     /// Takes out the caller's statement if it is held back: it was cancelled
     /// before it was sent, so it did not run.
-    pub fn cancel_held_back(&mut self, key: Key) -> Option<Handle> {
+    pub fn cancel_unsent(&mut self, key: Key) -> Option<Handle> {
         let mut held_back = self.held_back.iter();
         let (&generation, _) = held_back.find(|(_, (of, _))| *of == key)?;
         self.held_back.remove(&generation).map(|(_, handle)| handle)
@@ -104,7 +104,7 @@
 
     /// Whether a connection may be given to another request: a cancel under
     /// way would hit that one.
-    pub fn is_quiet(&self, generation: Generation) -> bool {
+    pub fn is_reusable(&self, generation: Generation) -> bool {
         !self.under_way.contains_key(&generation)
     }
 
--- a/crates/request/src/ledger.rs
+++ b/crates/request/src/ledger.rs
@@ -9,13 +9,13 @@
 /// How long ids are kept; a repeat of an older one is refused.
 pub const RETENTION: Duration = Duration::from_secs(7 * 24 * 3_600);
 /// How far ahead of this instance's clock an id's time may be.
-pub const AHEAD: Duration = Duration::from_secs(300);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 /// How much longer than [`RETENTION`] rows stay.
 ///
 /// An instance takes an id that is nearly too old, and inserts it when its
 /// request has got a connection; another one's clock may run ahead. Were the
 /// row deleted by then, the request would run a second time.
-pub const GRACE: Duration = Duration::from_secs(24 * 3_600);
+pub const RETENTION_MARGIN: Duration = Duration::from_secs(24 * 3_600);
 /// The most rows that one cleaning deletes, so that it holds no lock for long.
 pub const CLEAN_ROWS: u64 = 1_000;
 /// The time between two cleanings of a database.
@@ -67,7 +67,7 @@
         if made + RETENTION < now {
             return Err(Error::Expired);
         }
-        if made > now + AHEAD {
+        if made > now + MAX_CLOCK_SKEW {
             return Err(Error::Future);
         }
         Ok(Self(id))
@@ -137,7 +137,7 @@
 /// Any instance may run it, several at once too. Ids begin with their time, so
 /// the oldest are the first of the primary key.
 pub fn clean(now: Duration) -> String {
-    let bound = now.saturating_sub(RETENTION + GRACE).as_millis() << 80;
+    let bound = now.saturating_sub(RETENTION + RETENTION_MARGIN).as_millis() << 80;
     format!(
         "DELETE FROM dandelionlink_request WHERE id IN (\
          SELECT id FROM dandelionlink_request WHERE id < '{bound:032x}' \
@@ -148,12 +148,12 @@
 /// When to clean again after a cleaning that deleted so many rows.
 ///
 /// ```
-/// use request::ledger::{CLEAN_INTERVAL, CLEAN_PAUSE, CLEAN_ROWS, clean_again};
+/// use request::ledger::{CLEAN_INTERVAL, CLEAN_PAUSE, CLEAN_ROWS, next_cleaning};
 ///
-/// assert_eq!(clean_again(CLEAN_ROWS), CLEAN_PAUSE);
-/// assert_eq!(clean_again(3), CLEAN_INTERVAL);
+/// assert_eq!(next_cleaning(CLEAN_ROWS), CLEAN_PAUSE);
+/// assert_eq!(next_cleaning(3), CLEAN_INTERVAL);
 /// ```
-pub fn clean_again(deleted: u64) -> Duration {
+pub fn next_cleaning(deleted: u64) -> Duration {
     if deleted < CLEAN_ROWS {
         CLEAN_INTERVAL
     } else {
@@ -173,7 +173,7 @@
 ///
 /// [`Error::Reused`] if the first run was another statement's, and
 /// [`Error::Unreadable`] if the row is not the ledger's.
-pub fn found(digest: Digest, tag: Option<&str>) -> Result<Option<&str>, Error> {
+pub fn parse_tag(digest: Digest, tag: Option<&str>) -> Result<Option<&str>, Error> {
     let Some(tag) = tag else {
         return Ok(None);
     };
--- a/crates/request/src/once.rs
+++ b/crates/request/src/once.rs
@@ -170,7 +170,7 @@
     }
 
     fn found(&mut self, tag: Option<&str>) -> Option<Action> {
-        self.end(match ledger::found(self.digest, tag) {
+        self.end(match ledger::parse_tag(self.digest, tag) {
             Ok(Some(first)) => End::Repeat(first.to_owned()),
             // It was there a moment ago: only the cleaning deletes ids. Run
             // now, the statement would run twice.
--- a/crates/request/tests/cancel.rs
+++ b/crates/request/tests/cancel.rs
@@ -141,11 +141,11 @@
     table.cancel(KEY);
     table.cancel(KEY);
     table.end(KEY, statement(1));
-    assert!(!table.is_quiet(Generation(1)));
+    assert!(!table.is_reusable(Generation(1)));
     table.answered(Generation(1));
-    assert!(!table.is_quiet(Generation(1)));
+    assert!(!table.is_reusable(Generation(1)));
     table.answered(Generation(1));
-    assert!(table.is_quiet(Generation(1)));
+    assert!(table.is_reusable(Generation(1)));
 }
 
 /// Symptom: a caller cancels and its statement runs all the same. Events: the
@@ -158,7 +158,7 @@
     table.end(KEY, statement(1));
     assert_eq!(table.start(KEY, statement(2)), Gate::Closed);
     assert_eq!(table.cancel(KEY), None);
-    assert_eq!(table.cancel_held_back(KEY), Some(statement(2)));
+    assert_eq!(table.cancel_unsent(KEY), Some(statement(2)));
     assert_eq!(table.answered(Generation(1)), None);
 }
 
@@ -170,6 +170,6 @@
     table.start(KEY, statement(1));
     table.cancel(KEY);
     table.lost(Generation(1));
-    assert!(table.is_quiet(Generation(1)));
+    assert!(table.is_reusable(Generation(1)));
     assert_eq!(table.cancel(KEY), None);
 }
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -252,7 +252,7 @@
     let oldest = (NOW - ledger::RETENTION).as_millis() << 80 | 7 << 76;
     assert!(Id::new(oldest, NOW).is_ok());
     assert!(format!("{oldest:032x}") > bound);
-    let gone = (ahead - ledger::RETENTION - ledger::GRACE).as_millis() - 1;
+    let gone = (ahead - ledger::RETENTION - ledger::RETENTION_MARGIN).as_millis() - 1;
     assert!(format!("{:032x}", gone << 80 | 7 << 76) < bound);
     assert!(ledger::clean(ahead).contains("LIMIT 1000"));
 }
@@ -262,10 +262,10 @@
 fn foreign_row_is_unreadable() {
     let digest = Digest(9);
     for tag in ["", "0000000000000009", "paid INSERT"] {
-        let found = ledger::found(digest, Some(tag));
+        let found = ledger::parse_tag(digest, Some(tag));
         assert_eq!(found, Err(Error::Unreadable), "{tag}");
     }
-    assert_eq!(ledger::found(digest, None), Ok(None));
+    assert_eq!(ledger::parse_tag(digest, None), Ok(None));
 }
 
 proptest! {
--- a/crates/route/examples/share/main.rs
+++ b/crates/route/examples/share/main.rs
@@ -12,7 +12,7 @@
     let seed = seed.unwrap_or(1);
     report::policies(seed);
     report::probes(seed);
-    report::patience(seed);
+    report::replica_waits(seed);
     report::callers(seed);
     report::rumour(seed);
 }
--- a/crates/route/examples/share/report.rs
+++ b/crates/route/examples/share/report.rs
@@ -102,15 +102,15 @@
 }
 
 /// How long a read may wait for a replica.
-pub(crate) fn patience(seed: u64) {
+pub(crate) fn replica_waits(seed: u64) {
     head("patience: waiting against going to the primary");
     for (label, lags) in TRACES {
         for millis in [0, 10, 30, 100, 300] {
-            let patience = Duration::from_millis(millis);
+            let max_replica_wait = Duration::from_millis(millis);
             let tally = run(&Setup {
                 seed,
                 lags,
-                patience,
+                max_replica_wait,
                 ..Setup::default()
             });
             line(&format!("{label}: {millis} ms"), &tally);
--- a/crates/route/examples/share/world.rs
+++ b/crates/route/examples/share/world.rs
@@ -186,8 +186,8 @@
             })
             .collect();
         let conf = Conf {
-            patience: setup.patience,
-            spill: setup.spill,
+            max_replica_wait: setup.max_replica_wait,
+            spill_margin: setup.spill_margin,
             ..Conf::default()
         };
         let instances = (0..INSTANCES)
@@ -388,14 +388,14 @@
             Choice::Confirmed(upstream) => {
                 self.send(id, &upstream, Target::Primary, Confirm::Majority);
             }
-            Choice::Discover if discover == Discovery::Primary => {
+            Choice::AwaitRound if discover == Discovery::Primary => {
                 let primary = self.names[0].clone();
                 self.send(id, &primary, Target::Primary, Confirm::Majority);
             }
-            Choice::Discover => {
+            Choice::AwaitRound => {
                 self.instances[at].waiting.push(id);
                 let since = request.read.began;
-                let start = self.instances[at].round.want(self.now, since);
+                let start = self.instances[at].round.request(self.now, since);
                 self.start(at, start);
             }
             Choice::Wait { upstream, until } => {
@@ -703,7 +703,7 @@
         let judged = self.setup.policy == Policy::Routed && self.setup.judge == Judge::Every;
         if judged && confirm == Confirm::Plain {
             let router = &self.instances[instance].router;
-            if router.verify(self.now, &shown.report, &request.read, target) != Verdict::Holds {
+            if router.verify(self.now, &shown.report, &request.read, target) != Verdict::Fresh {
                 self.tally.discarded += 1;
                 let request = self.requests.get_mut(&id).expect("it is answered once");
                 request.read = request.read.discarded(target);
@@ -755,7 +755,7 @@
         let router = &self.instances[request.instance].router;
         let confirmed = router.confirmed();
         let floor = match request.read.floor {
-            Floor::Unknown { since } => router.discovered(since),
+            Floor::Unknown { since } => router.first_round_since(since),
             Floor::Known(_) => None,
         };
         let Some(session) = self.sessions.get_mut(&request.session) else {
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -52,7 +52,7 @@
         if self.nodes.is_empty() {
             return Choice::Refuse(Cause::NoUpstream);
         }
-        if self.learnt.knows(now, read.fingerprint) {
+        if self.known_writes.contains(now, read.fingerprint) {
             return self.to_primary(read);
         }
         let read = self.settled(read);
@@ -61,7 +61,7 @@
         };
         let need = self.need(now, &read, floor);
         if self.needs_round(now, &need) {
-            return Choice::Discover;
+            return Choice::AwaitRound;
         }
         let candidates = self.candidates(now, &read, &need);
         if let Some(candidate) = pick(&candidates, rng)
@@ -71,7 +71,7 @@
             return Choice::Replica(node.member.upstream.clone());
         }
         if candidates.is_empty()
-            && let Some(choice) = self.wait(now, &read, &need, self.conf.patience)
+            && let Some(choice) = self.wait(now, &read, &need, self.conf.max_replica_wait)
         {
             return choice;
         }
@@ -88,7 +88,7 @@
             (_, Floor::Unknown { since }) => since,
             (_, Floor::Known(_)) => return *read,
         };
-        let floor = match (self.discovered(since), read.floor) {
+        let floor = match (self.first_round_since(since), read.floor) {
             (Some(round), Floor::Known(floor)) => {
                 Floor::Known(session::join(floor, round.position))
             }
@@ -143,7 +143,7 @@
             if !self.replica(&self.nodes[at]) || !reaches(&self.nodes[at], now, read, need) {
                 continue;
             }
-            let hold = self.conf.hold;
+            let hold = self.conf.exclusion;
             let node = &mut self.nodes[at];
             let cost = node.cost();
             let side = match need.bound {
@@ -160,7 +160,7 @@
     /// Whether the primary would answer so much earlier that it takes the read.
     pub(crate) fn spills(&self, cost: Duration) -> bool {
         let primary = self.leader().filter(|node| node.usable());
-        primary.is_some_and(|node| cost > node.cost() + self.conf.spill)
+        primary.is_some_and(|node| cost > node.cost() + self.conf.spill_margin)
     }
 
     /// Waits for the replica that is expected to serve first, if that is
@@ -208,14 +208,14 @@
             return self.hold(read);
         };
         if read.freshness != Freshness::Current {
-            return Choice::Discover;
+            return Choice::AwaitRound;
         }
         // The confirmation travels beside the read, so the primary answers
         // first unless its queue is longer than a round and a replica's.
         let replicas = self.nodes.iter().filter(|node| self.replica(node));
         let replica = replicas.map(Node::cost).min();
         if replica.is_some_and(|cost| self.round_trip() + cost < primary.cost()) {
-            return Choice::Discover;
+            return Choice::AwaitRound;
         }
         Choice::Confirmed(primary.member.upstream.clone())
     }
--- a/crates/route/src/confirm.rs
+++ b/crates/route/src/confirm.rs
@@ -39,7 +39,7 @@
 /// ```
 /// use clock::Instant;
 /// use model::{Position, Report, Role, Term};
-/// use route::{Answer, newest};
+/// use route::{Answer, newest_round};
 ///
 /// let answer = |role, sent| Answer {
 ///     sent: Instant::from_millis(sent),
@@ -51,10 +51,10 @@
 ///     },
 /// };
 /// let answers = [answer(Role::Primary, 9), answer(Role::Replica, 7)];
-/// assert_eq!(newest(3, &answers).unwrap().since, Instant::from_millis(7));
-/// assert_eq!(newest(3, &answers[..1]), None);
+/// assert_eq!(newest_round(3, &answers).unwrap().since, Instant::from_millis(7));
+/// assert_eq!(newest_round(3, &answers[..1]), None);
 /// ```
-pub fn newest(members: usize, answers: &[Answer]) -> Option<Confirmed> {
+pub fn newest_round(members: usize, answers: &[Answer]) -> Option<Confirmed> {
     let primary = answers
         .iter()
         .filter(|answer| answer.report.role == Role::Primary)
--- a/crates/route/src/learnt.rs
+++ b/crates/route/src/known_writes.rs
@@ -16,38 +16,38 @@
 /// Forgetting one costs a refused try on a replica; remembering one too long
 /// would keep a statement off the replicas after its function was mended.
 #[derive(Debug, Clone)]
-pub struct Learnt {
+pub struct KnownWrites {
     capacity: usize,
-    keep: Duration,
+    ttl: Duration,
     until: HashMap<u64, Instant>,
     order: VecDeque<u64>,
 }
 
-impl Learnt {
-    /// Remembers up to `capacity` fingerprints, each for `keep`.
+impl KnownWrites {
+    /// Remembers up to `capacity` fingerprints, each for `ttl`.
     ///
     /// ```
     /// use std::time::Duration;
     /// use clock::Instant;
-    /// use route::{Learnt, statement::fingerprint};
+    /// use route::{KnownWrites, statement::fingerprint};
     ///
-    /// let mut learnt = Learnt::new(64, Duration::from_secs(600));
+    /// let mut known_writes = KnownWrites::new(64, Duration::from_secs(600));
     /// let text = fingerprint("select next_ticket()");
-    /// learnt.remember(Instant::ZERO, text);
-    /// assert!(learnt.knows(Instant::from_millis(5), text));
+    /// known_writes.insert(Instant::ZERO, text);
+    /// assert!(known_writes.contains(Instant::from_millis(5), text));
     /// ```
-    pub fn new(capacity: usize, keep: Duration) -> Self {
+    pub fn new(capacity: usize, ttl: Duration) -> Self {
         Self {
             capacity,
-            keep,
+            ttl,
             until: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
     /// Remembers a statement that a replica refused with [`READ_ONLY`].
-    pub fn remember(&mut self, now: Instant, fingerprint: u64) {
-        let known = self.until.insert(fingerprint, now + self.keep);
+    pub fn insert(&mut self, now: Instant, fingerprint: u64) {
+        let known = self.until.insert(fingerprint, now + self.ttl);
         if known.is_some() {
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     /// Whether the statement is known to write.
-    pub fn knows(&self, now: Instant, fingerprint: u64) -> bool {
+    pub fn contains(&self, now: Instant, fingerprint: u64) -> bool {
         self.until
             .get(&fingerprint)
             .is_some_and(|&until| now < until)
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,12 +3,12 @@
 //! [`Router`] is told what this instance observes and chooses; what it chooses
 //! by may be old or wrong, so every answer is judged again by a position asked
 //! for on the same connection ([`Router::verify`]). [`statement`] tells reads
-//! from writes, and [`Learnt`] remembers where that was wrong.
+//! from writes, and [`KnownWrites`] remembers where that was wrong.
 
 mod choose;
 mod confirm;
 mod history;
-mod learnt;
+mod known_writes;
 mod lex;
 mod node;
 mod policy;
@@ -19,9 +19,9 @@
 mod trend;
 mod verify;
 
-pub use confirm::{Answer, newest, position};
+pub use confirm::{Answer, newest_round, position};
 pub use history::History;
-pub use learnt::{Learnt, READ_ONLY};
+pub use known_writes::{KnownWrites, READ_ONLY};
 pub use node::{Breaker, Load, Member, State};
 pub use policy::{Exact, Policy};
 pub use read::{Choice, Read, Trust};
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -81,7 +81,7 @@
 /// Serves from the replica that can answer first, within the same patience
 /// and by the same rule of spilling as the product's router.
 fn oracle(now: Instant, router: &Router, read: &Read, exact: &[Exact]) -> Choice {
-    let end = (read.began + router.conf.patience).min(read.deadline);
+    let end = (read.began + router.conf.max_replica_wait).min(read.deadline);
     let served = exact.iter().filter_map(|known| {
         let node = router
             .nodes
--- a/crates/route/src/read.rs
+++ b/crates/route/src/read.rs
@@ -94,7 +94,7 @@
         until: Instant,
     },
     /// Want a round ([`session::Round`]) and choose again when one ends.
-    Discover,
+    AwaitRound,
     /// No upstream can serve it now but one may soon, as during a change of
     /// primary: choose again after the next event, at `until` at the latest.
     Hold {
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -7,7 +7,7 @@
 use session::Confirmed;
 
 use crate::{
-    Answer, Breaker, History, Learnt, Load, Member, Read, State, Target, Verdict, confirm,
+    Answer, Breaker, History, KnownWrites, Load, Member, Read, State, Target, Verdict, confirm,
     node::Node, verify,
 };
 
@@ -15,38 +15,38 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Conf {
     /// How long a read may wait for a replica rather than go to the primary.
-    pub patience: Duration,
+    pub max_replica_wait: Duration,
     /// How much later than the primary's a replica's answer may be expected
     /// before the primary takes the read.
-    pub spill: Duration,
+    pub spill_margin: Duration,
     /// The round trip assumed inside an availability zone, until measured.
-    pub near: Duration,
+    pub zone_rtt: Duration,
     /// The round trip assumed between availability zones, until measured.
-    pub far: Duration,
+    pub cross_zone_rtt: Duration,
     /// The time on an upstream's slot assumed for a statement, until measured.
     pub service: Duration,
     /// The greatest age that an entry of this database allows.
-    pub span: Duration,
+    pub max_age: Duration,
     /// How long a replica that left an age bound is held out, the first time.
-    pub hold: Duration,
+    pub exclusion: Duration,
     /// How many writing statements are remembered.
-    pub learnt: usize,
+    pub known_writes: usize,
     /// How long a writing statement is remembered.
-    pub keep: Duration,
+    pub known_write_ttl: Duration,
 }
 
 impl Default for Conf {
     fn default() -> Self {
         Self {
-            patience: Duration::from_millis(100),
-            spill: Duration::from_millis(20),
-            near: Duration::from_micros(300),
-            far: Duration::from_millis(3),
+            max_replica_wait: Duration::from_millis(100),
+            spill_margin: Duration::from_millis(20),
+            zone_rtt: Duration::from_micros(300),
+            cross_zone_rtt: Duration::from_millis(3),
             service: Duration::from_millis(2),
-            span: Duration::from_secs(2),
-            hold: Duration::from_millis(50),
-            learnt: 256,
-            keep: Duration::from_secs(600),
+            max_age: Duration::from_secs(2),
+            exclusion: Duration::from_millis(50),
+            known_writes: 256,
+            known_write_ttl: Duration::from_secs(600),
         }
     }
 }
@@ -92,7 +92,7 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) record: Option<Record>,
     pub(crate) history: History,
-    pub(crate) learnt: Learnt,
+    pub(crate) known_writes: KnownWrites,
 }
 
 impl Router {
@@ -103,8 +103,8 @@
             zone: zone.clone(),
             nodes: Vec::new(),
             record: None,
-            history: History::new(conf.span),
-            learnt: Learnt::new(conf.learnt, conf.keep),
+            history: History::new(conf.max_age),
+            known_writes: KnownWrites::new(conf.known_writes, conf.known_write_ttl),
         }
     }
 
@@ -123,7 +123,7 @@
             Event::Breaker(upstream, breaker) => self.with(upstream, |n| n.breaker = breaker),
             Event::Load(upstream, load) => self.with(upstream, |n| n.load = load),
             Event::Served(upstream, took) => self.with(upstream, |n| n.served(took)),
-            Event::Wrote { fingerprint } => self.learnt.remember(now, fingerprint),
+            Event::Wrote { fingerprint } => self.known_writes.insert(now, fingerprint),
         }
         None
     }
@@ -135,7 +135,7 @@
 
     /// The lowest floor that is proved valid for a session that began at
     /// `since`: the first round sent after it.
-    pub fn discovered(&self, since: Instant) -> Option<Confirmed> {
+    pub fn first_round_since(&self, since: Instant) -> Option<Confirmed> {
         self.history.first_since(since)
     }
 
@@ -206,9 +206,9 @@
 
     fn distance(&self, zone: &name::Zone) -> Duration {
         if *zone == self.zone {
-            return self.conf.near;
+            return self.conf.zone_rtt;
         }
-        self.conf.far
+        self.conf.cross_zone_rtt
     }
 
     fn record(&mut self, record: &Record) {
@@ -233,7 +233,7 @@
 
     fn confirm(&mut self) -> Option<Confirmed> {
         let answers: Vec<_> = self.nodes.iter().filter_map(|node| node.answer).collect();
-        let round = confirm::newest(self.nodes.len(), &answers)?;
+        let round = confirm::newest_round(self.nodes.len(), &answers)?;
         let newest = self.history.newest();
         if newest.is_some_and(|newest| round.since <= newest.since) {
             return None;
--- a/crates/route/src/statement.rs
+++ b/crates/route/src/statement.rs
@@ -114,7 +114,7 @@
     })
 }
 
-/// The key under which [`crate::Learnt`] remembers a statement's text.
+/// The key under which [`crate::KnownWrites`] remembers a statement's text.
 pub fn fingerprint(sql: &str) -> u64 {
     xxh3_64(sql.as_bytes())
 }
--- a/crates/route/src/verify.rs
+++ b/crates/route/src/verify.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It is fresh enough.
-    Holds,
+    Fresh,
     /// The upstream had not reached the session's floor.
     Behind,
     /// Its age is greater than allowed, or is not proved.
@@ -59,7 +59,7 @@
 /// };
 /// assert_eq!(verify(&report, &read, Target::Replica), Verdict::Behind);
 /// report.replayed = Lsn(40);
-/// assert_eq!(verify(&report, &read, Target::Replica), Verdict::Holds);
+/// assert_eq!(verify(&report, &read, Target::Replica), Verdict::Fresh);
 /// ```
 pub fn verify(report: &Report, read: &Read, target: Target) -> Verdict {
     let Floor::Known(floor) = read.floor else {
@@ -71,7 +71,7 @@
     if !confirm::position(report).covers(demand(floor, read.seen, target)) {
         return Verdict::Behind;
     }
-    Verdict::Holds
+    Verdict::Fresh
 }
 
 /// Checks the age as well.
@@ -86,11 +86,11 @@
     let Freshness::Age(bound) = read.freshness else {
         return verdict;
     };
-    if verdict != Verdict::Holds {
+    if verdict != Verdict::Fresh {
         return verdict;
     }
     match history.as_of(confirm::position(report)) {
-        Some(as_of) if now.since(as_of) <= bound => Verdict::Holds,
+        Some(as_of) if now.since(as_of) <= bound => Verdict::Fresh,
         _ => Verdict::Old,
     }
 }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -59,10 +59,10 @@
 fn a_caller_with_nothing_waits_for_a_round_sent_after_it_came() {
     let mut group = Group::steady(1_000);
     let read = read(1_001, Floor::Unknown { since: at(1_001) });
-    assert_eq!(group.choose(1_001, &read), Choice::Discover);
+    assert_eq!(group.choose(1_001, &read), Choice::AwaitRound);
     group.primary_sent(1_000, 1_003, 1, 1_000);
     group.replica_sent("u1", 1_000, 1_003, 1, 1_000);
-    assert_eq!(group.choose(1_003, &read), Choice::Discover);
+    assert_eq!(group.choose(1_003, &read), Choice::AwaitRound);
     group.primary_sent(1_001, 1_004, 1, 1_000);
     group.replica_sent("u1", 1_001, 1_004, 1, 1_000);
     assert!(matches!(group.choose(1_004, &read), Choice::Replica(_)));
@@ -177,7 +177,7 @@
     let broken = group
         .router
         .verify(at(1_004), &rumour, &read, Target::Replica);
-    assert_eq!(broken, Verdict::Holds);
+    assert_eq!(broken, Verdict::Fresh);
 }
 
 /// Symptom: a read runs in circles until its deadline. Events: the answer was
@@ -218,7 +218,7 @@
     group
         .router
         .step(at(1_001), Event::Load(&group::upstream("u0"), load));
-    assert_eq!(group.choose(1_001, &current), Choice::Discover);
+    assert_eq!(group.choose(1_001, &current), Choice::AwaitRound);
     group.all(1_004, 1, 1_000);
     assert!(matches!(group.choose(1_007, &current), Choice::Replica(_)));
 }
@@ -325,11 +325,11 @@
 }
 
 /// The reads, of 400, at which the replica came in or went out.
-fn changes_at_the_edge(hold: Duration) -> Vec<u64> {
+fn changes_at_the_edge(exclusion: Duration) -> Vec<u64> {
     let bound = Duration::from_millis(200);
     let conf = Conf {
-        hold,
-        patience: Duration::ZERO,
+        exclusion,
+        max_replica_wait: Duration::ZERO,
         ..Conf::default()
     };
     let mut group = Group::with(1_000, conf);
@@ -371,7 +371,7 @@
             .router
             .verify(at(now), &report, &calendar, Target::Replica)
     };
-    assert_eq!(verify(1_410), Verdict::Holds);
+    assert_eq!(verify(1_410), Verdict::Fresh);
     assert_eq!(verify(1_411), Verdict::Old);
 }
 
@@ -392,7 +392,7 @@
     let verdict = group
         .router
         .verify(at(1_002), &primary, &read, Target::Primary);
-    assert_eq!(verdict, Verdict::Holds);
+    assert_eq!(verdict, Verdict::Fresh);
 }
 
 #[test]
--- a/crates/route/tests/statement.rs
+++ b/crates/route/tests/statement.rs
@@ -8,7 +8,7 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use route::{
-    Learnt,
+    KnownWrites,
     statement::{Access, Kind, classify, fingerprint, split},
     tag,
 };
@@ -177,13 +177,13 @@
 }
 
 #[test]
-fn a_learnt_write_is_forgotten_in_time_and_never_beyond_the_bound() {
-    let mut learnt = Learnt::new(2, Duration::from_secs(1));
+fn a_known_write_is_forgotten_in_time_and_never_beyond_the_bound() {
+    let mut known_writes = KnownWrites::new(2, Duration::from_secs(1));
     let texts = ["select a()", "select b()", "select c()"].map(fingerprint);
     for text in texts {
-        learnt.remember(Instant::ZERO, text);
+        known_writes.insert(Instant::ZERO, text);
     }
-    let known = texts.map(|text| learnt.knows(Instant::ZERO, text));
+    let known = texts.map(|text| known_writes.contains(Instant::ZERO, text));
     assert_eq!(known, [false, true, true]);
-    assert!(!learnt.knows(Instant::from_millis(1_000), texts[2]));
+    assert!(!known_writes.contains(Instant::from_millis(1_000), texts[2]));
 }
--- a/crates/session/src/round.rs
+++ b/crates/session/src/round.rs
@@ -44,12 +44,12 @@
     ///
     /// let mut round = Round::new(Duration::from_millis(50));
     /// let at = Instant::from_millis;
-    /// assert_eq!(round.want(at(1), at(1)), Start::Now);
+    /// assert_eq!(round.request(at(1), at(1)), Start::Now);
     /// // This session began before the round did, so the round serves it too.
-    /// assert_eq!(round.want(at(2), at(0)), Start::Later);
+    /// assert_eq!(round.request(at(2), at(0)), Start::Later);
     /// assert_eq!(round.end(at(4)), Start::Later);
     /// ```
-    pub fn want(&mut self, now: Instant, since: Instant) -> Start {
+    pub fn request(&mut self, now: Instant, since: Instant) -> Start {
         let Some(began) = self.flying.filter(|&began| now.since(began) < self.timeout) else {
             return self.start(now);
         };
--- a/crates/session/tests/floor.rs
+++ b/crates/session/tests/floor.rs
@@ -132,7 +132,7 @@
     let mut round = Round::new(Duration::from_millis(50));
     let starts = (0..1_000).filter(|i| {
         let now = at(1) + Duration::from_micros(*i);
-        round.want(now, now) == Start::Now
+        round.request(now, now) == Start::Now
     });
     assert_eq!(starts.count(), 1);
     assert_eq!(round.end(at(4)), Start::Now);
@@ -144,7 +144,7 @@
 #[test]
 fn a_lost_round_is_given_up() {
     let mut round = Round::new(Duration::from_millis(50));
-    assert_eq!(round.want(at(0), at(0)), Start::Now);
-    assert_eq!(round.want(at(49), at(49)), Start::Later);
-    assert_eq!(round.want(at(50), at(50)), Start::Now);
+    assert_eq!(round.request(at(0), at(0)), Start::Now);
+    assert_eq!(round.request(at(49), at(49)), Start::Later);
+    assert_eq!(round.request(at(50), at(50)), Start::Now);
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -7,5 +7,5 @@
 
 pub use conn::{Conn, Key, Login, cancel};
 pub use error::Error;
-pub use order::{FENCED, Order};
-pub use status::{PROBE, report};
+pub use order::{Order, TERM_REFUSED};
+pub use status::{PROBE, parse_report};
--- a/crates/upstream/src/order.rs
+++ b/crates/upstream/src/order.rs
@@ -8,7 +8,7 @@
 
 /// The SQLSTATE with which an upstream refuses an order of a lower term; the
 /// message names the term that stands, as in `the term is 7 already`.
-pub const FENCED: &str = "DL010";
+pub const TERM_REFUSED: &str = "DL010";
 
 /// What an upstream is ordered to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/upstream/src/status.rs
+++ b/crates/upstream/src/status.rs
@@ -5,7 +5,7 @@
 
 use crate::Error;
 
-/// The statement whose one row [`report`] reads.
+/// The statement whose one row [`parse_report`] reads.
 ///
 /// All of it comes in one answer, so that the position is never that of
 /// another term than the one reported with it. `dandelionlink.term` is the
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// [`Error::Status`] when the row is not of that form.
-pub fn report(row: &Frame) -> Result<Report, Error> {
+pub fn parse_report(row: &Frame) -> Result<Report, Error> {
     let [role, fenced, term, received, replayed] = columns(row.body())?;
     let role = match role {
         "t" => Role::Replica,
--- a/crates/upstream/tests/bad.rs
+++ b/crates/upstream/tests/bad.rs
@@ -7,7 +7,7 @@
 
 use ntex::codec::Decoder;
 use proptest::{prelude::*, test_runner::RngSeed};
-use upstream::{Conn, Error, Login, report};
+use upstream::{Conn, Error, Login, parse_report};
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
@@ -128,7 +128,7 @@
     ) {
         let mut src = ntex::util::BytesMut::copy_from_slice(message(b'D', &body));
         let frame = pg::Codec.decode(&mut src).unwrap().unwrap();
-        if let Err(error) = report(&frame) {
+        if let Err(error) = parse_report(&frame) {
             prop_assert!(matches!(error, Error::Status(_)));
         }
     }
