--- a/crates/proxy/src/assignment.rs
+++ b/crates/proxy/src/assignment.rs
@@ -9,48 +9,48 @@
 use crate::{edge::Edge, group::Group, node::Node};
 
 /// How often it is looked.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How this instance stands to a group.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Stand {
+struct Assignment {
     /// How many other instances its callers' new sessions are handed to; none if it
     /// serves them itself.
     holders: usize,
     /// Whether it serves sessions though others hold.
-    stays: bool,
+    serves: bool,
 }
 
 /// Looks and tells until the process ends.
 pub(crate) async fn watch<E: Edge>(node: Rc<Node<E>>) {
-    let mut told: HashMap<Rc<str>, Stand> = HashMap::new();
+    let mut logged: HashMap<Rc<str>, Assignment> = HashMap::new();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = Boot.now();
         let mut used = node.active();
         used.retain(|group| group.sessions.get() > 0 || group.is_proof_wanted(now));
-        told.retain(|service, _| used.iter().any(|group| group.service == *service));
+        logged.retain(|service, _| used.iter().any(|group| group.service == *service));
         for group in used {
             let holders = node.holders(&group.service).len();
             let since = group.held_elsewhere_since.get().unwrap_or(Boot.now());
             group
                 .held_elsewhere_since
                 .set((holders > 0).then_some(since));
-            let stays = holders > 0 && group.sessions.get() > 0;
-            let stand = Stand { holders, stays };
-            let old = told.insert(Rc::clone(&group.service), stand);
-            if old.unwrap_or_default() != stand {
-                tell(&node, &group, stand);
+            let serves = holders > 0 && group.sessions.get() > 0;
+            let assignment = Assignment { holders, serves };
+            let old = logged.insert(Rc::clone(&group.service), assignment);
+            if old.unwrap_or_default() != assignment {
+                log_change(&node, &group, assignment);
             }
         }
     }
 }
 
-fn tell<E: Edge>(node: &Node<E>, group: &Group, stand: Stand) {
+fn log_change<E: Edge>(node: &Node<E>, group: &Group, assignment: Assignment) {
     let catalog = node.catalog();
     let entry = catalog.services.get(&group.service);
     log::info!(
-        service = &*group.service, holders = stand.holders,
+        service = &*group.service, holders = assignment.holders,
         sessions = group.sessions.get(), instances = node.peers.count(),
         connections = entry.map_or(0, |entry| entry.connections);
         "holders"
--- a/crates/proxy/src/catalog_lag.rs
+++ b/crates/proxy/src/catalog_lag.rs
@@ -7,7 +7,7 @@
 /// How long the store's own word is waited for: longer than changes are gathered (0.8 s)
 /// and a busy processor takes, and short beside the seconds in which a catalogue has to be
 /// in force (3 s, the platform's pages).
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const FETCH_DELAY: Duration = Duration::from_millis(1_200);
 
 /// How long an instance has been behind others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -27,11 +27,11 @@
     /// use proxy::catalog_lag::Tracker;
     ///
     /// let at = Instant::from_millis;
-    /// let mut news = Tracker::default();
-    /// assert!(!news.observe(5, 4, at(1_000)));
-    /// assert!(!news.observe(5, 4, at(2_100)));
-    /// assert!(news.observe(5, 4, at(2_200)));
-    /// assert!(!news.observe(5, 4, at(2_201)));
+    /// let mut tracker = Tracker::default();
+    /// assert!(!tracker.observe(5, 4, at(1_000)));
+    /// assert!(!tracker.observe(5, 4, at(2_100)));
+    /// assert!(tracker.observe(5, 4, at(2_200)));
+    /// assert!(!tracker.observe(5, 4, at(2_201)));
     /// ```
     pub fn observe(&mut self, version: u64, own: u64, now: Instant) -> bool {
         if version <= own {
@@ -41,7 +41,7 @@
             Some((then, since)) if then == own => since,
             _ => now,
         };
-        let due = since + PATIENCE <= now;
+        let due = since + FETCH_DELAY <= now;
         self.behind = Some((own, if due { now } else { since }));
         due
     }
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -36,21 +36,21 @@
 };
 
 /// How often it is looked whether the proof is old.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long another instance may take to answer: a hop there and back, and a turn of a busy
 /// processor.
-const ANSWER: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long the store may be silent.
-const READ: Duration = Duration::from_millis(400);
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Into how many parts the time that a key may be served divides: a reader asks the store in
 /// each of them.
-const PARTS: u32 = 4;
+const CHECKS_PER_SPAN: u32 = 4;
 
 /// The pause between two tries.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an instance knows of how sure it is, and who waits for an answer.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
     last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<(Watermark, Duration)>>>,
     asking: Cell<bool>,
-    asked: Cell<Instant>,
+    asked_at: Cell<Instant>,
     /// Told when somebody needs a proof now.
     pub requested: Notify,
     /// Told when there is a newer proof.
@@ -91,7 +91,7 @@
         self.proof.get().pending()
     }
 
-    fn learn(&self, newest: Watermark, since: Instant, have: Watermark) {
+    fn update(&self, newest: Watermark, since: Instant, have: Watermark) {
         let mut proof = self.proof.get();
         proof.update(newest, since, have);
         self.proof.set(proof);
@@ -99,40 +99,40 @@
     }
 
     /// Takes in an answer.
-    pub(crate) fn told(&self, id: u64, newest: Watermark, age: Duration) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
-            let _ = waiting.send((newest, age));
+    pub(crate) fn resolve(&self, id: u64, newest: Watermark, age: Duration) {
+        if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
+            let _ = sender.send((newest, age));
         }
     }
 }
 
 /// Answers an instance that asks how sure this one is.
-pub(crate) fn tell<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr) {
+pub(crate) fn answer_request<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr) {
     let Some(age) = node.freshness.age(Boot.now()) else {
         return;
     };
     let newest = node.mark();
-    let told = Message::FreshnessAge { id, newest, age };
-    node.proofs.send(&told, to);
+    let reply = Message::FreshnessAge { id, newest, age };
+    node.proofs.send(&reply, to);
 }
 
 /// Keeps the proof fresh as long as the catalogue has accounts, until the process ends.
 pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let span = node.settings.agreement_ttl();
     loop {
-        let _ = timeout(LOOK, node.freshness.requested.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.freshness.requested.notified()).await;
         if node.catalog().accounts.is_empty() {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         let now = Boot.now();
         let age = node.freshness.age(now);
-        let rests = node.freshness.asked.get() + AGAIN > now;
-        if rests || age.is_some_and(|age| age < due(&node, span)) {
+        let was_asked = node.freshness.asked_at.get() + RETRY_INTERVAL > now;
+        if was_asked || age.is_some_and(|age| age < renew_age(&node, span)) {
             continue;
         }
         if !node.freshness.asking.replace(true) {
-            node.freshness.asked.set(now);
+            node.freshness.asked_at.set(now);
             let node = Rc::clone(&node);
             spawn_local(async move {
                 renew(&node, age, span).await;
@@ -143,10 +143,10 @@
 }
 
 /// How old the proof may get until it is renewed.
-fn due<E: Edge>(node: &Node<E>, span: Duration) -> Duration {
+fn renew_age<E: Edge>(node: &Node<E>, span: Duration) -> Duration {
     match source(node) {
-        Source::Store => span / PARTS,
-        Source::Relay(_) => span / (2 * PARTS),
+        Source::Store => span / CHECKS_PER_SPAN,
+        Source::Relay(_) => span / (2 * CHECKS_PER_SPAN),
     }
 }
 
@@ -157,8 +157,9 @@
         return Source::Relay(relay);
     }
     let readers = relay::readers(node).into_iter();
-    let mut fit = readers.filter(|reader| reader.is_none_or(|at| !relay::is_left(node, at)));
-    match fit.next() {
+    let mut usable =
+        readers.filter(|reader| reader.is_none_or(|at| !relay::is_unresponsive(node, at)));
+    match usable.next() {
         Some(Some(reader)) => Source::Relay(reader),
         Some(None) | None => Source::Store,
     }
@@ -166,49 +167,49 @@
 
 async fn renew<E: Edge>(node: &Rc<Node<E>>, age: Option<Duration>, span: Duration) {
     let asked = match source(node) {
-        Source::Relay(address) => ask(node, address).await,
-        Source::Store if proof_lease::is_resting(node) => Err(Fault::Refused),
-        Source::Store => check(node).await,
+        Source::Relay(address) => query_peer(node, address).await,
+        Source::Store if proof_lease::is_backing_off(node) => Err(Fault::Refused),
+        Source::Store => query_store(node).await,
     };
     if asked.is_ok() {
         return;
     }
-    let hearing = node.peers.hearing();
-    let other = hearing.choose(&mut rand::rng()).copied();
+    let addresses = node.peers.with_store_contact();
+    let other = addresses.choose(&mut rand::rng()).copied();
     if let Some(address) = other
-        && ask(node, address).await.is_ok()
+        && query_peer(node, address).await.is_ok()
     {
         return;
     }
-    if age.is_none_or(|age| age > span / 2) && !proof_lease::is_resting(node) {
-        let _ = check(node).await;
+    if age.is_none_or(|age| age > span / 2) && !proof_lease::is_backing_off(node) {
+        let _ = query_store(node).await;
     }
 }
 
 /// Asks the instance at `address`.
-async fn ask<E: Edge>(node: &Node<E>, address: SocketAddr) -> Result<(), Fault> {
-    let fresh = &node.freshness;
-    fresh.last_id.set(fresh.last_id.get() + 1);
+async fn query_peer<E: Edge>(node: &Node<E>, address: SocketAddr) -> Result<(), Fault> {
+    let tracker = &node.freshness;
+    tracker.last_id.set(tracker.last_id.get() + 1);
     // A number of this life: an answer to a question of the life before is none to this.
-    let id = node.incarnation.wrapping_add(fresh.last_id.get());
+    let id = node.incarnation.wrapping_add(tracker.last_id.get());
     let (sender, answer) = oneshot::channel();
-    fresh.waiting.borrow_mut().insert(id, sender);
+    tracker.waiting.borrow_mut().insert(id, sender);
     let asked = Boot.now();
     let question = Message::FreshnessRequest {
         id,
         reply_to: node.settings.peers,
     };
     node.proofs.send(&question, address);
-    let answer = timeout(ANSWER, answer).await;
-    fresh.waiting.borrow_mut().remove(&id);
+    let answer = timeout(ANSWER_TIMEOUT, answer).await;
+    tracker.waiting.borrow_mut().remove(&id);
     let Ok(Ok((newest, age))) = answer else {
         return Err(Fault::Unknown);
     };
     let since = freshness::valid_from(asked, age);
-    let is_newer = fresh.age(asked).is_none_or(|own| own > age);
-    fresh.learn(newest, since, node.mark());
-    if fresh.ahead().is_some() {
-        node.shares.behind.notify_one();
+    let is_newer = tracker.age(asked).is_none_or(|own| own > age);
+    tracker.update(newest, since, node.mark());
+    if tracker.ahead().is_some() {
+        node.shares.outdated.notify_one();
     }
     match is_newer {
         true => Ok(()),
@@ -218,25 +219,28 @@
 
 /// Reads the catalogue and the shares anew, since the store is in another era than what is
 /// known of them.
-async fn reread<E: Edge>(node: &Node<E>) -> Result<Vec<Item>, Fault> {
-    let catalog = node.store().read(E::CATALOG_KEY, READ).await?;
-    let shares = node.store().read(&shares::table_key::<E>(), READ).await?;
+async fn read_all<E: Edge>(node: &Node<E>) -> Result<Vec<Item>, Fault> {
+    let catalog = node.store().read(E::CATALOG_KEY, STORE_TIMEOUT).await?;
+    let shares = node
+        .store()
+        .read(&shares::table_key::<E>(), STORE_TIMEOUT)
+        .await?;
     let items = catalog.items.into_iter().chain(shares.items);
     Ok(items.collect())
 }
 
 /// Asks the store whether there is anything newer, and takes it in.
-async fn check<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
+async fn query_store<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let revision = node.catalog_item().map_or(0, |item| item.revision);
     let asked = Boot.now();
     let shares = shares::table_key::<E>();
     let known = [(E::CATALOG_KEY, revision), (&*shares, node.mark().shares)];
-    let newer = match node.store().read_newer(&known, READ).await {
-        Err(Fault::Compacted) => reread(node).await,
+    let newer = match node.store().read_newer(&known, STORE_TIMEOUT).await {
+        Err(Fault::Compacted) => read_all(node).await,
         newer => newer,
     };
-    let newer = newer.inspect_err(|_| proof_lease::unanswered(node))?;
-    proof_lease::answered(node);
+    let newer = newer.inspect_err(|_| proof_lease::record_store_failure(node))?;
+    proof_lease::record_store_answer(node);
     for item in newer {
         // One that can't be read is not in force here, and proves nothing.
         if item.key == E::CATALOG_KEY {
@@ -248,9 +252,9 @@
     // A store that came back from a copy may have lost the newest: an instance that starts
     // then would serve keys that were taken away in it, unless it believes those who know.
     let newest = Watermark {
-        catalog: have.catalog.max(node.peers.newest()),
+        catalog: have.catalog.max(node.peers.newest_catalog()),
         ..have
     };
-    node.freshness.learn(newest, asked, have);
+    node.freshness.update(newest, asked, have);
     Ok(())
 }
--- a/crates/proxy/src/mirror.rs
+++ b/crates/proxy/src/mirror.rs
@@ -15,7 +15,7 @@
 
 /// How many deleted keys are remembered: more than instances and upstreams come and go
 /// between two answers.
-const GONE: usize = 1_024;
+const MAX_TOMBSTONES: usize = 1_024;
 
 /// A part of the store that is read and watched for itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -63,10 +63,10 @@
     order: BTreeMap<u64, String>,
     seq: u64,
     /// Deletions up to this number may be forgotten.
-    floor: u64,
-    gone: usize,
+    dropped_seq: u64,
+    tombstones: usize,
     /// The newest revision of the store at which a key was deleted that is forgotten.
-    forgotten: u64,
+    dropped_revision: u64,
     /// Up to which revision of the store each section is known.
     known: [u64; SECTIONS.len()],
 }
@@ -103,9 +103,9 @@
         if known.is_some_and(|entry| entry.revision >= revision) {
             return false;
         }
-        let was_gone = known.is_some_and(|entry| entry.value.is_none());
-        self.gone += usize::from(value.is_none());
-        self.gone -= usize::from(was_gone);
+        let was_deleted = known.is_some_and(|entry| entry.value.is_none());
+        self.tombstones += usize::from(value.is_none());
+        self.tombstones -= usize::from(was_deleted);
         if let Some(known) = known {
             self.order.remove(&known.seq);
         }
@@ -117,22 +117,22 @@
             seq: self.seq,
         };
         self.entries.insert(key.clone(), entry);
-        if self.gone > GONE {
-            self.forget();
+        if self.tombstones > MAX_TOMBSTONES {
+            self.drop_tombstones();
         }
         true
     }
 
     /// Forgets what was deleted.
-    fn forget(&mut self) {
-        let gone = self.entries.values().filter(|entry| entry.value.is_none());
-        let newest = gone.map(|entry| entry.revision).max();
-        self.forgotten = self.forgotten.max(newest.unwrap_or(0));
+    fn drop_tombstones(&mut self) {
+        let deleted = self.entries.values().filter(|entry| entry.value.is_none());
+        let newest = deleted.map(|entry| entry.revision).max();
+        self.dropped_revision = self.dropped_revision.max(newest.unwrap_or(0));
         self.entries.retain(|_, entry| entry.value.is_some());
         let entries = &self.entries;
         self.order.retain(|_, key| entries.contains_key(key));
-        self.gone = 0;
-        self.floor = self.seq;
+        self.tombstones = 0;
+        self.dropped_seq = self.seq;
     }
 
     /// The item of a key.
@@ -164,8 +164,8 @@
             .entries
             .range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
         let under = under.take_while(|(key, _)| key.starts_with(prefix));
-        let stood = under.filter(|(_, entry)| entry.value.is_some() && entry.revision <= at);
-        let missing = stood.filter(|(key, _)| !present.contains(&***key));
+        let current = under.filter(|(_, entry)| entry.value.is_some() && entry.revision <= at);
+        let missing = current.filter(|(key, _)| !present.contains(&***key));
         missing
             .map(|(key, _)| Change::Gone(key.clone(), at))
             .collect()
@@ -175,7 +175,7 @@
     /// now and then and not watched, so that no revision tells up to where it is known; `None`
     /// if a deletion since may be forgotten, so that all has to be told.
     pub fn changes_after(&self, at: u64, listed: &str) -> Option<Vec<Change>> {
-        if at < self.forgotten {
+        if at < self.dropped_revision {
             return None;
         }
         let newer = self
@@ -189,7 +189,7 @@
     /// What was learnt behind number `seq`, oldest first; `None` if some of it is
     /// forgotten, so that all has to be told.
     pub fn changes_since(&self, seq: u64) -> Option<Vec<Change>> {
-        if seq < self.floor && seq != 0 || seq > self.seq {
+        if seq < self.dropped_seq && seq != 0 || seq > self.seq {
             return None;
         }
         let newer = self.order.range(seq + 1..);
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -33,29 +33,29 @@
     work::Kind,
 };
 
-use frame::{QUIET, Request, Response, call, connect, receive, send};
+use frame::{IO_TIMEOUT, Request, Response, call, connect, receive, send};
 use heartbeat::{Datagram, Extension, FORMAT, Heartbeat, Observation, ReplyRequest, StoreContact};
 pub(crate) use membership::Changes;
-use membership::Seen;
+use membership::Roles;
 pub use peer::Relay;
-use peer::{Due, Peer, Standing, Urgent};
+use peer::{Outgoing, Peer, Role, Urgency};
 pub use table::{LOST_HEARTBEATS, Peers};
 
 /// The shortest pause between two beats.
-const CALM: Duration = Duration::from_millis(20);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How often an instance that knows nobody yet asks its seeds.
-const GREET: Duration = Duration::from_millis(30);
+const SEED_INTERVAL: Duration = Duration::from_millis(30);
 
 /// How long a store's answer may be silent for a peer.
-const READ: Duration = Duration::from_millis(350);
+const STORE_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// The longest datagram.
-const DATAGRAM: usize = 8 << 10;
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
 /// How long an instance that nobody asks any more goes on telling promptly that it lives:
 /// longer than the pauses between what few callers ask.
-const SERVED: Duration = Duration::from_secs(3);
+const SERVING_MEMORY: Duration = Duration::from_secs(3);
 
 /// Sends and takes beats until the process ends.
 pub async fn run_heartbeats<E: Edge>(node: Rc<Node<E>>, socket: UdpSocket) {
@@ -63,110 +63,112 @@
     let receiver = Rc::clone(&socket);
     let receiving = Rc::clone(&node);
     spawn_local(async move {
-        let mut buf = vec![0; DATAGRAM];
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((size, _)) = receiver.recv_from(&mut buf).await else {
-                sleep(CALM).await;
+                sleep(MIN_HEARTBEAT_INTERVAL).await;
                 continue;
             };
             match heartbeat::decode(&buf[..size]) {
                 Some(Datagram::Heartbeat(heard, extension)) => {
-                    let dues = take(&receiving, heard, extension);
-                    if !dues.is_empty() {
-                        let mut beats = Beats::new(&receiving);
-                        for due in dues {
-                            beats.send(&receiving, &receiver, due);
+                    let outgoing = receive_heartbeat(&receiving, heard, extension);
+                    if !outgoing.is_empty() {
+                        let mut encoder = Encoder::new(&receiving);
+                        for message in outgoing {
+                            encoder.send(&receiving, &receiver, message);
                         }
                     }
                 }
-                Some(Datagram::Message(proof)) => proofs::take(&receiving, proof),
+                Some(Datagram::Message(message)) => proofs::handle_message(&receiving, message),
                 None => {}
             }
         }
     });
     *node.proofs.socket.borrow_mut() = Some(Rc::clone(&socket));
-    let mut served = Instant::ZERO;
+    let mut last_served = Instant::ZERO;
     loop {
-        let news = node.peers.take_changes();
-        node.work
-            .add(Kind::ChangedInstance, news.joined.len() + news.silent.len());
-        presence::log_changes(news);
+        let changes = node.peers.take_changes();
+        node.work.add(
+            Kind::ChangedInstance,
+            changes.joined.len() + changes.silent.len(),
+        );
+        presence::log_changes(changes);
         presence::log_lost_callers(&node.lost_callers);
         let now = Boot.now();
         if !node.is_idle() {
-            served = now;
+            last_served = now;
         }
-        node.peers.standing.set(Standing {
-            serves: served + SERVED > now,
+        node.peers.role.set(Role {
+            serves: last_served + SERVING_MEMORY > now,
             is_relay: relay::is_relay(&node),
         });
-        let urgent = node.peers.urgent.replace(Urgent::Nobody);
-        let mut beats = Beats::new(&node);
-        for due in node.peers.due(urgent) {
-            beats.send(&node, &socket, due);
+        let urgent = node.peers.urgent.replace(Urgency::Scheduled);
+        let mut encoder = Encoder::new(&node);
+        for message in node.peers.due(urgent) {
+            encoder.send(&node, &socket, message);
         }
-        sleep(CALM).await;
+        sleep(MIN_HEARTBEAT_INTERVAL).await;
         let pause = match node.peers.is_new() {
-            true => GREET,
-            false => FREQUENT_INTERVAL - CALM,
+            true => SEED_INTERVAL,
+            false => FREQUENT_INTERVAL - MIN_HEARTBEAT_INTERVAL,
         };
-        let _ = timeout(pause, node.peers.called.notified()).await;
+        let _ = timeout(pause, node.peers.wake.notified()).await;
     }
 }
 
 /// A beat, encoded once for all to whom the same is told.
-struct Beats {
-    beat: Heartbeat,
+struct Encoder {
+    heartbeat: Heartbeat,
     extension: Extension,
     encoded: HashMap<(Duration, ReplyRequest), Vec<u8>>,
 }
 
-impl Beats {
+impl Encoder {
     fn new<E: Edge>(node: &Node<E>) -> Self {
         let extension = Extension {
             format: FORMAT,
             next: FREQUENT_INTERVAL,
             store: node.store_contact(),
-            is_relay: node.peers.standing.get().is_relay,
+            is_relay: node.peers.role.get().is_relay,
             reply_request: ReplyRequest::None,
-            unreachable_zones: node.peers.silent(),
+            unreachable_zones: node.peers.silent_zones(),
             introduced: Vec::new(),
         };
         Self {
-            beat: beat(node),
+            heartbeat: own_heartbeat(node),
             extension,
             encoded: HashMap::new(),
         }
     }
 
-    fn send<E: Edge>(&mut self, node: &Node<E>, socket: &UdpSocket, due: Due) {
-        let kind = match due.next <= FREQUENT_INTERVAL {
+    fn send<E: Edge>(&mut self, node: &Node<E>, socket: &UdpSocket, message: Outgoing) {
+        let kind = match message.next <= FREQUENT_INTERVAL {
             true => Kind::FrequentHeartbeat,
             false => Kind::InfrequentHeartbeat,
         };
         node.work.add(kind, 1);
         let extension = Extension {
-            next: due.next,
-            reply_request: due.reply_request,
-            introduced: due.introduced,
+            next: message.next,
+            reply_request: message.reply_request,
+            introduced: message.introduced,
             ..self.extension.clone()
         };
-        let beat = &self.beat;
-        let encode = || heartbeat::encode(beat, &extension).unwrap_or_default();
+        let heartbeat = &self.heartbeat;
+        let encode = || heartbeat::encode(heartbeat, &extension).unwrap_or_default();
         if !extension.introduced.is_empty() {
             let bytes = encode();
             node.work.add(Kind::HeartbeatByte, bytes.len());
-            let _ = socket.try_send_to(&bytes, due.address);
+            let _ = socket.try_send_to(&bytes, message.address);
             return;
         }
-        let bytes = self.encoded.entry((due.next, due.reply_request));
+        let bytes = self.encoded.entry((message.next, message.reply_request));
         let bytes = bytes.or_insert_with(encode);
         node.work.add(Kind::HeartbeatByte, bytes.len());
-        let _ = socket.try_send_to(bytes, due.address);
+        let _ = socket.try_send_to(bytes, message.address);
     }
 }
 
-fn beat<E: Edge>(node: &Node<E>) -> Heartbeat {
+fn own_heartbeat<E: Edge>(node: &Node<E>) -> Heartbeat {
     let now = Boot.now();
     let mut observations = Vec::new();
     let mut locked_out = Vec::new();
@@ -207,58 +209,63 @@
 ///
 /// It may have just started, and must not take itself for alone until the next beat: it
 /// would serve its callers itself.
-fn take<E: Edge>(node: &Rc<Node<E>>, beat: Heartbeat, extension: Option<Extension>) -> Vec<Due> {
-    if beat.name == node.settings.name {
+fn receive_heartbeat<E: Edge>(
+    node: &Rc<Node<E>>,
+    heartbeat: Heartbeat,
+    extension: Option<Extension>,
+) -> Vec<Outgoing> {
+    if heartbeat.name == node.settings.name {
         return Vec::new();
     }
     node.work.add(Kind::HeardHeartbeat, 1);
-    look_too(node, &beat.observations);
+    check_reported_failures(node, &heartbeat.observations);
     let now = Boot.now();
-    for id in &beat.locked_out {
+    for id in &heartbeat.locked_out {
         if let Some(member) = node.member(id) {
             member.pool.release_idle(now);
         }
     }
-    if beat.leaving {
-        node.peers.remove(&beat.name);
-        node.peers.leaves(beat.address, now);
+    if heartbeat.leaving {
+        node.peers.remove(&heartbeat.name);
+        node.peers.mark_leaving(heartbeat.address, now);
         return Vec::new();
     }
     let mut table = node.peers.table.borrow_mut();
-    let new = || Peer::new(beat.address);
-    let peer = table.entry(beat.name.clone()).or_insert_with(new);
-    let awake = node.peers.unstalled_now();
-    let known = peer.was_heard(awake, LOST_HEARTBEATS) && peer.address == beat.address;
+    let new = || Peer::new(heartbeat.address);
+    let peer = table.entry(heartbeat.name.clone()).or_insert_with(new);
+    let now_unstalled = node.peers.unstalled_now();
+    let is_known =
+        peer.was_heard(now_unstalled, LOST_HEARTBEATS) && peer.address == heartbeat.address;
     let asked = extension
         .as_ref()
         .map_or(ReplyRequest::None, |extension| extension.reply_request);
-    let greeting = match known {
+    let reply_request = match is_known {
         true => asked,
         false => asked.max(ReplyRequest::Answer),
     };
-    let hearing = extension
+    let store = extension
         .as_ref()
         .map_or(peer.store, |extension| extension.store);
-    let is_same = known
-        && peer.zone == beat.zone
-        && peer.weight == beat.weight
-        && peer.service == beat.service
-        && peer.store == hearing;
+    let is_same = is_known
+        && peer.zone == heartbeat.zone
+        && peer.weight == heartbeat.weight
+        && peer.service == heartbeat.service
+        && peer.store == store;
     if !is_same {
-        node.peers.census.touch();
+        node.peers.membership.mark_stale();
     }
-    if peer.zone != beat.zone {
-        node.peers.census.remove(&beat.name, peer);
-        peer.seen = Seen::default();
+    if peer.zone != heartbeat.zone {
+        node.peers.membership.remove(&heartbeat.name, peer);
+        peer.roles = Roles::default();
     }
-    peer.zone = beat.zone;
-    peer.weight = beat.weight;
-    peer.service = beat.service;
-    peer.address = beat.address;
-    peer.heard = Some(awake);
-    peer.observations = beat.observations;
-    peer.version = beat.version;
-    let mut near = Vec::new();
+    peer.zone = heartbeat.zone;
+    peer.weight = heartbeat.weight;
+    peer.service = heartbeat.service;
+    peer.address = heartbeat.address;
+    peer.heard = Some(now_unstalled);
+    peer.observations = heartbeat.observations;
+    peer.version = heartbeat.version;
+    let mut introduced = Vec::new();
     peer.unreachable_zones = Vec::new();
     (peer.next, peer.format) = (FREQUENT_INTERVAL, 0);
     if let Some(extension) = extension {
@@ -268,64 +275,64 @@
             node.proof_wanted.notify_one();
         }
         (peer.store, peer.is_relay) = (extension.store, extension.is_relay);
-        (peer.unreachable_zones, near) = (extension.unreachable_zones, extension.introduced);
+        (peer.unreachable_zones, introduced) = (extension.unreachable_zones, extension.introduced);
     }
     drop(table);
-    let mut news = node.peers.news.get();
-    let overdue = news.observe(beat.version, node.catalog().version, now);
-    node.peers.news.set(news);
-    let is_newer = beat.version > node.catalog().version;
-    let relays = node.peers.standing.get().is_relay && node.instances_listed_at.get().is_some();
-    if (overdue || is_newer && relays) && !node.peers.fetching.replace(true) {
+    let mut catalog_lag = node.peers.catalog_lag.get();
+    let overdue = catalog_lag.observe(heartbeat.version, node.catalog().version, now);
+    node.peers.catalog_lag.set(catalog_lag);
+    let is_newer = heartbeat.version > node.catalog().version;
+    let is_relay = node.peers.role.get().is_relay && node.instances_listed_at.get().is_some();
+    if (overdue || is_newer && is_relay) && !node.peers.fetching.replace(true) {
         let node = Rc::clone(node);
-        let address = beat.address;
+        let address = heartbeat.address;
         spawn_local(async move {
-            fetch(&node, address).await;
+            fetch_catalog(&node, address).await;
             node.peers.fetching.set(false);
         });
     }
-    let new = node.peers.greet(near).into_iter();
-    let greet = |address| Due::greeting(address, ReplyRequest::Answer);
-    let mut dues: Vec<_> = new.map(greet).collect();
-    if greeting != ReplyRequest::None {
-        dues.extend(node.peers.answer(&beat.name, greeting));
+    let new = node.peers.greet(introduced).into_iter();
+    let greet = |address| Outgoing::greeting(address, ReplyRequest::Answer);
+    let mut outgoing: Vec<_> = new.map(greet).collect();
+    if reply_request != ReplyRequest::None {
+        outgoing.extend(node.peers.reply(&heartbeat.name, reply_request));
     }
-    dues
+    outgoing
 }
 
 /// Asks a primary that another instance sees fail, so that one's word is checked.
 ///
 /// A few instances do. Were all that hear of it to connect at once, a primary that was
 /// only busy would have no slot left for statements, and fail for everybody.
-fn look_too<E: Edge>(node: &Rc<Node<E>>, observations: &[Observation]) {
-    for belief in observations
+fn check_reported_failures<E: Edge>(node: &Rc<Node<E>>, observations: &[Observation]) {
+    for observation in observations
         .iter()
         .filter(|b| b.verdict == Verdict::Failing)
     {
-        let service: Rc<str> = belief.service.as_str().into();
+        let service: Rc<str> = observation.service.as_str().into();
         let group = node.group_of(&service);
         let Some((primary, term)) = group.primary() else {
             continue;
         };
-        let quiet = primary.health().answered + FREQUENT_INTERVAL / 2 < Boot.now();
-        if term == belief.term && quiet && node.is_judge(&group) {
+        let is_quiet = primary.health().answered + FREQUENT_INTERVAL / 2 < Boot.now();
+        if term == observation.term && is_quiet && node.is_judge(&group) {
             probe::monitor(node, &group, &primary);
         }
     }
 }
 
 /// Takes the catalogue of another instance.
-async fn fetch<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) {
+async fn fetch_catalog<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) {
     let fetches = &node.peers.fetches;
     fetches.set(fetches.get() + 1);
-    let ask = match node.peers.format(address) {
+    let request = match node.peers.format(address) {
         0 => Request::Catalog,
         _ => Request::CompressedCatalog,
     };
-    let item = match call(address, &ask).await {
+    let item = match call(address, &request).await {
         Ok(Response::Catalog(item)) => item,
-        Ok(Response::CompressedCatalog(packed)) => {
-            packed.and_then(|packed| packed.decompress().ok())
+        Ok(Response::CompressedCatalog(compressed)) => {
+            compressed.and_then(|compressed| compressed.decompress().ok())
         }
         _ => None,
     };
@@ -340,17 +347,17 @@
 ///
 /// No instance that was heard lately could read it.
 pub async fn read<E: Edge>(node: &Node<E>, prefix: &str) -> Result<Items, Fault> {
-    let mut heard = node.peers.hearing();
-    if heard.is_empty() {
-        heard = node.peers.heard();
+    let mut addresses = node.peers.with_store_contact();
+    if addresses.is_empty() {
+        addresses = node.peers.heard();
     }
     for _ in 0..2 {
-        let Some(address) = heard.choose(&mut rand::rng()).copied() else {
+        let Some(address) = addresses.choose(&mut rand::rng()).copied() else {
             return Err(Fault::Unknown);
         };
-        heard.retain(|other| *other != address);
-        let ask = Request::Read(prefix.to_owned());
-        if let Ok(Response::Items(items)) = call(address, &ask).await {
+        addresses.retain(|other| *other != address);
+        let request = Request::Read(prefix.to_owned());
+        if let Ok(Response::Items(items)) = call(address, &request).await {
             return Ok(items);
         }
     }
@@ -388,11 +395,11 @@
 /// It can't be reached.
 pub async fn forward(address: SocketAddr, kept: &SessionState) -> io::Result<TcpStream> {
     let mut stream = connect(address).await?;
-    let ask = match &kept.account {
+    let request = match &kept.account {
         Some(account) => Request::AccountSession(account.to_string(), kept.clone()),
         None => Request::Session(kept.clone()),
     };
-    send(&mut stream, &ask).await?;
+    send(&mut stream, &request).await?;
     Ok(stream)
 }
 
@@ -400,37 +407,37 @@
 pub async fn serve<E: Edge>(node: Rc<Node<E>>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(CALM).await;
+            sleep(MIN_HEARTBEAT_INTERVAL).await;
             continue;
         };
         let node = Rc::clone(&node);
         spawn_local(async move {
-            let _ = answer(&node, stream, from).await;
+            let _ = answer_request(&node, stream, from).await;
         });
     }
 }
 
-async fn answer<E: Edge>(
+async fn answer_request<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
     from: SocketAddr,
 ) -> io::Result<()> {
-    let told = match receive(&mut stream, QUIET).await? {
+    let response = match receive(&mut stream, IO_TIMEOUT).await? {
         Request::Session(kept) => {
-            let _guest = node.peers.host(from.ip());
+            let _forwarded = node.peers.count_forwarded(from.ip());
             return session::serve_forwarded(node, stream, kept).await;
         }
         Request::AccountSession(account, kept) => {
-            let _guest = node.peers.host(from.ip());
+            let _forwarded = node.peers.count_forwarded(from.ip());
             let account = Some(account.into());
             return session::serve_forwarded(node, stream, SessionState { account, ..kept }).await;
         }
-        Request::Follow(cursor) => return relay::lead(node, stream, cursor).await,
-        Request::Read(prefix) => match node.store().read(&prefix, READ).await {
+        Request::Follow(cursor) => return relay::serve_follower(node, stream, cursor).await,
+        Request::Read(prefix) => match node.store().read(&prefix, STORE_TIMEOUT).await {
             Ok(items) => Response::Items(items),
             Err(_) => Response::Nothing,
         },
-        Request::Records => match proofs::records(node).await {
+        Request::Records => match proofs::read_records(node).await {
             Ok(items) => Response::Items(items),
             Err(_) => Response::Nothing,
         },
@@ -438,5 +445,5 @@
         Request::Catalog => Response::Catalog(node.catalog_item()),
         Request::CompressedCatalog => Response::CompressedCatalog(node.packed()),
     };
-    send(&mut stream, &told).await
+    send(&mut stream, &response).await
 }
--- a/crates/proxy/src/peers/frame.rs
+++ b/crates/proxy/src/peers/frame.rs
@@ -26,14 +26,14 @@
 };
 
 /// The longest frame.
-const FRAME: usize = 16 << 20;
+const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// How much is read and written at once. Between two such parts a peer may be silent for
 /// as long as it takes a full link to carry one.
-const PART: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// How long a peer may be silent while something is passed on.
-pub(crate) const QUIET: Duration = Duration::from_millis(500);
+pub(crate) const IO_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What an instance asks another.
 #[derive(Debug, Serialize, Deserialize)]
@@ -109,21 +109,21 @@
 }
 
 /// Asks the instance at `address` one thing.
-pub(crate) async fn call(address: SocketAddr, ask: &Request) -> io::Result<Response> {
+pub(crate) async fn call(address: SocketAddr, request: &Request) -> io::Result<Response> {
     let mut stream = connect(address).await?;
-    send(&mut stream, ask).await?;
-    receive(&mut stream, QUIET).await
+    send(&mut stream, request).await?;
+    receive(&mut stream, IO_TIMEOUT).await
 }
 
 /// Connects to the instance at `address`.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(QUIET, TcpStream::connect(address)).await??;
+    let stream = timeout(IO_TIMEOUT, TcpStream::connect(address)).await??;
     let _ = connection::set_socket_options(&stream);
     Ok(stream)
 }
 
 /// A frame as it is sent.
-pub(crate) fn pack<T: Serialize>(frame: &T) -> io::Result<Bytes> {
+pub(crate) fn encode<T: Serialize>(frame: &T) -> io::Result<Bytes> {
     let body = postcard::to_stdvec(frame).map_err(io::Error::other)?;
     let size = u32::try_from(body.len()).map_err(io::Error::other)?;
     let mut out = BytesMut::with_capacity(body.len() + 4);
@@ -134,15 +134,15 @@
 
 /// Sends a frame for as long as the peer takes parts of it.
 pub(crate) async fn send_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
-    for part in frame.chunks(PART) {
-        timeout(QUIET, stream.write_all(part)).await??;
+    for chunk in frame.chunks(CHUNK_BYTES) {
+        timeout(IO_TIMEOUT, stream.write_all(chunk)).await??;
     }
     Ok(())
 }
 
 /// Packs a frame and sends it.
 pub(crate) async fn send<T: Serialize>(stream: &mut TcpStream, frame: &T) -> io::Result<()> {
-    send_frame(stream, &pack(frame)?).await
+    send_frame(stream, &encode(frame)?).await
 }
 
 /// Receives a frame that begins within `first`, for as long as parts of it come.
@@ -151,14 +151,14 @@
     first: Duration,
 ) -> io::Result<T> {
     let size = timeout(first, stream.read_u32()).await?? as usize;
-    if size > FRAME {
+    if size > MAX_FRAME_BYTES {
         return Err(io::Error::other("the frame is too long"));
     }
-    let mut body = BytesMut::with_capacity(size.min(PART));
+    let mut body = BytesMut::with_capacity(size.min(CHUNK_BYTES));
     while body.len() < size {
-        body.reserve(PART.min(size - body.len()));
+        body.reserve(CHUNK_BYTES.min(size - body.len()));
         let mut rest = (&mut *stream).take((size - body.len()) as u64);
-        if timeout(QUIET, rest.read_buf(&mut body)).await?? == 0 {
+        if timeout(IO_TIMEOUT, rest.read_buf(&mut body)).await?? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
@@ -182,8 +182,10 @@
     pub(crate) fn decompress(self) -> io::Result<Item> {
         let mut value = Vec::new();
         let deflated = DeflateDecoder::new(&self.value[..]);
-        deflated.take(FRAME as u64 + 1).read_to_end(&mut value)?;
-        if value.len() > FRAME {
+        deflated
+            .take(MAX_FRAME_BYTES as u64 + 1)
+            .read_to_end(&mut value)?;
+        if value.len() > MAX_FRAME_BYTES {
             return Err(io::Error::other("the catalogue is too long"));
         }
         Ok(Item {
--- a/crates/proxy/src/peers/heartbeat.rs
+++ b/crates/proxy/src/peers/heartbeat.rs
@@ -172,8 +172,8 @@
 /// A beat as it is sent.
 ///
 /// The version before stops reading where `more` begins.
-pub fn encode(beat: &Heartbeat, extension: &Extension) -> Option<Vec<u8>> {
-    let mut bytes = postcard::to_stdvec(beat).ok()?;
+pub fn encode(heartbeat: &Heartbeat, extension: &Extension) -> Option<Vec<u8>> {
+    let mut bytes = postcard::to_stdvec(heartbeat).ok()?;
     bytes.extend(postcard::to_stdvec(extension).ok()?);
     Some(bytes)
 }
@@ -190,10 +190,10 @@
     if let Some(message) = bytes.strip_prefix(&[MESSAGE]) {
         return postcard::from_bytes(message).ok().map(Datagram::Message);
     }
-    let (beat, rest) = postcard::take_from_bytes::<Heartbeat>(bytes).ok()?;
+    let (heartbeat, rest) = postcard::take_from_bytes::<Heartbeat>(bytes).ok()?;
     let extension = match rest {
         [] => None,
         rest => Some(postcard::from_bytes(rest).ok()?),
     };
-    Some(Datagram::Heartbeat(beat, extension))
+    Some(Datagram::Heartbeat(heartbeat, extension))
 }
--- a/crates/proxy/src/peers/membership.rs
+++ b/crates/proxy/src/peers/membership.rs
@@ -19,20 +19,20 @@
 use super::{
     heartbeat::{FORMAT, StoreContact},
     peer::{Peer, Relay},
-    table::{HEARD, LOST_HEARTBEATS, Peers},
+    table::{LOST_HEARTBEATS, Peers, STALE_HEARTBEATS},
 };
 use crate::node::ServiceState;
 
 /// How long an instance that is not heard stays known if the store does not list it: three
 /// of the longest pauses between two beats.
-pub(super) const FORGET: Duration = Duration::from_secs(16);
+pub(super) const FORGET_AFTER: Duration = Duration::from_secs(16);
 
 /// The pause between two looks at who is heard, unless something is known to have changed.
-const LOOK: Duration = Duration::from_millis(25);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What the last look took a peer for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct Seen {
+pub(super) struct Roles {
     /// Its weight and whether it can serve, if it may hold connections.
     holder: Option<(u32, bool)>,
     /// Its weight and whether it hears the store, if it may be this zone's relay.
@@ -49,62 +49,62 @@
 
 /// What is known of the fleet as a whole.
 #[derive(Debug, Default)]
-pub(super) struct Census {
-    looked: Cell<Instant>,
+pub(super) struct Membership {
+    refreshed_at: Cell<Instant>,
     is_stale: Cell<bool>,
     count: Cell<usize>,
     holders: RefCell<Placement>,
     relays: RefCell<Placement>,
-    roll: RefCell<Changes>,
-    looks: Cell<u64>,
+    changes: RefCell<Changes>,
+    refreshes: Cell<u64>,
 }
 
-impl Census {
+impl Membership {
     /// Has the next look taken at once.
-    pub(super) fn touch(&self) {
+    pub(super) fn mark_stale(&self) {
         self.is_stale.set(true);
     }
 
     /// Whether it is time for a look.
     fn is_due(&self, now: Instant) -> bool {
-        self.is_stale.replace(false) || self.looked.get() + LOOK <= now
+        self.is_stale.replace(false) || self.refreshed_at.get() + REFRESH_INTERVAL <= now
     }
 
     /// Takes in that a peer is not known any more.
     pub(super) fn remove(&self, name: &str, peer: &Peer) {
         self.holders.borrow_mut().remove(name);
         self.relays.borrow_mut().remove(name);
-        if peer.seen.heard {
-            self.roll.borrow_mut().silent.push(name.to_owned());
+        if peer.roles.heard {
+            self.changes.borrow_mut().silent.push(name.to_owned());
         }
-        self.touch();
+        self.mark_stale();
     }
 
     /// Takes in what a look shows of a peer.
-    fn note(&self, name: &str, peer: &mut Peer, seen: Seen) {
-        let old = mem::replace(&mut peer.seen, seen);
-        if old == seen {
+    fn set_roles(&self, name: &str, peer: &mut Peer, roles: Roles) {
+        let old = mem::replace(&mut peer.roles, roles);
+        if old == roles {
             return;
         }
-        if old.holder != seen.holder {
-            place(&self.holders, name, &peer.zone, seen.holder);
+        if old.holder != roles.holder {
+            update_board(&self.holders, name, &peer.zone, roles.holder);
         }
-        if old.relay != seen.relay {
-            place(&self.relays, name, &peer.zone, seen.relay);
+        if old.relay != roles.relay {
+            update_board(&self.relays, name, &peer.zone, roles.relay);
         }
-        if old.heard != seen.heard {
-            let mut roll = self.roll.borrow_mut();
-            match seen.heard {
-                true => roll.joined.push(name.to_owned()),
-                false => roll.silent.push(name.to_owned()),
+        if old.heard != roles.heard {
+            let mut changes = self.changes.borrow_mut();
+            match roles.heard {
+                true => changes.joined.push(name.to_owned()),
+                false => changes.silent.push(name.to_owned()),
             }
         }
     }
 }
 
-fn place(board: &RefCell<Placement>, name: &str, zone: &str, standing: Option<(u32, bool)>) {
+fn update_board(board: &RefCell<Placement>, name: &str, zone: &str, role: Option<(u32, bool)>) {
     let mut board = board.borrow_mut();
-    match standing {
+    match role {
         Some((weight, able)) => board.put(&Candidate {
             name,
             zone,
@@ -117,67 +117,69 @@
 
 impl Peers {
     /// Looks who is heard, if it is time to.
-    fn look(&self) {
-        if !self.census.is_due(Boot.now()) {
+    fn refresh(&self) {
+        if !self.membership.is_due(Boot.now()) {
             return;
         }
-        self.census.looked.set(Boot.now());
-        self.census.looks.set(self.census.looks.get() + 1);
+        self.membership.refreshed_at.set(Boot.now());
+        self.membership
+            .refreshes
+            .set(self.membership.refreshes.get() + 1);
         let now = self.unstalled_now();
         let mut table = self.table.borrow_mut();
         table.retain(|name, peer| {
-            let stays = peer.listed || peer.heard.is_some_and(|at| at + FORGET > now);
+            let stays = peer.listed || peer.heard.is_some_and(|at| at + FORGET_AFTER > now);
             if !stays {
-                self.census.remove(name, peer);
+                self.membership.remove(name, peer);
             }
             stays
         });
         let unreached = self.unreached_zones(&table);
         let unreached: Vec<String> = unreached.into_iter().map(str::to_owned).collect();
         for (name, peer) in table.iter_mut() {
-            let lives = peer.was_heard(now, LOST_HEARTBEATS);
-            let reached = peer.is_prompt() || !unreached.contains(&peer.zone);
-            let holds = lives && reached;
-            let is_near = lives && peer.format >= FORMAT && peer.zone == self.zone;
-            let seen = Seen {
+            let is_alive = peer.was_heard(now, LOST_HEARTBEATS);
+            let is_reachable = peer.is_prompt() || !unreached.contains(&peer.zone);
+            let holds = is_alive && is_reachable;
+            let is_near = is_alive && peer.format >= FORMAT && peer.zone == self.zone;
+            let roles = Roles {
                 holder: holds.then_some((peer.weight, peer.service != ServiceState::Unable)),
                 relay: is_near.then_some((
                     relays::weight(peer.weight),
                     peer.store != StoreContact::Unreachable,
                 )),
-                heard: peer.was_heard(now, HEARD),
+                heard: peer.was_heard(now, STALE_HEARTBEATS),
             };
-            self.census.note(name, peer, seen);
+            self.membership.set_roles(name, peer, roles);
         }
-        self.census.is_stale.set(false);
-        self.census.count.set(table.len() + 1);
+        self.membership.is_stale.set(false);
+        self.membership.count.set(table.len() + 1);
     }
 
     /// How many instances there are as far as is known, this one included.
     pub fn count(&self) -> usize {
-        self.look();
-        self.census.count.get()
+        self.refresh();
+        self.membership.count.get()
     }
 
     /// How often the whole table was looked through, and how often an instance's place
     /// among a service's holders was drawn.
     pub fn counters(&self) -> (u64, u64) {
-        let draws =
-            self.census.holders.borrow().score_count() + self.census.relays.borrow().score_count();
-        (self.census.looks.get(), draws)
+        let draws = self.membership.holders.borrow().score_count()
+            + self.membership.relays.borrow().score_count();
+        (self.membership.refreshes.get(), draws)
     }
 
     /// Who is heard now and was not the last time this was asked, and the other way round.
     pub(crate) fn take_changes(&self) -> Changes {
-        self.look();
-        self.census.roll.take()
+        self.refresh();
+        self.membership.changes.take()
     }
 
     /// Which instances of the own zone ask the store, the first one first: their
     /// addresses, `None` for the instance itself.
     pub fn relays(&self, own: Candidate<'_>) -> Vec<Option<SocketAddr>> {
-        self.look();
-        let mut board = self.census.relays.borrow_mut();
+        self.refresh();
+        let mut board = self.membership.relays.borrow_mut();
         board.put(&Candidate {
             weight: relays::weight(own.weight),
             ..own
@@ -255,8 +257,8 @@
 
     /// Which `count` instances hold the connections to `service`, the first one first.
     pub fn holder_names(&self, service: &str, count: usize, own: Candidate<'_>) -> Vec<String> {
-        self.look();
-        let mut board = self.census.holders.borrow_mut();
+        self.refresh();
+        let mut board = self.membership.holders.borrow_mut();
         // Where others can serve, this instance goes on trying; only where nobody can, it
         // does not serve for itself what others hold.
         let able = board.has_other_able(own.name);
@@ -277,7 +279,7 @@
     pub fn names(&self) -> Vec<String> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &Peer| p.was_heard(now, HEARD);
+        let heard = |p: &Peer| p.was_heard(now, STALE_HEARTBEATS);
         let names = table.iter().filter(|(_, p)| heard(p));
         names.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -10,12 +10,12 @@
 
 use super::{
     heartbeat::{Observation, ReplyRequest, StoreContact},
-    membership::Seen,
+    membership::Roles,
 };
 use crate::node::ServiceState;
 
 /// How late a beat may be.
-pub(super) const LATE: Duration = Duration::from_millis(100);
+pub(super) const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Another instance.
 #[derive(Debug)]
@@ -39,13 +39,13 @@
     /// The other zones of which it hears nobody.
     pub(super) unreachable_zones: Vec<String>,
     /// What the last look took it for.
-    pub(super) seen: Seen,
+    pub(super) roles: Roles,
     /// When it was told last that this instance lives.
-    pub(super) told: Instant,
+    pub(super) sent_at: Instant,
     /// When it waits for the next beat behind that.
     pub(super) promised: Duration,
     /// Whether it was told once of a longer pause; that datagram may be lost.
-    eased: bool,
+    lengthened: bool,
 }
 
 impl Peer {
@@ -64,25 +64,25 @@
             store: StoreContact::Unknown,
             is_relay: false,
             unreachable_zones: Vec::new(),
-            seen: Seen::default(),
-            told: Instant::ZERO,
+            roles: Roles::default(),
+            sent_at: Instant::ZERO,
             promised: FREQUENT_INTERVAL,
-            eased: false,
+            lengthened: false,
         }
     }
 
     /// Notes that it is told at `now` that the next beat comes behind `pause`.
-    pub(super) fn tells(&mut self, now: Instant, pause: Duration) {
-        self.told = now;
-        self.eased = pause > self.promised && !self.eased;
-        if !self.eased {
+    pub(super) fn record_sent(&mut self, now: Instant, pause: Duration) {
+        self.sent_at = now;
+        self.lengthened = pause > self.promised && !self.lengthened;
+        if !self.lengthened {
             self.promised = pause;
         }
     }
 
     /// Whether fewer than `beats` of it are missing.
-    pub(super) fn was_heard(&self, now: Instant, beats: u32) -> bool {
-        let span = self.next * beats + LATE;
+    pub(super) fn was_heard(&self, now: Instant, heartbeats: u32) -> bool {
+        let span = self.next * heartbeats + HEARTBEAT_TOLERANCE;
         self.heard.is_some_and(|at| at + span > now)
     }
 
@@ -120,7 +120,7 @@
 
 /// A beat that is to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Due {
+pub(super) struct Outgoing {
     pub(super) address: SocketAddr,
     /// When the one behind it is due.
     pub(super) next: Duration,
@@ -130,7 +130,7 @@
     pub(super) introduced: Vec<SocketAddr>,
 }
 
-impl Due {
+impl Outgoing {
     /// A beat to somebody who is not known yet.
     pub(super) fn greeting(address: SocketAddr, reply_request: ReplyRequest) -> Self {
         Self {
@@ -144,9 +144,9 @@
 
 /// Whom a beat that is sent at once concerns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Urgent {
+pub(super) enum Urgency {
     /// Nobody: it is sent because its time has come.
-    Nobody,
+    Scheduled,
     /// Those who wait for this instance's beats.
     Prompt,
     /// Everybody: the instance comes or goes.
@@ -155,19 +155,19 @@
 
 /// What this instance is to others.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Standing {
+pub(super) struct Role {
     /// Whether it serves sessions, or did a moment ago.
     pub(super) serves: bool,
     /// Whether it asks the store for its zone.
     pub(super) is_relay: bool,
 }
 
-impl Standing {
+impl Role {
     /// Whether `peer`, which handed sessions over or did not, waits for this instance's
     /// beats.
-    pub(super) fn need(self, zone: &str, peer: &Peer, is_guest: bool) -> Frequency {
+    pub(super) fn need(self, zone: &str, peer: &Peer, forwards: bool) -> Frequency {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
-        let judges = self.serves && (is_near || is_guest || peer.serves());
+        let judges = self.serves && (is_near || forwards || peer.serves());
         match judges || self.is_relay && (is_near || peer.is_relay) {
             true => Frequency::Frequent,
             false => Frequency::Infrequent,
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -15,13 +15,13 @@
 
 use super::{
     heartbeat::{FORMAT, Observation, ReplyRequest, StoreContact},
-    membership::{Census, FORGET},
-    peer::{Due, LATE, Peer, Standing, Urgent},
+    membership::{FORGET_AFTER, Membership},
+    peer::{HEARTBEAT_TOLERANCE, Outgoing, Peer, Role, Urgency},
 };
 use crate::{catalog_lag::Tracker, node::ServiceState, settings::Settings};
 
 /// How many beats of an instance may be missing until what it said counts no more.
-pub(super) const HEARD: u32 = 3;
+pub(super) const STALE_HEARTBEATS: u32 = 3;
 
 /// How many beats of an instance may be missing until it is taken for lost by those who
 /// hand their sessions to it: datagrams are lost now and then.
@@ -29,32 +29,32 @@
 
 /// How long an instance that started asks its seeds again and again: they may start with
 /// it, a moment later.
-const NEW: Duration = Duration::from_secs(1);
+const STARTUP: Duration = Duration::from_secs(1);
 
 /// How many instances of its zone one that starts is told of. It greets them, and asks the
 /// store for the whole list only if it is to ask the store at all.
-const INTRODUCED: usize = 8;
+const MAX_INTRODUCED: usize = 8;
 
 /// From which gap on between two looks at the time, which are a tenth of a second apart, a
 /// process stood still.
-const STILL: Duration = Duration::from_millis(300);
+const MIN_STALL: Duration = Duration::from_millis(300);
 
 /// A session that was handed over; it counts until it is dropped.
 #[derive(Debug)]
-pub(super) struct Guest<'a> {
+pub(super) struct ForwardedSession<'a> {
     peers: &'a Peers,
-    guest: IpAddr,
+    from: IpAddr,
 }
 
-impl Drop for Guest<'_> {
+impl Drop for ForwardedSession<'_> {
     fn drop(&mut self) {
-        let mut guests = self.peers.guests.borrow_mut();
-        let Some(count) = guests.get_mut(&self.guest) else {
+        let mut forwarded = self.peers.forwarded.borrow_mut();
+        let Some(count) = forwarded.get_mut(&self.from) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            guests.remove(&self.guest);
+            forwarded.remove(&self.from);
         }
     }
 }
@@ -67,27 +67,27 @@
     began: Instant,
     pub(super) zone: String,
     /// When time was looked at last, and for how long this process stood still in all.
-    looked: Cell<(Instant, Duration)>,
+    stalls: Cell<(Instant, Duration)>,
     /// What this instance is to others, as it was looked at last.
-    pub(super) standing: Cell<Standing>,
+    pub(super) role: Cell<Role>,
     seeds: Vec<SocketAddr>,
     pub(super) table: RefCell<HashMap<String, Peer>>,
-    pub(super) census: Census,
+    pub(super) membership: Membership,
     /// Instances that stop, and when they were heard last: no session is handed to them,
     /// but they finish those that they have.
     pub(super) leaving: RefCell<HashMap<SocketAddr, Instant>>,
     /// Whom this instance greeted, and when.
     greeted: RefCell<HashMap<SocketAddr, Instant>>,
     /// From where sessions are handed to this instance, and how many.
-    guests: RefCell<HashMap<IpAddr, usize>>,
+    forwarded: RefCell<HashMap<IpAddr, usize>>,
     /// Told when beats should be sent at once.
-    pub(super) called: Notify,
+    pub(super) wake: Notify,
     /// To whom besides those that wait.
-    told: RefCell<Vec<SocketAddr>>,
+    announce_to: RefCell<Vec<SocketAddr>>,
     /// To whom.
-    pub(super) urgent: Cell<Urgent>,
+    pub(super) urgent: Cell<Urgency>,
     /// How long this instance has been behind others.
-    pub(super) news: Cell<Tracker>,
+    pub(super) catalog_lag: Cell<Tracker>,
     /// Whether another instance is being asked for its catalogue.
     pub(super) fetching: Cell<bool>,
     /// How often another instance was asked for its catalogue.
@@ -102,18 +102,18 @@
             own: settings.peers,
             began: Boot.now(),
             zone: settings.zone.clone(),
-            looked: Cell::new((Boot.now(), Duration::ZERO)),
-            standing: Cell::default(),
+            stalls: Cell::new((Boot.now(), Duration::ZERO)),
+            role: Cell::default(),
             seeds: settings.seeds.clone(),
             table: RefCell::default(),
-            census: Census::default(),
+            membership: Membership::default(),
             leaving: RefCell::default(),
             greeted: RefCell::default(),
-            guests: RefCell::default(),
-            called: Notify::new(),
-            told: RefCell::default(),
-            urgent: Cell::new(Urgent::Nobody),
-            news: Cell::default(),
+            forwarded: RefCell::default(),
+            wake: Notify::new(),
+            announce_to: RefCell::default(),
+            urgent: Cell::new(Urgency::Scheduled),
+            catalog_lag: Cell::default(),
             fetching: Cell::default(),
             fetches: Cell::default(),
         }
@@ -126,35 +126,35 @@
     /// did, and sent to upstreams that take few connections all at once.
     pub(crate) fn unstalled_now(&self) -> Instant {
         let now = Boot.now();
-        let (last, still) = self.looked.get();
+        let (last, stalled) = self.stalls.get();
         let gap = now.since(last);
-        let still = match gap > STILL {
-            true => still + gap,
-            false => still,
+        let stalled = match gap > MIN_STALL {
+            true => stalled + gap,
+            false => stalled,
         };
-        self.looked.set((now, still));
-        now - still
+        self.stalls.set((now, stalled));
+        now - stalled
     }
 
     /// Has a beat sent at once to those who wait for this instance's beats.
     pub fn announce(&self) {
-        self.tell(Urgent::Prompt);
+        self.wake(Urgency::Prompt);
     }
 
     /// Has a beat sent at once to everybody.
     pub fn announce_to_all(&self) {
-        self.tell(Urgent::All);
+        self.wake(Urgency::All);
     }
 
     /// Has a beat sent at once to the instance at `address`.
     pub(crate) fn announce_to(&self, address: SocketAddr) {
-        self.told.borrow_mut().push(address);
-        self.called.notify_one();
+        self.announce_to.borrow_mut().push(address);
+        self.wake.notify_one();
     }
 
-    fn tell(&self, urgent: Urgent) {
+    fn wake(&self, urgent: Urgency) {
         self.urgent.set(self.urgent.get().max(urgent));
-        self.called.notify_one();
+        self.wake.notify_one();
     }
 
     /// Takes in the store's list of instances.
@@ -180,7 +180,7 @@
         let peer = table.entry(name.to_owned()).or_insert_with(new);
         peer.address = address;
         peer.listed = true;
-        self.census.touch();
+        self.membership.mark_stale();
     }
 
     /// Takes in that the store does not list an instance any more.
@@ -194,12 +194,12 @@
     pub(super) fn heard(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &&Peer| p.was_heard(now, HEARD);
+        let heard = |p: &&Peer| p.was_heard(now, STALE_HEARTBEATS);
         table.values().filter(heard).map(|p| p.address).collect()
     }
 
     /// Instances that hear the store as far as they say, and read questions for proofs.
-    pub fn hearing(&self) -> Vec<SocketAddr> {
+    pub fn with_store_contact(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
         let hears = |p: &&Peer| {
@@ -212,32 +212,34 @@
 
     /// Where to send a beat now, and when the one behind it is due there: to those whose
     /// time has come, and to all whom `urgent` concerns.
-    pub(super) fn due(&self, urgent: Urgent) -> Vec<Due> {
+    pub(super) fn due(&self, urgent: Urgency) -> Vec<Outgoing> {
         let now = Boot.now();
         let mut due = Vec::new();
         if self.is_new() {
             let seeds = self.seeds.iter().filter(|seed| **seed != self.own);
-            due.extend(seeds.map(|seed| Due::greeting(*seed, ReplyRequest::Introduce)));
+            due.extend(seeds.map(|seed| Outgoing::greeting(*seed, ReplyRequest::Introduce)));
         }
-        let told = self.told.take().into_iter();
-        due.extend(told.map(|address| Due::greeting(address, ReplyRequest::None)));
+        let announced = self.announce_to.take().into_iter();
+        due.extend(announced.map(|address| Outgoing::greeting(address, ReplyRequest::None)));
         let mut table = self.table.borrow_mut();
         let others = table.len();
-        let guests = self.guests.borrow();
+        let forwarded = self.forwarded.borrow();
         for peer in table.values_mut() {
-            let is_guest = guests.contains_key(&peer.address.ip());
-            let need = self.standing.get().need(&self.zone, peer, is_guest);
+            let forwards = forwarded.contains_key(&peer.address.ip());
+            let need = self.role.get().need(&self.zone, peer, forwards);
             let pause = relays::interval(need, others);
-            let wait = pause.min(peer.promised).saturating_sub(LATE / 2);
-            let come = peer.told + wait <= now;
-            let called = match urgent {
-                Urgent::All => true,
-                Urgent::Prompt => need == Frequency::Frequent,
-                Urgent::Nobody => false,
+            let wait = pause
+                .min(peer.promised)
+                .saturating_sub(HEARTBEAT_TOLERANCE / 2);
+            let is_due = peer.sent_at + wait <= now;
+            let is_urgent = match urgent {
+                Urgency::All => true,
+                Urgency::Prompt => need == Frequency::Frequent,
+                Urgency::Scheduled => false,
             };
-            if come || called {
-                peer.tells(now, pause);
-                due.push(Due {
+            if is_due || is_urgent {
+                peer.record_sent(now, pause);
+                due.push(Outgoing {
                     address: peer.address,
                     next: pause,
                     reply_request: match peer.heard {
@@ -256,18 +258,18 @@
     pub(super) fn is_new(&self) -> bool {
         let table = self.table.borrow();
         let near = |p: &Peer| p.zone == self.zone && p.heard.is_some();
-        self.began + NEW > Boot.now() && !table.values().any(near) || table.is_empty()
+        self.began + STARTUP > Boot.now() && !table.values().any(near) || table.is_empty()
     }
 
     /// Some instances of `zone` that were heard and some relays, all but the one at `but`.
-    fn near(&self, zone: &str, but: SocketAddr) -> Vec<SocketAddr> {
+    fn near(&self, zone: &str, except: SocketAddr) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &&Peer| p.was_heard(now, LOST_HEARTBEATS) && p.address != but;
+        let heard = |p: &&Peer| p.was_heard(now, LOST_HEARTBEATS) && p.address != except;
         let near = table.values().filter(heard).filter(|p| p.zone == zone);
         let far = table.values().filter(heard).filter(|p| p.zone != zone);
         let relays = far.filter(|p| p.is_relay);
-        let introduced = near.take(INTRODUCED).chain(relays.take(INTRODUCED));
+        let introduced = near.take(MAX_INTRODUCED).chain(relays.take(MAX_INTRODUCED));
         introduced.map(|p| p.address).collect()
     }
 
@@ -279,18 +281,18 @@
         let now = Boot.now();
         let table = self.table.borrow();
         let mut greeted = self.greeted.borrow_mut();
-        greeted.retain(|_, at| *at + NEW > now);
+        greeted.retain(|_, at| *at + STARTUP > now);
         let mut new = addresses;
         new.retain(|address| {
             let heard = |p: &Peer| p.heard.is_some() && p.address == *address;
-            let known = *address == self.own || table.values().any(heard);
-            !known && greeted.insert(*address, now).is_none()
+            let is_known = *address == self.own || table.values().any(heard);
+            !is_known && greeted.insert(*address, now).is_none()
         });
         new
     }
 
     /// The answer to a beat of `name` that asks for one by `greeting`.
-    pub(super) fn answer(&self, name: &str, reply_request: ReplyRequest) -> Option<Due> {
+    pub(super) fn reply(&self, name: &str, reply_request: ReplyRequest) -> Option<Outgoing> {
         let (zone, address) = {
             let table = self.table.borrow();
             let peer = table.get(name)?;
@@ -303,11 +305,11 @@
         let mut table = self.table.borrow_mut();
         let others = table.len();
         let peer = table.get_mut(name)?;
-        let is_guest = self.guests.borrow().contains_key(&peer.address.ip());
-        let need = self.standing.get().need(&self.zone, peer, is_guest);
+        let forwards = self.forwarded.borrow().contains_key(&peer.address.ip());
+        let need = self.role.get().need(&self.zone, peer, forwards);
         let next = relays::interval(need, others);
-        peer.tells(Boot.now(), next);
-        Some(Due {
+        peer.record_sent(Boot.now(), next);
+        Some(Outgoing {
             address: peer.address,
             next,
             reply_request: ReplyRequest::None,
@@ -317,9 +319,9 @@
 
     /// Counts a session that was handed over from `guest`, until what is returned is
     /// dropped.
-    pub(super) fn host(&self, guest: IpAddr) -> Guest<'_> {
-        *self.guests.borrow_mut().entry(guest).or_default() += 1;
-        Guest { peers: self, guest }
+    pub(super) fn count_forwarded(&self, from: IpAddr) -> ForwardedSession<'_> {
+        *self.forwarded.borrow_mut().entry(from).or_default() += 1;
+        ForwardedSession { peers: self, from }
     }
 
     /// The weight of the instance with this name, zero if it is not known.
@@ -339,10 +341,12 @@
     }
 
     /// The newest version of the catalogue that somebody who is heard has.
-    pub(crate) fn newest(&self) -> u64 {
+    pub(crate) fn newest_catalog(&self) -> u64 {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = table.values().filter(|p| p.was_heard(now, HEARD));
+        let heard = table
+            .values()
+            .filter(|p| p.was_heard(now, STALE_HEARTBEATS));
         heard.map(|p| p.version).max().unwrap_or(0)
     }
 
@@ -370,13 +374,13 @@
                 peer.heard = None;
             }
         }
-        self.census.touch();
+        self.membership.mark_stale();
     }
 
     /// Takes in that the instance `name` is gone.
     pub(super) fn remove(&self, name: &str) {
         if let Some(peer) = self.table.borrow_mut().remove(name) {
-            self.census.remove(name, &peer);
+            self.membership.remove(name, &peer);
         }
     }
 
@@ -384,7 +388,7 @@
     pub fn judges(&self) -> usize {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let known = |p: &&Peer| p.listed || p.heard.is_some_and(|at| at + FORGET > now);
+        let known = |p: &&Peer| p.listed || p.heard.is_some_and(|at| at + FORGET_AFTER > now);
         let judges = table.values().filter(|p| p.serves());
         judges.filter(known).count() + 1
     }
@@ -397,12 +401,12 @@
         tally.add(own);
         let mut failing = Vec::new();
         for (name, peer) in self.table.borrow().iter() {
-            if !peer.was_heard(now, HEARD) || !peer.serves() {
+            if !peer.was_heard(now, STALE_HEARTBEATS) || !peer.serves() {
                 continue;
             }
             let same = |b: &&Observation| b.service == service && b.term == term;
-            let belief = peer.observations.iter().find(same);
-            let verdict = belief.map_or(Verdict::Unknown, |b| b.verdict);
+            let observation = peer.observations.iter().find(same);
+            let verdict = observation.map_or(Verdict::Unknown, |b| b.verdict);
             if verdict == Verdict::Failing {
                 failing.push(name.clone());
             }
@@ -414,45 +418,51 @@
     /// Whether others may serve callers while this instance can't: some were heard that
     /// can, or no other zone can be reached any more.
     pub fn may_others_serve(&self) -> bool {
-        self.is_served() || self.is_alone()
+        self.has_serving_peer() || self.is_isolated()
     }
 
     /// Takes in that the instance at `address` says that it stops.
-    pub(super) fn leaves(&self, address: SocketAddr, now: Instant) {
+    pub(super) fn mark_leaving(&self, address: SocketAddr, now: Instant) {
         let mut leaving = self.leaving.borrow_mut();
-        leaving.retain(|_, at| *at + FORGET > now);
+        leaving.retain(|_, at| *at + FORGET_AFTER > now);
         leaving.insert(address, now);
     }
 
     /// Whether fewer than `beats` of the instance at `address` are missing.
-    pub fn was_heard(&self, address: SocketAddr, beats: u32) -> bool {
+    pub fn was_heard(&self, address: SocketAddr, heartbeats: u32) -> bool {
         let now = Boot.now();
         let leaving = self.leaving.borrow().get(&address).copied();
-        if leaving.is_some_and(|at| at + FREQUENT_INTERVAL * beats + LATE > now) {
+        if leaving.is_some_and(|at| at + FREQUENT_INTERVAL * heartbeats + HEARTBEAT_TOLERANCE > now)
+        {
             return true;
         }
         let now = self.unstalled_now();
         let table = self.table.borrow();
         let same = |p: &&Peer| p.address == address;
-        table.values().filter(same).any(|p| p.was_heard(now, beats))
+        table
+            .values()
+            .filter(same)
+            .any(|p| p.was_heard(now, heartbeats))
     }
 
     /// Whether somebody is heard who serves.
-    pub(super) fn is_served(&self) -> bool {
-        self.is_said(ServiceState::Able)
+    pub(super) fn has_serving_peer(&self) -> bool {
+        self.has_peer_reporting(ServiceState::Able)
     }
 
     /// Whether somebody who is heard promptly says so of itself.
-    fn is_said(&self, service: ServiceState) -> bool {
+    fn has_peer_reporting(&self, service: ServiceState) -> bool {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let mut heard = table.values().filter(|p| p.was_heard(now, HEARD));
+        let mut heard = table
+            .values()
+            .filter(|p| p.was_heard(now, STALE_HEARTBEATS));
         heard.any(|p| p.is_prompt() && p.service == service)
     }
 
     /// Whether an instance that hands its sessions over has nobody left who serves them:
     /// its zone is cut off, and nobody in it can serve.
     pub fn is_unserved(&self) -> bool {
-        self.is_alone() && !self.is_served()
+        self.is_isolated() && !self.has_serving_peer()
     }
 }
--- a/crates/proxy/src/peers/zones.rs
+++ b/crates/proxy/src/peers/zones.rs
@@ -12,31 +12,31 @@
 
 /// How many others of the own zone must hear nobody of another one: who alone hears nobody
 /// is cut off itself.
-const WITNESSES: usize = 2;
+const MIN_WITNESSES: usize = 2;
 
 /// How long nobody of another zone may be heard until this zone counts as cut off.
-const ALONE: Duration = Duration::from_millis(500);
+const ZONE_SILENCE: Duration = Duration::from_millis(500);
 
 impl Peers {
     /// The other zones of which this instance hears nobody any more, of those whose
     /// instances it would hear promptly.
-    pub(super) fn silent(&self) -> Vec<String> {
+    pub(super) fn silent_zones(&self) -> Vec<String> {
         let table = self.table.borrow();
-        let heard = self.zones(&table);
+        let heard = self.heard_zones(&table);
         let silent = heard.into_iter().filter(|(_, heard)| !heard);
         silent.map(|(zone, _)| zone.to_owned()).collect()
     }
 
     /// The other zones whose instances this one would hear promptly, and whether it hears
     /// any of them.
-    fn zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashMap<&'a str, bool> {
+    fn heard_zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashMap<&'a str, bool> {
         let now = self.unstalled_now();
         let mut zones = HashMap::new();
         for peer in table.values() {
             if peer.zone.is_empty() || peer.zone == self.zone || !peer.is_prompt() {
                 continue;
             }
-            let heard = peer.heard.is_some_and(|at| at + ALONE > now);
+            let heard = peer.heard.is_some_and(|at| at + ZONE_SILENCE > now);
             *zones.entry(&*peer.zone).or_default() |= heard;
         }
         zones
@@ -50,27 +50,27 @@
     /// as long as it was cut off.
     pub(super) fn unreached_zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashSet<&'a str> {
         let now = self.unstalled_now();
-        let own = self.zones(table);
+        let own = self.heard_zones(table);
         let near = table.values().filter(|p| p.zone == self.zone);
         let near = near.filter(|p| p.is_prompt() && p.was_heard(now, LOST_HEARTBEATS));
-        let (mut tellers, mut told) = (0, HashMap::new());
+        let (mut witnesses, mut reported) = (0, HashMap::new());
         for peer in near {
-            tellers += 1;
+            witnesses += 1;
             for zone in &peer.unreachable_zones {
-                *told.entry(zone.as_str()).or_insert(0) += 1;
+                *reported.entry(zone.as_str()).or_insert(0) += 1;
             }
         }
-        let enough = WITNESSES.min(tellers);
-        let told = told.into_iter().filter(|(_, count)| *count >= enough);
-        let told = told
+        let enough = MIN_WITNESSES.min(witnesses);
+        let reported = reported.into_iter().filter(|(_, count)| *count >= enough);
+        let reported = reported
             .map(|(zone, _)| zone)
             .filter(|zone| !own.contains_key(zone));
         let silent = own.iter().filter(|(_, heard)| !**heard);
-        silent.map(|(zone, _)| *zone).chain(told).collect()
+        silent.map(|(zone, _)| *zone).chain(reported).collect()
     }
 
     /// Whether other zones are known, and none of them can be reached any more.
-    pub(super) fn is_alone(&self) -> bool {
+    pub(super) fn is_isolated(&self) -> bool {
         let table = self.table.borrow();
         let unreached = self.unreached_zones(&table);
         let mut far = table.values().filter(|p| p.zone != self.zone);
--- a/crates/proxy/src/proof_lease/adopt.rs
+++ b/crates/proxy/src/proof_lease/adopt.rs
@@ -10,25 +10,25 @@
 use clock::Boot;
 use tokio::time::{sleep, timeout};
 
-use super::{Lease, era_key, lease};
+use super::{Lease, lease, lease_key};
 use crate::{control::record_key, edge::Edge, group::Group, node::Node};
 
 /// How long the key of an era that somebody proved may take to come by the watch, or from
 /// the relay that is followed, before the records are read instead.
-const COMES: Duration = Duration::from_millis(60);
+const MIRROR_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The pause between two looks at the mirror while its news are gathered.
-const LOOK: Duration = Duration::from_millis(10);
+const MIRROR_POLL: Duration = Duration::from_millis(10);
 
 /// The era's lease as the mirror has it.
-fn mirrored<E: Edge>(node: &Node<E>) -> Option<Lease> {
-    let item = node.mirror.borrow().item(&era_key::<E>())?;
-    lease::of(&item)
+fn mirrored_lease<E: Edge>(node: &Node<E>) -> Option<Lease> {
+    let item = node.mirror.borrow().item(&lease_key::<E>())?;
+    lease::parse(&item)
 }
 
 /// Whether a group's record was read in the era that is known; noted if it is news.
-pub(super) fn is_read<E: Edge>(node: &Node<E>, group: &Group) -> bool {
-    if mirrored(node) != Some(node.lease.get()) {
+pub(super) fn is_record_current<E: Edge>(node: &Node<E>, group: &Group) -> bool {
+    if mirrored_lease(node) != Some(node.lease.get()) {
         return false;
     }
     let revision = node
@@ -43,40 +43,40 @@
 }
 
 /// Goes on in the era that the mirror names, if it is another one than that of `lease`.
-pub(super) fn enter_newer<E: Edge>(node: &Node<E>, lease: Lease) -> bool {
-    let Some(newer) = mirrored(node).filter(|newer| newer.revision > lease.revision) else {
+pub(super) fn switch_to_newer<E: Edge>(node: &Node<E>, lease: Lease) -> bool {
+    let Some(newer) = mirrored_lease(node).filter(|newer| newer.revision > lease.revision) else {
         return false;
     };
-    node.proof_lease.set(newer.era());
+    node.proof_lease.set(newer.tag());
     node.lease.set(newer);
     true
 }
 
 /// Goes on in `era`, which somebody has just proved, if the mirror comes to name it.
-pub(super) async fn enter<E: Edge>(node: &Node<E>, era: u64) -> bool {
-    if node.proof_lease.get() == era {
+pub(super) async fn wait_for_lease<E: Edge>(node: &Node<E>, tag: u64) -> bool {
+    if node.proof_lease.get() == tag {
         return true;
     }
-    let comes = async {
-        while mirrored(node).is_none_or(|lease| lease.era() != era) {
-            sleep(LOOK).await;
+    let arrives = async {
+        while mirrored_lease(node).is_none_or(|lease| lease.tag() != tag) {
+            sleep(MIRROR_POLL).await;
         }
     };
-    if timeout(COMES, comes).await.is_err() {
+    if timeout(MIRROR_TIMEOUT, arrives).await.is_err() {
         return false;
     }
-    enter_newer(node, node.lease.get());
-    node.proof_lease.get() == era
+    switch_to_newer(node, node.lease.get());
+    node.proof_lease.get() == tag
 }
 
 /// Proves a group that rested by the last proof of the era.
 pub(crate) fn adopt_proof<E: Edge>(node: &Node<E>, group: &Group) {
-    let (era, since) = node.proved_lease.get();
-    let is_proved = era != 0 && era == node.proof_lease.get();
+    let (tag, since) = node.proved_lease.get();
+    let is_proved = tag != 0 && tag == node.proof_lease.get();
     if !is_proved || since + node.settings.proof < Boot.now() {
         return;
     }
-    if group.proof_lease.get() != era && !is_read(node, group) {
+    if group.proof_lease.get() != tag && !is_record_current(node, group) {
         return;
     }
     if let Some(revision) = group.revision() {
--- a/crates/proxy/src/proof_lease/lease.rs
+++ b/crates/proxy/src/proof_lease/lease.rs
@@ -1,6 +1,6 @@
 //! The lease that makes an era of proofs.
 
-use super::era_key;
+use super::lease_key;
 use crate::{
     edge::{self, Edge, Fault, Item, Items, Store},
     node::Node,
@@ -16,7 +16,7 @@
 }
 
 /// Spreads the store's eras over all numbers of the proofs' eras; odd, so that none is lost.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const ERA_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl Lease {
     /// What an era is called among instances.
@@ -24,8 +24,8 @@
     /// A store that comes back from a copy may have the lease again that a replacement had
     /// ended. Whoever knows nothing of that replacement would take it for the one that it
     /// knows, and prove a primary that leads no more.
-    pub(super) fn era(self) -> u64 {
-        self.id ^ edge::era_of(self.revision).wrapping_mul(SPREAD)
+    pub(super) fn tag(self) -> u64 {
+        self.id ^ edge::era_of(self.revision).wrapping_mul(ERA_MULTIPLIER)
     }
 
     /// Renews it, if the store is still in the era in which it was read.
@@ -39,13 +39,13 @@
 }
 
 /// The era's lease among items that were read.
-pub fn era_of<E: Edge>(items: &Items) -> Option<Lease> {
-    let key = era_key::<E>();
-    of(items.items.iter().find(|item| item.key == key)?)
+pub fn find_lease<E: Edge>(items: &Items) -> Option<Lease> {
+    let key = lease_key::<E>();
+    parse(items.items.iter().find(|item| item.key == key)?)
 }
 
 /// The lease that the era's key names.
-pub(super) fn of(item: &Item) -> Option<Lease> {
+pub(super) fn parse(item: &Item) -> Option<Lease> {
     let id = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
     let revision = item.revision;
     Some(Lease { id, revision })
--- a/crates/proxy/src/proof_lease/recovery.rs
+++ b/crates/proxy/src/proof_lease/recovery.rs
@@ -15,77 +15,77 @@
     time::{sleep, timeout},
 };
 
-use super::{CALL, JITTER_MS};
+use super::{STORE_TIMEOUT, WRITE_JITTER_MS};
 use crate::{
     control::{encode, record_key},
     edge::{Edge, Store, Swap, Swapped},
     group::Group,
     node::Node,
     probe, relay,
-    takeover::OUTLASTED,
+    takeover::RESTORE_GRACE,
 };
 
 /// How much later the second reader of the store writes groups' first records than the
 /// first one: it is to find them written.
-const TURN: Duration = Duration::from_millis(300);
+const READER_DELAY: Duration = Duration::from_millis(300);
 
 /// How many groups' members are asked at once who leads. A fleet of new groups would else
 /// take all descriptors of the instance that asks.
-const ASKED: usize = 64;
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
 /// How many records are written by one call: the store takes 32 entries in one.
-const TOGETHER: usize = 16;
+const RECORDS_PER_SWAP: usize = 16;
 
 /// Writes the records of groups that the store has none of.
 pub(super) async fn write_missing<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
-    let jitter = Duration::from_millis(rand::random_range(0..JITTER_MS * 2));
+    let jitter = Duration::from_millis(rand::random_range(0..WRITE_JITTER_MS * 2));
     let readers = relay::readers(node);
-    let turn = readers
+    let rank = readers
         .iter()
         .position(Option::is_none)
         .unwrap_or(readers.len());
-    sleep(TURN * u32::try_from(turn).unwrap_or(u32::MAX) + jitter).await;
+    sleep(READER_DELAY * u32::try_from(rank).unwrap_or(u32::MAX) + jitter).await;
     let (lost, new): (Vec<_>, Vec<_>) = groups.iter().partition(|group| group.has_record());
-    let restored = join_all(lost.into_iter().map(|group| restore(node, group)));
+    let restored = join_all(lost.into_iter().map(|group| rewrite_lost(node, group)));
     let records = stream::iter(new)
-        .map(async |group| (group, first(node, group).await))
-        .buffer_unordered(ASKED)
+        .map(async |group| (group, first_record(node, group).await))
+        .buffer_unordered(MAX_CONCURRENT_QUERIES)
         .filter_map(async |(group, record)| Some((Rc::clone(group), record?)))
-        .chunks(TOGETHER)
-        .for_each(async |records| write_first(node, &records).await);
+        .chunks(RECORDS_PER_SWAP)
+        .for_each(async |records| write_first_records(node, &records).await);
     join(restored, records).await;
 }
 
 /// Writes a known record anew that a copy of the store does not have at all.
-async fn restore<E: Edge>(node: &Rc<Node<E>>, group: &Group) {
+async fn rewrite_lost<E: Edge>(node: &Rc<Node<E>>, group: &Group) {
     let Some(known) = group.stored_record() else {
         return;
     };
     let written = node.store().era();
     if known.record.written < written {
-        sleep((node.era_since() + OUTLASTED).since(Boot.now())).await;
+        sleep((node.era_since() + RESTORE_GRACE).since(Boot.now())).await;
         let record = Record {
             written,
             ..known.record
         };
-        write(node, group, record, 0).await;
+        write_record(node, group, record, 0).await;
     }
 }
 
 /// A group's first record, from what its members say.
-async fn first<E: Edge>(node: &Rc<Node<E>>, group: &Group) -> Option<Record> {
+async fn first_record<E: Edge>(node: &Rc<Node<E>>, group: &Group) -> Option<Record> {
     let members = group.members();
     if members.is_empty() || group.has_record() {
         return None;
     }
-    let said = probe::status_of_all::<E::Protocol>(&members).await;
+    let replies = probe::status_of_all::<E::Protocol>(&members).await;
     if !group.is_proof_wanted(Boot.now()) {
         // Who holds is not told yet; the holders' first connections were refused by an
         // upstream of four, while those of these questions lay idle.
         members.iter().for_each(|member| member.pool.close());
     }
-    let leaders = members.iter().zip(&said).filter_map(|(member, said)| {
-        let status = said.status().filter(|status| status.leads)?;
+    let leaders = members.iter().zip(&replies).filter_map(|(member, reply)| {
+        let status = reply.status().filter(|status| status.leads)?;
         Some((status.term, member))
     });
     let (term, member) = leaders.max_by_key(|(term, _)| *term)?;
@@ -99,7 +99,7 @@
 }
 
 /// Writes first records by one call; one by one if the store has one of them already.
-async fn write_first<E: Edge>(node: &Rc<Node<E>>, records: &[(Rc<Group>, Record)]) {
+async fn write_first_records<E: Edge>(node: &Rc<Node<E>>, records: &[(Rc<Group>, Record)]) {
     let key = |group: &Group| record_key::<E>(&group.service);
     let swap = Swap {
         expected: records.iter().map(|(group, _)| (key(group), 0)).collect(),
@@ -109,7 +109,7 @@
             .collect(),
         deletes: Vec::new(),
     };
-    let swapped = timeout(CALL, node.store().swap(&swap)).await;
+    let swapped = timeout(STORE_TIMEOUT, node.store().swap(&swap)).await;
     log::info!(records = records.len(), swapped:?; "first records written");
     match swapped {
         Ok(Ok(Swapped::Done(revision))) => {
@@ -120,7 +120,7 @@
         }
         Ok(Ok(_)) if records.len() > 1 => {
             for (group, record) in records.iter().filter(|(group, _)| !group.has_record()) {
-                write(node, group, record.clone(), 0).await;
+                write_record(node, group, record.clone(), 0).await;
             }
         }
         _ => {}
@@ -128,14 +128,14 @@
 }
 
 /// Writes a record in the place of the one at `revision`, zero for none.
-async fn write<E: Edge>(node: &Rc<Node<E>>, group: &Group, record: Record, revision: u64) {
+async fn write_record<E: Edge>(node: &Rc<Node<E>>, group: &Group, record: Record, revision: u64) {
     let key = record_key::<E>(&group.service);
     let swap = Swap {
         expected: vec![(key.clone(), revision)],
         puts: vec![(key, encode(&record), 0)],
         deletes: Vec::new(),
     };
-    let swapped = timeout(CALL, node.store().swap(&swap)).await;
+    let swapped = timeout(STORE_TIMEOUT, node.store().swap(&swap)).await;
     let term = record.term.0;
     log::info!(service = &*group.service, term, revision, swapped:?; "record written");
     if let Ok(Ok(Swapped::Done(revision))) = swapped {
@@ -162,29 +162,34 @@
     }
     let (node, group) = (Rc::clone(node), Rc::clone(group));
     spawn_local(async move {
-        let jitter = Duration::from_millis(rand::random_range(0..JITTER_MS * 3));
-        let rest = (node.era_since() + OUTLASTED).since(Boot.now());
+        let jitter = Duration::from_millis(rand::random_range(0..WRITE_JITTER_MS * 3));
+        let rest = (node.era_since() + RESTORE_GRACE).since(Boot.now());
         sleep(rest + jitter).await;
         let written = node.store().era();
         let known = group.stored_record().map(|known| known.record);
         match known.filter(|known| copy.is_behind(known)) {
             Some(known) if known.written < written => {
                 let record = Record { written, ..known };
-                write(&node, &group, record, revision).await;
+                write_record(&node, &group, record, revision).await;
             }
             Some(_) => {}
-            None => confirm(&node, &group, copy, revision).await,
+            None => rewrite_from_members(&node, &group, copy, revision).await,
         }
         group.replacing.set(false);
     });
 }
 
 /// Writes a copied record anew by what the members say.
-async fn confirm<E: Edge>(node: &Rc<Node<E>>, group: &Group, copy: Record, revision: u64) {
+async fn rewrite_from_members<E: Edge>(
+    node: &Rc<Node<E>>,
+    group: &Group,
+    copy: Record,
+    revision: u64,
+) {
     let members = group.members();
-    let said = probe::status_of_all::<E::Protocol>(&members).await;
-    let leaders = members.iter().zip(&said).filter_map(|(member, said)| {
-        let status = said.status().filter(|status| status.leads)?;
+    let replies = probe::status_of_all::<E::Protocol>(&members).await;
+    let leaders = members.iter().zip(&replies).filter_map(|(member, reply)| {
+        let status = reply.status().filter(|status| status.leads)?;
         Some((status.term, member.upstream.id.to_string()))
     });
     let written = node.store().era();
@@ -200,5 +205,5 @@
         // A replacement that had begun is taken up where the copy left it.
         None => Record { written, ..copy },
     };
-    write(node, group, record, revision).await;
+    write_record(node, group, record, revision).await;
 }
--- a/crates/proxy/src/proofs.rs
+++ b/crates/proxy/src/proofs.rs
@@ -28,19 +28,19 @@
 
 /// How long a relay may take to answer: the pause between its renewals and a call of the
 /// store, and short enough that the store itself is asked before a proof has lapsed.
-const ANSWER: Duration = Duration::from_millis(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long behind a question of another instance the proof is kept young for the next one.
-const RELIED: Duration = Duration::from_secs(2);
+const RELIED_ON_FOR: Duration = Duration::from_secs(2);
 
 /// How long the store may be silent while the records are read.
-const READ: Duration = Duration::from_millis(350);
+const STORE_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// A question of another instance: what its answer is to name, and where it is to go.
-pub(crate) type Asked = (u64, SocketAddr);
+pub(crate) type PendingRequest = (u64, SocketAddr);
 
 /// Somebody who waits for the records.
-type Reader = oneshot::Sender<Result<Items, Fault>>;
+type Waiter = oneshot::Sender<Result<Items, Fault>>;
 
 /// Questions for proofs, own and others'.
 #[derive(Debug, Default)]
@@ -48,34 +48,39 @@
     pub(crate) socket: RefCell<Option<Rc<UdpSocket>>>,
     last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<(u64, Duration)>>>,
-    asked: RefCell<Vec<Asked>>,
+    pending: RefCell<Vec<PendingRequest>>,
     /// When the last question of another instance came.
-    relied: Cell<Instant>,
-    readers: RefCell<Vec<Reader>>,
+    relied_on_at: Cell<Instant>,
+    record_waiters: RefCell<Vec<Waiter>>,
 }
 
 impl Proofs {
     /// Whether others wait for an answer.
-    pub(crate) fn is_asked(&self) -> bool {
-        !self.asked.borrow().is_empty()
+    pub(crate) fn has_pending(&self) -> bool {
+        !self.pending.borrow().is_empty()
     }
 
     /// Whether others asked lately, so that they will again.
     pub(crate) fn is_relied_on(&self, now: Instant) -> bool {
-        self.relied.get() + RELIED > now
+        self.relied_on_at.get() + RELIED_ON_FOR > now
     }
 
     /// The questions that came so far; whoever takes them asks the store and answers.
-    pub(crate) fn questions(&self) -> Vec<Asked> {
-        self.asked.take()
+    pub(crate) fn take_pending(&self) -> Vec<PendingRequest> {
+        self.pending.take()
     }
 
     /// Tells those who asked that the era was renewed `age` ago.
     ///
     /// Each of them counts back from its own question, so that all of the time until the
     /// answer is there makes the proof older.
-    pub(crate) fn tell_aged(&self, asked: &[Asked], proof_lease: u64, age: Duration) {
-        for (id, answer) in asked {
+    pub(crate) fn answer_with_age(
+        &self,
+        requests: &[PendingRequest],
+        proof_lease: u64,
+        age: Duration,
+    ) {
+        for (id, reply_to) in requests {
             let id = *id;
             self.send(
                 &Message::LeaseAge {
@@ -83,27 +88,27 @@
                     proof_lease,
                     age,
                 },
-                *answer,
+                *reply_to,
             );
         }
     }
 
     /// Tells those who asked that the era was renewed since.
-    pub(crate) fn tell(&self, asked: &[Asked], proof_lease: u64) {
-        for (id, answer) in asked {
-            let told = Message::LeaseRenewed {
+    pub(crate) fn answer_renewed(&self, requests: &[PendingRequest], proof_lease: u64) {
+        for (id, reply_to) in requests {
+            let reply = Message::LeaseRenewed {
                 id: *id,
                 proof_lease,
             };
-            self.send(&told, *answer);
+            self.send(&reply, *reply_to);
         }
     }
 
     /// Counts those who wait for the next reading, with one more among them.
-    fn joins(&self, reader: Reader) -> usize {
-        let mut readers = self.readers.borrow_mut();
-        readers.push(reader);
-        readers.len()
+    fn add_waiter(&self, waiter: Waiter) -> usize {
+        let mut waiters = self.record_waiters.borrow_mut();
+        waiters.push(waiter);
+        waiters.len()
     }
 
     pub(crate) fn send(&self, message: &Message, to: SocketAddr) {
@@ -115,20 +120,20 @@
 }
 
 /// Takes in a question or an answer.
-pub(crate) fn take<E: Edge>(node: &Node<E>, message: Message) {
+pub(crate) fn handle_message<E: Edge>(node: &Node<E>, message: Message) {
     match message {
         Message::LeaseRequest { id, reply_to } => {
             node.work.add(Kind::ProofQuestion, 1);
-            node.proofs.asked.borrow_mut().push((id, reply_to));
-            node.proofs.relied.set(Boot.now());
-            if !proof_lease::answer_asked(node) {
+            node.proofs.pending.borrow_mut().push((id, reply_to));
+            node.proofs.relied_on_at.set(Boot.now());
+            if !proof_lease::answer_pending(node) {
                 node.proof_wanted.notify_one();
             }
         }
         Message::LeaseRenewed { id, proof_lease } => {
-            let waiting = node.proofs.waiting.borrow_mut().remove(&id);
-            if let Some(waiting) = waiting {
-                let _ = waiting.send((proof_lease, Duration::ZERO));
+            let sender = node.proofs.waiting.borrow_mut().remove(&id);
+            if let Some(sender) = sender {
+                let _ = sender.send((proof_lease, Duration::ZERO));
             }
         }
         Message::LeaseAge {
@@ -136,26 +141,29 @@
             proof_lease,
             age,
         } => {
-            let waiting = node.proofs.waiting.borrow_mut().remove(&id);
-            if let Some(waiting) = waiting {
-                let _ = waiting.send((proof_lease, age));
+            let sender = node.proofs.waiting.borrow_mut().remove(&id);
+            if let Some(sender) = sender {
+                let _ = sender.send((proof_lease, age));
             }
         }
-        Message::FreshnessRequest { id, reply_to } => freshness::tell(node, id, reply_to),
-        Message::FreshnessAge { id, newest, age } => node.freshness.told(id, newest, age),
+        Message::FreshnessRequest { id, reply_to } => freshness::answer_request(node, id, reply_to),
+        Message::FreshnessAge { id, newest, age } => node.freshness.resolve(id, newest, age),
         Message::QuotaRequest {
             id,
             reply_to,
             account,
             count,
-        } => shares::tell(node, id, reply_to, &account, count),
-        Message::QuotaGrant { id, count, wait } => node.shares.told(id, count, wait),
+        } => shares::answer_request(node, id, reply_to, &account, count),
+        Message::QuotaGrant { id, count, wait } => node.shares.resolve(id, count, wait),
     }
 }
 
 /// Asks the instance at `address` whether the era lasts; which one does, and how long before
 /// the answer that was so.
-pub(crate) async fn ask<E: Edge>(node: &Node<E>, address: SocketAddr) -> Option<(u64, Duration)> {
+pub(crate) async fn query_lease<E: Edge>(
+    node: &Node<E>,
+    address: SocketAddr,
+) -> Option<(u64, Duration)> {
     let proofs = &node.proofs;
     let id = proofs.last_id.get() + 1;
     proofs.last_id.set(id);
@@ -163,12 +171,12 @@
     let id = node.incarnation.wrapping_add(id);
     let (sender, answer) = oneshot::channel();
     proofs.waiting.borrow_mut().insert(id, sender);
-    let question = Message::LeaseRequest {
+    let request = Message::LeaseRequest {
         id,
         reply_to: node.settings.peers,
     };
-    proofs.send(&question, address);
-    let answer = timeout(ANSWER, answer).await;
+    proofs.send(&request, address);
+    let answer = timeout(ANSWER_TIMEOUT, answer).await;
     proofs.waiting.borrow_mut().remove(&id);
     answer.ok()?.ok()
 }
@@ -178,22 +186,22 @@
 /// # Errors
 ///
 /// The store did not answer.
-pub(crate) async fn records<E: Edge>(node: &Rc<Node<E>>) -> Result<Items, Fault> {
-    let (sender, read) = oneshot::channel();
-    if node.proofs.joins(sender) == 1 {
+pub(crate) async fn read_records<E: Edge>(node: &Rc<Node<E>>) -> Result<Items, Fault> {
+    let (sender, receiver) = oneshot::channel();
+    if node.proofs.add_waiter(sender) == 1 {
         let node = Rc::clone(node);
         spawn_local(async move { read_for_all(&node).await });
     }
-    read.await.unwrap_or(Err(Fault::Unknown))
+    receiver.await.unwrap_or(Err(Fault::Unknown))
 }
 
 async fn read_for_all<E: Edge>(node: &Node<E>) {
     // Whoever asks from now on is not answered by this reading: what it is told must
     // have been read behind its question.
     tokio::task::yield_now().await;
-    let readers = node.proofs.readers.take();
-    let items = node.store().read(&record_key::<E>(""), READ).await;
-    for reader in readers {
-        let _ = reader.send(items.clone());
+    let waiters = node.proofs.record_waiters.take();
+    let items = node.store().read(&record_key::<E>(""), STORE_TIMEOUT).await;
+    for waiter in waiters {
+        let _ = waiter.send(items.clone());
     }
 }
--- a/crates/proxy/src/registry.rs
+++ b/crates/proxy/src/registry.rs
@@ -15,7 +15,7 @@
 use crate::{catalog::Catalog, group::Group};
 
 /// How many groups are looked at in one sweep.
-const SWEPT: usize = 16;
+const GROUPS_PER_SWEEP: usize = 16;
 
 /// The names of groups that something happened to.
 #[derive(Debug, Default)]
@@ -35,13 +35,13 @@
 pub struct Registry {
     groups: RefCell<HashMap<Rc<str>, Rc<Group>>>,
     /// Those that the catalogue names, in order.
-    named: RefCell<Rc<[Rc<Group>]>>,
+    catalogued: RefCell<Rc<[Rc<Group>]>>,
     /// The service that each upstream was listed under last.
     services: RefCell<HashMap<Rc<str>, Rc<str>>>,
-    stirred: Rc<Pending>,
+    pending: Rc<Pending>,
     active: RefCell<BTreeMap<Rc<str>, Rc<Group>>>,
     /// Where the next sweep begins.
-    swept: Cell<usize>,
+    next_sweep: Cell<usize>,
 }
 
 impl Registry {
@@ -51,7 +51,7 @@
         if let Some(group) = groups.get(service) {
             return Rc::clone(group);
         }
-        let group = Rc::new(Group::new(service, &self.stirred));
+        let group = Rc::new(Group::new(service, &self.pending));
         groups.insert(Rc::clone(service), Rc::clone(&group));
         group
     }
@@ -66,18 +66,18 @@
         let mut services: Vec<_> = catalog.services.keys().collect();
         services.sort();
         let groups = services.into_iter().map(|service| self.group(service));
-        *self.named.borrow_mut() = groups.collect();
+        *self.catalogued.borrow_mut() = groups.collect();
     }
 
     /// All groups that the catalogue names, in order of their names.
     pub(crate) fn catalogued(&self) -> Rc<[Rc<Group>]> {
-        Rc::clone(&self.named.borrow())
+        Rc::clone(&self.catalogued.borrow())
     }
 
     /// The active groups, in order of their names.
     pub(crate) fn active(&self) -> Vec<Rc<Group>> {
         let mut active = self.active.borrow_mut();
-        for service in self.stirred.names.take() {
+        for service in self.pending.names.take() {
             if let Some(group) = self.find(&service) {
                 active.insert(service, group);
             }
@@ -94,23 +94,23 @@
         let mut active = self.active.borrow_mut();
         active.retain(|_, group| !group.deactivate_if_quiet(now));
         drop(active);
-        let named = self.catalogued();
-        let next = self.swept.get();
-        if next >= named.len() {
-            self.swept.set(0);
-            self.forget();
+        let catalogued = self.catalogued();
+        let next = self.next_sweep.get();
+        if next >= catalogued.len() {
+            self.next_sweep.set(0);
+            self.drop_stale_upstreams();
             return;
         }
-        named
+        catalogued
             .iter()
             .skip(next)
-            .take(SWEPT)
+            .take(GROUPS_PER_SWEEP)
             .for_each(|group| group.activate_if_needed(now));
-        self.swept.set(next + SWEPT);
+        self.next_sweep.set(next + GROUPS_PER_SWEEP);
     }
 
     /// Forgets the upstreams that are in no group any more.
-    fn forget(&self) {
+    fn drop_stale_upstreams(&self) {
         let is_member = |id: &Rc<str>, service: &Rc<str>| {
             let group = self.find(service);
             group.is_some_and(|group| group.member(id).is_some())
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -25,7 +25,8 @@
     peers::{
         LOST_HEARTBEATS,
         frame::{
-            ChangeBatch, Cursor, QUIET, Request, Response, connect, pack, receive, send, send_frame,
+            ChangeBatch, Cursor, IO_TIMEOUT, Request, Response, connect, encode, receive, send,
+            send_frame,
         },
         heartbeat::StoreContact,
     },
@@ -33,13 +34,13 @@
 };
 
 /// How long a question for news waits.
-const WAIT: Duration = Duration::from_secs(2);
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often it is looked who the relays are.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a relay that did not answer is left alone.
-const LEFT: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_FOR: Duration = Duration::from_secs(2);
 
 /// Where an instance learns of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,12 +62,12 @@
 
 /// Whether this instance reads and watches the store, for all others.
 pub(crate) fn is_reader<E: Edge>(node: &Node<E>) -> bool {
-    feeder(node) == Source::Store
+    change_source(node) == Source::Store
 }
 
 /// Where this instance learns what is in the store: from a relay of its zone, and a relay
 /// from one of the readers.
-fn feeder<E: Edge>(node: &Node<E>) -> Source {
+fn change_source<E: Edge>(node: &Node<E>) -> Source {
     if let Source::Relay(address) = source(node) {
         return Source::Relay(address);
     }
@@ -74,18 +75,20 @@
     if readers.contains(&None) {
         return Source::Store;
     }
-    draw(node, readers)
+    pick(node, readers)
 }
 
 /// One of those at `addresses` that answer; each has its share of those who follow.
-fn draw<E: Edge>(node: &Node<E>, addresses: Vec<Option<SocketAddr>>) -> Source {
-    let fit = addresses.into_iter().flatten();
-    let fit: Vec<_> = fit.filter(|address| !is_left(node, *address)).collect();
-    if fit.is_empty() {
+fn pick<E: Edge>(node: &Node<E>, addresses: Vec<Option<SocketAddr>>) -> Source {
+    let usable = addresses.into_iter().flatten();
+    let usable: Vec<_> = usable
+        .filter(|address| !is_unresponsive(node, *address))
+        .collect();
+    if usable.is_empty() {
         return Source::Store;
     }
-    let drawn = xxh3_64(node.settings.name.as_bytes()) % fit.len() as u64;
-    Source::Relay(fit[drawn as usize])
+    let picked = xxh3_64(node.settings.name.as_bytes()) % usable.len() as u64;
+    Source::Relay(usable[picked as usize])
 }
 
 /// Which relays read the store: their addresses, `None` for this instance.
@@ -94,9 +97,9 @@
 }
 
 /// Whether the instance at `address` did not answer a moment ago.
-pub(crate) fn is_left<E: Edge>(node: &Node<E>, address: SocketAddr) -> bool {
+pub(crate) fn is_unresponsive<E: Edge>(node: &Node<E>, address: SocketAddr) -> bool {
     let left = node.silent_relay.get();
-    left.is_some_and(|(a, at)| a == address && at + LEFT > Boot.now())
+    left.is_some_and(|(a, at)| a == address && at + UNRESPONSIVE_FOR > Boot.now())
 }
 
 /// Where this instance learns of the store.
@@ -105,7 +108,7 @@
     if relays.contains(&None) {
         return Source::Store;
     }
-    draw(node, relays)
+    pick(node, relays)
 }
 
 /// Whether this instance asks the store itself.
@@ -116,19 +119,19 @@
 /// Follows a relay whenever there is one, until the process ends.
 pub(crate) async fn follow<E: Edge>(node: Rc<Node<E>>) {
     loop {
-        let Source::Relay(address) = feeder(&node) else {
-            sleep(LOOK).await;
+        let Source::Relay(address) = change_source(&node) else {
+            sleep(CHECK_INTERVAL).await;
             continue;
         };
-        if track(&node, address).await.is_err() {
+        if follow_relay(&node, address).await.is_err() {
             node.silent_relay.set(Some((address, Boot.now())));
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
 /// Asks the relay at `address` for news as long as it is one.
-async fn track<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> io::Result<()> {
+async fn follow_relay<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> io::Result<()> {
     let mut stream = connect(address).await?;
     // Another relay than before goes on from what is known of the store.
     let mut cursor = Cursor {
@@ -136,45 +139,48 @@
         seq: node.mirror.borrow().min_known(),
         version: 0,
     };
-    while feeder(node) == Source::Relay(address) {
+    while change_source(node) == Source::Relay(address) {
         let is_first = cursor.incarnation == 0;
         cursor.version = node.catalog().version;
         send(&mut stream, &Request::Follow(cursor)).await?;
-        let told = tokio::select! {
-            told = receive(&mut stream, WAIT + QUIET) => told?,
-            () = silent(node, address) => return Err(io::ErrorKind::TimedOut.into()),
+        let response = tokio::select! {
+            response = receive(&mut stream, FOLLOW_TIMEOUT + IO_TIMEOUT) => response?,
+            () = wait_until_silent(node, address) => return Err(io::ErrorKind::TimedOut.into()),
         };
-        let Response::ChangeBatch(feed) = told else {
+        let Response::ChangeBatch(batch) = response else {
             return Err(io::Error::other("it asks the store no more"));
         };
         if is_first {
             log::info!(address:%; "follows a relay");
         }
-        (cursor.incarnation, cursor.seq) = (feed.incarnation, feed.seq);
-        take(node, feed);
+        (cursor.incarnation, cursor.seq) = (batch.incarnation, batch.seq);
+        apply_batch(node, batch);
     }
     Ok(())
 }
 
 /// Waits until the instance at `address` is heard no more.
-async fn silent<E: Edge>(node: &Node<E>, address: SocketAddr) {
+async fn wait_until_silent<E: Edge>(node: &Node<E>, address: SocketAddr) {
     while node.peers.was_heard(address, LOST_HEARTBEATS) {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn take<E: Edge>(node: &Rc<Node<E>>, feed: ChangeBatch) {
-    let mut changes = feed.changes;
-    if let Some(item) = feed.catalog.and_then(|packed| packed.decompress().ok()) {
+fn apply_batch<E: Edge>(node: &Rc<Node<E>>, batch: ChangeBatch) {
+    let mut changes = batch.changes;
+    if let Some(item) = batch
+        .catalog
+        .and_then(|compressed| compressed.decompress().ok())
+    {
         changes.push(Change::Put(item));
     }
-    if feed.is_snapshot {
-        let present: Vec<Item> = changes.iter().filter_map(put).cloned().collect();
+    if batch.is_snapshot {
+        let present: Vec<Item> = changes.iter().filter_map(item_of).cloned().collect();
         let mirror = node.mirror.borrow();
         let sections = [Section::Upstreams, Section::Records];
         let prefixes = sections.map(control::section_prefix::<E>);
         for prefix in prefixes.iter().chain([&control::instances_prefix::<E>()]) {
-            changes.extend(mirror.missing(prefix, &present, feed.known));
+            changes.extend(mirror.missing(prefix, &present, batch.known));
         }
     }
     node.work.add(Kind::Change, changes.len());
@@ -183,7 +189,7 @@
     }
     let mut mirror = node.mirror.borrow_mut();
     for section in SECTIONS {
-        mirror.advance(section, feed.known);
+        mirror.advance(section, batch.known);
     }
     drop(mirror);
     node.watch_answered_at.set(Boot.now());
@@ -191,7 +197,7 @@
     node.note_instances_listed();
 }
 
-fn put(change: &Change) -> Option<&Item> {
+fn item_of(change: &Change) -> Option<&Item> {
     match change {
         Change::Put(item) => Some(item),
         Change::Gone(..) => None,
@@ -200,25 +206,25 @@
 
 /// Tells an instance that follows this one what is learnt here, until either is gone or
 /// this one asks the store no more.
-pub(crate) async fn lead<E: Edge>(
+pub(crate) async fn serve_follower<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
     mut cursor: Cursor,
 ) -> io::Result<()> {
     loop {
-        let _ = timeout(WAIT, news(node, &cursor)).await;
-        let fit = node.is_upstream_list_read.get()
+        let _ = timeout(FOLLOW_TIMEOUT, wait_for_changes(node, &cursor)).await;
+        let can_serve = node.is_upstream_list_read.get()
             && node.store_contact() != StoreContact::Unreachable
             && is_relay(node);
-        let frame = match fit {
-            true => packed(node, &cursor)?,
-            false => pack(&Response::Nothing)?,
+        let frame = match can_serve {
+            true => encoded_batch(node, &cursor)?,
+            false => encode(&Response::Nothing)?,
         };
         send_frame(&mut stream, &frame).await?;
         node.work.add(Kind::ChangeBatch, 1);
         node.work.add(Kind::ChangeBatchByte, frame.len());
         drop(frame);
-        let Request::Follow(next) = receive(&mut stream, WAIT).await? else {
+        let Request::Follow(next) = receive(&mut stream, FOLLOW_TIMEOUT).await? else {
             return Err(io::Error::other("another question"));
         };
         cursor = next;
@@ -226,7 +232,7 @@
 }
 
 /// Waits until there is something to tell.
-async fn news<E: Edge>(node: &Node<E>, cursor: &Cursor) {
+async fn wait_for_changes<E: Edge>(node: &Node<E>, cursor: &Cursor) {
     loop {
         let learnt = node.store_changed.notified();
         let is_known =
@@ -241,35 +247,35 @@
 
 /// What `followed` is told, as it is sent. What those are told who know nothing is kept for
 /// the next of them: a zone that starts at once asks its relay a hundred times for the same.
-fn packed<E: Edge>(node: &Node<E>, cursor: &Cursor) -> io::Result<Bytes> {
+fn encoded_batch<E: Edge>(node: &Node<E>, cursor: &Cursor) -> io::Result<Bytes> {
     let knows_nothing = cursor.incarnation == 0 && cursor.seq == 0 && cursor.version == 0;
     if !knows_nothing {
-        return pack(&Response::ChangeBatch(feed(node, cursor)));
+        return encode(&Response::ChangeBatch(change_batch(node, cursor)));
     }
     let state = (node.mirror.borrow().version(), node.catalog().version);
     let mut kept = node.full_batch.borrow_mut();
     if let Some((_, frame)) = kept.as_ref().filter(|(of, _)| *of == state) {
         return Ok(frame.clone());
     }
-    let frame = pack(&Response::ChangeBatch(feed(node, cursor)))?;
+    let frame = encode(&Response::ChangeBatch(change_batch(node, cursor)))?;
     *kept = Some((state, frame.clone()));
     Ok(frame)
 }
 
-fn feed<E: Edge>(node: &Node<E>, cursor: &Cursor) -> ChangeBatch {
+fn change_batch<E: Edge>(node: &Node<E>, cursor: &Cursor) -> ChangeBatch {
     let mirror = node.mirror.borrow();
     let known = match cursor.incarnation {
         0 if cursor.seq <= mirror.min_known() => {
             mirror.changes_after(cursor.seq, &control::instances_prefix::<E>())
         }
-        life if life == node.incarnation => mirror.changes_since(cursor.seq),
+        incarnation if incarnation == node.incarnation => mirror.changes_since(cursor.seq),
         _ => None,
     };
     let is_snapshot = known.is_none() || cursor.seq == 0;
     let mut changes = known
         .or_else(|| mirror.changes_since(0))
         .unwrap_or_default();
-    changes.retain(|change| put(change).is_none_or(|item| item.key != E::CATALOG_KEY));
+    changes.retain(|change| item_of(change).is_none_or(|item| item.key != E::CATALOG_KEY));
     ChangeBatch {
         incarnation: node.incarnation,
         seq: mirror.seq(),
--- a/crates/proxy/src/shares/limiter.rs
+++ b/crates/proxy/src/shares/limiter.rs
@@ -13,14 +13,14 @@
 
 /// The part of what a quota may be exceeded by that all keepers together have at once beside
 /// it: what one refuses that another could give is refused below the limit.
-const AT_ONCE: f64 = 0.3;
+const BURST_FRACTION: f64 = 0.3;
 
 /// The part of it that they have when they start: they don't know what they gave before, and
 /// may start twice within a window.
-const AT_START: f64 = 0.3;
+const INITIAL_FRACTION: f64 = 0.3;
 
 /// How often it is told what was refused.
-const TOLD: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a keeper gave of an account's quota, and what it refused.
 #[derive(Debug, Clone, Copy, Default)]
@@ -35,29 +35,35 @@
     let part = f64::from(parts) / f64::from(TOTAL_PARTS);
     Limit {
         rate: quota.rate * part,
-        burst: ((quota.burst + spare * AT_ONCE) * part).max(1.0),
+        burst: ((quota.burst + spare * BURST_FRACTION) * part).max(1.0),
     }
 }
 
 /// Answers an instance that asks for operations of an account.
-pub(crate) fn tell<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr, account: &str, count: u32) {
+pub(crate) fn answer_request<E: Edge>(
+    node: &Node<E>,
+    id: u64,
+    to: SocketAddr,
+    account: &str,
+    count: u32,
+) {
     // Whoever hears at once that this instance keeps it no more asks the next one.
     let unable = Answer {
         count: 0,
         wait: Duration::MAX,
     };
-    let answer = give(node, account, count).unwrap_or(unable);
-    let given = Message::QuotaGrant {
+    let answer = grant(node, account, count).unwrap_or(unable);
+    let reply = Message::QuotaGrant {
         id,
         count: answer.count,
         wait: answer.wait,
     };
-    node.proofs.send(&given, to);
+    node.proofs.send(&reply, to);
 }
 
 /// Gives up to `count` operations of an account that this instance keeps; `None` if it can't
 /// prove that it does.
-pub(super) fn give<E: Edge>(node: &Node<E>, account: &str, count: u32) -> Option<Answer> {
+pub(super) fn grant<E: Edge>(node: &Node<E>, account: &str, count: u32) -> Option<Answer> {
     let quota = node.quota(account)?;
     let now = Boot.now();
     let shares = &node.shares;
@@ -67,10 +73,15 @@
     }
     let spare = node.settings.slack.map_or(0.0, |slack| slack.spare(quota));
     let limit = limit(quota, spare, parts);
-    let since = shares.since.borrow().get(account).copied().unwrap_or(now);
+    let since = shares
+        .owned_since
+        .borrow()
+        .get(account)
+        .copied()
+        .unwrap_or(now);
     let mut buckets = shares.buckets.borrow_mut();
     let bucket = buckets.entry(account.to_owned()).or_insert_with(|| {
-        let level = spare * AT_START * f64::from(parts) / f64::from(TOTAL_PARTS);
+        let level = spare * INITIAL_FRACTION * f64::from(parts) / f64::from(TOTAL_PARTS);
         Bucket::new(level.min(limit.burst), since)
     });
     let mut answer = Answer {
@@ -94,13 +105,13 @@
 }
 
 /// Tells once in a while of which accounts this instance had to refuse something.
-pub(super) fn tell_tallies<E: Edge>(node: &Node<E>) {
+pub(super) fn log_refusals<E: Edge>(node: &Node<E>) {
     let shares = &node.shares;
     let now = Boot.now();
-    if shares.told_at.get() + TOLD > now {
+    if shares.logged_at.get() + LOG_INTERVAL > now {
         return;
     }
-    shares.told_at.set(now);
+    shares.logged_at.set(now);
     for (account, tally) in shares.tallies.take() {
         if tally.refused > 0 {
             let parts = shares.table.borrow().parts(&account, &node.settings.name);
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -19,40 +19,40 @@
 };
 
 /// How often the table is looked after.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long an instance that starts waits until it writes the first table: its keepers are
 /// those that are heard by then.
-const SETTLED: Duration = Duration::from_secs(1);
+const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
 /// How long the store may take to answer.
-const CALL: Duration = Duration::from_millis(400);
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Looks after the table while this instance reads the catalogue for all others, and fetches
 /// it while it does not, until the process ends.
 pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let began = Boot.now();
     loop {
-        let _ = timeout(LOOK, node.shares.behind.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.shares.outdated.notified()).await;
         if node.catalog().accounts.is_empty() {
             continue;
         }
-        limiter::tell_tallies(&node);
-        let kept = match freshness::source(&node) {
-            Source::Relay(address) if is_behind(&node) => fetch(&node, address).await,
+        limiter::log_refusals(&node);
+        let result = match freshness::source(&node) {
+            Source::Relay(address) if is_outdated(&node) => fetch(&node, address).await,
             Source::Relay(_) => Ok(()),
-            Source::Store if began + SETTLED > Boot.now() => Ok(()),
-            Source::Store => divide(&node).await,
+            Source::Store if began + STARTUP_DELAY > Boot.now() => Ok(()),
+            Source::Store => rebalance(&node).await,
         };
-        if let Err(fault) = kept {
+        if let Err(fault) = result {
             log::info!(error:% = fault; "shares not kept");
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
 /// Whether the store has a newer table than this instance.
-fn is_behind<E: Edge>(node: &Node<E>) -> bool {
+fn is_outdated<E: Edge>(node: &Node<E>) -> bool {
     let ahead = node.freshness.ahead();
     ahead.is_some_and(|mark| mark.shares > node.mark().shares)
 }
@@ -65,7 +65,7 @@
 }
 
 /// Changes the table, if keepers are lost or missing.
-async fn divide<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
+async fn rebalance<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     // Without a proof the table may be one that was changed since; a write would be in vain.
     if !node
         .freshness
@@ -75,7 +75,7 @@
     }
     let shares = &node.shares;
     let now = Boot.now();
-    if shares.is_unsettled(now) {
+    if shares.is_previous_in_use(now) {
         return Ok(());
     }
     // A share is not given again before the window is over in which it was used last.
@@ -98,13 +98,13 @@
     let next = ledger.plan(&table, &accounts, &heard, &candidates, now);
     *shares.ledger.borrow_mut() = Some(ledger);
     match next {
-        Some(next) => change(node, &next).await,
+        Some(next) => write_table(node, &next).await,
         None => Ok(()),
     }
 }
 
 /// Writes the next table, unless the store has another one by now: then that is taken in.
-async fn change<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
+async fn write_table<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
     let key = table_key::<E>();
     let known = node.mark().shares;
     let mut value = vec![FORMAT];
@@ -115,7 +115,7 @@
         puts: vec![(key.clone(), value.clone(), 0)],
         deletes: Vec::new(),
     };
-    let swapped = timeout(CALL, node.store().swap(&swap)).await;
+    let swapped = timeout(STORE_TIMEOUT, node.store().swap(&swap)).await;
     match swapped.map_err(|_| Fault::Unknown)?? {
         Swapped::Done(revision) => {
             let item = Item {
@@ -127,7 +127,10 @@
             control::apply_change(node, Change::Put(item));
         }
         Swapped::Conflict | Swapped::NoLease => {
-            let newer = node.store().read_newer(&[(&key, known)], CALL).await?;
+            let newer = node
+                .store()
+                .read_newer(&[(&key, known)], STORE_TIMEOUT)
+                .await?;
             for item in newer {
                 control::apply_change(node, Change::Put(item));
             }
--- a/crates/proxy/src/stall.rs
+++ b/crates/proxy/src/stall.rs
@@ -6,10 +6,10 @@
 use tokio::time::sleep;
 
 /// How often it is looked.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// From how much delay on it is told: less is a busy machine.
-const TOLD: Duration = Duration::from_millis(700);
+const MIN_LOGGED_STALL: Duration = Duration::from_millis(700);
 
 /// Tells each time when the process stood still: frozen, suspended, or kept from
 /// its processor. Nothing else in its log says so, and what its callers sent
@@ -17,9 +17,9 @@
 pub(crate) async fn watch() {
     loop {
         let before = Boot.now();
-        sleep(LOOK).await;
-        let late = Boot.now().since(before).saturating_sub(LOOK);
-        if late >= TOLD {
+        sleep(CHECK_INTERVAL).await;
+        let late = Boot.now().since(before).saturating_sub(CHECK_INTERVAL);
+        if late >= MIN_LOGGED_STALL {
             let ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
             log::warn!(ms; "stood still");
         }
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -28,30 +28,30 @@
     probe,
     proof_lease::UNANIMITY_AFTER,
 };
-use due::{RANK, Reason, due};
-use fence::{Chosen, Fenced, fence, still_holds};
-pub(crate) use lock::OUTLASTED;
-use lock::{Lock, RIGHT, claim, renew, write_duty};
-use record::{announce, end_era, settle};
+use due::{RANK_DELAY, Reason, due};
+use fence::{Choice, Fenced, fence, still_holds};
+pub(crate) use lock::RESTORE_GRACE;
+use lock::{LOCK_TTL, Lock, claim, renew, write_lock};
+use record::{announce, end_lease, record_primary};
 /// How often primaries are looked at.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long whoever has the right keeps it without anything to do: where a zone is cut off,
 /// others tell it one by one of primaries that fail.
-const LINGER: Duration = Duration::from_secs(1);
+const LOCK_LINGER: Duration = Duration::from_secs(1);
 
 /// How long an instance leaves the store alone that asked for the right while another one
 /// has it. That one is told what this one sees, and acts for it.
-const HELD: Duration = Duration::from_millis(400);
+const HELD_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// How long an order may take.
-const ORDER: Duration = Duration::from_millis(450);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// The pause between two looks at an upstream that is to lead.
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a promotion may take to show.
-const SHOW: Duration = Duration::from_millis(2_000);
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Looks after all primaries until the process ends.
 ///
@@ -59,9 +59,9 @@
 /// fences of calls that arrive never fall, whichever group they are for.
 pub async fn run<E: Edge>(node: Rc<Node<E>>) {
     let mut held: Option<Rc<Lock>> = None;
-    let mut used = Boot.now();
+    let mut last_used = Boot.now();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         if let Some(lock) = held.take_if(|lock| !lock.holds()) {
             log::warn!(fence = lock.token; "the right to give orders ran out");
         }
@@ -74,16 +74,16 @@
             .collect();
         if let Some(lock) = &held {
             if !due.is_empty() || lock.active.get() > 0 {
-                used = Boot.now();
+                last_used = Boot.now();
             }
-            let idle = used + LINGER < Boot.now();
-            let old = Boot.now() + RIGHT * 3 / 4 > lock.until.get();
-            if idle || node.is_stopping() && lock.active.get() == 0 {
-                let _ = write_duty(&node, lock.revision.get(), false).await;
+            let is_idle = last_used + LOCK_LINGER < Boot.now();
+            let is_old = Boot.now() + LOCK_TTL * 3 / 4 > lock.until.get();
+            if is_idle || node.is_stopping() && lock.active.get() == 0 {
+                let _ = write_lock(&node, lock.revision.get(), false).await;
                 held = None;
                 continue;
             }
-            if old {
+            if is_old {
                 renew(&node, lock).await;
             }
         }
@@ -96,8 +96,8 @@
                 Err(failed) => {
                     log::debug!(failed:?; "no right to give orders");
                     let rest = match failed {
-                        Failed::Held => HELD,
-                        _ => RANK / 2,
+                        Failed::Held => HELD_RETRY_DELAY,
+                        _ => RANK_DELAY / 2,
                     };
                     sleep(rest).await;
                     None
@@ -116,7 +116,7 @@
                 let ended = replace(&node, &group, &lock, reason).await;
                 log::info!(service = &*group.service, ended:?; "replacement over");
                 if ended.is_err() {
-                    sleep(RANK).await;
+                    sleep(RANK_DELAY).await;
                 }
                 group.replacing.set(false);
                 lock.active.set(lock.active.get() - 1);
@@ -137,7 +137,7 @@
         return;
     }
     let node = Rc::clone(node);
-    spawn_local(async move { lock::look(&node).await });
+    spawn_local(async move { lock::observe(&node).await });
 }
 
 /// Why a replacement did not come about.
@@ -161,40 +161,44 @@
 ) -> Result<(), Failed> {
     let old = group.stored_record().ok_or(Failed::Overtaken)?.record;
     let revision = announce(node, group, lock).await?;
-    let ended = end_era(node, lock).await?;
+    let ended = end_lease(node, lock).await?;
     while lock.holds() {
         let Some(chosen) = fence(node, group, &old, reason).await else {
-            sleep(POLL * 4).await;
+            sleep(POLL_INTERVAL * 4).await;
             continue;
         };
-        let (member, fenced, told) = match chosen {
-            Chosen::Leads(member, term) => {
-                return settle(node, group, lock, revision, &member, term).await;
+        let (member, fenced, informed) = match chosen {
+            Choice::Leads(member, term) => {
+                return record_primary(node, group, lock, revision, &member, term).await;
             }
             // Somebody may still prove the old primary by a majority of the group.
-            Chosen::Candidate {
-                fenced: Fenced::InPart,
+            Choice::Candidate {
+                fenced: Fenced::Partial,
                 ..
             } if Boot.now() < ended + UNANIMITY_AFTER => {
-                sleep(POLL * 4).await;
+                sleep(POLL_INTERVAL * 4).await;
                 continue;
             }
-            Chosen::Candidate {
+            Choice::Candidate {
                 member,
                 fenced,
-                told,
-            } => (member, fenced, told),
+                informed,
+            } => (member, fenced, informed),
         };
         let lapsed = proof::all_expired_at(Boot.now(), node.settings.proof);
         let wait = lapsed.since(Boot.now());
-        let (back, ()) = join(is_back::<E>(group, &old, reason, wait), sleep(wait)).await;
+        let (recovered, ()) = join(
+            recovered_primary::<E>(group, &old, reason, wait),
+            sleep(wait),
+        )
+        .await;
         if !lock.holds() {
             break;
         }
-        if let Some(primary) = back {
-            return settle(node, group, lock, revision, &primary, old.term).await;
+        if let Some(primary) = recovered {
+            return record_primary(node, group, lock, revision, &primary, old.term).await;
         }
-        if !still_holds::<E>(group, &old, &member, fenced, &told).await {
+        if !still_holds::<E>(group, &old, &member, fenced, &informed).await {
             log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica holds no more");
             continue;
         }
@@ -205,7 +209,7 @@
             .edge
             .orders()
             .promote(&group.service, id, name, lock.token);
-        let ordered = timeout(ORDER, order).await;
+        let ordered = timeout(ORDER_TIMEOUT, order).await;
         node.last_order_at.set(Some(Boot.now()));
         let answer = match &ordered {
             Ok(ordered) => counted::answer(ordered.as_ref().err()),
@@ -216,8 +220,8 @@
         if matches!(ordered, Ok(Err(Fault::Missing | Fault::Refused))) {
             continue;
         }
-        if let Some(term) = shown::<E>(&member, old.term).await {
-            return settle(node, group, lock, revision, &member, term).await;
+        if let Some(term) = wait_until_promoted::<E>(&member, old.term).await {
+            return record_primary(node, group, lock, revision, &member, term).await;
         }
     }
     Err(Failed::Expired)
@@ -225,7 +229,7 @@
 
 /// The old primary, if it leads its term again before others' proofs have lapsed
 /// and no order may be on its way.
-async fn is_back<E: Edge>(
+async fn recovered_primary<E: Edge>(
     group: &Group,
     old: &Record,
     reason: Reason,
@@ -241,8 +245,8 @@
 }
 
 /// Waits until `member` leads a newer term than `old`; that term.
-async fn shown<E: Edge>(member: &Rc<Member>, old: Term) -> Option<Term> {
-    let deadline = Boot.now() + SHOW;
+async fn wait_until_promoted<E: Edge>(member: &Rc<Member>, old: Term) -> Option<Term> {
+    let deadline = Boot.now() + PROMOTION_TIMEOUT;
     while Boot.now() < deadline {
         if let Some(status) = probe::status::<E::Protocol>(member).await.status()
             && status.leads
@@ -250,7 +254,7 @@
         {
             return Some(status.term);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -6,14 +6,14 @@
 use clock::Boot;
 use lead::{Phase, Verdict, vote};
 
-use super::lock::RIGHT;
+use super::lock::LOCK_TTL;
 use crate::{catalog::Readiness, edge::Edge, group::Group, node::Node};
 
 /// How much later each further instance tries.
-pub(super) const RANK: Duration = Duration::from_millis(200);
+pub(super) const RANK_DELAY: Duration = Duration::from_millis(200);
 
 /// How long an upstream may be missing in the list before it counts as gone.
-pub(super) const UNLISTED: Duration = Duration::from_millis(400);
+pub(super) const UNLISTED_GRACE: Duration = Duration::from_millis(400);
 
 /// Why a primary is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,42 +46,42 @@
 }
 
 /// Why a group's primary is to be replaced by this instance now, if it is.
-pub(super) fn due<E: Edge>(node: &Node<E>, group: &Group, holds: bool) -> Option<Reason> {
+pub(super) fn due<E: Edge>(node: &Node<E>, group: &Group, has_lock: bool) -> Option<Reason> {
     let known = group.stored_record()?;
     let now = Boot.now();
     let service = &*group.service;
-    let delay = |turn: u32| match holds {
+    let delay = |position: u32| match has_lock {
         true => Duration::ZERO,
-        false => RANK * turn,
+        false => RANK_DELAY * position,
     };
-    let turn = || delay(turn(node, &group.service));
+    let own_delay = || delay(position(node, &group.service));
     if known.record.phase == Phase::Changing {
         let since = group.record_learnt_at.get();
-        let wait = match holds {
+        let wait = match has_lock {
             true => Duration::ZERO,
-            false => RIGHT / 4 + turn() / 2,
+            false => LOCK_TTL / 4 + own_delay() / 2,
         };
         return (since + wait <= now).then_some(Reason::Stuck);
     }
     let Some(primary) = group.member(&known.record.upstream) else {
-        let gone = group.unlisted.get();
-        let wait = UNLISTED + turn();
-        return gone
+        let missing_since = group.unlisted.get();
+        let wait = UNLISTED_GRACE + own_delay();
+        return missing_since
             .is_some_and(|at| at + wait < now)
             .then_some(Reason::Gone);
     };
     if let Some(since) = primary.deposed_since(known.record.term) {
-        let wait = turn();
+        let wait = own_delay();
         return (since + wait <= now).then_some(Reason::Deposed);
     }
     if primary.readiness.get() == Readiness::Draining {
-        let wait = turn();
+        let wait = own_delay();
         let since = group.leaving_since(now);
         return (since + wait < now).then_some(Reason::Leaving);
     }
     if let Some(since) = primary.pool.locked_out_since(now) {
         let (tally, _) = node.peers.tally(service, known.record.term, Verdict::Full);
-        let wait = turn();
+        let wait = own_delay();
         if tally.is_refusing_all(node.peers.judges(), now.since(since).saturating_sub(wait)) {
             return Some(Reason::Full);
         }
@@ -104,7 +104,7 @@
 
 /// How many instances come before this one for `service`: its holders know first, and
 /// reach its upstreams.
-fn turn<E: Edge>(node: &Node<E>, service: &Rc<str>) -> u32 {
+fn position<E: Edge>(node: &Node<E>, service: &Rc<str>) -> u32 {
     let holders = node.holder_names(service);
     let own = &node.settings.name;
     let place = holders.iter().position(|name| name == own);
--- a/crates/proxy/src/takeover/fence.rs
+++ b/crates/proxy/src/takeover/fence.rs
@@ -8,7 +8,7 @@
 use model::{Position, Term};
 use tokio::time::sleep;
 
-use super::{POLL, due::Reason};
+use super::{POLL_INTERVAL, due::Reason};
 use crate::{
     catalog::Readiness,
     edge::Edge,
@@ -20,13 +20,13 @@
 };
 
 /// How long a replica's position is remembered that no other may fall behind.
-pub(super) const SEEN: Duration = Duration::from_secs(30);
+pub(super) const POSITION_MEMORY: Duration = Duration::from_secs(30);
 
 /// How often a replica that has no room to answer is asked whether it still holds.
-const HOLD_ASKED: u32 = 4;
+const MAX_HOLD_QUERIES: u32 = 4;
 
 /// How long replicas may take to receive the last of a demoted primary.
-pub(super) const CATCH_UP: Duration = Duration::from_millis(400);
+pub(super) const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Who was told of the next term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,12 +36,12 @@
     /// So many replicas that no majority with the old primary is left.
     Majority,
     /// Too few replicas.
-    InPart,
+    Partial,
 }
 
 /// Who is to lead.
 #[derive(Debug)]
-pub(super) enum Chosen {
+pub(super) enum Choice {
     /// An upstream is to be promoted.
     Candidate {
         /// Who is to be promoted.
@@ -49,7 +49,7 @@
         /// Who was told of the next term.
         fenced: Fenced,
         /// The replicas among them.
-        told: Vec<Rc<Member>>,
+        informed: Vec<Rc<Member>>,
     },
     /// This upstream leads this term already.
     Leads(Rc<Member>, Term),
@@ -66,56 +66,57 @@
     group: &Rc<Group>,
     old: &Record,
     reason: Reason,
-) -> Option<Chosen> {
+) -> Option<Choice> {
     let next = old.term.next();
     let members = group.members();
     let is_old = |m: &&Rc<Member>| *m.upstream.id == *old.upstream;
     let others: Vec<_> = members.iter().filter(|m| !is_old(m)).cloned().collect();
     let primary = members.iter().find(is_old);
     // One that fails is asked again before the order; nobody waits for it here.
-    let old_said = async {
+    let primary_reply = async {
         match primary {
             Some(primary) if !primary.is_failing() => probe::status::<E::Protocol>(primary).await,
             _ => Answer::Silent,
         }
     };
-    let (said, old_said) = join(probe::status_of_all::<E::Protocol>(&others), old_said).await;
-    if let Some(leads) = leader(&others, &said, old.term) {
+    let (replies, primary_reply) =
+        join(probe::status_of_all::<E::Protocol>(&others), primary_reply).await;
+    if let Some(leads) = leader(&others, &replies, old.term) {
         return Some(leads);
     }
-    if let (Some(primary), Answer::Status(status)) = (primary, old_said)
+    if let (Some(primary), Answer::Status(status)) = (primary, primary_reply)
         && status.leads
         && status.term > old.term
     {
-        return Some(Chosen::Leads(Rc::clone(primary), status.term));
+        return Some(Choice::Leads(Rc::clone(primary), status.term));
     }
-    if let (Some(primary), Answer::Status(status)) = (primary, old_said)
+    if let (Some(primary), Answer::Status(status)) = (primary, primary_reply)
         && reason.is_doubt()
         && status.leads
         && status.term == old.term
     {
-        return Some(Chosen::Leads(Rc::clone(primary), old.term));
+        return Some(Choice::Leads(Rc::clone(primary), old.term));
     }
     let mut last = None;
-    if let (Some(primary), Answer::Status(_)) = (primary, old_said) {
+    if let (Some(primary), Answer::Status(_)) = (primary, primary_reply) {
         let demote = Command::Demote(next);
-        let said = probe::order::<E::Protocol>(primary, &demote, probe::STATUS_TIMEOUT).await;
-        if let Answer::Status(status) = said
+        let reply = probe::order::<E::Protocol>(primary, &demote, probe::STATUS_TIMEOUT).await;
+        if let Answer::Status(status) = reply
             && reason != Reason::Deposed
         {
             last = Some(status.received);
             catch_up::<E>(&others, status.received).await;
         }
     }
-    let said = probe::order_all::<E::Protocol>(&others, &Command::Pause(next)).await;
+    let replies = probe::order_all::<E::Protocol>(&others, &Command::Pause(next)).await;
     let mut candidates = Vec::new();
-    let mut told = Vec::new();
-    for (member, said) in others.iter().zip(&said) {
-        let Some(status) = said.status() else {
+    let mut informed = Vec::new();
+    for (member, reply) in others.iter().zip(&replies) {
+        let Some(status) = reply.status() else {
             continue;
         };
         group.note_received(status.received);
-        told.push(Rc::clone(member));
+        informed.push(Rc::clone(member));
         candidates.push(choose::Candidate {
             upstream: &member.upstream.id,
             received: status.received,
@@ -141,12 +142,12 @@
     let fenced = match last {
         Some(_) => Fenced::Primary,
         None if quorum::prevents_majority(answered, replicas) => Fenced::Majority,
-        None => Fenced::InPart,
+        None => Fenced::Partial,
     };
-    Some(Chosen::Candidate {
+    Some(Choice::Candidate {
         member: group.member(best)?,
         fenced,
-        told,
+        informed,
     })
 }
 
@@ -161,12 +162,12 @@
     old: &Record,
     member: &Rc<Member>,
     fenced: Fenced,
-    told: &[Rc<Member>],
+    informed: &[Rc<Member>],
 ) -> bool {
-    let asked = told.iter().map(|one| holds::<E>(one, old.term));
-    let held = join_all(asked).await;
-    let leads = |one: &Rc<Member>| Rc::ptr_eq(one, member);
-    let chosen = told.iter().position(leads);
+    let queries = informed.iter().map(|replica| holds::<E>(replica, old.term));
+    let held = join_all(queries).await;
+    let leads = |replica: &Rc<Member>| Rc::ptr_eq(replica, member);
+    let chosen = informed.iter().position(leads);
     let chosen_holds = chosen.is_none_or(|at| held[at]);
     let holding = held.iter().filter(|held| **held).count();
     let replicas = group.replica_count(Boot.now(), LIST_MEMORY);
@@ -176,10 +177,10 @@
 
 /// Whether `member` holds for a later term than `term`, or leads one.
 async fn holds<E: Edge>(member: &Rc<Member>, term: Term) -> bool {
-    for _ in 0..HOLD_ASKED {
+    for _ in 0..MAX_HOLD_QUERIES {
         match probe::status::<E::Protocol>(member).await {
             Answer::Status(status) => return status.held > term || status.leads,
-            Answer::Full => sleep(POLL).await,
+            Answer::Full => sleep(POLL_INTERVAL).await,
             Answer::Refused(_) | Answer::Silent => return false,
         }
     }
@@ -206,32 +207,32 @@
     }
     let now = Boot.now();
     let replicas = group.replica_count(now, LIST_MEMORY);
-    let seen = group.furthest(now, SEEN);
+    let seen = group.furthest(now, POSITION_MEMORY);
     choose::holds_all_commits(answered, replicas, sync) && seen.is_none_or(|seen| furthest >= seen)
 }
 
 /// The member that leads a newer term than `term`, if one does.
-pub(super) fn leader(members: &[Rc<Member>], said: &[Answer], term: Term) -> Option<Chosen> {
-    let leaders = members.iter().zip(said).filter_map(|(member, said)| {
-        let status = said.status()?;
+pub(super) fn leader(members: &[Rc<Member>], replies: &[Answer], term: Term) -> Option<Choice> {
+    let leaders = members.iter().zip(replies).filter_map(|(member, reply)| {
+        let status = reply.status()?;
         (status.leads && status.term > term).then_some((status.term, member))
     });
     let (term, member) = leaders.max_by_key(|(term, _)| *term)?;
-    Some(Chosen::Leads(Rc::clone(member), term))
+    Some(Choice::Leads(Rc::clone(member), term))
 }
 
 /// Waits a little until a replica has received all of a demoted primary's log.
 pub(super) async fn catch_up<E: Edge>(others: &[Rc<Member>], last: Position) {
-    let deadline = Boot.now() + CATCH_UP;
+    let deadline = Boot.now() + CATCH_UP_TIMEOUT;
     while Boot.now() < deadline {
-        let said = probe::status_of_all::<E::Protocol>(others).await;
-        let received = said.iter().filter_map(|said| said.status());
+        let replies = probe::status_of_all::<E::Protocol>(others).await;
+        let received = replies.iter().filter_map(|reply| reply.status());
         if received
             .map(|status| status.received)
             .any(|position| position >= last)
         {
             return;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/proxy/src/takeover/lock.rs
+++ b/crates/proxy/src/takeover/lock.rs
@@ -14,26 +14,26 @@
 };
 
 /// How long the right to give orders lasts.
-pub(super) const RIGHT: Duration = Duration::from_millis(2_000);
+pub(super) const LOCK_TTL: Duration = Duration::from_millis(2_000);
 
 /// How long behind a step of the store's era somebody may go on with a right that the copy
 /// does not know of: nobody renews one that was taken before.
-pub(crate) const OUTLASTED: Duration = Duration::from_millis(2_100);
+pub(crate) const RESTORE_GRACE: Duration = Duration::from_millis(2_100);
 
 /// How long before the right ends no order is given any more.
-pub(super) const LAST: Duration = Duration::from_millis(600);
+pub(super) const ORDER_MARGIN: Duration = Duration::from_millis(600);
 
 /// How long an instance that had the right, and whom another one followed, leaves it to
 /// others. Two that take turns may each act on what the other has just changed: with the
 /// holders of twenty groups first in turn, three promoted one group's upstreams within
 /// 2.6 s, the first of them again behind the second.
-pub(super) const TURN: Duration = Duration::from_millis(3_500);
+pub(super) const RETAKE_DELAY: Duration = Duration::from_millis(3_500);
 
 /// How many earlier holders of the right are remembered: so many take it within a turn.
-const REMEMBERED: usize = 4;
+const MAX_PREVIOUS_HOLDERS: usize = 4;
 
 /// How long a call to the store may take.
-pub(super) const CALL: Duration = Duration::from_millis(500);
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The right to give orders, as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,12 +51,12 @@
 
 impl Duty {
     /// Who had the right before `name` takes it.
-    fn before(&self, name: &str) -> Vec<String> {
+    fn previous_holders(&self, name: &str) -> Vec<String> {
         if self.holder == name {
             return self.before.clone();
         }
         let all = [&self.holder].into_iter().chain(&self.before);
-        all.take(REMEMBERED).cloned().collect()
+        all.take(MAX_PREVIOUS_HOLDERS).cloned().collect()
     }
 }
 
@@ -73,7 +73,7 @@
     /// Whether an order may still be given: it arrives, or is reset, well before
     /// the right ends.
     pub(super) fn holds(&self) -> bool {
-        Boot.now() + LAST < self.until.get()
+        Boot.now() + ORDER_MARGIN < self.until.get()
     }
 }
 
@@ -81,41 +81,42 @@
 pub(super) async fn claim<E: Edge>(node: &Node<E>) -> Result<Lock, Failed> {
     let store = node.store();
     let key = duty_key::<E>();
-    let duties = timeout(CALL, store.read(&key, CALL)).await;
-    let duties = duties.map_err(|_| Fault::Unknown)??;
-    let item = duties.items.iter().find(|item| item.key == key);
+    let items = timeout(STORE_TIMEOUT, store.read(&key, STORE_TIMEOUT)).await;
+    let items = items.map_err(|_| Fault::Unknown)??;
+    let item = items.items.iter().find(|item| item.key == key);
     let revision = item.map_or(0, |item| item.revision);
     let duty = item.and_then(|item| serde_json::from_slice::<Duty>(&item.value).ok());
     let now = Boot.now();
     if node.duty.get().0 != revision {
         node.duty.set((revision, now));
     }
-    let (_, seen) = node.duty.get();
+    let (_, seen_at) = node.duty.get();
     let era = store.era();
     // A copy of the store may have lost who has the right, and that one goes on to give orders
     // until it has run out. Whoever took it at once would send its first order behind or
     // between those.
     let is_lost = duty.as_ref().is_none_or(|duty| duty.written < era);
-    if era > 0 && is_lost && node.era_since() + OUTLASTED > now {
+    if era > 0 && is_lost && node.era_since() + RESTORE_GRACE > now {
         return Err(Failed::Held);
     }
     let name = &node.settings.name;
     if let Some(duty) = &duty {
-        let own = duty.life == node.incarnation;
-        if duty.held && !own && seen + RIGHT + RIGHT / 20 > now {
+        let is_own = duty.life == node.incarnation;
+        if duty.held && !is_own && seen_at + LOCK_TTL + LOCK_TTL / 20 > now {
             if let Some(address) = node.peers.address(&duty.holder) {
                 node.peers.announce_to(address);
             }
             return Err(Failed::Held);
         }
         // A life before this one may have given the order.
-        let acted = node.last_order_at.get().unwrap_or(seen);
-        if duty.holder != *name && duty.before.contains(name) && acted + TURN > now {
+        let acted_at = node.last_order_at.get().unwrap_or(seen_at);
+        if duty.holder != *name && duty.before.contains(name) && acted_at + RETAKE_DELAY > now {
             return Err(Failed::Held);
         }
     }
-    *node.previous_holders.borrow_mut() = duty.map_or_else(Vec::new, |duty| duty.before(name));
-    let (revision, until) = write_duty(node, revision, true).await?;
+    *node.previous_holders.borrow_mut() =
+        duty.map_or_else(Vec::new, |duty| duty.previous_holders(name));
+    let (revision, until) = write_lock(node, revision, true).await?;
     Ok(Lock {
         token: revision,
         revision: Cell::new(revision),
@@ -125,9 +126,9 @@
 }
 
 /// Looks who has the right.
-pub(super) async fn look<E: Edge>(node: &Node<E>) {
+pub(super) async fn observe<E: Edge>(node: &Node<E>) {
     let key = duty_key::<E>();
-    let Ok(Ok(read)) = timeout(CALL, node.store().read(&key, CALL)).await else {
+    let Ok(Ok(read)) = timeout(STORE_TIMEOUT, node.store().read(&key, STORE_TIMEOUT)).await else {
         return;
     };
     let item = read.items.iter().find(|item| item.key == key);
@@ -138,7 +139,7 @@
 
 /// Keeps the right; it is lost if somebody else has it.
 pub(super) async fn renew<E: Edge>(node: &Node<E>, lock: &Lock) {
-    match write_duty(node, lock.revision.get(), true).await {
+    match write_lock(node, lock.revision.get(), true).await {
         Ok((revision, until)) => {
             lock.revision.set(revision);
             lock.until.set(until);
@@ -149,7 +150,7 @@
 }
 
 /// Writes who has the right; its revision, and when it ends.
-pub(super) async fn write_duty<E: Edge>(
+pub(super) async fn write_lock<E: Edge>(
     node: &Node<E>,
     revision: u64,
     held: bool,
@@ -167,8 +168,8 @@
         deletes: Vec::new(),
     };
     let sent = Boot.now();
-    match timeout(CALL, node.store().swap(&swap)).await {
-        Ok(Ok(Swapped::Done(revision))) => Ok((revision, sent + RIGHT)),
+    match timeout(STORE_TIMEOUT, node.store().swap(&swap)).await {
+        Ok(Ok(Swapped::Done(revision))) => Ok((revision, sent + LOCK_TTL)),
         Ok(Ok(_)) => Err(Failed::Overtaken),
         Ok(Err(fault)) => Err(fault.into()),
         Err(_) => Err(Fault::Unknown.into()),
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -12,8 +12,8 @@
 };
 
 use super::{
-    Failed, POLL,
-    lock::{CALL, Lock},
+    Failed, POLL_INTERVAL,
+    lock::{Lock, STORE_TIMEOUT},
 };
 use crate::{
     control::{duty_key, encode, record_key},
@@ -23,7 +23,7 @@
     message::Command,
     node::Node,
     probe,
-    proof_lease::{era_key, era_of},
+    proof_lease::{find_lease, lease_key},
 };
 
 /// Writes into the record that the primary is being replaced; the new revision.
@@ -48,28 +48,28 @@
     while lock.holds() {
         let duty = lock.revision.get();
         swap.expected[1].1 = duty;
-        match timeout(CALL, node.store().swap(&swap)).await {
+        match timeout(STORE_TIMEOUT, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
                 group.update_record(record, revision);
                 return Ok(revision);
             }
             // The right was renewed meanwhile, or an unanswered try was done.
             Ok(Ok(_)) if duty != lock.revision.get() => {}
-            Ok(Ok(_)) => return announced(node, group, &record).await,
-            Ok(Err(_)) | Err(_) => sleep(POLL).await,
+            Ok(Ok(_)) => return verify_written(node, group, &record).await,
+            Ok(Err(_)) | Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
     Err(Failed::Expired)
 }
 
 /// Whether the record says just what this instance tried to write.
-pub(super) async fn announced<E: Edge>(
+pub(super) async fn verify_written<E: Edge>(
     node: &Node<E>,
     group: &Group,
     record: &Record,
 ) -> Result<u64, Failed> {
     let key = record_key::<E>(&group.service);
-    let items = timeout(CALL, node.store().read(&key, CALL)).await;
+    let items = timeout(STORE_TIMEOUT, node.store().read(&key, STORE_TIMEOUT)).await;
     let items = items.map_err(|_| Fault::Unknown)??;
     let item = items.items.iter().find(|item| item.key == key);
     let item = item.ok_or(Failed::Overtaken)?;
@@ -82,27 +82,27 @@
 }
 
 /// Ends the era in which proofs were given before the announcement; when that was.
-pub(super) async fn end_era<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
+pub(super) async fn end_lease<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
     let store = node.store();
     while lock.holds() {
-        let items = timeout(CALL, store.read(&era_key::<E>(), CALL)).await;
+        let items = timeout(STORE_TIMEOUT, store.read(&lease_key::<E>(), STORE_TIMEOUT)).await;
         let Ok(Ok(items)) = items else {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
-        let Some(lease) = era_of::<E>(&items) else {
+        let Some(lease) = find_lease::<E>(&items) else {
             return Ok(Boot.now());
         };
-        match timeout(CALL, store.revoke(lease.id)).await {
+        match timeout(STORE_TIMEOUT, store.revoke(lease.id)).await {
             Ok(Ok(()) | Err(Fault::Missing)) => return Ok(Boot.now()),
-            _ => sleep(POLL).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
     Err(Failed::Expired)
 }
 
 /// Records the new primary, and tells the others to follow.
-pub(super) async fn settle<E: Edge>(
+pub(super) async fn record_primary<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
     lock: &Lock,
@@ -128,16 +128,16 @@
         if !lock.holds() {
             return Err(Failed::Expired);
         }
-        match timeout(CALL, node.store().swap(&swap)).await {
+        match timeout(STORE_TIMEOUT, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
                 group.update_record(record, revision);
                 break;
             }
             Ok(Ok(_)) => {
-                announced(node, group, &record).await?;
+                verify_written(node, group, &record).await?;
                 break;
             }
-            Ok(Err(_)) | Err(_) => sleep(POLL * 2).await,
+            Ok(Err(_)) | Err(_) => sleep(POLL_INTERVAL * 2).await,
         }
     }
     node.proof_wanted.notify_one();
