--- a/crates/proxy/src/proof_lease.rs
+++ b/crates/proxy/src/proof_lease.rs
@@ -1,16 +1,16 @@
-//! Proofs that no primary has been replaced, renewed for a tenth of a read.
+//! Proofs that no primary has been replaced, shared by all instances.
 //!
-//! All instances renew one lease of the store, the *era*. Whoever replaces a
-//! primary first writes so into its record, then ends the era, and then waits as
-//! long as a proof lasts. An instance that read the records together with the era
-//! and renewed it at a later moment therefore knows that no replacement which was
-//! announced since was far enough to matter at that moment. The era may also lapse
-//! or vanish by itself; then somebody begins the next one, and everybody reads the
-//! records again. Nothing rests on a key that vanishes with a lease: the era's
-//! number is kept under a plain key.
+//! All instances renew one lease in the store, the *proof lease*. An instance that replaces a
+//! primary first marks the primary's record as changing, then ends the proof lease, and then
+//! waits for as long as a proof is valid. An instance that has read the records under the
+//! current lease and renews the lease later therefore knows that no replacement announced since
+//! then had taken effect when the renewal was sent. If the lease expires or disappears for
+//! another reason, the first instance to notice creates the next one, and all instances read
+//! the records again. The lease's number is stored under a plain key that isn't attached to the
+//! lease, so that nothing depends on a key that disappears with it.
 //!
-//! When the store says nothing, another instance that still hears it reads for
-//! this one. When nobody does, the members of the group are asked.
+//! If the store doesn't answer this instance, another instance that reaches the store proves
+//! for it. If no instance reaches the store, the members of each group are asked.
 
 mod adopt;
 mod lease;
@@ -49,63 +49,63 @@
 pub(crate) use recovery::restore_record;
 use recovery::write_missing;
 
-/// How long the store may take to answer.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long an era lasts without a renewal.
+/// Time after which a lease that isn't renewed expires.
 const LEASE_TTL: Duration = Duration::from_secs(60);
 
-/// How long the store may be silent to a relay until it is asked: whether it is heard
-/// decides who the relays are.
+/// Time without an answer from the store after which a relay calls it even without need: the
+/// relays are chosen among the instances that reach the store.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(900);
 
-/// The shortest pause between two renewals. It makes a proof that much older, of the
-/// 600 ms that it lasts; without it a relay renewed once for each who asks, 250 times a
-/// second in a fleet of 195 instances.
+/// Minimum pause between two renewals. The pause makes a proof that much older, of the 600 ms
+/// that a proof is valid. Without it, a relay renews once per request: 250 times a second in a
+/// fleet of 195 instances.
 const MIN_RENEW_INTERVAL: Duration = Duration::from_millis(120);
 
-/// How old a proof may be that is passed on. Two hops of it, and the pause until the next one
-/// is asked for, leave a third of the 600 ms that a proof lasts.
+/// Maximum age of a proof that is passed on. After two hops, and the pause until the next
+/// request, a third of the 600 ms for which a proof is valid is left.
 const MAX_SHARED_AGE: Duration = Duration::from_millis(100);
 
-/// How long a relay waits for a reader's answer before it asks the store as well: some hops
-/// between zones, and a turn of a busy processor.
+/// Time that a relay waits for a reader's answer before it also calls the store: a few hops
+/// between zones and one scheduling delay of a busy processor.
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
 
-/// The shortest pause between two rounds.
+/// Minimum pause between two rounds of the proof loop.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long after the store was last heard a majority of a group may prove its
-/// primary; then only all of it may.
+/// Time since the last contact with the store for which a majority of a group can prove its
+/// primary. After that, all members have to answer.
 ///
-/// While the store is away for all and a zone is cut off, a majority is all there is:
-/// without it every database with an upstream in that zone refuses its writes. But a
-/// primary that is lost together with a replica is replaced that much later.
+/// If the store is down for all instances and a zone is cut off, only a majority is reachable:
+/// if unanimity were always needed, every database with an upstream in that zone would refuse
+/// its writes. The cost is that a primary lost together with a replica is replaced this much
+/// later.
 pub const UNANIMITY_AFTER: Duration = Duration::from_secs(5);
 
-/// The part of a proof's span, as a divisor, that is left when a group's members are asked.
+/// A group's members are asked when less than the validity of a proof divided by this is left.
 const MEMBER_QUERY_DIVISOR: u32 = 6;
 
-/// The most time before a missing era or record is written by this instance, so
-/// that not all do it at once.
+/// Maximum random delay, in milliseconds, before this instance writes a missing lease or
+/// record, so that not all instances write it at once.
 const WRITE_JITTER_MS: u64 = 60;
 
-/// How often the records are read while some group has none.
+/// Interval at which the records are read while a group has none.
 const UNKNOWN_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the store is left alone behind a call that it did not answer, at first and at
-/// most.
+/// Pause after a failed call to the store: the first one and the maximum.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// How many renewals may be on their way at once.
+/// Maximum number of renewals in flight.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// The key of the era, beside the records so that both are read at once.
+/// Key of the proof lease. It shares a prefix with the records, so that one read returns both.
 pub fn lease_key<E: Edge>() -> String {
     record_key::<E>("")
 }
 
-/// Keeps the proofs of all primaries fresh for as long as somebody needs them.
+/// Keeps the proofs of all primaries in use valid until the process ends.
 pub async fn run<E: Edge>(node: Rc<Node<E>>) {
     node.wait_for_peers().await;
     loop {
@@ -128,7 +128,8 @@
                     }
                 }
             }
-            // Whether the store hears it decides who the relays are.
+            // The relays are chosen among the instances that reach the store, so the contact is
+            // kept up.
             if relay::is_relay(&node) && node.store_answered_at.get() + MAX_STORE_SILENCE < now {
                 renew_via_store(&node);
             }
@@ -142,20 +143,21 @@
         }
         sleep(MIN_ROUND_INTERVAL).await;
         let _ = timeout(renew_interval(&node), node.proof_wanted.notified()).await;
-        // Questions of others that come in a row are answered by one renewal.
+        // One renewal answers all requests of peers that arrive during the pause.
         let rest = (node.lease_renewed_at.get() + MIN_RENEW_INTERVAL).since(Boot.now());
         sleep(rest).await;
     }
 }
 
-/// Whether the era was proved a moment ago.
+/// Returns true if the proof lease was proved recently enough to pass the proof on.
 fn has_recent_proof<E: Edge>(node: &Node<E>, now: Instant) -> bool {
     let (tag, since) = node.proved_lease.get();
     tag != 0 && tag == node.proof_lease.get() && since + MAX_SHARED_AGE > now
 }
 
-/// How long the next renewal may wait: others find a young proof at a relay whenever they
-/// ask, and their callers wait for a hop and not for a renewal.
+/// Maximum wait until the next renewal. While peers rely on this instance, a proof that can be
+/// passed on is always kept ready, so that their sessions wait for one hop instead of a
+/// renewal.
 fn renew_interval<E: Edge>(node: &Node<E>) -> Duration {
     let now = Boot.now();
     let (_, since) = node.proved_lease.get();
@@ -166,8 +168,8 @@
     }
 }
 
-/// Answers those who asked for a proof, if this instance has one that is young; whether it
-/// has.
+/// Answers the pending proof requests of peers if this instance has a recent proof. Returns
+/// true if it has one.
 pub(crate) fn answer_pending<E: Edge>(node: &Node<E>) -> bool {
     let now = Boot.now();
     if !has_recent_proof(node, now) {
@@ -182,7 +184,8 @@
     true
 }
 
-/// Has the relay at `address` renew the era, or asks the store if it does not answer.
+/// Renews the proof lease through the relay at `address`, or at the store if the relay doesn't
+/// answer.
 fn renew_via_relay<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) {
     if node.proofs_in_flight.get() >= MAX_IN_FLIGHT {
         return;
@@ -205,8 +208,9 @@
     });
 }
 
-/// Proves by a reader's answer, or by the store's if that comes first: a relay whose
-/// followers wait must not wait as long for a reader that is gone as they do for it.
+/// Renews through a reader, and after [`HEDGE_DELAY`] at the store as well; the first answer
+/// counts. If a relay waited for the whole timeout of a lost reader, its followers would time
+/// out waiting for the relay.
 async fn renew_hedged<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
     let relayed = pin!(renew_from_peer(node, address));
     let hedge = pin!(async {
@@ -223,8 +227,8 @@
     }
 }
 
-/// Proves by a relay's answer, and reads the records through it if any of them is not
-/// known.
+/// Proves the primaries by a peer's answer, and reads the records through that peer if any
+/// record is missing.
 async fn renew_from_peer<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
     let asked_at = Boot.now();
     let (tag, age) = proofs::query_lease(node, address)
@@ -239,7 +243,7 @@
         return Ok(());
     }
     if node.lease.get() != before && !has_unread_record(node) {
-        // The answer is of an era before.
+        // The answer is about an earlier lease.
         node.proof_wanted.notify_one();
         return Ok(());
     }
@@ -253,7 +257,7 @@
     Ok(())
 }
 
-/// Renews the era, or reads it and the records if any of them is not known.
+/// Renews the proof lease at the store, or reads the lease and the records if any is missing.
 fn renew_via_store<E: Edge>(node: &Rc<Node<E>>) {
     if node.proofs_in_flight.get() >= MAX_IN_FLIGHT || is_backing_off(node) {
         return;
@@ -269,7 +273,7 @@
     });
 }
 
-/// Asks the store; the era if it was renewed.
+/// Calls the store. Returns the tag of the proof lease if it was renewed.
 async fn query_store<E: Edge>(node: &Rc<Node<E>>) -> Result<Option<u64>, Fault> {
     let asked = timeout(STORE_TIMEOUT, renew_or_read(node)).await;
     let asked = asked.unwrap_or(Err(Fault::Unknown));
@@ -280,27 +284,28 @@
     asked
 }
 
-/// Notes that the store answered this instance.
+/// Records that the store answered this instance.
 pub(crate) fn record_store_answer<E: Edge>(node: &Node<E>) {
     node.renewal_failures.set(0);
     if node.store_contact() != StoreContact::Reachable {
-        // Others that ask in vain try again at once.
+        // Tells peers that the store answers again, so that those that are backing off retry at
+        // once.
         node.store_answered();
         node.peers.announce();
     }
     node.store_answered();
 }
 
-/// Notes that it did not.
+/// Records that the store didn't answer this instance.
 pub(crate) fn record_store_failure<E: Edge>(node: &Node<E>) {
     node.renewal_failures.set(node.renewal_failures.get() + 1);
     node.store_failed();
 }
 
-/// Whether the store is left alone for now because it did not answer.
+/// Returns true if this instance doesn't call the store for now because calls have failed.
 ///
-/// While it was away for 4.4 s, 18 instances asked it 493 times. One that hears it again
-/// tells the others.
+/// Without the backoff, 18 instances called a store that was down for 4.4 s 493 times. An
+/// instance that reaches the store again tells its peers.
 pub(crate) fn is_backing_off<E: Edge>(node: &Node<E>) -> bool {
     let failures = node.renewal_failures.get();
     if failures == 0 {
@@ -310,7 +315,7 @@
     node.failed_at() + rest > Boot.now()
 }
 
-/// Whether some record was not read in the era that is known.
+/// Returns true if a record hasn't been read under the current proof lease.
 fn has_unread_record<E: Edge>(node: &Node<E>) -> bool {
     let tag = node.proof_lease.get();
     let is_due = node.records_read_at.get() + UNKNOWN_READ_INTERVAL < Boot.now();
@@ -321,7 +326,8 @@
     node.active().iter().any(unread)
 }
 
-/// Renews the era, or reads what is to be known for that; the era if it was renewed.
+/// Renews the proof lease, or reads the lease and the records if either is missing. Returns the
+/// lease's tag if it was renewed.
 async fn renew_or_read<E: Edge>(node: &Rc<Node<E>>) -> Result<Option<u64>, Fault> {
     let (tag, lease) = (node.proof_lease.get(), node.lease.get());
     let mut is_over = tag == 0;
@@ -338,7 +344,8 @@
             Err(fault) => return Err(fault),
         }
     }
-    // Most learn what the first of them began, without another question.
+    // During the random delay most instances learn of a lease that another instance has
+    // created, and needn't read it.
     let jitter = rand::random_range(0..WRITE_JITTER_MS);
     sleep(Duration::from_millis(jitter)).await;
     let is_newer = adopt::switch_to_newer(node, lease);
@@ -366,7 +373,7 @@
     Ok(None)
 }
 
-/// Goes on in the era of `lease`, which was read together with the records in `items`.
+/// Switches to `lease`, which was read together with the records in `items`.
 fn switch_to<E: Edge>(node: &Node<E>, items: &Items, lease: Lease) {
     let tag = lease.tag();
     let revisions: HashMap<_, _> = items.items.iter().map(|i| (&*i.key, i.revision)).collect();
@@ -380,7 +387,8 @@
     node.lease.set(lease);
 }
 
-/// Begins the next era, unless somebody else did since its key was read at `revision`.
+/// Creates the next proof lease, unless another instance has written one since the key was read
+/// at `revision`.
 async fn create_lease<E: Edge>(node: &Rc<Node<E>>, revision: u64) -> Result<(), Fault> {
     let store = node.store();
     let lease = store.grant(LEASE_TTL).await?;
@@ -390,15 +398,15 @@
         deletes: Vec::new(),
     };
     let swapped = store.swap(&swap).await?;
-    log::info!(lease, swapped:?; "next era");
+    log::info!(lease, swapped:?; "proof lease created");
     if swapped == Swapped::Conflict {
         let _ = store.revoke(lease).await;
     }
     Ok(())
 }
 
-/// Proves the active groups whose records were read in the era, which was renewed for a
-/// question sent at `sent`; the others adopt it once they are asked for.
+/// Proves the active groups whose records were read under the lease with `tag`, which was
+/// renewed by a request sent at `sent`. Other groups adopt the proof when they are used.
 fn prove_groups<E: Edge>(node: &Node<E>, tag: u64, sent: Instant) {
     if node.proved_lease.get().0 != tag || node.proved_lease.get().1 < sent {
         node.proved_lease.set((tag, sent));
@@ -410,7 +418,7 @@
     }
 }
 
-/// Takes in records that were read for a question sent at `sent`.
+/// Applies records read by a request sent at `sent`.
 fn apply_records<E: Edge>(node: &Rc<Node<E>>, items: &Items, sent: Instant) {
     node.heard_from_store(sent);
     for item in &items.items {
@@ -438,7 +446,7 @@
     });
 }
 
-/// Proves primaries without asking the store: by another instance that hears it.
+/// Proves the primaries through a peer that reaches the store.
 fn query_peer<E: Edge>(node: &Rc<Node<E>>) {
     if !node.is_asking_relay.replace(true) {
         let node = Rc::clone(node);
@@ -453,11 +461,11 @@
     }
 }
 
-/// Proves by themselves the groups in use whose proofs are about to lapse and that the
-/// era's proof does not cover.
+/// Asks the members of the groups in use whose proofs are about to expire and aren't covered by
+/// the proof lease.
 ///
-/// Only these: questions of all members open connections to all upstreams at once, which
-/// have no slots left for statements.
+/// Other groups are left out: asking all members opens connections to all upstreams at once,
+/// which then have no slots left for statements.
 fn query_members<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
     let now = Boot.now();
     for group in groups {
@@ -477,15 +485,15 @@
     }
 }
 
-/// Proves a primary by its group: by the primary and as many replicas as make a
-/// majority, or by all of them once the store was not heard for [`UNANIMITY_AFTER`].
+/// Proves a primary by its group: by the primary and enough replicas for a majority, or by all
+/// members if the store hasn't been reached for [`UNANIMITY_AFTER`].
 ///
-/// Whoever replaces a primary tells it to step down, or so many replicas to hold for the
-/// next term that no majority is left, before anything else; waits then as long as any
-/// proof lasts; and gives the order only if the chosen replica still holds. So if the
-/// primary and a majority answer that they have heard of no newer term, none was told so
-/// before the question was sent. Where too few replicas can be told, the replacement
-/// waits until nobody counts on a mere majority any more.
+/// An instance that replaces a primary first demotes the primary, or makes enough replicas hold
+/// for the next term that no majority with the old primary is left. It then waits for as long
+/// as a proof is valid, and promotes the chosen replica only if that replica still holds. So if
+/// the primary and a majority answer that they know of no newer term, none of them had been
+/// fenced when the request was sent. If too few replicas can be reached to exclude a majority,
+/// the replacement waits until no instance accepts a mere majority any more.
 async fn query_group<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
     let Some(known) = group.stored_record() else {
         return;
--- a/crates/proxy/src/proof_lease/adopt.rs
+++ b/crates/proxy/src/proof_lease/adopt.rs
@@ -1,9 +1,9 @@
-//! Records that are known to be as new as the era without being read again.
+//! Finds records that are known to be current under the proof lease without another read.
 //!
-//! The era's key stands among the records, and whoever learns it has learnt, from the same
-//! reading or the same watch, each record as it stood then or later. So a mirror that has
-//! the key of an era has all records as they were read in that era: a change of one
-//! primary costs an instance what it is told of that one, not a reading of all.
+//! The lease's key is stored beside the records, and a read or a watch that returns the key
+//! returns each record as it was at that time or later. A mirror that has the key of a lease
+//! therefore has all records as of that lease, and a change of one primary costs an instance
+//! the change of that record instead of a read of all records.
 
 use std::time::Duration;
 
@@ -13,20 +13,21 @@
 use super::{Lease, lease, lease_key};
 use crate::{control::record_key, edge::Edge, group::Group, node::Node};
 
-/// How long the key of an era that somebody proved may take to come by the watch, or from
-/// the relay that is followed, before the records are read instead.
+/// Time that the key of a lease proved by a peer may take to reach the mirror, by the watch or
+/// from the relay, before the records are read instead.
 const MIRROR_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The pause between two looks at the mirror while its news are gathered.
+/// Interval at which the mirror is checked for the key.
 const MIRROR_POLL: Duration = Duration::from_millis(10);
 
-/// The era's lease as the mirror has it.
+/// The proof lease as the mirror has it.
 fn mirrored_lease<E: Edge>(node: &Node<E>) -> Option<Lease> {
     let item = node.mirror.borrow().item(&lease_key::<E>())?;
     lease::parse(&item)
 }
 
-/// Whether a group's record was read in the era that is known; noted if it is news.
+/// Returns true if the group's record is current under the known proof lease, and marks the
+/// group accordingly.
 pub(super) fn is_record_current<E: Edge>(node: &Node<E>, group: &Group) -> bool {
     if mirrored_lease(node) != Some(node.lease.get()) {
         return false;
@@ -42,7 +43,7 @@
     true
 }
 
-/// Goes on in the era that the mirror names, if it is another one than that of `lease`.
+/// Switches to the lease in the mirror if that lease is newer than `lease`.
 pub(super) fn switch_to_newer<E: Edge>(node: &Node<E>, lease: Lease) -> bool {
     let Some(newer) = mirrored_lease(node).filter(|newer| newer.revision > lease.revision) else {
         return false;
@@ -52,7 +53,8 @@
     true
 }
 
-/// Goes on in `era`, which somebody has just proved, if the mirror comes to name it.
+/// Waits until the mirror has the lease with `tag`, which a peer has just proved, and switches
+/// to that lease. Returns false if the lease doesn't arrive in time.
 pub(super) async fn wait_for_lease<E: Edge>(node: &Node<E>, tag: u64) -> bool {
     if node.proof_lease.get() == tag {
         return true;
@@ -69,7 +71,7 @@
     node.proof_lease.get() == tag
 }
 
-/// Proves a group that rested by the last proof of the era.
+/// Proves a group that was idle by the last proof of the lease.
 pub(crate) fn adopt_proof<E: Edge>(node: &Node<E>, group: &Group) {
     let (tag, since) = node.proved_lease.get();
     let is_proved = tag != 0 && tag == node.proof_lease.get();
--- a/crates/proxy/src/proof_lease/recovery.rs
+++ b/crates/proxy/src/proof_lease/recovery.rs
@@ -1,5 +1,5 @@
-//! Records of primaries that are written by what is known here or what the members say: a
-//! group's first one, and those that a copy of the store may have lost.
+//! Writes records of primaries that the store lacks or may have lost: a group's first record,
+//! and records that a restore of the store has undone.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,18 +25,18 @@
     takeover::RESTORE_GRACE,
 };
 
-/// How much later the second reader of the store writes groups' first records than the
-/// first one: it is to find them written.
+/// Extra delay of the second reader before it writes first records, so that it finds the
+/// records of the first reader.
 const READER_DELAY: Duration = Duration::from_millis(300);
 
-/// How many groups' members are asked at once who leads. A fleet of new groups would else
-/// take all descriptors of the instance that asks.
+/// Maximum number of groups whose members are queried at once. Without the limit a fleet of new
+/// groups would use up the instance's file descriptors.
 const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// How many records are written by one call: the store takes 32 entries in one.
+/// Number of records per call. The store takes at most 32 entries in one call.
 const RECORDS_PER_SWAP: usize = 16;
 
-/// Writes the records of groups that the store has none of.
+/// Writes the records that the store lacks.
 pub(super) async fn write_missing<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
     let jitter = Duration::from_millis(rand::random_range(0..WRITE_JITTER_MS * 2));
     let readers = relay::readers(node);
@@ -56,7 +56,7 @@
     join(restored, records).await;
 }
 
-/// Writes a known record anew that a copy of the store does not have at all.
+/// Rewrites a known record that is missing from a restored store.
 async fn rewrite_lost<E: Edge>(node: &Rc<Node<E>>, group: &Group) {
     let Some(known) = group.stored_record() else {
         return;
@@ -72,7 +72,7 @@
     }
 }
 
-/// A group's first record, from what its members say.
+/// Builds a group's first record from the members' replies.
 async fn first_record<E: Edge>(node: &Rc<Node<E>>, group: &Group) -> Option<Record> {
     let members = group.members();
     if members.is_empty() || group.has_record() {
@@ -80,8 +80,8 @@
     }
     let replies = probe::status_of_all::<E::Protocol>(&members).await;
     if !group.is_proof_wanted(Boot.now()) {
-        // Who holds is not told yet; the holders' first connections were refused by an
-        // upstream of four, while those of these questions lay idle.
+        // The holders of the group aren't known yet. Without closing these connections, which
+        // would stay idle, an upstream with four slots refused the holders' first connections.
         members.iter().for_each(|member| member.pool.close());
     }
     let leaders = members.iter().zip(&replies).filter_map(|(member, reply)| {
@@ -98,7 +98,7 @@
     })
 }
 
-/// Writes first records by one call; one by one if the store has one of them already.
+/// Writes first records in one call, or one by one if the store already has one of them.
 async fn write_first_records<E: Edge>(node: &Rc<Node<E>>, records: &[(Rc<Group>, Record)]) {
     let key = |group: &Group| record_key::<E>(&group.service);
     let swap = Swap {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Writes a record in the place of the one at `revision`, zero for none.
+/// Writes a record in place of the one at `revision`; zero stands for a missing record.
 async fn write_record<E: Edge>(node: &Rc<Node<E>>, group: &Group, record: Record, revision: u64) {
     let key = record_key::<E>(&group.service);
     let swap = Swap {
@@ -144,13 +144,14 @@
     node.proof_wanted.notify_one();
 }
 
-/// Writes a group's record anew that stands in a copy of the store, at `revision`.
+/// Rewrites a group's record that was found at `revision` in a restored store.
 ///
-/// The copy may have lost a replacement: whoever believed it would read from a primary that
-/// leads no more. So nobody does. Who knows what the record said writes it again; where
-/// nobody does, the members are asked who leads. Before that, whoever was replacing the
-/// primary has to be done: its right, and what it announced, may be gone from the copy. Until
-/// then the members prove their primary, as they do while the store is away.
+/// The restore may have undone a replacement. A session that followed the restored record would
+/// use a primary that no longer leads, so the record isn't used until it has been rewritten:
+/// from the record that an instance remembers or, if no instance does, from the members'
+/// replies. Before that, a replacement in progress has to end, because the restored store may
+/// lack its lock and its announcement. Until then the members prove their primary, as they do
+/// while the store is down.
 pub(crate) fn restore_record<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
@@ -179,7 +180,7 @@
     });
 }
 
-/// Writes a copied record anew by what the members say.
+/// Rewrites a restored record from the members' replies.
 async fn rewrite_from_members<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Group,
@@ -202,7 +203,7 @@
             by: node.settings.name.clone(),
             written,
         },
-        // A replacement that had begun is taken up where the copy left it.
+        // A replacement that had begun is resumed from the restored record.
         None => Record { written, ..copy },
     };
     write_record(node, group, record, revision).await;
