--- a/crates/proxy/src/assignment.rs
+++ b/crates/proxy/src/assignment.rs
@@ -1,5 +1,4 @@
-//! Whose sessions this instance serves and hands over: looked at again and again, and
-//! told in the log when it changes.
+//! Logs changes in which sessions this instance serves itself and which ones it forwards.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -8,20 +7,20 @@
 
 use crate::{edge::Edge, group::Group, node::Node};
 
-/// How often it is looked.
+/// Interval at which the assignments are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How this instance stands to a group.
+/// How a group's sessions are served.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Assignment {
-    /// How many other instances its callers' new sessions are handed to; none if it
+    /// Number of other instances to which new sessions are forwarded; zero if this instance
     /// serves them itself.
     holders: usize,
-    /// Whether it serves sessions though others hold.
+    /// Whether this instance still serves sessions although other instances hold the group.
     serves: bool,
 }
 
-/// Looks and tells until the process ends.
+/// Logs changes until the process ends.
 pub(crate) async fn watch<E: Edge>(node: Rc<Node<E>>) {
     let mut logged: HashMap<Rc<str>, Assignment> = HashMap::new();
     loop {
--- a/crates/proxy/src/catalog_lag.rs
+++ b/crates/proxy/src/catalog_lag.rs
@@ -1,26 +1,26 @@
-//! When a catalogue that others have is asked of one of them.
+//! Decides when an instance whose catalogue is behind fetches a newer one from a peer.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// How long the store's own word is waited for: longer than changes are gathered (0.8 s)
-/// and a busy processor takes, and short beside the seconds in which a catalogue has to be
-/// in force (3 s, the platform's pages).
+/// Time to wait for the catalogue from the store: longer than the 0.8 s for which changes are
+/// gathered plus the delays of a busy processor, and short compared with the 3 s within which a
+/// catalogue has to be in force.
 const FETCH_DELAY: Duration = Duration::from_millis(1_200);
 
-/// How long an instance has been behind others.
+/// Tracks how long this instance has been behind its peers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tracker {
     behind: Option<(u64, Instant)>,
 }
 
 impl Tracker {
-    /// Takes in that another instance has `version` while this one has `own`; whether it
-    /// is to be asked for it.
+    /// Records that a peer has the catalogue `version` while this instance has `own`. Returns
+    /// true if the peer is to be asked for the catalogue.
     ///
-    /// One question for each span of patience: a catalogue of many routes takes a weak
-    /// link for a second, and 57 instances asked at once took it for four.
+    /// At most one request is sent per `FETCH_DELAY`: a catalogue with many routes occupies a
+    /// slow link for one second, and 57 instances that asked at once occupied it for four.
     ///
     /// ```
     /// use clock::Instant;
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,9 +1,10 @@
-//! Keeping the proof that keys in force here were not taken away ([`lead::freshness`]).
+//! Maintains the proof that no access key in force here has been revoked ([`lead::freshness`]).
 //!
-//! The relays that read the catalogue ask the store whether it has changed. The others ask
-//! somebody who knows how old that answer is: relays one of those readers, everybody else a
-//! relay of its zone. Whoever gets no answer asks others that hear the store, and the store
-//! itself once its own proof is half over.
+//! Relays that read the catalogue ask the store whether the catalogue has changed. All other
+//! instances ask a peer, which answers with the age of its own proof: a relay asks one of the
+//! readers, any other instance asks a relay of its zone. If that peer doesn't answer, the
+//! instance asks another peer that reaches the store, and asks the store itself once half of
+//! its proof's validity has passed.
 
 use std::{
     cell::{Cell, RefCell},
@@ -35,24 +36,24 @@
     shares,
 };
 
-/// How often it is looked whether the proof is old.
+/// Interval at which the age of the proof is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long another instance may take to answer: a hop there and back, and a turn of a busy
+/// Time that a peer may take to answer: one round trip and one scheduling delay of a busy
 /// processor.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long the store may be silent.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Into how many parts the time that a key may be served divides: a reader asks the store in
-/// each of them.
+/// Number of times that a reader asks the store within the time for which a revoked key may
+/// still be served.
 const CHECKS_PER_SPAN: u32 = 4;
 
-/// The pause between two tries.
+/// Pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an instance knows of how sure it is, and who waits for an answer.
+/// The freshness proof of this instance and its open requests to peers.
 #[derive(Debug, Default)]
 pub struct Tracker {
     proof: Cell<Freshness>,
@@ -60,25 +61,25 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<(Watermark, Duration)>>>,
     asking: Cell<bool>,
     asked_at: Cell<Instant>,
-    /// Told when somebody needs a proof now.
+    /// Notified when a caller needs a proof now.
     pub requested: Notify,
-    /// Told when there is a newer proof.
+    /// Notified when there is a newer proof.
     pub updated: Notify,
 }
 
 impl Tracker {
-    /// Whether a request that came at `moment` may be served, if a key may be served for
-    /// `span` after it was taken away.
+    /// Returns true if a request that arrived at `moment` may be served, provided that a key
+    /// may be served for up to `span` after its revocation.
     pub fn covers(&self, moment: Instant, span: Duration) -> bool {
         self.proof.get().covers(moment, span)
     }
 
-    /// How old the proof is; `None` if there was none yet.
+    /// Age of the proof; `None` if there has been none.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.proof.get().age(now)
     }
 
-    /// Takes in that this instance has `have` from now on.
+    /// Records that this instance has `have` in force.
     pub fn advance(&self, have: Watermark) {
         let mut proof = self.proof.get();
         proof.advance(have);
@@ -86,7 +87,7 @@
         self.updated.notify_waiters();
     }
 
-    /// What the store has and this instance has not.
+    /// Revisions that the store has and this instance lacks.
     pub fn ahead(&self) -> Option<Watermark> {
         self.proof.get().pending()
     }
@@ -98,7 +99,7 @@
         self.updated.notify_waiters();
     }
 
-    /// Takes in an answer.
+    /// Passes a peer's answer to the request with this `id`.
     pub(crate) fn resolve(&self, id: u64, newest: Watermark, age: Duration) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let _ = sender.send((newest, age));
@@ -106,7 +107,7 @@
     }
 }
 
-/// Answers an instance that asks how sure this one is.
+/// Answers a peer's freshness request.
 pub(crate) fn answer_request<E: Edge>(node: &Node<E>, id: u64, to: SocketAddr) {
     let Some(age) = node.freshness.age(Boot.now()) else {
         return;
@@ -116,7 +117,7 @@
     node.proofs.send(&reply, to);
 }
 
-/// Keeps the proof fresh as long as the catalogue has accounts, until the process ends.
+/// Keeps the proof fresh while the catalogue has accounts, until the process ends.
 pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let span = node.settings.agreement_ttl();
     loop {
@@ -142,7 +143,7 @@
     }
 }
 
-/// How old the proof may get until it is renewed.
+/// Age at which the proof is renewed.
 fn renew_age<E: Edge>(node: &Node<E>, span: Duration) -> Duration {
     match source(node) {
         Source::Store => span / CHECKS_PER_SPAN,
@@ -150,8 +151,8 @@
     }
 }
 
-/// Where this instance learns how sure it may be: from a relay of its zone, relays from the
-/// first of those that read the catalogue that answers, and that one from the store.
+/// Source of this instance's proof: a relay of its zone or, for a relay, the first reader that
+/// answers. The first reader itself asks the store.
 pub(crate) fn source<E: Edge>(node: &Node<E>) -> Source {
     if let Source::Relay(relay) = relay::source(node) {
         return Source::Relay(relay);
@@ -186,11 +187,12 @@
     }
 }
 
-/// Asks the instance at `address`.
+/// Asks the peer at `address`.
 async fn query_peer<E: Edge>(node: &Node<E>, address: SocketAddr) -> Result<(), Fault> {
     let tracker = &node.freshness;
     tracker.last_id.set(tracker.last_id.get() + 1);
-    // A number of this life: an answer to a question of the life before is none to this.
+    // The offset by the incarnation keeps an answer to an earlier run of this process from
+    // matching a request of this one.
     let id = node.incarnation.wrapping_add(tracker.last_id.get());
     let (sender, answer) = oneshot::channel();
     tracker.waiting.borrow_mut().insert(id, sender);
@@ -217,8 +219,8 @@
     }
 }
 
-/// Reads the catalogue and the shares anew, since the store is in another era than what is
-/// known of them.
+/// Reads the catalogue and the shares in full, because the store is in another era than the
+/// known revisions.
 async fn read_all<E: Edge>(node: &Node<E>) -> Result<Vec<Item>, Fault> {
     let catalog = node.store().read(E::CATALOG_KEY, STORE_TIMEOUT).await?;
     let shares = node
@@ -229,7 +231,7 @@
     Ok(items.collect())
 }
 
-/// Asks the store whether there is anything newer, and takes it in.
+/// Asks the store for newer revisions and applies them.
 async fn query_store<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let revision = node.catalog_item().map_or(0, |item| item.revision);
     let asked = Boot.now();
@@ -242,15 +244,16 @@
     let newer = newer.inspect_err(|_| proof_lease::record_store_failure(node))?;
     proof_lease::record_store_answer(node);
     for item in newer {
-        // One that can't be read is not in force here, and proves nothing.
+        // An unreadable catalogue isn't in force here and proves nothing.
         if item.key == E::CATALOG_KEY {
             E::catalog(&item.value).map_err(|_| Fault::Malformed)?;
         }
         control::apply_change(node, Change::Put(item));
     }
     let have = node.mark();
-    // A store that came back from a copy may have lost the newest: an instance that starts
-    // then would serve keys that were taken away in it, unless it believes those who know.
+    // A store restored from a backup may lack the newest catalogue. The newest version that a
+    // peer reports counts too; otherwise an instance that starts after the restore would serve
+    // keys that have been revoked.
     let newest = Watermark {
         catalog: have.catalog.max(node.peers.newest_catalog()),
         ..have
--- a/crates/proxy/src/mirror.rs
+++ b/crates/proxy/src/mirror.rs
@@ -1,8 +1,8 @@
-//! What an instance knows of the store, in the order in which it learnt it.
+//! An instance's copy of the store, in the order in which the changes arrived.
 //!
-//! An instance that follows another one is told what changed behind the last number that
-//! it was told, newest values only. Each item keeps the store's revision, so that an
-//! instance which is behind never takes another one back.
+//! A follower is sent the changes after the last sequence number that it received, with only
+//! the newest value of each key. Each item keeps its revision in the store, so that an instance
+//! which lags behind never overwrites a newer item.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -13,38 +13,38 @@
 
 use crate::edge::{Change, Item};
 
-/// How many deleted keys are remembered: more than instances and upstreams come and go
-/// between two answers.
+/// Maximum number of deleted keys that are remembered: more than the instances and upstreams
+/// that leave between two answers.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// A part of the store that is read and watched for itself.
+/// A part of the store that is read and watched separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Section {
     /// The operators' catalogue.
     Catalog,
     /// The list of upstreams.
     Upstreams,
-    /// Who leads each group, and the era.
+    /// The primary's record of each group, and the proof lease.
     Records,
 }
 
-/// All of them.
+/// All sections.
 pub const SECTIONS: [Section; 3] = [Section::Upstreams, Section::Catalog, Section::Records];
 
-/// The newest that is known of a key.
+/// The newest known state of a key.
 #[derive(Debug, Clone)]
 struct Entry {
-    /// `None` if it was deleted.
+    /// `None` if the key was deleted.
     value: Option<Bytes>,
     revision: u64,
-    /// Counts what was learnt here.
+    /// Sequence number of the last change.
     seq: u64,
 }
 
-/// What a mirror's contents are told apart by.
+/// The sequence number and the known revisions of a mirror: equal versions have equal contents.
 pub(crate) type Version = (u64, [u64; SECTIONS.len()]);
 
-/// What an instance knows of the store.
+/// An instance's copy of the store.
 ///
 /// ```
 /// use proxy::{edge::{Change, Item}, mirror::Mirror};
@@ -59,41 +59,41 @@
 #[derive(Debug, Default)]
 pub struct Mirror {
     entries: BTreeMap<String, Entry>,
-    /// The keys in the order in which their newest values were learnt.
+    /// The keys by the sequence number of their newest change.
     order: BTreeMap<u64, String>,
     seq: u64,
-    /// Deletions up to this number may be forgotten.
+    /// Deletions up to this sequence number may have been dropped.
     dropped_seq: u64,
     tombstones: usize,
-    /// The newest revision of the store at which a key was deleted that is forgotten.
+    /// The newest revision of the store among dropped deletions.
     dropped_revision: u64,
-    /// Up to which revision of the store each section is known.
+    /// The revision of the store up to which each section is complete.
     known: [u64; SECTIONS.len()],
 }
 
 impl Mirror {
-    /// How much was learnt.
+    /// Sequence number of the last change.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// How much was learnt, and up to which revision of each section it is all there is.
+    /// The current version.
     pub(crate) fn version(&self) -> Version {
         (self.seq, self.known)
     }
 
-    /// Notes that all changes of `section` up to the store's revision `at` were taken in.
+    /// Records that all changes of `section` up to the store's revision `at` have been applied.
     pub fn advance(&mut self, section: Section, at: u64) {
         let known = &mut self.known[section as usize];
         *known = at.max(*known);
     }
 
-    /// Up to which revision of the store everything is known.
+    /// The revision of the store up to which all sections are complete.
     pub fn min_known(&self) -> u64 {
         self.known.into_iter().min().unwrap_or(0)
     }
 
-    /// Takes in a change; whether it is news.
+    /// Applies a change. Returns true if it is newer than the known state of its key.
     pub fn apply(&mut self, change: &Change) -> bool {
         let (key, value, revision) = match change {
             Change::Put(item) => (&item.key, Some(item.value.clone()), item.revision),
@@ -123,7 +123,7 @@
         true
     }
 
-    /// Forgets what was deleted.
+    /// Drops the remembered deletions.
     fn drop_tombstones(&mut self) {
         let deleted = self.entries.values().filter(|entry| entry.value.is_none());
         let newest = deleted.map(|entry| entry.revision).max();
@@ -135,7 +135,7 @@
         self.dropped_seq = self.seq;
     }
 
-    /// The item of a key.
+    /// Returns a key's item.
     pub fn item(&self, key: &str) -> Option<Item> {
         let (key, entry) = self.entries.get_key_value(key)?;
         Some(Item {
@@ -145,19 +145,20 @@
         })
     }
 
-    /// The revision of a key's item, if there is one.
+    /// Returns the revision of a key's item, if the key exists.
     pub fn revision(&self, key: &str) -> Option<u64> {
         let entry = self.entries.get(key)?;
         entry.value.as_ref().map(|_| entry.revision)
     }
 
-    /// Up to which revision of the store a section is known, zero if it was never read.
+    /// The revision of the store up to which a section is complete; zero if the section was
+    /// never read.
     pub fn known(&self, section: Section) -> u64 {
         self.known[section as usize]
     }
 
-    /// The keys under `prefix` that are missing among `present`, which was read when the
-    /// store stood at `at`, as deletions.
+    /// Returns the known keys under `prefix` that are missing from `present` as deletions.
+    /// `present` was read at the store's revision `at`.
     pub fn missing(&self, prefix: &str, present: &[Item], at: u64) -> Vec<Change> {
         let present: HashSet<_> = present.iter().map(|item| &*item.key).collect();
         let under = self
@@ -171,9 +172,10 @@
             .collect()
     }
 
-    /// What changed in the store behind its revision `at`, and all under `listed`, which is read
-    /// now and then and not watched, so that no revision tells up to where it is known; `None`
-    /// if a deletion since may be forgotten, so that all has to be told.
+    /// Returns the changes after the store's revision `at`, and all items under `listed`: that
+    /// prefix is read from time to time rather than watched, so no revision tells up to where
+    /// it is complete. Returns `None` if a later deletion may have been dropped, so that
+    /// everything has to be sent.
     pub fn changes_after(&self, at: u64, listed: &str) -> Option<Vec<Change>> {
         if at < self.dropped_revision {
             return None;
@@ -186,8 +188,8 @@
         Some(newer.map(change).collect())
     }
 
-    /// What was learnt behind number `seq`, oldest first; `None` if some of it is
-    /// forgotten, so that all has to be told.
+    /// Returns the changes after the sequence number `seq`, oldest first, or `None` if some of
+    /// them have been dropped, so that everything has to be sent.
     pub fn changes_since(&self, seq: u64) -> Option<Vec<Change>> {
         if seq < self.dropped_seq && seq != 0 || seq > self.seq {
             return None;
--- a/crates/proxy/src/proofs.rs
+++ b/crates/proxy/src/proofs.rs
@@ -1,9 +1,9 @@
-//! Proofs that one instance asks of another.
+//! Requests for proofs between instances.
 //!
-//! Renewing the era costs a call. Those who are no relays have a relay renew it for them,
-//! and one renewal answers all questions that came before it. A proof counts from the
-//! moment of the question, by the asker's own clock: a relay that is frozen, late or
-//! replaced makes it shorter, never longer.
+//! Renewing the proof lease costs a call to the store. Instances that aren't relays let a relay
+//! renew it, and one renewal answers all requests that arrived before it. A proof counts from
+//! the time at which its request was sent, by the requester's clock, so a relay that is frozen,
+//! slow or replaced makes the proof shorter but never longer.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,54 +26,55 @@
     work::Kind,
 };
 
-/// How long a relay may take to answer: the pause between its renewals and a call of the
-/// store, and short enough that the store itself is asked before a proof has lapsed.
+/// Time that a relay may take to answer: the pause between its renewals plus a call to the
+/// store, but short enough to leave time for a call to the store before a proof expires.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long behind a question of another instance the proof is kept young for the next one.
+/// Time after a peer's request during which a proof is kept ready for the next request.
 const RELIED_ON_FOR: Duration = Duration::from_secs(2);
 
-/// How long the store may be silent while the records are read.
+/// Timeout of reading the records from the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// A question of another instance: what its answer is to name, and where it is to go.
+/// A peer's request: its id and the address for the answer.
 pub(crate) type PendingRequest = (u64, SocketAddr);
 
-/// Somebody who waits for the records.
+/// A request that waits for the records.
 type Waiter = oneshot::Sender<Result<Items, Fault>>;
 
-/// Questions for proofs, own and others'.
+/// Proof requests of this instance and of its peers.
 #[derive(Debug, Default)]
 pub struct Proofs {
     pub(crate) socket: RefCell<Option<Rc<UdpSocket>>>,
     last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<(u64, Duration)>>>,
     pending: RefCell<Vec<PendingRequest>>,
-    /// When the last question of another instance came.
+    /// When the last request of a peer arrived.
     relied_on_at: Cell<Instant>,
     record_waiters: RefCell<Vec<Waiter>>,
 }
 
 impl Proofs {
-    /// Whether others wait for an answer.
+    /// Returns true if requests of peers are waiting for an answer.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.borrow().is_empty()
     }
 
-    /// Whether others asked lately, so that they will again.
+    /// Returns true if peers have asked recently, and are therefore likely to ask again.
     pub(crate) fn is_relied_on(&self, now: Instant) -> bool {
         self.relied_on_at.get() + RELIED_ON_FOR > now
     }
 
-    /// The questions that came so far; whoever takes them asks the store and answers.
+    /// Takes the requests that have arrived so far. The caller renews the lease and answers
+    /// them.
     pub(crate) fn take_pending(&self) -> Vec<PendingRequest> {
         self.pending.take()
     }
 
-    /// Tells those who asked that the era was renewed `age` ago.
+    /// Answers `requests` with a proof that is `age` old.
     ///
-    /// Each of them counts back from its own question, so that all of the time until the
-    /// answer is there makes the proof older.
+    /// Each requester subtracts `age` from the time at which it sent its request, so that the
+    /// time in transit makes the proof older.
     pub(crate) fn answer_with_age(
         &self,
         requests: &[PendingRequest],
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Tells those who asked that the era was renewed since.
+    /// Answers `requests` with a renewal that was sent after they had arrived.
     pub(crate) fn answer_renewed(&self, requests: &[PendingRequest], proof_lease: u64) {
         for (id, reply_to) in requests {
             let reply = Message::LeaseRenewed {
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Counts those who wait for the next reading, with one more among them.
+    /// Adds a request that waits for the next read of the records. Returns the number of
+    /// waiting requests.
     fn add_waiter(&self, waiter: Waiter) -> usize {
         let mut waiters = self.record_waiters.borrow_mut();
         waiters.push(waiter);
@@ -119,7 +121,7 @@
     }
 }
 
-/// Takes in a question or an answer.
+/// Handles a request or an answer.
 pub(crate) fn handle_message<E: Edge>(node: &Node<E>, message: Message) {
     match message {
         Message::LeaseRequest { id, reply_to } => {
@@ -158,8 +160,8 @@
     }
 }
 
-/// Asks the instance at `address` whether the era lasts; which one does, and how long before
-/// the answer that was so.
+/// Asks the peer at `address` for a proof of the lease. Returns the lease's tag and the age of
+/// the proof when the answer was sent.
 pub(crate) async fn query_lease<E: Edge>(
     node: &Node<E>,
     address: SocketAddr,
@@ -167,7 +169,8 @@
     let proofs = &node.proofs;
     let id = proofs.last_id.get() + 1;
     proofs.last_id.set(id);
-    // A number of this life: an answer to a question of the life before is none to this.
+    // The offset by the incarnation keeps an answer to an earlier run of this process from
+    // matching a request of this one.
     let id = node.incarnation.wrapping_add(id);
     let (sender, answer) = oneshot::channel();
     proofs.waiting.borrow_mut().insert(id, sender);
@@ -181,11 +184,11 @@
     answer.ok()?.ok()
 }
 
-/// Reads the records for another instance, once for all who ask meanwhile.
+/// Reads the records for a peer, once for all requests that arrive in the meantime.
 ///
 /// # Errors
 ///
-/// The store did not answer.
+/// The store didn't answer.
 pub(crate) async fn read_records<E: Edge>(node: &Rc<Node<E>>) -> Result<Items, Fault> {
     let (sender, receiver) = oneshot::channel();
     if node.proofs.add_waiter(sender) == 1 {
@@ -196,8 +199,8 @@
 }
 
 async fn read_for_all<E: Edge>(node: &Node<E>) {
-    // Whoever asks from now on is not answered by this reading: what it is told must
-    // have been read behind its question.
+    // A request that arrives from now on isn't answered by this read: its answer must have been
+    // read after the request arrived.
     tokio::task::yield_now().await;
     let waiters = node.proofs.record_waiters.take();
     let items = node.store().read(&record_key::<E>(""), STORE_TIMEOUT).await;
--- a/crates/proxy/src/stall.rs
+++ b/crates/proxy/src/stall.rs
@@ -1,19 +1,19 @@
-//! Whether this process stood still.
+//! Detects stalls of the process.
 
 use std::time::Duration;
 
 use clock::Boot;
 use tokio::time::sleep;
 
-/// How often it is looked.
+/// Interval at which the clock is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// From how much delay on it is told: less is a busy machine.
+/// Minimum delay that is logged. Shorter delays are normal on a busy machine.
 const MIN_LOGGED_STALL: Duration = Duration::from_millis(700);
 
-/// Tells each time when the process stood still: frozen, suspended, or kept from
-/// its processor. Nothing else in its log says so, and what its callers sent
-/// meanwhile ended without a line.
+/// Logs each stall of the process, for example because it was frozen or suspended, or got no
+/// processor time. Requests that callers sent during a stall may end without any other log
+/// line.
 pub(crate) async fn watch() {
     loop {
         let before = Boot.now();
