--- a/crates/proxy/src/registry.rs
+++ b/crates/proxy/src/registry.rs
@@ -1,8 +1,8 @@
-//! The groups of an instance, and which of them need looking after.
+//! The groups of an instance, and those that need work.
 //!
-//! An instance knows all groups of the catalogue and serves a few of them. What is done
-//! again and again is done for the active ones only; a group becomes active when something
-//! happens to it, and stops being so once nothing is left to do.
+//! An instance knows all groups of the catalogue and uses a few of them. Periodic work is done
+//! for the active groups only: a group becomes active on an event and becomes idle again when
+//! nothing is left to do.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,17 +14,17 @@
 
 use crate::{catalog::Catalog, group::Group};
 
-/// How many groups are looked at in one sweep.
+/// Number of groups checked per sweep.
 const GROUPS_PER_SWEEP: usize = 16;
 
-/// The names of groups that something happened to.
+/// Names of groups that have had an event since the active groups were last read.
 #[derive(Debug, Default)]
 pub struct Pending {
     names: RefCell<Vec<Rc<str>>>,
 }
 
 impl Pending {
-    /// Takes in that something happened to the group of `service`.
+    /// Adds the group of `service`.
     pub(crate) fn push(&self, service: &Rc<str>) {
         self.names.borrow_mut().push(Rc::clone(service));
     }
@@ -34,18 +34,18 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     groups: RefCell<HashMap<Rc<str>, Rc<Group>>>,
-    /// Those that the catalogue names, in order.
+    /// The groups of the catalogue, ordered by name.
     catalogued: RefCell<Rc<[Rc<Group>]>>,
-    /// The service that each upstream was listed under last.
+    /// The service under which each upstream was last listed.
     services: RefCell<HashMap<Rc<str>, Rc<str>>>,
     pending: Rc<Pending>,
     active: RefCell<BTreeMap<Rc<str>, Rc<Group>>>,
-    /// Where the next sweep begins.
+    /// Index in `catalogued` at which the next sweep begins.
     next_sweep: Cell<usize>,
 }
 
 impl Registry {
-    /// The group of a service; made if it is new.
+    /// Returns the group of a service, creating it if necessary.
     pub(crate) fn group(&self, service: &Rc<str>) -> Rc<Group> {
         let mut groups = self.groups.borrow_mut();
         if let Some(group) = groups.get(service) {
@@ -56,12 +56,12 @@
         group
     }
 
-    /// The group of a service, if there is one.
+    /// Returns the group of a service, if there is one.
     pub(crate) fn find(&self, service: &str) -> Option<Rc<Group>> {
         self.groups.borrow().get(service).cloned()
     }
 
-    /// Takes in which services a catalogue names.
+    /// Sets the services of the catalogue.
     pub(crate) fn set_services(&self, catalog: &Catalog) {
         let mut services: Vec<_> = catalog.services.keys().collect();
         services.sort();
@@ -69,12 +69,12 @@
         *self.catalogued.borrow_mut() = groups.collect();
     }
 
-    /// All groups that the catalogue names, in order of their names.
+    /// All groups of the catalogue, ordered by name.
     pub(crate) fn catalogued(&self) -> Rc<[Rc<Group>]> {
         Rc::clone(&self.catalogued.borrow())
     }
 
-    /// The active groups, in order of their names.
+    /// The active groups, ordered by name.
     pub(crate) fn active(&self) -> Vec<Rc<Group>> {
         let mut active = self.active.borrow_mut();
         for service in self.pending.names.take() {
@@ -85,10 +85,10 @@
         active.values().cloned().collect()
     }
 
-    /// Lets the groups rest that need nothing, and looks at some of those that rest.
+    /// Deactivates the groups without work, and checks some of the idle groups.
     ///
-    /// A group that was wrongly let rest would have its primary replaced by nobody: each is
-    /// looked at again and again, a few at a time.
+    /// An active group that was deactivated by mistake would not get a failed primary replaced,
+    /// so all idle groups are checked in turn, a few per sweep.
     pub(crate) fn sweep(&self, now: Instant) {
         self.active();
         let mut active = self.active.borrow_mut();
@@ -109,7 +109,7 @@
         self.next_sweep.set(next + GROUPS_PER_SWEEP);
     }
 
-    /// Forgets the upstreams that are in no group any more.
+    /// Drops upstreams that no longer belong to a group.
     fn drop_stale_upstreams(&self) {
         let is_member = |id: &Rc<str>, service: &Rc<str>| {
             let group = self.find(service);
@@ -119,8 +119,8 @@
         services.retain(|id, service| is_member(id, service));
     }
 
-    /// Takes in that the upstream `id` is listed under `service`; the group that it was in
-    /// before, if that is another one.
+    /// Records that the upstream `id` is listed under `service`. Returns its previous group if
+    /// that is another one.
     pub(crate) fn assign(&self, id: &Rc<str>, service: &Rc<str>) -> Option<Rc<Group>> {
         let mut services = self.services.borrow_mut();
         let old = services.insert(Rc::clone(id), Rc::clone(service));
@@ -128,7 +128,7 @@
             .and_then(|old| self.find(&old))
     }
 
-    /// The group that the upstream `id` was listed in last.
+    /// Returns the group under which the upstream `id` was last listed.
     pub(crate) fn group_of_upstream(&self, id: &str) -> Option<Rc<Group>> {
         let service = self.services.borrow().get(id).cloned()?;
         self.find(&service)
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,10 +1,11 @@
-//! Who asks the store for an availability zone, and how the others follow.
+//! Relays: the instances that ask the store for their availability zone, and their followers.
 //!
-//! Two instances of each zone are its relays ([`admit::relays`]), and two of all relays
-//! watch the store. The other relays ask one of these what it learnt, on one connection,
-//! again and again, and all other instances ask a relay of their zone. Nobody is elected: whoever
-//! sees itself among the first two of its zone asks the store, and one more who does so
-//! costs a few calls. An instance that hears nobody is its zone's first.
+//! Two instances of each zone are its relays ([`admit::relays`]). Two of all relays are the
+//! readers, which watch the store. The other relays follow a reader, and all other instances
+//! follow a relay of their zone; a follower polls for changes over one connection. There is no
+//! election: an instance that finds itself among the first two of its zone asks the store, and
+//! a surplus relay only costs a few calls. An instance that hears no peer is the first of its
+//! zone.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -33,21 +34,21 @@
     work::Kind,
 };
 
-/// How long a question for news waits.
+/// Time that a follower's request waits for changes.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often it is looked who the relays are.
+/// Interval at which the choice of relays is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a relay that did not answer is left alone.
+/// Time for which a relay that didn't answer isn't asked.
 const UNRESPONSIVE_FOR: Duration = Duration::from_secs(2);
 
-/// Where an instance learns of the store.
+/// Source of an instance's knowledge of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// It asks the store.
+    /// The instance asks the store.
     Store,
-    /// It follows the instance at this address.
+    /// The instance asks the peer at this address.
     Relay(SocketAddr),
 }
 
@@ -60,13 +61,12 @@
     }
 }
 
-/// Whether this instance reads and watches the store, for all others.
+/// Returns true if this instance reads and watches the store for all others.
 pub(crate) fn is_reader<E: Edge>(node: &Node<E>) -> bool {
     change_source(node) == Source::Store
 }
 
-/// Where this instance learns what is in the store: from a relay of its zone, and a relay
-/// from one of the readers.
+/// Source of the store's contents: a relay of the zone or, for a relay, one of the readers.
 fn change_source<E: Edge>(node: &Node<E>) -> Source {
     if let Source::Relay(address) = source(node) {
         return Source::Relay(address);
@@ -78,7 +78,8 @@
     pick(node, readers)
 }
 
-/// One of those at `addresses` that answer; each has its share of those who follow.
+/// Picks one of the responsive peers at `addresses`, by a hash of this instance's name that
+/// spreads the followers evenly.
 fn pick<E: Edge>(node: &Node<E>, addresses: Vec<Option<SocketAddr>>) -> Source {
     let usable = addresses.into_iter().flatten();
     let usable: Vec<_> = usable
@@ -91,18 +92,18 @@
     Source::Relay(usable[picked as usize])
 }
 
-/// Which relays read the store: their addresses, `None` for this instance.
+/// Addresses of the relays that read the store, `None` for this instance.
 pub(crate) fn readers<E: Edge>(node: &Node<E>) -> Vec<Option<SocketAddr>> {
     node.peers.readers(candidate(node))
 }
 
-/// Whether the instance at `address` did not answer a moment ago.
+/// Returns true if the peer at `address` recently failed to answer.
 pub(crate) fn is_unresponsive<E: Edge>(node: &Node<E>, address: SocketAddr) -> bool {
-    let left = node.silent_relay.get();
-    left.is_some_and(|(a, at)| a == address && at + UNRESPONSIVE_FOR > Boot.now())
+    let failed = node.silent_relay.get();
+    failed.is_some_and(|(relay, at)| relay == address && at + UNRESPONSIVE_FOR > Boot.now())
 }
 
-/// Where this instance learns of the store.
+/// Source of proofs: a relay of this zone, or the store.
 pub(crate) fn source<E: Edge>(node: &Node<E>) -> Source {
     let relays = node.peers.relays(candidate(node));
     if relays.contains(&None) {
@@ -111,12 +112,12 @@
     pick(node, relays)
 }
 
-/// Whether this instance asks the store itself.
+/// Returns true if this instance is a relay, so that it asks the store itself.
 pub(crate) fn is_relay<E: Edge>(node: &Node<E>) -> bool {
     source(node) == Source::Store
 }
 
-/// Follows a relay whenever there is one, until the process ends.
+/// Follows a relay while this instance isn't a reader, until the process ends.
 pub(crate) async fn follow<E: Edge>(node: Rc<Node<E>>) {
     loop {
         let Source::Relay(address) = change_source(&node) else {
@@ -130,10 +131,10 @@
     }
 }
 
-/// Asks the relay at `address` for news as long as it is one.
+/// Polls the relay at `address` for changes while it is this instance's source.
 async fn follow_relay<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> io::Result<()> {
     let mut stream = connect(address).await?;
-    // Another relay than before goes on from what is known of the store.
+    // A new relay continues from the revision of the store that the mirror has reached.
     let mut cursor = Cursor {
         incarnation: 0,
         seq: node.mirror.borrow().min_known(),
@@ -148,10 +149,10 @@
             () = wait_until_silent(node, address) => return Err(io::ErrorKind::TimedOut.into()),
         };
         let Response::ChangeBatch(batch) = response else {
-            return Err(io::Error::other("it asks the store no more"));
+            return Err(io::Error::other("the peer is no longer a relay"));
         };
         if is_first {
-            log::info!(address:%; "follows a relay");
+            log::info!(address:%; "following a relay");
         }
         (cursor.incarnation, cursor.seq) = (batch.incarnation, batch.seq);
         apply_batch(node, batch);
@@ -159,7 +160,7 @@
     Ok(())
 }
 
-/// Waits until the instance at `address` is heard no more.
+/// Waits until the peer at `address` is no longer heard.
 async fn wait_until_silent<E: Edge>(node: &Node<E>, address: SocketAddr) {
     while node.peers.was_heard(address, LOST_HEARTBEATS) {
         sleep(CHECK_INTERVAL).await;
@@ -204,8 +205,8 @@
     }
 }
 
-/// Tells an instance that follows this one what is learnt here, until either is gone or
-/// this one asks the store no more.
+/// Sends changes to a follower until either side ends the connection. An instance that is no
+/// longer a relay answers that it has nothing.
 pub(crate) async fn serve_follower<E: Edge>(
     node: &Rc<Node<E>>,
     mut stream: TcpStream,
@@ -225,13 +226,13 @@
         node.work.add(Kind::ChangeBatchByte, frame.len());
         drop(frame);
         let Request::Follow(next) = receive(&mut stream, FOLLOW_TIMEOUT).await? else {
-            return Err(io::Error::other("another question"));
+            return Err(io::Error::other("expected a request to follow"));
         };
         cursor = next;
     }
 }
 
-/// Waits until there is something to tell.
+/// Waits until there are changes for the follower.
 async fn wait_for_changes<E: Edge>(node: &Node<E>, cursor: &Cursor) {
     loop {
         let learnt = node.store_changed.notified();
@@ -245,20 +246,20 @@
     }
 }
 
-/// What `followed` is told, as it is sent. What those are told who know nothing is kept for
-/// the next of them: a zone that starts at once asks its relay a hundred times for the same.
+/// Encodes the batch for `cursor`. The batch for a follower that has nothing yet is cached:
+/// when a whole zone starts, its relay gets a hundred identical requests.
 fn encoded_batch<E: Edge>(node: &Node<E>, cursor: &Cursor) -> io::Result<Bytes> {
-    let knows_nothing = cursor.incarnation == 0 && cursor.seq == 0 && cursor.version == 0;
-    if !knows_nothing {
+    let is_initial = cursor.incarnation == 0 && cursor.seq == 0 && cursor.version == 0;
+    if !is_initial {
         return encode(&Response::ChangeBatch(change_batch(node, cursor)));
     }
-    let state = (node.mirror.borrow().version(), node.catalog().version);
-    let mut kept = node.full_batch.borrow_mut();
-    if let Some((_, frame)) = kept.as_ref().filter(|(of, _)| *of == state) {
+    let version = (node.mirror.borrow().version(), node.catalog().version);
+    let mut cached = node.full_batch.borrow_mut();
+    if let Some((_, frame)) = cached.as_ref().filter(|(of, _)| *of == version) {
         return Ok(frame.clone());
     }
     let frame = encode(&Response::ChangeBatch(change_batch(node, cursor)))?;
-    *kept = Some((state, frame.clone()));
+    *cached = Some((version, frame.clone()));
     Ok(frame)
 }
 
