--- a/crates/proxy/src/shares.rs
+++ b/crates/proxy/src/shares.rs
@@ -1,9 +1,10 @@
-//! Counting accounts' operations against their quotas, all instances together
-//! ([`admit::shares`]).
+//! Counts accounts' operations against their quotas across all instances ([`admit::shares`]).
 //!
-//! Whoever takes a caller asks one of its account's keepers for each operation, by datagram,
-//! and the next one if that has none to give or does not answer. Who keeps, and how much of a
-//! quota, stands in a table in the store; the relays that read the catalogue look after it.
+//! Each quota is divided into shares, which are owned by a few instances, the account's
+//! limiters. An instance that serves a caller asks a limiter for each operation by datagram,
+//! and asks the next one if that limiter has no operation left or doesn't answer. A table in
+//! the store, maintained by the relay that reads the catalogue, lists the limiters and the
+//! sizes of their shares.
 
 mod limiter;
 mod table;
@@ -36,102 +37,107 @@
 use limiter::{Tally, grant};
 pub(crate) use table::run;
 
-/// The first byte of the table as it is stored: its format.
+/// First byte of the stored table: the version of its format.
 const FORMAT: u8 = 1;
 
-/// How long a keeper may take to answer: a hop there and back, and a turn of a busy processor.
+/// Time that a limiter may take to answer: one round trip and one scheduling delay of a busy
+/// processor.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// How long a keeper that did not answer is asked last.
+/// Time for which a limiter that didn't answer is tried last.
 const UNRESPONSIVE_FOR: Duration = Duration::from_secs(1);
 
-/// How long a caller waits where no table is known yet.
+/// Time that an operation waits while no table is known.
 const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an account that nobody asks for is remembered.
+/// Time after which an unused account is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
-/// For how long ahead operations are asked for: a customer of many a second costs a question
-/// for several of them, one of few an exact count.
+/// Period for which operations are requested in advance: an account with many operations per
+/// second gets several with one request, an account with few is counted exactly.
 const PREFETCH: Duration = Duration::from_millis(40);
 
-/// How long operations that were given count.
+/// Time after which granted operations expire.
 const GRANT_TTL: Duration = Duration::from_millis(500);
 
-/// What may be asked for beyond a quota before it counts as exceeded.
+/// The excess over a quota that is still tolerated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Slack {
-    /// Over which time operations are counted.
+    /// The period over which operations are counted.
     pub window: Duration,
-    /// A part of the quota.
+    /// Tolerated excess as a fraction of the quota.
     pub fraction: f64,
-    /// A number of operations.
+    /// Tolerated excess as a number of operations.
     pub count: f64,
 }
 
 impl Slack {
-    /// How many operations beyond `quota` one window may have.
+    /// Number of operations beyond `quota` that are tolerated in one window.
     fn spare(&self, quota: Quota) -> f64 {
         self.fraction * (quota.rate * self.window.as_secs_f64() + quota.burst) + self.count
     }
 }
 
-/// What a keeper answers: how many operations it gives, or how long it takes until it has one.
+/// A limiter's answer: the number of operations granted or, if there are none, the time until
+/// one is available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Answer {
     count: u32,
     wait: Duration,
 }
 
-/// An account whose callers this instance takes.
+/// Use of an account on this instance.
 #[derive(Debug)]
 struct Usage {
-    /// Operations that were given and not used yet, and when.
+    /// Operations that were granted and aren't used yet, and the time of the grant.
     granted: (u32, Instant),
-    /// Until when no keeper has any.
+    /// Time until which no limiter has an operation left.
     exhausted_until: Instant,
     demand: Demand,
     last_used: Instant,
 }
 
-/// The counting of accounts' operations.
+/// The shares of all accounts' quotas, and the use of the accounts on this instance.
 #[derive(Debug, Default)]
 pub struct Shares {
     table: RefCell<Table>,
-    /// Its revision, the table of the era before, and until when that one may still be in use.
+    /// Revision of the table.
     revision: Cell<u64>,
+    /// The table of an earlier era of the store, and the time until which it may be in use.
     previous: RefCell<Option<(Table, Instant)>>,
-    /// Of the accounts that this instance keeps.
+    /// Buckets of the shares that this instance owns.
     buckets: RefCell<HashMap<String, Bucket>>,
-    /// Since when this instance has kept them.
+    /// When this instance got each of its shares.
     owned_since: RefCell<HashMap<String, Instant>>,
-    /// When the first table was known: what is kept by then was kept before this life.
+    /// When the first table was learnt. Shares in that table may have been owned before this
+    /// process started.
     first_table_at: Cell<Option<Instant>>,
     usage: RefCell<HashMap<Rc<str>, Usage>>,
     last_id: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
-    /// Which keepers did not answer, and when.
+    /// Limiters that didn't answer, and when.
     unresponsive: RefCell<HashMap<String, Instant>>,
     ledger: RefCell<Option<Planner>>,
-    /// What was given and refused since it was told last.
+    /// Grants and refusals since they were last logged.
     tallies: RefCell<HashMap<String, Tally>>,
     logged_at: Cell<Instant>,
-    /// Told when the table has changed.
+    /// Notified when the table has changed.
     updated: Notify,
-    /// Told when the store may have a newer table.
+    /// Notified when the store may have a newer table.
     pub(crate) outdated: Notify,
 }
 
-/// The key of the table.
+/// Key of the table in the store.
 pub fn table_key<E: Edge>() -> String {
     format!("{}shares", E::OWN_PREFIX)
 }
 
 impl Shares {
-    /// Takes in the table as the store holds it, for the instance with this `name`.
+    /// Applies the stored table for the instance `name`.
     ///
-    /// One that stands in a copy of the store may be older than the one before, and some go on
-    /// by that one for `span`: until it is over a keeper has the smaller share of both.
+    /// A table from a restored store may be older than the known one, and other instances may
+    /// use the known one for another `span`. Until then a limiter may use the smaller one of
+    /// its two shares.
     pub(crate) fn learn(&self, item: &Item, name: &str, (began, span): (Instant, Duration)) {
         let value = &item.value;
         let old_revision = self.revision.replace(item.revision);
@@ -145,9 +151,10 @@
             .and_then(|body| postcard::from_bytes(body).ok());
         match read {
             Some(table) => *self.table.borrow_mut() = table,
-            None => log::error!("the accounts' shares can't be read"),
+            None => log::error!("the table of quota shares can't be decoded"),
         }
-        // What it kept already when it started it has not given since then.
+        // This instance hasn't granted anything from its first shares since the process
+        // started.
         let now = match self.first_table_at.get() {
             None => began,
             Some(_) => Boot.now(),
@@ -168,15 +175,14 @@
         self.updated.notify_waiters();
     }
 
-    /// Takes in a keeper's answer.
+    /// Passes a limiter's answer to the request with this `id`.
     pub(crate) fn resolve(&self, id: u64, count: u32, wait: Duration) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let _ = sender.send(Answer { count, wait });
         }
     }
 
-    /// The accounts whose callers this instance takes, and how many operations a second they
-    /// ask for here.
+    /// The accounts in use on this instance, and the operations per second requested for each.
     pub fn demand(&self, now: Instant) -> Vec<(Rc<str>, f64)> {
         let accounts = self.usage.borrow();
         let demand = accounts.iter();
@@ -185,7 +191,7 @@
             .collect()
     }
 
-    /// The shares that `instance` has, in thousandths of the accounts' quotas.
+    /// The shares that `instance` owns, in thousandths of the accounts' quotas.
     pub fn owned(&self, instance: &str) -> Vec<(String, u16)> {
         let table = self.table.borrow();
         let rows = table.rows.keys();
@@ -202,14 +208,15 @@
         }
     }
 
-    /// Whether a table of the era before may still be in use.
+    /// Returns true if the table of an earlier era of the store may still be in use.
     fn is_previous_in_use(&self, now: Instant) -> bool {
         let previous = self.previous.borrow();
         previous.as_ref().is_some_and(|(_, until)| *until > now)
     }
 
-    /// Counts an operation that is asked for; whether one is at hand that was given before.
-    /// `None` if no keeper has one for a while.
+    /// Counts a requested operation, and uses a granted one if there is any. Returns true if
+    /// one was used, false if a limiter has to be asked, and `None` if all limiters have run
+    /// out for now.
     fn take_granted(&self, account: &Rc<str>, now: Instant) -> Option<bool> {
         let mut accounts = self.usage.borrow_mut();
         accounts.retain(|_, usage| usage.last_used + FORGET_AFTER > now);
@@ -229,7 +236,7 @@
         (usage.exhausted_until <= now).then_some(false)
     }
 
-    /// How many operations to ask for at once.
+    /// Number of operations to request at once.
     fn batch_size(&self, account: &Rc<str>, now: Instant) -> u32 {
         let accounts = self.usage.borrow();
         let rate = accounts
@@ -238,14 +245,14 @@
         1 + (rate * PREFETCH.as_secs_f64()) as u32
     }
 
-    /// Keeps operations that were given beyond the one that is used at once.
+    /// Stores the operations that were granted beyond the one in use.
     fn store_grant(&self, account: &Rc<str>, count: u32, now: Instant) {
         if let Some(usage) = self.usage.borrow_mut().get_mut(account) {
             usage.granted = (count, now);
         }
     }
 
-    /// Takes back an operation that nobody ran: it counts for nothing.
+    /// Returns an operation that wasn't run, so that it doesn't count.
     pub(crate) fn refund(&self, account: &Rc<str>) {
         let now = Boot.now();
         if let Some(usage) = self.usage.borrow_mut().get_mut(account) {
@@ -263,7 +270,7 @@
         }
     }
 
-    /// Whether a keeper did not answer a moment ago.
+    /// Returns true if a limiter recently failed to answer.
     fn is_unresponsive(&self, limiter: &str, now: Instant) -> bool {
         let unresponsive = self.unresponsive.borrow();
         unresponsive
@@ -272,7 +279,7 @@
     }
 }
 
-/// Counts an operation of `account`, which may wait for as long as `max_wait`.
+/// Charges one operation to the quota of `account`, waiting up to `max_wait` for it.
 ///
 /// # Errors
 ///
@@ -313,11 +320,11 @@
     acquire(node, account).await.map_err(|_| Cause::OverQuota)
 }
 
-/// Asks the account's keepers one after the other.
+/// Asks the account's limiters one after the other.
 ///
 /// # Errors
 ///
-/// None of them has an operation to give, and for how long.
+/// No limiter has an operation left; the error is the time until one is available.
 async fn acquire<E: Edge>(node: &Node<E>, account: &Rc<str>) -> Result<(), Duration> {
     let shares = &node.shares;
     let now = Boot.now();
@@ -341,8 +348,8 @@
     Err(shortest)
 }
 
-/// The account's keepers in the order in which this instance asks them: itself, those of its
-/// zone, the others in any order, and last who did not answer a moment ago.
+/// The account's limiters in the order in which this instance asks them: itself, those in its
+/// zone, the others in random order, and last those that recently failed to answer.
 fn limiters<E: Edge>(node: &Node<E>, account: &str, now: Instant) -> Vec<String> {
     let shares = &node.shares;
     let table = shares.table.borrow();
@@ -363,7 +370,7 @@
     limiters
 }
 
-/// Asks another keeper; `None` if it does not answer.
+/// Asks another limiter; `None` if it doesn't answer.
 async fn query_limiter<E: Edge>(
     node: &Node<E>,
     limiter: &str,
@@ -373,7 +380,8 @@
     let shares = &node.shares;
     let address = node.peers.address(limiter)?;
     shares.last_id.set(shares.last_id.get() + 1);
-    // A number of this life: an answer to a question of the life before is none to this.
+    // The offset by the incarnation keeps an answer to an earlier run of this process from
+    // matching a request of this one.
     let id = node.incarnation.wrapping_add(shares.last_id.get());
     let (sender, answer) = oneshot::channel();
     shares.waiting.borrow_mut().insert(id, sender);
--- a/crates/proxy/src/shares/limiter.rs
+++ b/crates/proxy/src/shares/limiter.rs
@@ -1,4 +1,4 @@
-//! What this instance gives of the quotas that it keeps.
+//! Grants operations from the quota shares that this instance owns.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,26 +11,27 @@
 use super::Answer;
 use crate::{account::Quota, edge::Edge, node::Node, peers::heartbeat::Message};
 
-/// The part of what a quota may be exceeded by that all keepers together have at once beside
-/// it: what one refuses that another could give is refused below the limit.
+/// Fraction of the tolerated excess by which all limiters together may exceed the quota at
+/// once. Without that allowance, operations would be refused below the quota, because one
+/// limiter has run out while another one still has some.
 const BURST_FRACTION: f64 = 0.3;
 
-/// The part of it that they have when they start: they don't know what they gave before, and
-/// may start twice within a window.
+/// Fraction of the tolerated excess that limiters have when they start: they don't know what
+/// they granted before, and may start twice within a window.
 const INITIAL_FRACTION: f64 = 0.3;
 
-/// How often it is told what was refused.
+/// Interval at which refusals are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a keeper gave of an account's quota, and what it refused.
+/// Grants and refusals of one account.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Tally {
     given: u32,
     refused: u32,
 }
 
-/// What a keeper may give of a quota, if its share is `parts` and `spare` operations of a
-/// window may be beyond the quota.
+/// The limit of a share of `parts` thousandths, if `spare` operations per window are tolerated
+/// beyond the quota.
 fn limit(quota: Quota, spare: f64, parts: u16) -> Limit {
     let part = f64::from(parts) / f64::from(TOTAL_PARTS);
     Limit {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Answers an instance that asks for operations of an account.
+/// Answers an instance that requests operations of an account.
 pub(crate) fn answer_request<E: Edge>(
     node: &Node<E>,
     id: u64,
@@ -47,7 +48,7 @@
     account: &str,
     count: u32,
 ) {
-    // Whoever hears at once that this instance keeps it no more asks the next one.
+    // An immediate refusal lets the requester ask the next limiter.
     let unable = Answer {
         count: 0,
         wait: Duration::MAX,
@@ -61,8 +62,8 @@
     node.proofs.send(&reply, to);
 }
 
-/// Gives up to `count` operations of an account that this instance keeps; `None` if it can't
-/// prove that it does.
+/// Grants up to `count` operations of an account, or returns `None` if this instance can't
+/// prove that it owns a share of the account's quota.
 pub(super) fn grant<E: Edge>(node: &Node<E>, account: &str, count: u32) -> Option<Answer> {
     let quota = node.quota(account)?;
     let now = Boot.now();
@@ -104,7 +105,7 @@
     Some(answer)
 }
 
-/// Tells once in a while of which accounts this instance had to refuse something.
+/// Logs the accounts for which operations were refused, at most once per [`LOG_INTERVAL`].
 pub(super) fn log_refusals<E: Edge>(node: &Node<E>) {
     let shares = &node.shares;
     let now = Boot.now();
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -1,5 +1,5 @@
-//! The table of who keeps which part of the quotas: looked after by the relay that reads the
-//! catalogue for all others, fetched by everybody else.
+//! Maintains the table of quota shares: the relay that reads the catalogue writes it, all other
+//! instances fetch it.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,18 +18,18 @@
     relay::{self, Source},
 };
 
-/// How often the table is looked after.
+/// Interval at which the table is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an instance that starts waits until it writes the first table: its keepers are
-/// those that are heard by then.
+/// Time after its start before an instance writes the table, so that the peers that could be
+/// limiters have been heard.
 const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
-/// How long the store may take to answer.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Looks after the table while this instance reads the catalogue for all others, and fetches
-/// it while it does not, until the process ends.
+/// Rebalances the table while this instance reads the catalogue, and fetches the table
+/// otherwise, until the process ends.
 pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let began = Boot.now();
     loop {
@@ -45,13 +45,13 @@
             Source::Store => rebalance(&node).await,
         };
         if let Err(fault) = result {
-            log::info!(error:% = fault; "shares not kept");
+            log::info!(error:% = fault; "quota shares not updated");
             sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
-/// Whether the store has a newer table than this instance.
+/// Returns true if the store has a newer table than this instance.
 fn is_outdated<E: Edge>(node: &Node<E>) -> bool {
     let ahead = node.freshness.ahead();
     ahead.is_some_and(|mark| mark.shares > node.mark().shares)
@@ -64,9 +64,9 @@
     Ok(())
 }
 
-/// Changes the table, if keepers are lost or missing.
+/// Changes the table if limiters are lost or missing.
 async fn rebalance<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
-    // Without a proof the table may be one that was changed since; a write would be in vain.
+    // Without a proof the known table may be outdated, and the write would fail.
     if !node
         .freshness
         .covers(Boot.now(), node.settings.agreement_ttl())
@@ -78,7 +78,7 @@
     if shares.is_previous_in_use(now) {
         return Ok(());
     }
-    // A share is not given again before the window is over in which it was used last.
+    // A share isn't reassigned until the window in which it was last used has ended.
     let window = node
         .settings
         .slack
@@ -103,7 +103,7 @@
     }
 }
 
-/// Writes the next table, unless the store has another one by now: then that is taken in.
+/// Writes the next table. If the store has another table by now, applies that one instead.
 async fn write_table<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
     let key = table_key::<E>();
     let known = node.mark().shares;
@@ -123,7 +123,7 @@
                 value,
                 revision,
             };
-            log::info!(revision, size = item.value.len(); "shares changed");
+            log::info!(revision, size = item.value.len(); "quota shares changed");
             control::apply_change(node, Change::Put(item));
         }
         Swapped::Conflict | Swapped::NoLease => {
