--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,8 +1,8 @@
-//! Other instances: what they say of themselves, and what they pass on.
+//! Communication between instances.
 //!
-//! Every instance sends short beats to others by UDP, often to those who wait for them and
-//! now and then to all. Over TCP an instance that the store turns away asks another one to
-//! read the store for it, and one that is no relay follows one that is.
+//! Every instance sends short heartbeats by UDP: frequent ones to the peers that depend on its
+//! state, infrequent ones to all others. Over TCP, an instance that can't reach the store reads
+//! it through a peer, instances that aren't readers follow a relay, and sessions are forwarded.
 
 pub(crate) mod frame;
 pub mod heartbeat;
@@ -41,23 +41,23 @@
 use peer::{Outgoing, Peer, Role, Urgency};
 pub use table::{LOST_HEARTBEATS, Peers};
 
-/// The shortest pause between two beats.
+/// Minimum pause between two rounds of heartbeats.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often an instance that knows nobody yet asks its seeds.
+/// Interval at which an instance without known peers contacts its seeds.
 const SEED_INTERVAL: Duration = Duration::from_millis(30);
 
-/// How long a store's answer may be silent for a peer.
+/// Timeout of a read from the store on behalf of a peer.
 const STORE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The longest datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// How long an instance that nobody asks any more goes on telling promptly that it lives:
-/// longer than the pauses between what few callers ask.
+/// Time after its last use for which an instance still sends frequent heartbeats: longer than
+/// the pauses between the requests of a few callers.
 const SERVING_MEMORY: Duration = Duration::from_secs(3);
 
-/// Sends and takes beats until the process ends.
+/// Sends and receives heartbeats until the process ends.
 pub async fn run_heartbeats<E: Edge>(node: Rc<Node<E>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     let receiver = Rc::clone(&socket);
@@ -116,7 +116,7 @@
     }
 }
 
-/// A beat, encoded once for all to whom the same is told.
+/// This instance's heartbeat, encoded once for all peers that get the same extension.
 struct Encoder {
     heartbeat: Heartbeat,
     extension: Extension,
@@ -181,7 +181,7 @@
         let Some((primary, term)) = group.primary() else {
             continue;
         };
-        // Who is not asked has nothing to say, and says it to all.
+        // A group that isn't in use has no current verdict, and would add to every heartbeat.
         if !group.is_proof_wanted(now) {
             continue;
         }
@@ -204,11 +204,11 @@
     }
 }
 
-/// Takes in a beat; what is to be said at once: the answer, if its sender asks for one,
-/// and greetings to those whom it introduces.
+/// Applies a heartbeat. Returns the datagrams to send at once: a reply if the sender requests
+/// one or wasn't known, and greetings to the instances that the heartbeat introduces.
 ///
-/// It may have just started, and must not take itself for alone until the next beat: it
-/// would serve its callers itself.
+/// The reply can't wait for the next round: a sender that has just started would take itself
+/// for the only instance, and serve callers itself.
 fn receive_heartbeat<E: Edge>(
     node: &Rc<Node<E>>,
     heartbeat: Heartbeat,
@@ -300,14 +300,14 @@
     outgoing
 }
 
-/// Asks a primary that another instance sees fail, so that one's word is checked.
+/// Probes a primary that a peer reports as failing, so that the report is verified.
 ///
-/// A few instances do. Were all that hear of it to connect at once, a primary that was
-/// only busy would have no slot left for statements, and fail for everybody.
+/// Only a few instances do so: if all instances connected at once, a primary that was merely
+/// busy would have no slot left for statements, and would fail for everyone.
 fn check_reported_failures<E: Edge>(node: &Rc<Node<E>>, observations: &[Observation]) {
     for observation in observations
         .iter()
-        .filter(|b| b.verdict == Verdict::Failing)
+        .filter(|observation| observation.verdict == Verdict::Failing)
     {
         let service: Rc<str> = observation.service.as_str().into();
         let group = node.group_of(&service);
@@ -321,7 +321,7 @@
     }
 }
 
-/// Takes the catalogue of another instance.
+/// Fetches the catalogue from the peer at `address`.
 async fn fetch_catalog<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) {
     let fetches = &node.peers.fetches;
     fetches.set(fetches.get() + 1);
@@ -341,11 +341,11 @@
     }
 }
 
-/// Reads the store through another instance.
+/// Reads the store through a peer.
 ///
 /// # Errors
 ///
-/// No instance that was heard lately could read it.
+/// No peer that was recently heard could read it.
 pub async fn read<E: Edge>(node: &Node<E>, prefix: &str) -> Result<Items, Fault> {
     let mut addresses = node.peers.with_store_contact();
     if addresses.is_empty() {
@@ -368,7 +368,7 @@
 ///
 /// # Errors
 ///
-/// It could not read them, or can't be reached.
+/// The relay couldn't read the records or can't be reached.
 pub(crate) async fn records(address: SocketAddr) -> Result<Items, Fault> {
     match call(address, &Request::Records).await {
         Ok(Response::Items(items)) => Ok(items),
@@ -376,11 +376,11 @@
     }
 }
 
-/// The accounts' shares that the instance at `address` has.
+/// Fetches the table of quota shares from the peer at `address`.
 ///
 /// # Errors
 ///
-/// It can't be reached, or is of the version before.
+/// The peer can't be reached, or runs the previous version.
 pub(crate) async fn shares(address: SocketAddr) -> Result<Option<Item>, Fault> {
     match call(address, &Request::Shares).await {
         Ok(Response::Shares(item)) => Ok(item),
@@ -388,11 +388,11 @@
     }
 }
 
-/// Hands a session to the instance at `address`.
+/// Forwards a session to the peer at `address`.
 ///
 /// # Errors
 ///
-/// It can't be reached.
+/// The peer can't be reached.
 pub async fn forward(address: SocketAddr, kept: &SessionState) -> io::Result<TcpStream> {
     let mut stream = connect(address).await?;
     let request = match &kept.account {
@@ -403,7 +403,7 @@
     Ok(stream)
 }
 
-/// Answers other instances until the process ends.
+/// Answers requests of peers until the process ends.
 pub async fn serve<E: Edge>(node: Rc<Node<E>>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
--- a/crates/proxy/src/peers/frame.rs
+++ b/crates/proxy/src/peers/frame.rs
@@ -1,7 +1,7 @@
-//! What instances ask each other over TCP, and how it is told.
+//! Requests and responses between instances over TCP.
 //!
-//! A frame is its length and its body. An instance of the version before knows the first
-//! three questions only, and closes the connection at any other; whoever asks looks at
+//! A frame consists of its length and its body. An instance of the previous version knows only
+//! the first three requests and closes the connection on any other one, so the sender checks
 //! [`super::heartbeat::FORMAT`] first.
 
 use std::{
@@ -25,50 +25,50 @@
     session_state::SessionState,
 };
 
-/// The longest frame.
+/// Maximum size of a frame's body.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// How much is read and written at once. Between two such parts a peer may be silent for
-/// as long as it takes a full link to carry one.
+/// Number of bytes read or written at once. The timeout applies to each chunk, so a chunk has
+/// to fit through a busy link in that time.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// How long a peer may be silent while something is passed on.
+/// Timeout for each chunk of a transfer.
 pub(crate) const IO_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an instance asks another.
+/// A request to a peer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Request {
-    /// Read the store for me, now.
+    /// Reads the items under a prefix from the store, now.
     Read(String),
-    /// The catalogue you have. Asked by the version before.
+    /// Requests the peer's catalogue; used with instances of the previous version.
     Catalog,
-    /// Serve this session: its statements follow.
+    /// Forwards a session, whose statements follow.
     Session(SessionState),
-    /// The catalogue you have, packed.
+    /// Requests the peer's catalogue, compressed.
     CompressedCatalog,
-    /// What you learnt of the store; asked again on the same connection.
+    /// Requests the changes after the cursor; repeated on the same connection.
     Follow(Cursor),
-    /// The records and the era, read for me from now on.
+    /// Requests the records and the proof lease, read after the request arrived.
     Records,
-    /// Serve this session of the account with this name: its statements follow.
+    /// Forwards a session of the account with this name; the session's statements follow.
     AccountSession(String, SessionState),
-    /// The accounts' shares you have.
+    /// Requests the peer's table of quota shares.
     Shares,
 }
 
-/// How far an instance follows another one.
+/// A follower's position.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Cursor {
-    /// The life of the one that is followed, zero if it was not asked before.
+    /// Incarnation of the relay; zero in the first request to it.
     pub(crate) incarnation: u64,
-    /// The last number that it told; if it was not asked before, the store's revision up to
-    /// which everything is known.
+    /// Last sequence number received from the relay; in the first request, the revision of the
+    /// store up to which the follower is complete.
     pub(crate) seq: u64,
-    /// The version of the catalogue that is had.
+    /// Version of the follower's catalogue.
     pub(crate) version: u64,
 }
 
-/// What it is told.
+/// A response to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Response {
     Items(Items),
@@ -79,50 +79,50 @@
     Shares(Option<Item>),
 }
 
-/// A catalogue as it is passed on.
+/// A compressed catalogue.
 ///
-/// 1,524 routes are 300 KB as operators write them and 25 KB packed; a link of 2 Mbit/s
-/// takes 1.3 s for the one and 0.1 s for the other.
+/// A catalogue of 1,524 routes takes 300 KB as operators write it and 25 KB compressed. A link
+/// of 2 Mbit/s carries the former in 1.3 s and the latter in 0.1 s.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Compressed {
     /// The item without its value.
     pub(crate) item: Item,
-    /// Its value, deflated.
+    /// The item's value, deflated.
     pub(crate) value: Bytes,
 }
 
-/// What an instance learnt of the store behind a number.
+/// The changes after a follower's position.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ChangeBatch {
-    /// Its life.
+    /// Incarnation of the relay.
     pub(crate) incarnation: u64,
-    /// The number to go on from.
+    /// Sequence number from which the follower continues.
     pub(crate) seq: u64,
-    /// Which of the store's revisions it knows everything up to.
+    /// Revision of the store up to which the relay is complete.
     pub(crate) known: u64,
-    /// Whether all that it knows follows; keys that are missing were deleted.
+    /// Whether `changes` holds all that the relay knows, so that missing keys were deleted.
     pub(crate) is_snapshot: bool,
-    /// What it learnt, all but the catalogue.
+    /// The changes, except those of the catalogue.
     pub(crate) changes: Vec<Change>,
-    /// Its catalogue, if it is newer than the one that the asker has.
+    /// The relay's catalogue if it is newer than the follower's.
     pub(crate) catalog: Option<Compressed>,
 }
 
-/// Asks the instance at `address` one thing.
+/// Sends one request to the peer at `address` and returns the response.
 pub(crate) async fn call(address: SocketAddr, request: &Request) -> io::Result<Response> {
     let mut stream = connect(address).await?;
     send(&mut stream, request).await?;
     receive(&mut stream, IO_TIMEOUT).await
 }
 
-/// Connects to the instance at `address`.
+/// Connects to the peer at `address`.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(IO_TIMEOUT, TcpStream::connect(address)).await??;
     let _ = connection::set_socket_options(&stream);
     Ok(stream)
 }
 
-/// A frame as it is sent.
+/// Encodes a frame with its length.
 pub(crate) fn encode<T: Serialize>(frame: &T) -> io::Result<Bytes> {
     let body = postcard::to_stdvec(frame).map_err(io::Error::other)?;
     let size = u32::try_from(body.len()).map_err(io::Error::other)?;
@@ -132,7 +132,7 @@
     Ok(out.freeze())
 }
 
-/// Sends a frame for as long as the peer takes parts of it.
+/// Sends an encoded frame in chunks, each with its own timeout.
 pub(crate) async fn send_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     for chunk in frame.chunks(CHUNK_BYTES) {
         timeout(IO_TIMEOUT, stream.write_all(chunk)).await??;
@@ -140,19 +140,20 @@
     Ok(())
 }
 
-/// Packs a frame and sends it.
+/// Encodes a frame and sends it.
 pub(crate) async fn send<T: Serialize>(stream: &mut TcpStream, frame: &T) -> io::Result<()> {
     send_frame(stream, &encode(frame)?).await
 }
 
-/// Receives a frame that begins within `first`, for as long as parts of it come.
+/// Receives a frame. The length has to arrive within `first`; each further read has its own
+/// timeout.
 pub(crate) async fn receive<T: DeserializeOwned>(
     stream: &mut TcpStream,
     first: Duration,
 ) -> io::Result<T> {
     let size = timeout(first, stream.read_u32()).await?? as usize;
     if size > MAX_FRAME_BYTES {
-        return Err(io::Error::other("the frame is too long"));
+        return Err(io::Error::other("frame exceeds the maximum of 16 MiB"));
     }
     let mut body = BytesMut::with_capacity(size.min(CHUNK_BYTES));
     while body.len() < size {
@@ -166,7 +167,7 @@
 }
 
 impl Compressed {
-    /// Packs an item.
+    /// Compresses an item.
     pub(crate) fn compress(item: &Item) -> io::Result<Self> {
         let mut out = DeflateEncoder::new(Vec::new(), Compression::fast());
         out.write_all(&item.value)?;
@@ -178,7 +179,7 @@
         Ok(Self { item, value })
     }
 
-    /// The item, unless it is longer than any frame.
+    /// Decompresses the item. Values longer than a frame are an error.
     pub(crate) fn decompress(self) -> io::Result<Item> {
         let mut value = Vec::new();
         let deflated = DeflateDecoder::new(&self.value[..]);
@@ -186,7 +187,9 @@
             .take(MAX_FRAME_BYTES as u64 + 1)
             .read_to_end(&mut value)?;
         if value.len() > MAX_FRAME_BYTES {
-            return Err(io::Error::other("the catalogue is too long"));
+            return Err(io::Error::other(
+                "decompressed catalogue exceeds the maximum of 16 MiB",
+            ));
         }
         Ok(Item {
             value: value.into(),
--- a/crates/proxy/src/peers/heartbeat.rs
+++ b/crates/proxy/src/peers/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other by datagram.
+//! Datagrams between instances: heartbeats and short messages.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,183 +9,185 @@
 
 use crate::node::ServiceState;
 
-/// The format that this version writes. The version before wrote beats without one, and
-/// reads the first part of a beat.
+/// Format of this version. The previous version sent heartbeats without an extension, and reads
+/// only the first part of a heartbeat.
 pub const FORMAT: u8 = 1;
 
-/// The first byte of a question for a proof and of its answer; a beat begins with the
-/// length of a name, which is never zero.
+/// First byte of a message. A heartbeat begins with the length of a name, which is never zero.
 const MESSAGE: u8 = 0;
 
-/// What an instance says of a primary.
+/// An instance's verdict on a primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// The primary's service.
+    /// Name of the primary's service.
     pub service: String,
-    /// The term that it leads.
+    /// Term that the primary leads.
     pub term: Term,
-    /// What is seen of it.
+    /// The verdict.
     pub verdict: Verdict,
 }
 
-/// What an instance says of itself.
+/// State of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where other instances reach it.
+    /// Address at which peers reach the instance.
     pub address: SocketAddr,
-    /// The version of its catalogue.
+    /// Version of the instance's catalogue.
     pub version: u64,
-    /// What it sees of the primaries that it is asked for.
+    /// Verdicts on the primaries in use.
     pub observations: Vec<Observation>,
-    /// The upstreams that refuse it its first connection.
+    /// Upstreams that refuse the instance its first connection.
     pub locked_out: Vec<String>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// How much processor it has, in hundredths of a core.
+    /// Processor capacity, in hundredths of a core.
     pub weight: u32,
-    /// Whether it serves.
+    /// Ability of the instance to serve sessions.
     pub service: ServiceState,
-    /// Whether it stops.
+    /// Whether the instance is stopping.
     pub leaving: bool,
 }
 
-/// Whether an instance hears the store.
+/// Contact of an instance with the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreContact {
-    /// It did not ask lately.
+    /// The instance hasn't called the store recently.
     #[default]
     Unknown,
-    /// The store answered it a moment ago.
+    /// The store recently answered the instance.
     Reachable,
-    /// It asks in vain.
+    /// The instance's calls to the store fail.
     Unreachable,
 }
 
-/// Whether a beat asks for an answer.
+/// Reply that a heartbeat requests.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum ReplyRequest {
-    /// It does not.
+    /// No reply.
     #[default]
     None,
-    /// Its sender has not heard whom it tells this.
+    /// A heartbeat, because the sender hasn't heard the recipient yet.
     Answer,
-    /// Its sender knows nobody of its zone yet, and asks to be introduced.
+    /// A heartbeat that introduces other instances, because the sender doesn't know any
+    /// instance of its zone yet.
     Introduce,
 }
 
-/// What an instance of this version says beside its [`Heartbeat`].
+/// The part of a heartbeat that the previous version doesn't have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extension {
-    /// The newest format that it reads.
+    /// Newest format that the instance reads.
     pub format: u8,
-    /// When its next beat is due.
+    /// Time until the next heartbeat.
     pub next: Duration,
-    /// Whether it hears the store.
+    /// Contact of the instance with the store.
     pub store: StoreContact,
-    /// Whether it asks the store for its zone.
+    /// Whether the instance is a relay of its zone.
     pub is_relay: bool,
-    /// Whether it asks for an answer.
+    /// The requested reply.
     pub reply_request: ReplyRequest,
-    /// The other zones of which it hears nobody any more.
+    /// Other zones from which the instance no longer hears any instance.
     pub unreachable_zones: Vec<String>,
-    /// To one that asks for it: where some instances of its zone, and all relays, are reached.
+    /// In reply to [`ReplyRequest::Introduce`]: addresses of some instances of the requester's
+    /// zone and of some relays.
     pub introduced: Vec<SocketAddr>,
 }
 
-/// A question for a proof or a right, or its answer.
+/// A request about a proof or a quota, or the answer to one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Renew the era, not before this came, and answer here.
+    /// Asks for a proof of the lease: a renewal after this request, or the last one and its age.
     LeaseRequest {
-        /// What the answer is to name.
+        /// Id of the request.
         id: u64,
-        /// Where it is to go.
+        /// Address for the answer.
         reply_to: SocketAddr,
     },
-    /// The era was renewed after the question came.
+    /// The proof lease was renewed after the request arrived.
     LeaseRenewed {
-        /// What the question named.
+        /// Id of the request.
         id: u64,
-        /// The lease of the era.
+        /// Tag of the proof lease.
         proof_lease: u64,
     },
-    /// The era was renewed so long before this is told, or later.
+    /// The proof lease was renewed at most `age` before this answer was sent.
     LeaseAge {
-        /// What the question named.
+        /// Id of the request.
         id: u64,
-        /// The lease of the era.
+        /// Tag of the proof lease.
         proof_lease: u64,
-        /// How old that proof is.
+        /// Age of the proof.
         age: Duration,
     },
-    /// How surely do you know what may be asked for? Answer here.
+    /// Asks for the age of the peer's freshness proof.
     FreshnessRequest {
-        /// What the answer is to name.
+        /// Id of the request.
         id: u64,
-        /// Where it is to go.
+        /// Address for the answer.
         reply_to: SocketAddr,
     },
-    /// For so long nothing newer than this was in the store, at least.
+    /// The store held nothing newer than `newest` at a time at most `age` before this answer
+    /// was sent.
     FreshnessAge {
-        /// What the question named.
+        /// Id of the request.
         id: u64,
-        /// The newest that was there.
+        /// Newest revisions in the store at that time.
         newest: Watermark,
-        /// How old that proof is.
+        /// Age of the proof.
         age: Duration,
     },
-    /// May so many operations of this account run? Answer here.
+    /// Asks for operations of an account.
     QuotaRequest {
-        /// What the answer is to name.
+        /// Id of the request.
         id: u64,
-        /// Where it is to go.
+        /// Address for the answer.
         reply_to: SocketAddr,
-        /// The account.
+        /// Name of the account.
         account: String,
-        /// How many.
+        /// Number of operations.
         count: u32,
     },
-    /// So many may run.
+    /// Grants operations.
     QuotaGrant {
-        /// What the question named.
+        /// Id of the request.
         id: u64,
-        /// How many.
+        /// Number of operations granted.
         count: u32,
-        /// If none: how long it takes until one may.
+        /// Time until an operation is available, if none was granted.
         wait: Duration,
     },
 }
 
-/// A datagram that came.
+/// A received datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Datagram {
-    /// An instance lives.
+    /// A heartbeat, with its extension unless the sender runs the previous version.
     Heartbeat(Heartbeat, Option<Extension>),
-    /// About a proof.
+    /// A request or an answer.
     Message(Message),
 }
 
-/// A beat as it is sent.
+/// Encodes a heartbeat.
 ///
-/// The version before stops reading where `more` begins.
+/// The previous version stops reading at the beginning of the extension.
 pub fn encode(heartbeat: &Heartbeat, extension: &Extension) -> Option<Vec<u8>> {
     let mut bytes = postcard::to_stdvec(heartbeat).ok()?;
     bytes.extend(postcard::to_stdvec(extension).ok()?);
     Some(bytes)
 }
 
-/// A question or an answer as it is sent.
+/// Encodes a message.
 pub fn encode_message(message: &Message) -> Option<Vec<u8>> {
     let mut bytes = vec![MESSAGE];
     bytes.extend(postcard::to_stdvec(message).ok()?);
     Some(bytes)
 }
 
-/// Reads a datagram; `None` if it is none of ours.
+/// Decodes a datagram; `None` if it is malformed.
 pub fn decode(bytes: &[u8]) -> Option<Datagram> {
     if let Some(message) = bytes.strip_prefix(&[MESSAGE]) {
         return postcard::from_bytes(message).ok().map(Datagram::Message);
--- a/crates/proxy/src/peers/membership.rs
+++ b/crates/proxy/src/peers/membership.rs
@@ -1,5 +1,6 @@
-//! Who there is, who holds what, and who asks the store: looked at anew only as far as
-//! instances came, went or changed.
+//! Which instances there are, which ones hold a service's connections, and which ones are
+//! relays. The answers are cached and recomputed only for instances that joined, left or
+//! changed.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,31 +24,31 @@
 };
 use crate::node::ServiceState;
 
-/// How long an instance that is not heard stays known if the store does not list it: three
-/// of the longest pauses between two beats.
+/// Time after which an instance that is neither heard nor listed in the store is dropped: three
+/// of the longest pauses between two heartbeats.
 pub(super) const FORGET_AFTER: Duration = Duration::from_secs(16);
 
-/// The pause between two looks at who is heard, unless something is known to have changed.
+/// Pause between two refreshes, unless a change is known.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What the last look took a peer for.
+/// Roles that the last refresh assigned to a peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Roles {
-    /// Its weight and whether it can serve, if it may hold connections.
+    /// The peer's weight and whether it can serve, if it may hold connections.
     holder: Option<(u32, bool)>,
-    /// Its weight and whether it hears the store, if it may be this zone's relay.
+    /// The peer's weight and whether it reaches the store, if it may be a relay of this zone.
     relay: Option<(u32, bool)>,
     heard: bool,
 }
 
-/// Which peers are heard now that were not before, and the other way round.
+/// Peers that have become heard, and peers that have become silent.
 #[derive(Debug, Default)]
 pub(crate) struct Changes {
     pub(crate) joined: Vec<String>,
     pub(crate) silent: Vec<String>,
 }
 
-/// What is known of the fleet as a whole.
+/// The cached view of all instances.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     refreshed_at: Cell<Instant>,
@@ -60,17 +61,17 @@
 }
 
 impl Membership {
-    /// Has the next look taken at once.
+    /// Makes the next access refresh the view.
     pub(super) fn mark_stale(&self) {
         self.is_stale.set(true);
     }
 
-    /// Whether it is time for a look.
+    /// Returns true if a refresh is due.
     fn is_due(&self, now: Instant) -> bool {
         self.is_stale.replace(false) || self.refreshed_at.get() + REFRESH_INTERVAL <= now
     }
 
-    /// Takes in that a peer is not known any more.
+    /// Removes a peer.
     pub(super) fn remove(&self, name: &str, peer: &Peer) {
         self.holders.borrow_mut().remove(name);
         self.relays.borrow_mut().remove(name);
@@ -80,7 +81,7 @@
         self.mark_stale();
     }
 
-    /// Takes in what a look shows of a peer.
+    /// Sets a peer's roles and updates what depends on them.
     fn set_roles(&self, name: &str, peer: &mut Peer, roles: Roles) {
         let old = mem::replace(&mut peer.roles, roles);
         if old == roles {
@@ -116,7 +117,7 @@
 }
 
 impl Peers {
-    /// Looks who is heard, if it is time to.
+    /// Refreshes the view if that is due.
     fn refresh(&self) {
         if !self.membership.is_due(Boot.now()) {
             return;
@@ -155,28 +156,28 @@
         self.membership.count.set(table.len() + 1);
     }
 
-    /// How many instances there are as far as is known, this one included.
+    /// Number of known instances, this one included.
     pub fn count(&self) -> usize {
         self.refresh();
         self.membership.count.get()
     }
 
-    /// How often the whole table was looked through, and how often an instance's place
-    /// among a service's holders was drawn.
+    /// Number of refreshes, and number of times that an instance's rank among the holders of a
+    /// service was computed.
     pub fn counters(&self) -> (u64, u64) {
         let draws = self.membership.holders.borrow().score_count()
             + self.membership.relays.borrow().score_count();
         (self.membership.refreshes.get(), draws)
     }
 
-    /// Who is heard now and was not the last time this was asked, and the other way round.
+    /// Takes the changes since the last call.
     pub(crate) fn take_changes(&self) -> Changes {
         self.refresh();
         self.membership.changes.take()
     }
 
-    /// Which instances of the own zone ask the store, the first one first: their
-    /// addresses, `None` for the instance itself.
+    /// Addresses of the relays of this zone, the first one first; `None` stands for this
+    /// instance.
     pub fn relays(&self, own: Candidate<'_>) -> Vec<Option<SocketAddr>> {
         self.refresh();
         let mut board = self.membership.relays.borrow_mut();
@@ -191,8 +192,7 @@
             .collect()
     }
 
-    /// All instances that ask the store for their zones, as far as they are heard, `own`
-    /// among them.
+    /// All relays that are heard, of all zones, and `own`.
     pub(crate) fn all_relays(&self, own: Candidate<'_>) -> Vec<Relay> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -213,7 +213,7 @@
         relays.chain([own]).collect()
     }
 
-    /// Which relays read the catalogue for all others: their addresses, `None` for `own`.
+    /// Addresses of the relays that read the catalogue for all others; `None` stands for `own`.
     pub(crate) fn readers(&self, own: Candidate<'_>) -> Vec<Option<SocketAddr>> {
         let relays = self.all_relays(own);
         let candidates: Vec<_> = relays.iter().map(Relay::candidate).collect();
@@ -221,9 +221,9 @@
         readers.map(|name| self.address(name)).collect()
     }
 
-    /// Which `count` instances hold the connections to `service`: where to reach them,
-    /// those of the own availability zone first, else in a random order. Nobody, if `own`
-    /// is one of them; whether it is able is told from the others.
+    /// Addresses of the `count` instances that hold the connections to `service`: those of this
+    /// zone first, and in random order within that. Empty if `own` is one of them. The ability
+    /// of `own` to serve follows from that of the others.
     pub fn holders(&self, service: &str, count: usize, own: Candidate<'_>) -> Vec<SocketAddr> {
         let chosen = self.holder_names(service, count, own);
         if chosen.iter().any(|name| name == own.name) {
@@ -232,13 +232,13 @@
         let table = self.table.borrow();
         let mut peers: Vec<_> = chosen.iter().filter_map(|name| table.get(name)).collect();
         peers.shuffle(&mut rand::rng());
-        // A hop inside the zone is shorter, and a cut of another zone breaks no session.
+        // A hop inside the zone is shorter, and no session breaks if another zone is cut off.
         peers.sort_by_key(|peer| peer.zone != own.zone);
         peers.into_iter().map(|peer| peer.address).collect()
     }
 
-    /// Where to reach those of `holders`, which hold the connections to `service`, that serve
-    /// sessions of `account`, its home first; those behind `own` are left out.
+    /// Addresses of those among `holders`, which hold the connections to `service`, that serve
+    /// sessions of `account`, in order. Instances after `own` are left out.
     pub(crate) fn homes(
         &self,
         service: &str,
@@ -255,19 +255,19 @@
             .collect()
     }
 
-    /// Which `count` instances hold the connections to `service`, the first one first.
+    /// Names of the `count` instances that hold the connections to `service`, in order.
     pub fn holder_names(&self, service: &str, count: usize, own: Candidate<'_>) -> Vec<String> {
         self.refresh();
         let mut board = self.membership.holders.borrow_mut();
-        // Where others can serve, this instance goes on trying; only where nobody can, it
-        // does not serve for itself what others hold.
+        // If another instance can serve, this one counts as able and keeps trying. If none can,
+        // this one counts as unable, so that it doesn't serve sessions that others hold.
         let able = board.has_other_able(own.name);
         board.put(&Candidate { able, ..own });
         let chosen = board.holders(service, count).iter();
         chosen.map(|name| name.to_string()).collect()
     }
 
-    /// Whether most instances that are listed were never heard.
+    /// Returns true if most of the listed instances have never been heard.
     pub(crate) fn is_mostly_unheard(&self) -> bool {
         let table = self.table.borrow();
         let listed = table.values().filter(|p| p.listed);
@@ -275,7 +275,7 @@
         silent.len() > heard.len()
     }
 
-    /// Names of the instances that were heard lately.
+    /// Names of the instances that were recently heard.
     pub fn names(&self) -> Vec<String> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! Another instance, and what this one is to it.
+//! A peer, and what the peer needs from this instance.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
 };
 use crate::node::ServiceState;
 
-/// How late a beat may be.
+/// Tolerated delay of a heartbeat.
 pub(super) const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Another instance.
@@ -22,29 +22,30 @@
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
     pub(super) heard: Option<Instant>,
-    /// When its next beat is due behind the last one.
+    /// Time until the peer's next heartbeat, counted from the last one.
     pub(super) next: Duration,
     pub(super) listed: bool,
     pub(super) observations: Vec<Observation>,
-    /// The version of its catalogue.
+    /// Version of the peer's catalogue.
     pub(super) version: u64,
     pub(super) zone: String,
     pub(super) weight: u32,
     pub(super) service: ServiceState,
-    /// The newest format that it reads.
+    /// Newest format that the peer reads.
     pub(super) format: u8,
     pub(super) store: StoreContact,
-    /// Whether it asks the store for its zone.
+    /// Whether the peer is a relay of its zone.
     pub(super) is_relay: bool,
-    /// The other zones of which it hears nobody.
+    /// Other zones from which the peer hears no instance.
     pub(super) unreachable_zones: Vec<String>,
-    /// What the last look took it for.
+    /// Roles that the last refresh assigned to the peer.
     pub(super) roles: Roles,
-    /// When it was told last that this instance lives.
+    /// When a heartbeat was last sent to the peer.
     pub(super) sent_at: Instant,
-    /// When it waits for the next beat behind that.
+    /// Time after `sent_at` at which the peer expects the next heartbeat.
     pub(super) promised: Duration,
-    /// Whether it was told once of a longer pause; that datagram may be lost.
+    /// Whether a longer pause was announced once. That datagram may be lost, so the pause takes
+    /// effect with the second one.
     lengthened: bool,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Notes that it is told at `now` that the next beat comes behind `pause`.
+    /// Records that a heartbeat sent at `now` announced the next one after `pause`.
     pub(super) fn record_sent(&mut self, now: Instant, pause: Duration) {
         self.sent_at = now;
         self.lengthened = pause > self.promised && !self.lengthened;
@@ -80,24 +81,25 @@
         }
     }
 
-    /// Whether fewer than `beats` of it are missing.
+    /// Returns true if fewer than `heartbeats` heartbeats of the peer are missing.
     pub(super) fn was_heard(&self, now: Instant, heartbeats: u32) -> bool {
         let span = self.next * heartbeats + HEARTBEAT_TOLERANCE;
         self.heard.is_some_and(|at| at + span > now)
     }
 
-    /// Whether it is heard so often that its silence tells something at once.
+    /// Returns true if the peer's heartbeats are frequent, so that a missing one is noticed
+    /// soon.
     pub(super) fn is_prompt(&self) -> bool {
         self.next <= FREQUENT_INTERVAL
     }
 
-    /// Whether it is asked for primaries, so that it can judge them.
+    /// Returns true if the peer serves sessions, so that its verdicts on primaries count.
     pub(super) fn serves(&self) -> bool {
         self.is_prompt() && self.service != ServiceState::Idle
     }
 }
 
-/// An instance that asks the store for its zone.
+/// A relay of some zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relay {
     pub(super) name: String,
@@ -107,7 +109,7 @@
 }
 
 impl Relay {
-    /// It as one of several that may have a duty.
+    /// Returns the relay as a candidate for a duty.
     pub fn candidate(&self) -> Candidate<'_> {
         Candidate {
             name: &self.name,
@@ -118,20 +120,20 @@
     }
 }
 
-/// A beat that is to be sent.
+/// A heartbeat to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Outgoing {
     pub(super) address: SocketAddr,
-    /// When the one behind it is due.
+    /// Time until the next heartbeat to the same peer.
     pub(super) next: Duration,
-    /// Whether it asks for an answer.
+    /// The requested reply.
     pub(super) reply_request: ReplyRequest,
-    /// Whom it introduces.
+    /// Addresses of the instances that the heartbeat introduces.
     pub(super) introduced: Vec<SocketAddr>,
 }
 
 impl Outgoing {
-    /// A beat to somebody who is not known yet.
+    /// Creates a heartbeat to an instance that isn't known yet.
     pub(super) fn greeting(address: SocketAddr, reply_request: ReplyRequest) -> Self {
         Self {
             address,
@@ -142,29 +144,29 @@
     }
 }
 
-/// Whom a beat that is sent at once concerns.
+/// Urgency of the next round of heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// Nobody: it is sent because its time has come.
+    /// Only heartbeats that are due by schedule are sent.
     Scheduled,
-    /// Those who wait for this instance's beats.
+    /// Peers that get frequent heartbeats get one at once.
     Prompt,
-    /// Everybody: the instance comes or goes.
+    /// All peers get a heartbeat at once, because this instance starts or stops.
     All,
 }
 
-/// What this instance is to others.
+/// Duties of this instance that its peers depend on.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Role {
-    /// Whether it serves sessions, or did a moment ago.
+    /// Whether this instance serves sessions or recently did.
     pub(super) serves: bool,
-    /// Whether it asks the store for its zone.
+    /// Whether this instance is a relay of its zone.
     pub(super) is_relay: bool,
 }
 
 impl Role {
-    /// Whether `peer`, which handed sessions over or did not, waits for this instance's
-    /// beats.
+    /// Returns how often `peer` needs heartbeats of this instance. `forwards` tells whether
+    /// `peer` forwards sessions to this instance.
     pub(super) fn need(self, zone: &str, peer: &Peer, forwards: bool) -> Frequency {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
         let judges = self.serves && (is_near || forwards || peer.serves());
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Which other instances there are, and what they said of themselves last.
+//! The known peers and their last heartbeats.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,26 +20,26 @@
 };
 use crate::{catalog_lag::Tracker, node::ServiceState, settings::Settings};
 
-/// How many beats of an instance may be missing until what it said counts no more.
+/// Number of missing heartbeats after which an instance's state is no longer used.
 pub(super) const STALE_HEARTBEATS: u32 = 3;
 
-/// How many beats of an instance may be missing until it is taken for lost by those who
-/// hand their sessions to it: datagrams are lost now and then.
+/// Number of missing heartbeats after which an instance is considered lost by those that
+/// forward sessions to it. One is tolerated, since datagrams get lost.
 pub const LOST_HEARTBEATS: u32 = 2;
 
-/// How long an instance that started asks its seeds again and again: they may start with
-/// it, a moment later.
+/// Time after its start for which an instance keeps contacting its seeds, which may start
+/// slightly later.
 const STARTUP: Duration = Duration::from_secs(1);
 
-/// How many instances of its zone one that starts is told of. It greets them, and asks the
-/// store for the whole list only if it is to ask the store at all.
+/// Number of instances of its zone that an instance is introduced to when it starts. It greets
+/// them, and reads the whole list from the store only if it is a relay.
 const MAX_INTRODUCED: usize = 8;
 
-/// From which gap on between two looks at the time, which are a tenth of a second apart, a
-/// process stood still.
+/// Minimum gap between two readings of the clock that counts as a stall of the process. The
+/// clock is read every 100 ms.
 const MIN_STALL: Duration = Duration::from_millis(300);
 
-/// A session that was handed over; it counts until it is dropped.
+/// Counts a forwarded session until dropped.
 #[derive(Debug)]
 pub(super) struct ForwardedSession<'a> {
     peers: &'a Peers,
@@ -59,43 +59,43 @@
     }
 }
 
-/// Other instances.
+/// The peers of this instance.
 #[derive(Debug)]
 pub struct Peers {
     name: String,
     own: SocketAddr,
     began: Instant,
     pub(super) zone: String,
-    /// When time was looked at last, and for how long this process stood still in all.
+    /// Last reading of the clock, and total duration of stalls.
     stalls: Cell<(Instant, Duration)>,
-    /// What this instance is to others, as it was looked at last.
+    /// Duties of this instance, as of the last round of heartbeats.
     pub(super) role: Cell<Role>,
     seeds: Vec<SocketAddr>,
     pub(super) table: RefCell<HashMap<String, Peer>>,
     pub(super) membership: Membership,
-    /// Instances that stop, and when they were heard last: no session is handed to them,
-    /// but they finish those that they have.
+    /// Stopping instances, and when each was last heard. No session is forwarded to them, but
+    /// they finish the sessions that they have.
     pub(super) leaving: RefCell<HashMap<SocketAddr, Instant>>,
-    /// Whom this instance greeted, and when.
+    /// Addresses that this instance has greeted, and when.
     greeted: RefCell<HashMap<SocketAddr, Instant>>,
-    /// From where sessions are handed to this instance, and how many.
+    /// Addresses that forward sessions to this instance, and the number of sessions.
     forwarded: RefCell<HashMap<IpAddr, usize>>,
-    /// Told when beats should be sent at once.
+    /// Notified when heartbeats are to be sent at once.
     pub(super) wake: Notify,
-    /// To whom besides those that wait.
+    /// Addresses that get a heartbeat at once besides the peers that `urgent` selects.
     announce_to: RefCell<Vec<SocketAddr>>,
-    /// To whom.
+    /// Peers that get a heartbeat at once.
     pub(super) urgent: Cell<Urgency>,
-    /// How long this instance has been behind others.
+    /// Tracks whether this instance's catalogue is behind.
     pub(super) catalog_lag: Cell<Tracker>,
-    /// Whether another instance is being asked for its catalogue.
+    /// Whether a catalogue is being fetched from a peer.
     pub(super) fetching: Cell<bool>,
-    /// How often another instance was asked for its catalogue.
+    /// Number of times that a catalogue was fetched from a peer.
     pub fetches: Cell<u64>,
 }
 
 impl Peers {
-    /// Nobody is known but the seeds.
+    /// Creates the table, with only the seeds known.
     pub fn new(settings: &Settings) -> Self {
         Self {
             name: settings.name.clone(),
@@ -119,11 +119,11 @@
         }
     }
 
-    /// The moment it is, the time left out for which this process stood still.
+    /// The current time less all stalls of this process.
     ///
-    /// Who stood still has heard nobody meanwhile. If that counted, it would take itself for a
-    /// holder of everything when it goes on: where a machine was busy, all of its instances
-    /// did, and sent to upstreams that take few connections all at once.
+    /// A stalled process receives no heartbeats. If stalls counted as silence, the process
+    /// would afterwards take itself for the holder of everything: on a busy machine all
+    /// instances did, and together overran upstreams that take few connections.
     pub(crate) fn unstalled_now(&self) -> Instant {
         let now = Boot.now();
         let (last, stalled) = self.stalls.get();
@@ -136,17 +136,17 @@
         now - stalled
     }
 
-    /// Has a beat sent at once to those who wait for this instance's beats.
+    /// Sends a heartbeat at once to the peers that get frequent ones.
     pub fn announce(&self) {
         self.wake(Urgency::Prompt);
     }
 
-    /// Has a beat sent at once to everybody.
+    /// Sends a heartbeat at once to all peers.
     pub fn announce_to_all(&self) {
         self.wake(Urgency::All);
     }
 
-    /// Has a beat sent at once to the instance at `address`.
+    /// Sends a heartbeat at once to the instance at `address`.
     pub(crate) fn announce_to(&self, address: SocketAddr) {
         self.announce_to.borrow_mut().push(address);
         self.wake.notify_one();
@@ -157,7 +157,7 @@
         self.wake.notify_one();
     }
 
-    /// Takes in the store's list of instances.
+    /// Applies the store's list of instances.
     pub fn list(&self, listed: &HashMap<&str, SocketAddr>) {
         for (name, address) in listed {
             self.add(name, *address);
@@ -167,10 +167,10 @@
         }
     }
 
-    /// Takes in one entry of the store's list.
+    /// Applies one entry of the store's list.
     ///
-    /// The entry of a life before, at another address, is none: an instance that took it for
-    /// another one would follow itself, and learn nothing.
+    /// An entry of this instance itself from an earlier run, at another address, is ignored:
+    /// otherwise the instance would follow itself and learn nothing.
     pub fn add(&self, name: &str, address: SocketAddr) {
         if address == self.own || name == self.name {
             return;
@@ -183,14 +183,14 @@
         self.membership.mark_stale();
     }
 
-    /// Takes in that the store does not list an instance any more.
+    /// Records that the store no longer lists an instance.
     pub fn unlist(&self, name: &str) {
         if let Some(peer) = self.table.borrow_mut().get_mut(name) {
             peer.listed = false;
         }
     }
 
-    /// Other instances that were heard lately.
+    /// Addresses of the instances that were recently heard.
     pub(super) fn heard(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -198,20 +198,23 @@
         table.values().filter(heard).map(|p| p.address).collect()
     }
 
-    /// Instances that hear the store as far as they say, and read questions for proofs.
+    /// Addresses of the instances that report contact with the store and answer proof requests.
     pub fn with_store_contact(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let hears = |p: &&Peer| {
+        let reaches_store = |p: &&Peer| {
             p.was_heard(now, LOST_HEARTBEATS)
                 && p.store == StoreContact::Reachable
                 && p.format >= FORMAT
         };
-        table.values().filter(hears).map(|p| p.address).collect()
+        table
+            .values()
+            .filter(reaches_store)
+            .map(|p| p.address)
+            .collect()
     }
 
-    /// Where to send a beat now, and when the one behind it is due there: to those whose
-    /// time has come, and to all whom `urgent` concerns.
+    /// Heartbeats to send now: those that are due by schedule, and those that `urgent` selects.
     pub(super) fn due(&self, urgent: Urgency) -> Vec<Outgoing> {
         let now = Boot.now();
         let mut due = Vec::new();
@@ -253,15 +256,16 @@
         due
     }
 
-    /// Whether nobody of the own zone was heard yet, and the process is young: it asks its
-    /// seeds again and again.
+    /// Returns true if no peer of this zone has been heard yet and the process has just
+    /// started, or no peer is known at all. The instance then keeps contacting its seeds.
     pub(super) fn is_new(&self) -> bool {
         let table = self.table.borrow();
         let near = |p: &Peer| p.zone == self.zone && p.heard.is_some();
         self.began + STARTUP > Boot.now() && !table.values().any(near) || table.is_empty()
     }
 
-    /// Some instances of `zone` that were heard and some relays, all but the one at `but`.
+    /// Addresses of some instances of `zone` and of some relays that are heard, without
+    /// `except`.
     fn near(&self, zone: &str, except: SocketAddr) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -273,10 +277,11 @@
         introduced.map(|p| p.address).collect()
     }
 
-    /// Whom of those at `addresses` to greet: who is not known yet.
+    /// Returns the addresses to greet: those that aren't known yet.
     ///
-    /// Each of them once in a second, whoever introduces it: it would else be greeted again
-    /// for each one more that names it until it answers, and answer each time.
+    /// Each address is returned at most once per second, however many peers introduce it.
+    /// Otherwise an instance would be greeted again for every further introduction before its
+    /// answer arrives, and would answer every time.
     pub fn greet(&self, addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let now = Boot.now();
         let table = self.table.borrow();
@@ -291,7 +296,7 @@
         new
     }
 
-    /// The answer to a beat of `name` that asks for one by `greeting`.
+    /// Creates the reply to a heartbeat of `name` with this `reply_request`.
     pub(super) fn reply(&self, name: &str, reply_request: ReplyRequest) -> Option<Outgoing> {
         let (zone, address) = {
             let table = self.table.borrow();
@@ -317,30 +322,29 @@
         })
     }
 
-    /// Counts a session that was handed over from `guest`, until what is returned is
-    /// dropped.
+    /// Counts a session forwarded from `from` until the returned guard is dropped.
     pub(super) fn count_forwarded(&self, from: IpAddr) -> ForwardedSession<'_> {
         *self.forwarded.borrow_mut().entry(from).or_default() += 1;
         ForwardedSession { peers: self, from }
     }
 
-    /// The weight of the instance with this name, zero if it is not known.
+    /// Weight of the instance with this name; zero if it isn't known.
     pub(crate) fn weight(&self, name: &str) -> u32 {
         self.table.borrow().get(name).map_or(0, |peer| peer.weight)
     }
 
-    /// Where the instance with this name is reached.
+    /// Address of the instance with this name.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         Some(self.table.borrow().get(name)?.address)
     }
 
-    /// Whether the instance with this name is in the own zone.
+    /// Returns true if the instance with this name is in this zone.
     pub(crate) fn is_near(&self, name: &str) -> bool {
         let table = self.table.borrow();
         table.get(name).is_some_and(|peer| peer.zone == self.zone)
     }
 
-    /// The newest version of the catalogue that somebody who is heard has.
+    /// Newest version of the catalogue among the peers that are heard.
     pub(crate) fn newest_catalog(&self) -> u64 {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -350,7 +354,7 @@
         heard.map(|p| p.version).max().unwrap_or(0)
     }
 
-    /// Whether somebody who is heard has a catalogue.
+    /// Returns true if a peer that is heard has a catalogue.
     pub(crate) fn is_catalog_known(&self) -> bool {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -358,15 +362,15 @@
         heard.any(|p| p.version > 0)
     }
 
-    /// The newest format that the instance at `address` reads.
+    /// Newest format that the instance at `address` reads.
     pub(super) fn format(&self, address: SocketAddr) -> u8 {
         let table = self.table.borrow();
         let peer = table.values().find(|peer| peer.address == address);
         peer.map_or(0, |peer| peer.format)
     }
 
-    /// Takes in that the instance at `address` could not be reached: it is chosen no more
-    /// until it is heard again.
+    /// Records that the instance at `address` can't be reached. It isn't chosen again until it
+    /// is heard.
     pub fn mark_unreachable(&self, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         for peer in table.values_mut().filter(|peer| peer.address == address) {
@@ -377,14 +381,14 @@
         self.membership.mark_stale();
     }
 
-    /// Takes in that the instance `name` is gone.
+    /// Removes the instance `name`, which has left.
     pub(super) fn remove(&self, name: &str) {
         if let Some(peer) = self.table.borrow_mut().remove(name) {
             self.membership.remove(name, &peer);
         }
     }
 
-    /// How many instances judge primaries, this one included, as far as is known.
+    /// Number of known instances whose verdicts on primaries count, this one included.
     pub fn judges(&self) -> usize {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -393,8 +397,8 @@
         judges.filter(known).count() + 1
     }
 
-    /// What those who were heard lately say of the primary of `service` in `term`,
-    /// the `own` verdict included, and the names of those who see it fail.
+    /// The verdicts of the recently heard instances on the primary of `service` in `term`,
+    /// `own` included, and the names of the instances that see the primary fail.
     pub fn tally(&self, service: &str, term: Term, own: Verdict) -> (Tally, Vec<String>) {
         let now = self.unstalled_now();
         let mut tally = Tally::default();
@@ -415,20 +419,21 @@
         (tally, failing)
     }
 
-    /// Whether others may serve callers while this instance can't: some were heard that
-    /// can, or no other zone can be reached any more.
+    /// Returns true if other instances may be able to serve callers: one is heard that can, or
+    /// no other zone can be reached.
     pub fn may_others_serve(&self) -> bool {
         self.has_serving_peer() || self.is_isolated()
     }
 
-    /// Takes in that the instance at `address` says that it stops.
+    /// Records that the instance at `address` is stopping.
     pub(super) fn mark_leaving(&self, address: SocketAddr, now: Instant) {
         let mut leaving = self.leaving.borrow_mut();
         leaving.retain(|_, at| *at + FORGET_AFTER > now);
         leaving.insert(address, now);
     }
 
-    /// Whether fewer than `beats` of the instance at `address` are missing.
+    /// Returns true if fewer than `heartbeats` heartbeats of the instance at `address` are
+    /// missing.
     pub fn was_heard(&self, address: SocketAddr, heartbeats: u32) -> bool {
         let now = Boot.now();
         let leaving = self.leaving.borrow().get(&address).copied();
@@ -445,12 +450,12 @@
             .any(|p| p.was_heard(now, heartbeats))
     }
 
-    /// Whether somebody is heard who serves.
+    /// Returns true if an instance that is heard can serve.
     pub(super) fn has_serving_peer(&self) -> bool {
         self.has_peer_reporting(ServiceState::Able)
     }
 
-    /// Whether somebody who is heard promptly says so of itself.
+    /// Returns true if a peer with frequent heartbeats reports this ability to serve.
     fn has_peer_reporting(&self, service: ServiceState) -> bool {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -460,8 +465,8 @@
         heard.any(|p| p.is_prompt() && p.service == service)
     }
 
-    /// Whether an instance that hands its sessions over has nobody left who serves them:
-    /// its zone is cut off, and nobody in it can serve.
+    /// Returns true if an instance that forwards its sessions has no instance left to serve
+    /// them: its zone is cut off, and no instance in the zone can serve.
     pub fn is_unserved(&self) -> bool {
         self.is_isolated() && !self.has_serving_peer()
     }
--- a/crates/proxy/src/peers/zones.rs
+++ b/crates/proxy/src/peers/zones.rs
@@ -1,4 +1,4 @@
-//! Which other availability zones can't be reached.
+//! Detects other availability zones that can't be reached.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -10,16 +10,15 @@
     table::{LOST_HEARTBEATS, Peers},
 };
 
-/// How many others of the own zone must hear nobody of another one: who alone hears nobody
-/// is cut off itself.
+/// Number of peers in this zone that must have lost a zone. A single one may be cut off itself.
 const MIN_WITNESSES: usize = 2;
 
-/// How long nobody of another zone may be heard until this zone counts as cut off.
+/// Time without a heartbeat from another zone after which that zone counts as cut off.
 const ZONE_SILENCE: Duration = Duration::from_millis(500);
 
 impl Peers {
-    /// The other zones of which this instance hears nobody any more, of those whose
-    /// instances it would hear promptly.
+    /// The zones that this instance no longer hears, among the zones that send it frequent
+    /// heartbeats.
     pub(super) fn silent_zones(&self) -> Vec<String> {
         let table = self.table.borrow();
         let heard = self.heard_zones(&table);
@@ -27,8 +26,8 @@
         silent.map(|(zone, _)| zone.to_owned()).collect()
     }
 
-    /// The other zones whose instances this one would hear promptly, and whether it hears
-    /// any of them.
+    /// The other zones that send frequent heartbeats to this instance, and whether any of their
+    /// instances is heard.
     fn heard_zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashMap<&'a str, bool> {
         let now = self.unstalled_now();
         let mut zones = HashMap::new();
@@ -42,12 +41,12 @@
         zones
     }
 
-    /// The other zones that can't be reached: by own hearing or, where nobody there tells
-    /// this instance promptly, by that of others in its own zone.
+    /// The other zones that can't be reached. The instance's own observation decides or, for a
+    /// zone that sends it no frequent heartbeats, the observation of peers in its own zone.
     ///
-    /// Whoever waits instead for the rare beats of those behind a cut goes on handing
-    /// sessions to them for ten seconds: of a zone's requests seven tenths were lost for
-    /// as long as it was cut off.
+    /// Waiting for missing infrequent heartbeats instead would let sessions be forwarded into a
+    /// lost zone for ten seconds: while a zone was cut off, seven tenths of its requests were
+    /// lost.
     pub(super) fn unreached_zones<'a>(&self, table: &'a HashMap<String, Peer>) -> HashSet<&'a str> {
         let now = self.unstalled_now();
         let own = self.heard_zones(table);
@@ -69,7 +68,7 @@
         silent.map(|(zone, _)| *zone).chain(reported).collect()
     }
 
-    /// Whether other zones are known, and none of them can be reached any more.
+    /// Returns true if other zones are known and none of them can be reached.
     pub(super) fn is_isolated(&self) -> bool {
         let table = self.table.borrow();
         let unreached = self.unreached_zones(&table);
