--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -369,8 +369,8 @@
         peer.map_or(0, |peer| peer.format)
     }
 
-    /// Records that the instance at `address` can't be reached. It isn't chosen again until it
-    /// is heard.
+    /// Records that the instance at `address` can't be reached. If its heartbeats are
+    /// infrequent, it isn't chosen again until it is heard.
     pub fn mark_unreachable(&self, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         for peer in table.values_mut().filter(|peer| peer.address == address) {
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -1,7 +1,8 @@
-//! Replacing a primary.
+//! Replaces primaries.
 //!
-//! [`due`] tells when, [`right`] who may, [`record`] what the store is told, [`fence`]
-//! who is stopped and who leads next; here the steps are put together.
+//! `due` decides when a primary has to be replaced, `lock` which instance may do so,
+//! `fence` fences the old primary and chooses the next one, and `record` keeps the store up
+//! to date. This module runs the steps in order.
 
 mod due;
 mod fence;
@@ -33,37 +34,37 @@
 pub(crate) use lock::RESTORE_GRACE;
 use lock::{LOCK_TTL, Lock, claim, renew, write_lock};
 use record::{announce, end_lease, record_primary};
-/// How often primaries are looked at.
+/// Interval at which the primaries are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long whoever has the right keeps it without anything to do: where a zone is cut off,
-/// others tell it one by one of primaries that fail.
+/// Time for which an idle holder keeps the lock: if a zone is cut off, peers report the failed
+/// primaries one by one.
 const LOCK_LINGER: Duration = Duration::from_secs(1);
 
-/// How long an instance leaves the store alone that asked for the right while another one
-/// has it. That one is told what this one sees, and acts for it.
+/// Pause after an attempt to take the lock while another instance holds it. The holder receives
+/// this instance's verdicts and acts on them.
 const HELD_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How long an order may take.
+/// Timeout of an order to an upstream.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The pause between two looks at an upstream that is to lead.
+/// Interval at which an upstream that is being promoted is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a promotion may take to show.
+/// Time that a promotion may take to become visible.
 const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Looks after all primaries until the process ends.
+/// Replaces failed or leaving primaries until the process ends.
 ///
-/// One instance at a time gives orders, for all groups, under one fence. So the
-/// fences of calls that arrive never fall, whichever group they are for.
+/// One instance at a time gives orders, for all groups and with one fencing token, so the
+/// tokens of the orders that arrive never decrease, whatever their group.
 pub async fn run<E: Edge>(node: Rc<Node<E>>) {
     let mut held: Option<Rc<Lock>> = None;
     let mut last_used = Boot.now();
     loop {
         sleep(CHECK_INTERVAL).await;
         if let Some(lock) = held.take_if(|lock| !lock.holds()) {
-            log::warn!(fence = lock.token; "the right to give orders ran out");
+            log::warn!(fence = lock.token; "takeover lock expired");
         }
         node.has_right.set(held.is_some());
         let due: Vec<_> = node
@@ -94,7 +95,7 @@
             held = match claim(&node).await {
                 Ok(lock) => Some(Rc::new(lock)),
                 Err(failed) => {
-                    log::debug!(failed:?; "no right to give orders");
+                    log::debug!(failed:?; "takeover lock not taken");
                     let rest = match failed {
                         Failed::Held => HELD_RETRY_DELAY,
                         _ => RANK_DELAY / 2,
@@ -125,8 +126,8 @@
     }
 }
 
-/// Notes who has the right to give orders as soon as a group's primary is being replaced:
-/// if that instance is lost, the right has run out so long after it was seen first.
+/// Notes the holder of the takeover lock when a group's primary is being replaced: if the
+/// holder is lost, its lock expires a fixed time after it was first seen.
 pub(crate) fn track_replacement<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
     let changes = |known: &StoredRecord| known.record.phase == Phase::Changing;
     if !group.stored_record().as_ref().is_some_and(changes) {
@@ -140,16 +141,16 @@
     spawn_local(async move { lock::observe(&node).await });
 }
 
-/// Why a replacement did not come about.
+/// Reason why a replacement didn't take place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum Failed {
-    #[error("another instance has the right to give orders")]
+    #[error("another instance holds the takeover lock")]
     Held,
-    #[error("another instance was first")]
+    #[error("another instance changed the record or the lock first")]
     Overtaken,
-    #[error("the store did not answer")]
+    #[error("the store didn't answer")]
     Store(#[from] Fault),
-    #[error("the right to give orders ran out")]
+    #[error("takeover lock expired")]
     Expired,
 }
 
@@ -171,7 +172,7 @@
             Choice::Leads(member, term) => {
                 return record_primary(node, group, lock, revision, &member, term).await;
             }
-            // Somebody may still prove the old primary by a majority of the group.
+            // An instance may still prove the old primary by a majority of the group.
             Choice::Candidate {
                 fenced: Fenced::Partial,
                 ..
@@ -199,7 +200,7 @@
             return record_primary(node, group, lock, revision, &primary, old.term).await;
         }
         if !still_holds::<E>(group, &old, &member, fenced, &informed).await {
-            log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica holds no more");
+            log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica no longer holds for the next term");
             continue;
         }
         reason = reason.ordered();
@@ -227,8 +228,8 @@
     Err(Failed::Expired)
 }
 
-/// The old primary, if it leads its term again before others' proofs have lapsed
-/// and no order may be on its way.
+/// The old primary, if it is found to lead its term again before the proofs of other instances
+/// have expired and while no order can be in flight.
 async fn recovered_primary<E: Edge>(
     group: &Group,
     old: &Record,
@@ -244,7 +245,7 @@
     (status.leads && status.term == old.term).then_some(primary)
 }
 
-/// Waits until `member` leads a newer term than `old`; that term.
+/// Waits until `member` leads a newer term than `old`. Returns that term.
 async fn wait_until_promoted<E: Edge>(member: &Rc<Member>, old: Term) -> Option<Term> {
     let deadline = Boot.now() + PROMOTION_TIMEOUT;
     while Boot.now() < deadline {
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -1,4 +1,5 @@
-//! Whether a primary is to be replaced, and whether it is this instance's turn.
+//! Decides whether a primary has to be replaced and whether it is this instance's turn to do
+//! so.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,29 +10,29 @@
 use super::lock::LOCK_TTL;
 use crate::{catalog::Readiness, edge::Edge, group::Group, node::Node};
 
-/// How much later each further instance tries.
+/// Additional delay of each further instance.
 pub(super) const RANK_DELAY: Duration = Duration::from_millis(200);
 
-/// How long an upstream may be missing in the list before it counts as gone.
+/// Time for which an upstream may be missing from the list before it counts as gone.
 pub(super) const UNLISTED_GRACE: Duration = Duration::from_millis(400);
 
-/// Why a primary is replaced.
+/// Reason to replace a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// Most see it fail.
+    /// Most instances see the primary fail.
     Gone,
-    /// It refuses everybody, though nobody has a connection.
+    /// The primary refuses all instances although none has a connection.
     Full,
-    /// By its own word it does not lead any more, or has lost a part of its log.
+    /// The primary reports that it no longer leads, or has lost a part of its log.
     Deposed,
-    /// It is about to leave.
+    /// The primary is being drained.
     Leaving,
-    /// A replacement stands still.
+    /// A replacement isn't making progress.
     Stuck,
 }
 
 impl Reason {
-    /// The reason once an order was given: its effect may still come.
+    /// The reason after an order was given, which may still take effect.
     pub(super) fn ordered(self) -> Self {
         match self {
             Self::Gone | Self::Full | Self::Deposed | Self::Stuck => Self::Stuck,
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Whether the old primary leads on if it answers after all.
+    /// Returns true if the old primary stays in its role should it answer after all.
     pub(super) fn is_doubt(self) -> bool {
         matches!(self, Self::Gone | Self::Full)
     }
 }
 
-/// Why a group's primary is to be replaced by this instance now, if it is.
+/// Returns the reason for which this instance has to replace the group's primary now, if any.
 pub(super) fn due<E: Edge>(node: &Node<E>, group: &Group, has_lock: bool) -> Option<Reason> {
     let known = group.stored_record()?;
     let now = Boot.now();
@@ -86,7 +87,7 @@
             return Some(Reason::Full);
         }
     }
-    // What was seen while this instance itself was cut off says nothing.
+    // Failures seen while this instance itself was cut off don't count.
     let is_sighted = vote::is_eligible(now, node.store_heard_at.get(), node.store_up_since.get());
     if !primary.is_failing() || !is_sighted {
         return None;
@@ -94,7 +95,7 @@
     let since = primary.health().failing_since?;
     let own = primary.verdict(now);
     let (tally, failing) = node.peers.tally(service, known.record.term, own);
-    // A zone that was cut off hears its own first when it is back.
+    // After a zone was cut off, its instances hear each other before they hear the other zones.
     let failing_for = now.since(since.max(node.store_up_since.get()));
     if !tally.is_failed(node.peers.judges(), failing_for) {
         return None;
@@ -102,8 +103,8 @@
     (since + delay(rank(node, service, &failing)) <= now).then_some(Reason::Gone)
 }
 
-/// How many instances come before this one for `service`: its holders know first, and
-/// reach its upstreams.
+/// Number of instances that come before this one for `service`. The service's holders come
+/// first, because they notice a failure first and can reach the upstreams.
 fn position<E: Edge>(node: &Node<E>, service: &Rc<str>) -> u32 {
     let holders = node.holder_names(service);
     let own = &node.settings.name;
@@ -115,8 +116,9 @@
     }
 }
 
-/// How many of `others` come before this instance for `service`. Strong ones come first:
-/// behind a zone's cut whoever replaces one primary replaces those of many groups.
+/// Number of instances among `others` that come before this one for `service`. Instances with
+/// more capacity come first: if a zone is cut off, the instance that replaces one primary
+/// replaces those of many groups.
 pub(super) fn rank<E: Edge>(node: &Node<E>, service: &str, others: &[String]) -> u32 {
     let score = |name: &str, weight| holders::score(service, name, relays::weight(weight));
     let own = score(&node.settings.name, node.settings.weight);
--- a/crates/proxy/src/takeover/fence.rs
+++ b/crates/proxy/src/takeover/fence.rs
@@ -1,4 +1,4 @@
-//! Stopping a group, and choosing who leads it next.
+//! Fences a group and chooses its next primary.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,48 +19,49 @@
     probe::{self, Answer},
 };
 
-/// How long a replica's position is remembered that no other may fall behind.
+/// Time for which a replica's position is remembered as a lower bound for the next primary.
 pub(super) const POSITION_MEMORY: Duration = Duration::from_secs(30);
 
-/// How often a replica that has no room to answer is asked whether it still holds.
+/// Number of times that a replica without a free slot is asked whether it still holds.
 const MAX_HOLD_QUERIES: u32 = 4;
 
-/// How long replicas may take to receive the last of a demoted primary.
+/// Time that replicas may take to receive the rest of a demoted primary's log.
 pub(super) const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Who was told of the next term.
+/// The members that were fenced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fenced {
     /// The old primary.
     Primary,
-    /// So many replicas that no majority with the old primary is left.
+    /// Enough replicas that no majority with the old primary is left.
     Majority,
     /// Too few replicas.
     Partial,
 }
 
-/// Who is to lead.
+/// The next primary.
 #[derive(Debug)]
 pub(super) enum Choice {
-    /// An upstream is to be promoted.
+    /// An upstream has to be promoted.
     Candidate {
-        /// Who is to be promoted.
+        /// The upstream to promote.
         member: Rc<Member>,
-        /// Who was told of the next term.
+        /// The members that were fenced.
         fenced: Fenced,
-        /// The replicas among them.
+        /// The replicas that were fenced.
         informed: Vec<Rc<Member>>,
     },
-    /// This upstream leads this term already.
+    /// The upstream already leads this term.
     Leads(Rc<Member>, Term),
 }
 
-/// Stops the old primary if it can be reached, and the replicas; chooses one.
+/// Demotes the old primary if it can be reached, pauses the replicas, and chooses the next
+/// primary.
 ///
-/// A primary that was only out of reach for a while leads on in its term, as long as
-/// no order to promote another may be on its way: nobody else leads, and no log is
-/// further than its own. Whoever takes over a replacement that stands still can't
-/// know that, and promotes in any case.
+/// A primary that was only unreachable for a while keeps its term, provided that no order to
+/// promote another member can be in flight: no other member leads, and no log is further than
+/// the primary's own. An instance that resumes a stalled replacement can't know whether an
+/// order was given, and therefore always promotes.
 pub(super) async fn fence<E: Edge>(
     node: &Node<E>,
     group: &Rc<Group>,
@@ -72,7 +73,7 @@
     let is_old = |m: &&Rc<Member>| *m.upstream.id == *old.upstream;
     let others: Vec<_> = members.iter().filter(|m| !is_old(m)).cloned().collect();
     let primary = members.iter().find(is_old);
-    // One that fails is asked again before the order; nobody waits for it here.
+    // A failing primary isn't waited for here. It is asked again before the order.
     let primary_reply = async {
         match primary {
             Some(primary) if !primary.is_failing() => probe::status::<E::Protocol>(primary).await,
@@ -151,12 +152,13 @@
     })
 }
 
-/// Whether nobody can have proved the old primary since the fence: `member`, which is to
-/// lead, and enough of those `told` hold for the term behind `old` still.
+/// Returns true if no instance can have proved the old primary since the fence: `member`, the
+/// chosen replica, and enough of the `informed` replicas still hold for a later term than that
+/// of `old`.
 ///
-/// A replica that starts again forgets what it was told. An instance without the store
-/// could then prove the old primary with it, after the fence and before the order. One
-/// that holds at the end has held all the time.
+/// A replica that restarts forgets that it holds. An instance without contact with the store
+/// could then prove the old primary through that replica, between the fence and the order. A
+/// replica that still holds at the end has held all the time.
 pub(super) async fn still_holds<E: Edge>(
     group: &Group,
     old: &Record,
@@ -175,7 +177,7 @@
     chosen_holds && enough
 }
 
-/// Whether `member` holds for a later term than `term`, or leads one.
+/// Returns true if `member` holds for a later term than `term`, or leads.
 async fn holds<E: Edge>(member: &Rc<Member>, term: Term) -> bool {
     for _ in 0..MAX_HOLD_QUERIES {
         match probe::status::<E::Protocol>(member).await {
@@ -187,8 +189,8 @@
     false
 }
 
-/// Whether the furthest of the candidates surely holds every acknowledged commit
-/// that the service's durability speaks for.
+/// Returns true if the furthest of the candidates is certain to have every commit that was
+/// acknowledged under the service's durability setting.
 pub(super) fn is_safe<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -211,7 +213,7 @@
     choose::holds_all_commits(answered, replicas, sync) && seen.is_none_or(|seen| furthest >= seen)
 }
 
-/// The member that leads a newer term than `term`, if one does.
+/// Returns the member that leads a newer term than `term`, if any.
 pub(super) fn leader(members: &[Rc<Member>], replies: &[Answer], term: Term) -> Option<Choice> {
     let leaders = members.iter().zip(replies).filter_map(|(member, reply)| {
         let status = reply.status()?;
@@ -221,7 +223,8 @@
     Some(Choice::Leads(Rc::clone(member), term))
 }
 
-/// Waits a little until a replica has received all of a demoted primary's log.
+/// Waits until a replica has received all of a demoted primary's log, up to
+/// [`CATCH_UP_TIMEOUT`].
 pub(super) async fn catch_up<E: Edge>(others: &[Rc<Member>], last: Position) {
     let deadline = Boot.now() + CATCH_UP_TIMEOUT;
     while Boot.now() < deadline {
--- a/crates/proxy/src/takeover/lock.rs
+++ b/crates/proxy/src/takeover/lock.rs
@@ -1,4 +1,4 @@
-//! The right to give orders: one instance at a time has it.
+//! The takeover lock: its holder is the only instance that may give orders to upstreams.
 
 use std::{cell::Cell, time::Duration};
 
@@ -13,44 +13,45 @@
     node::Node,
 };
 
-/// How long the right to give orders lasts.
+/// Time after which a lock that isn't renewed expires.
 pub(super) const LOCK_TTL: Duration = Duration::from_millis(2_000);
 
-/// How long behind a step of the store's era somebody may go on with a right that the copy
-/// does not know of: nobody renews one that was taken before.
+/// Time after the store enters a new era for which a lock unknown to the restored store may
+/// still be in use. A lock from an earlier era can't be renewed.
 pub(crate) const RESTORE_GRACE: Duration = Duration::from_millis(2_100);
 
-/// How long before the right ends no order is given any more.
+/// The last part of the lock's lifetime, in which no order is given any more.
 pub(super) const ORDER_MARGIN: Duration = Duration::from_millis(600);
 
-/// How long an instance that had the right, and whom another one followed, leaves it to
-/// others. Two that take turns may each act on what the other has just changed: with the
-/// holders of twenty groups first in turn, three promoted one group's upstreams within
-/// 2.6 s, the first of them again behind the second.
+/// Time for which a former holder leaves the lock to others after another instance has taken
+/// it. Two instances that alternate may each act on what the other has just changed: with the
+/// holders of twenty groups trying first in turn, three instances promoted upstreams of one
+/// group within 2.6 s, and the first of them promoted again after the second.
 pub(super) const RETAKE_DELAY: Duration = Duration::from_millis(3_500);
 
-/// How many earlier holders of the right are remembered: so many take it within a turn.
+/// Number of former holders that are remembered: as many as can take the lock within
+/// [`RETAKE_DELAY`].
 const MAX_PREVIOUS_HOLDERS: usize = 4;
 
-/// How long a call to the store may take.
+/// Timeout of a call to the store.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The right to give orders, as the store keeps it.
+/// The lock as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Duty {
     holder: String,
     life: u64,
     held: bool,
-    /// Who had it before, the last one first.
+    /// Earlier holders, the latest first.
     #[serde(default)]
     before: Vec<String>,
-    /// The era of the store in which it was written.
+    /// The era of the store in which the lock was written.
     #[serde(default)]
     written: u64,
 }
 
 impl Duty {
-    /// Who had the right before `name` takes it.
+    /// The earlier holders once `name` has taken the lock.
     fn previous_holders(&self, name: &str) -> Vec<String> {
         if self.holder == name {
             return self.before.clone();
@@ -60,7 +61,7 @@
     }
 }
 
-/// The right to give orders, while this instance holds it.
+/// The lock while this instance holds it.
 #[derive(Debug)]
 pub(super) struct Lock {
     pub(super) token: u64,
@@ -70,14 +71,14 @@
 }
 
 impl Lock {
-    /// Whether an order may still be given: it arrives, or is reset, well before
-    /// the right ends.
+    /// Returns true if an order may still be given: it arrives, or its connection is reset,
+    /// well before the lock expires.
     pub(super) fn holds(&self) -> bool {
         Boot.now() + ORDER_MARGIN < self.until.get()
     }
 }
 
-/// Takes the right to give orders.
+/// Takes the lock.
 pub(super) async fn claim<E: Edge>(node: &Node<E>) -> Result<Lock, Failed> {
     let store = node.store();
     let key = duty_key::<E>();
@@ -92,8 +93,8 @@
     }
     let (_, seen_at) = node.duty.get();
     let era = store.era();
-    // A copy of the store may have lost who has the right, and that one goes on to give orders
-    // until it has run out. Whoever took it at once would send its first order behind or
+    // A restored store may lack the current holder, which continues to give orders until its
+    // lock expires. An instance that took the lock at once would send its first order after or
     // between those.
     let is_lost = duty.as_ref().is_none_or(|duty| duty.written < era);
     if era > 0 && is_lost && node.era_since() + RESTORE_GRACE > now {
@@ -108,7 +109,7 @@
             }
             return Err(Failed::Held);
         }
-        // A life before this one may have given the order.
+        // An earlier run of this process may have given the order.
         let acted_at = node.last_order_at.get().unwrap_or(seen_at);
         if duty.holder != *name && duty.before.contains(name) && acted_at + RETAKE_DELAY > now {
             return Err(Failed::Held);
@@ -125,7 +126,7 @@
     })
 }
 
-/// Looks who has the right.
+/// Records the current holder of the lock.
 pub(super) async fn observe<E: Edge>(node: &Node<E>) {
     let key = duty_key::<E>();
     let Ok(Ok(read)) = timeout(STORE_TIMEOUT, node.store().read(&key, STORE_TIMEOUT)).await else {
@@ -137,7 +138,7 @@
     }
 }
 
-/// Keeps the right; it is lost if somebody else has it.
+/// Renews the lock. The lock is lost if another instance has taken it.
 pub(super) async fn renew<E: Edge>(node: &Node<E>, lock: &Lock) {
     match write_lock(node, lock.revision.get(), true).await {
         Ok((revision, until)) => {
@@ -149,7 +150,7 @@
     }
 }
 
-/// Writes who has the right; its revision, and when it ends.
+/// Writes the lock. Returns its revision and the time at which it expires.
 pub(super) async fn write_lock<E: Edge>(
     node: &Node<E>,
     revision: u64,
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -1,5 +1,4 @@
-//! What the store is told of a replacement: its beginning, the end of the era, its
-//! end.
+//! Records a replacement in the store: its start, the end of the proof lease, and its result.
 
 use std::rc::Rc;
 
@@ -26,7 +25,7 @@
     proof_lease::{find_lease, lease_key},
 };
 
-/// Writes into the record that the primary is being replaced; the new revision.
+/// Marks the primary's record as changing. Returns the new revision.
 pub(super) async fn announce<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -53,7 +52,8 @@
                 group.update_record(record, revision);
                 return Ok(revision);
             }
-            // The right was renewed meanwhile, or an unanswered try was done.
+            // The lock was renewed in the meantime, or an earlier call succeeded without an
+            // answer.
             Ok(Ok(_)) if duty != lock.revision.get() => {}
             Ok(Ok(_)) => return verify_written(node, group, &record).await,
             Ok(Err(_)) | Err(_) => sleep(POLL_INTERVAL).await,
@@ -62,7 +62,7 @@
     Err(Failed::Expired)
 }
 
-/// Whether the record says just what this instance tried to write.
+/// Returns the record's revision if the record is what this instance tried to write.
 pub(super) async fn verify_written<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -81,7 +81,8 @@
     Ok(item.revision)
 }
 
-/// Ends the era in which proofs were given before the announcement; when that was.
+/// Ends the lease under which proofs were given before the announcement. Returns the time at
+/// which the lease had ended.
 pub(super) async fn end_lease<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
     let store = node.store();
     while lock.holds() {
@@ -101,7 +102,7 @@
     Err(Failed::Expired)
 }
 
-/// Records the new primary, and tells the others to follow.
+/// Records the new primary and makes the other members follow it.
 pub(super) async fn record_primary<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
