--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -88,7 +88,7 @@
     }
 
     /// Revisions that the store has and this instance lacks.
-    pub fn ahead(&self) -> Option<Watermark> {
+    pub fn pending(&self) -> Option<Watermark> {
         self.proof.get().pending()
     }
 
@@ -167,12 +167,12 @@
 }
 
 async fn renew<E: Edge>(node: &Rc<Node<E>>, age: Option<Duration>, span: Duration) {
-    let asked = match source(node) {
+    let result = match source(node) {
         Source::Relay(address) => query_peer(node, address).await,
         Source::Store if proof_lease::is_backing_off(node) => Err(Fault::Refused),
         Source::Store => query_store(node).await,
     };
-    if asked.is_ok() {
+    if result.is_ok() {
         return;
     }
     let addresses = node.peers.with_store_contact();
@@ -196,21 +196,21 @@
     let id = node.incarnation.wrapping_add(tracker.last_id.get());
     let (sender, answer) = oneshot::channel();
     tracker.waiting.borrow_mut().insert(id, sender);
-    let asked = Boot.now();
-    let question = Message::FreshnessRequest {
+    let sent = Boot.now();
+    let request = Message::FreshnessRequest {
         id,
         reply_to: node.settings.peers,
     };
-    node.proofs.send(&question, address);
+    node.proofs.send(&request, address);
     let answer = timeout(ANSWER_TIMEOUT, answer).await;
     tracker.waiting.borrow_mut().remove(&id);
     let Ok(Ok((newest, age))) = answer else {
         return Err(Fault::Unknown);
     };
-    let since = freshness::valid_from(asked, age);
-    let is_newer = tracker.age(asked).is_none_or(|own| own > age);
+    let since = freshness::valid_from(sent, age);
+    let is_newer = tracker.age(sent).is_none_or(|own| own > age);
     tracker.update(newest, since, node.mark());
-    if tracker.ahead().is_some() {
+    if tracker.pending().is_some() {
         node.shares.outdated.notify_one();
     }
     match is_newer {
@@ -234,7 +234,7 @@
 /// Asks the store for newer revisions and applies them.
 async fn query_store<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
     let revision = node.catalog_item().map_or(0, |item| item.revision);
-    let asked = Boot.now();
+    let sent = Boot.now();
     let shares = shares::table_key::<E>();
     let known = [(E::CATALOG_KEY, revision), (&*shares, node.mark().shares)];
     let newer = match node.store().read_newer(&known, STORE_TIMEOUT).await {
@@ -258,6 +258,6 @@
         catalog: have.catalog.max(node.peers.newest_catalog()),
         ..have
     };
-    node.freshness.update(newest, asked, have);
+    node.freshness.update(newest, sent, have);
     Ok(())
 }
--- a/crates/proxy/src/peers/membership.rs
+++ b/crates/proxy/src/peers/membership.rs
@@ -88,10 +88,10 @@
             return;
         }
         if old.holder != roles.holder {
-            update_board(&self.holders, name, &peer.zone, roles.holder);
+            update_placement(&self.holders, name, &peer.zone, roles.holder);
         }
         if old.relay != roles.relay {
-            update_board(&self.relays, name, &peer.zone, roles.relay);
+            update_placement(&self.relays, name, &peer.zone, roles.relay);
         }
         if old.heard != roles.heard {
             let mut changes = self.changes.borrow_mut();
@@ -103,16 +103,21 @@
     }
 }
 
-fn update_board(board: &RefCell<Placement>, name: &str, zone: &str, role: Option<(u32, bool)>) {
-    let mut board = board.borrow_mut();
+fn update_placement(
+    placement: &RefCell<Placement>,
+    name: &str,
+    zone: &str,
+    role: Option<(u32, bool)>,
+) {
+    let mut placement = placement.borrow_mut();
     match role {
-        Some((weight, able)) => board.put(&Candidate {
+        Some((weight, able)) => placement.put(&Candidate {
             name,
             zone,
             weight,
             able,
         }),
-        None => board.remove(name),
+        None => placement.remove(name),
     }
 }
 
@@ -139,7 +144,7 @@
         let unreached: Vec<String> = unreached.into_iter().map(str::to_owned).collect();
         for (name, peer) in table.iter_mut() {
             let is_alive = peer.was_heard(now, LOST_HEARTBEATS);
-            let is_reachable = peer.is_prompt() || !unreached.contains(&peer.zone);
+            let is_reachable = peer.is_frequent() || !unreached.contains(&peer.zone);
             let holds = is_alive && is_reachable;
             let is_near = is_alive && peer.format >= FORMAT && peer.zone == self.zone;
             let roles = Roles {
@@ -165,9 +170,9 @@
     /// Number of refreshes, and number of times that an instance's rank among the holders of a
     /// service was computed.
     pub fn counters(&self) -> (u64, u64) {
-        let draws = self.membership.holders.borrow().score_count()
+        let scores = self.membership.holders.borrow().score_count()
             + self.membership.relays.borrow().score_count();
-        (self.membership.refreshes.get(), draws)
+        (self.membership.refreshes.get(), scores)
     }
 
     /// Takes the changes since the last call.
@@ -180,13 +185,13 @@
     /// instance.
     pub fn relays(&self, own: Candidate<'_>) -> Vec<Option<SocketAddr>> {
         self.refresh();
-        let mut board = self.membership.relays.borrow_mut();
-        board.put(&Candidate {
+        let mut placement = self.membership.relays.borrow_mut();
+        placement.put(&Candidate {
             weight: relays::weight(own.weight),
             ..own
         });
         let table = self.table.borrow();
-        let chosen = board.holders(relays::ROLE, relays::COUNT).iter();
+        let chosen = placement.holders(relays::ROLE, relays::COUNT).iter();
         chosen
             .map(|name| table.get(&**name).map(|peer| peer.address))
             .collect()
@@ -196,7 +201,7 @@
     pub(crate) fn all_relays(&self, own: Candidate<'_>) -> Vec<Relay> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let relays = |p: &Peer| p.is_relay && p.is_prompt() && p.was_heard(now, LOST_HEARTBEATS);
+        let relays = |p: &Peer| p.is_relay && p.is_frequent() && p.was_heard(now, LOST_HEARTBEATS);
         let relays = table.iter().filter(|(_, p)| relays(p));
         let relays = relays.map(|(name, peer)| Relay {
             name: name.clone(),
@@ -258,12 +263,12 @@
     /// Names of the `count` instances that hold the connections to `service`, in order.
     pub fn holder_names(&self, service: &str, count: usize, own: Candidate<'_>) -> Vec<String> {
         self.refresh();
-        let mut board = self.membership.holders.borrow_mut();
+        let mut placement = self.membership.holders.borrow_mut();
         // If another instance can serve, this one counts as able and keeps trying. If none can,
         // this one counts as unable, so that it doesn't serve sessions that others hold.
-        let able = board.has_other_able(own.name);
-        board.put(&Candidate { able, ..own });
-        let chosen = board.holders(service, count).iter();
+        let able = placement.has_other_able(own.name);
+        placement.put(&Candidate { able, ..own });
+        let chosen = placement.holders(service, count).iter();
         chosen.map(|name| name.to_string()).collect()
     }
 
--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -89,13 +89,13 @@
 
     /// Returns true if the peer's heartbeats are frequent, so that a missing one is noticed
     /// soon.
-    pub(super) fn is_prompt(&self) -> bool {
+    pub(super) fn is_frequent(&self) -> bool {
         self.next <= FREQUENT_INTERVAL
     }
 
     /// Returns true if the peer serves sessions, so that its verdicts on primaries count.
     pub(super) fn serves(&self) -> bool {
-        self.is_prompt() && self.service != ServiceState::Idle
+        self.is_frequent() && self.service != ServiceState::Idle
     }
 }
 
@@ -150,7 +150,7 @@
     /// Only heartbeats that are due by schedule are sent.
     Scheduled,
     /// Peers that get frequent heartbeats get one at once.
-    Prompt,
+    Frequent,
     /// All peers get a heartbeat at once, because this instance starts or stops.
     All,
 }
@@ -167,10 +167,10 @@
 impl Role {
     /// Returns how often `peer` needs heartbeats of this instance. `forwards` tells whether
     /// `peer` forwards sessions to this instance.
-    pub(super) fn need(self, zone: &str, peer: &Peer, forwards: bool) -> Frequency {
+    pub(super) fn frequency(self, zone: &str, peer: &Peer, forwards: bool) -> Frequency {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
-        let judges = self.serves && (is_near || forwards || peer.serves());
-        match judges || self.is_relay && (is_near || peer.is_relay) {
+        let is_observed = self.serves && (is_near || forwards || peer.serves());
+        match is_observed || self.is_relay && (is_near || peer.is_relay) {
             true => Frequency::Frequent,
             false => Frequency::Infrequent,
         }
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -138,7 +138,7 @@
 
     /// Sends a heartbeat at once to the peers that get frequent ones.
     pub fn announce(&self) {
-        self.wake(Urgency::Prompt);
+        self.wake(Urgency::Frequent);
     }
 
     /// Sends a heartbeat at once to all peers.
@@ -229,15 +229,15 @@
         let forwarded = self.forwarded.borrow();
         for peer in table.values_mut() {
             let forwards = forwarded.contains_key(&peer.address.ip());
-            let need = self.role.get().need(&self.zone, peer, forwards);
-            let pause = relays::interval(need, others);
+            let frequency = self.role.get().frequency(&self.zone, peer, forwards);
+            let pause = relays::interval(frequency, others);
             let wait = pause
                 .min(peer.promised)
                 .saturating_sub(HEARTBEAT_TOLERANCE / 2);
             let is_due = peer.sent_at + wait <= now;
             let is_urgent = match urgent {
                 Urgency::All => true,
-                Urgency::Prompt => need == Frequency::Frequent,
+                Urgency::Frequent => frequency == Frequency::Frequent,
                 Urgency::Scheduled => false,
             };
             if is_due || is_urgent {
@@ -311,8 +311,8 @@
         let others = table.len();
         let peer = table.get_mut(name)?;
         let forwards = self.forwarded.borrow().contains_key(&peer.address.ip());
-        let need = self.role.get().need(&self.zone, peer, forwards);
-        let next = relays::interval(need, others);
+        let frequency = self.role.get().frequency(&self.zone, peer, forwards);
+        let next = relays::interval(frequency, others);
         peer.record_sent(Boot.now(), next);
         Some(Outgoing {
             address: peer.address,
@@ -374,7 +374,7 @@
     pub fn mark_unreachable(&self, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         for peer in table.values_mut().filter(|peer| peer.address == address) {
-            if !peer.is_prompt() {
+            if !peer.is_frequent() {
                 peer.heard = None;
             }
         }
@@ -462,7 +462,7 @@
         let mut heard = table
             .values()
             .filter(|p| p.was_heard(now, STALE_HEARTBEATS));
-        heard.any(|p| p.is_prompt() && p.service == service)
+        heard.any(|p| p.is_frequent() && p.service == service)
     }
 
     /// Returns true if an instance that forwards its sessions has no instance left to serve
--- a/crates/proxy/src/peers/zones.rs
+++ b/crates/proxy/src/peers/zones.rs
@@ -32,7 +32,7 @@
         let now = self.unstalled_now();
         let mut zones = HashMap::new();
         for peer in table.values() {
-            if peer.zone.is_empty() || peer.zone == self.zone || !peer.is_prompt() {
+            if peer.zone.is_empty() || peer.zone == self.zone || !peer.is_frequent() {
                 continue;
             }
             let heard = peer.heard.is_some_and(|at| at + ZONE_SILENCE > now);
@@ -51,7 +51,7 @@
         let now = self.unstalled_now();
         let own = self.heard_zones(table);
         let near = table.values().filter(|p| p.zone == self.zone);
-        let near = near.filter(|p| p.is_prompt() && p.was_heard(now, LOST_HEARTBEATS));
+        let near = near.filter(|p| p.is_frequent() && p.was_heard(now, LOST_HEARTBEATS));
         let (mut witnesses, mut reported) = (0, HashMap::new());
         for peer in near {
             witnesses += 1;
--- a/crates/proxy/src/proof_lease.rs
+++ b/crates/proxy/src/proof_lease.rs
@@ -144,8 +144,8 @@
         sleep(MIN_ROUND_INTERVAL).await;
         let _ = timeout(renew_interval(&node), node.proof_wanted.notified()).await;
         // One renewal answers all requests of peers that arrive during the pause.
-        let rest = (node.lease_renewed_at.get() + MIN_RENEW_INTERVAL).since(Boot.now());
-        sleep(rest).await;
+        let pause = (node.lease_renewed_at.get() + MIN_RENEW_INTERVAL).since(Boot.now());
+        sleep(pause).await;
     }
 }
 
@@ -193,12 +193,12 @@
     node.proofs_in_flight.set(node.proofs_in_flight.get() + 1);
     let node = Rc::clone(node);
     spawn_local(async move {
-        let relayed = match relay::is_relay(&node) {
+        let renewed = match relay::is_relay(&node) {
             true => renew_hedged(&node, address).await,
             false => renew_from_peer(&node, address).await,
         };
         answer_pending(&node);
-        if relayed.is_err() {
+        if renewed.is_err() {
             node.silent_relay.set(Some((address, Boot.now())));
             if !is_backing_off(&node) {
                 let _ = query_store(&node).await;
@@ -212,7 +212,7 @@
 /// counts. If a relay waited for the whole timeout of a lost reader, its followers would time
 /// out waiting for the relay.
 async fn renew_hedged<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
-    let relayed = pin!(renew_from_peer(node, address));
+    let renewed = pin!(renew_from_peer(node, address));
     let hedge = pin!(async {
         sleep(HEDGE_DELAY).await;
         match is_backing_off(node) {
@@ -220,10 +220,10 @@
             false => query_store(node).await.map(|_| ()),
         }
     });
-    match select(relayed, hedge).await {
+    match select(renewed, hedge).await {
         Either::Left((Ok(()), _)) | Either::Right((Ok(()), _)) => Ok(()),
         Either::Left((Err(_), hedge)) => hedge.await,
-        Either::Right((Err(_), relayed)) => relayed.await,
+        Either::Right((Err(_), renewed)) => renewed.await,
     }
 }
 
@@ -275,13 +275,13 @@
 
 /// Calls the store. Returns the tag of the proof lease if it was renewed.
 async fn query_store<E: Edge>(node: &Rc<Node<E>>) -> Result<Option<u64>, Fault> {
-    let asked = timeout(STORE_TIMEOUT, renew_or_read(node)).await;
-    let asked = asked.unwrap_or(Err(Fault::Unknown));
-    match asked {
+    let result = timeout(STORE_TIMEOUT, renew_or_read(node)).await;
+    let result = result.unwrap_or(Err(Fault::Unknown));
+    match result {
         Ok(_) => record_store_answer(node),
         Err(_) => record_store_failure(node),
     }
-    asked
+    result
 }
 
 /// Records that the store answered this instance.
@@ -311,8 +311,8 @@
     if failures == 0 {
         return false;
     }
-    let rest = (BACKOFF.0 * 2_u32.saturating_pow(failures - 1)).min(BACKOFF.1);
-    node.failed_at() + rest > Boot.now()
+    let pause = (BACKOFF.0 * 2_u32.saturating_pow(failures - 1)).min(BACKOFF.1);
+    node.failed_at() + pause > Boot.now()
 }
 
 /// Returns true if a record hasn't been read under the current proof lease.
@@ -469,12 +469,13 @@
 fn query_members<E: Edge>(node: &Rc<Node<E>>, groups: &[Rc<Group>]) {
     let now = Boot.now();
     for group in groups {
-        let lapses = || group.proof().until() < now + node.settings.proof / MEMBER_QUERY_DIVISOR;
-        if !group.is_proof_wanted(now) || !lapses() {
+        let expires_soon =
+            || group.proof().until() < now + node.settings.proof / MEMBER_QUERY_DIVISOR;
+        if !group.is_proof_wanted(now) || !expires_soon() {
             continue;
         }
         adopt_proof(node, group);
-        if !lapses() || group.asking.replace(true) {
+        if !expires_soon() || group.asking.replace(true) {
             continue;
         }
         let (node, group) = (Rc::clone(node), Rc::clone(group));
--- a/crates/proxy/src/shares.rs
+++ b/crates/proxy/src/shares.rs
@@ -73,7 +73,7 @@
 
 impl Slack {
     /// Number of operations beyond `quota` that are tolerated in one window.
-    fn spare(&self, quota: Quota) -> f64 {
+    fn allowance(&self, quota: Quota) -> f64 {
         self.fraction * (quota.rate * self.window.as_secs_f64() + quota.burst) + self.count
     }
 }
@@ -117,7 +117,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
     /// Limiters that didn't answer, and when.
     unresponsive: RefCell<HashMap<String, Instant>>,
-    ledger: RefCell<Option<Planner>>,
+    planner: RefCell<Option<Planner>>,
     /// Grants and refusals since they were last logged.
     tallies: RefCell<HashMap<String, Tally>>,
     logged_at: Cell<Instant>,
--- a/crates/proxy/src/shares/limiter.rs
+++ b/crates/proxy/src/shares/limiter.rs
@@ -30,13 +30,13 @@
     refused: u32,
 }
 
-/// The limit of a share of `parts` thousandths, if `spare` operations per window are tolerated
-/// beyond the quota.
-fn limit(quota: Quota, spare: f64, parts: u16) -> Limit {
+/// The limit of a share of `parts` thousandths, if `allowance` operations per window are
+/// tolerated beyond the quota.
+fn limit(quota: Quota, allowance: f64, parts: u16) -> Limit {
     let part = f64::from(parts) / f64::from(TOTAL_PARTS);
     Limit {
         rate: quota.rate * part,
-        burst: ((quota.burst + spare * BURST_FRACTION) * part).max(1.0),
+        burst: ((quota.burst + allowance * BURST_FRACTION) * part).max(1.0),
     }
 }
 
@@ -49,11 +49,11 @@
     count: u32,
 ) {
     // An immediate refusal lets the requester ask the next limiter.
-    let unable = Answer {
+    let refusal = Answer {
         count: 0,
         wait: Duration::MAX,
     };
-    let answer = grant(node, account, count).unwrap_or(unable);
+    let answer = grant(node, account, count).unwrap_or(refusal);
     let reply = Message::QuotaGrant {
         id,
         count: answer.count,
@@ -72,8 +72,11 @@
     if parts == 0 || !node.freshness.covers(now, node.settings.agreement_ttl()) {
         return None;
     }
-    let spare = node.settings.slack.map_or(0.0, |slack| slack.spare(quota));
-    let limit = limit(quota, spare, parts);
+    let allowance = node
+        .settings
+        .slack
+        .map_or(0.0, |slack| slack.allowance(quota));
+    let limit = limit(quota, allowance, parts);
     let since = shares
         .owned_since
         .borrow()
@@ -82,7 +85,7 @@
         .unwrap_or(now);
     let mut buckets = shares.buckets.borrow_mut();
     let bucket = buckets.entry(account.to_owned()).or_insert_with(|| {
-        let level = spare * INITIAL_FRACTION * f64::from(parts) / f64::from(TOTAL_PARTS);
+        let level = allowance * INITIAL_FRACTION * f64::from(parts) / f64::from(TOTAL_PARTS);
         Bucket::new(level.min(limit.burst), since)
     });
     let mut answer = Answer {
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -53,8 +53,8 @@
 
 /// Returns true if the store has a newer table than this instance.
 fn is_outdated<E: Edge>(node: &Node<E>) -> bool {
-    let ahead = node.freshness.ahead();
-    ahead.is_some_and(|mark| mark.shares > node.mark().shares)
+    let pending = node.freshness.pending();
+    pending.is_some_and(|mark| mark.shares > node.mark().shares)
 }
 
 async fn fetch<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
@@ -84,8 +84,8 @@
         .slack
         .map_or(Duration::ZERO, |slack| slack.window);
     let span = node.settings.agreement_ttl().max(window);
-    let open = || Planner::new(span, now);
-    let mut ledger = shares.ledger.take().unwrap_or_else(open);
+    let new_planner = || Planner::new(span, now);
+    let mut planner = shares.planner.take().unwrap_or_else(new_planner);
     let catalog = node.catalog();
     let mut accounts: Vec<_> = catalog.accounts.with_quota().collect();
     accounts.sort_unstable();
@@ -95,8 +95,8 @@
     heard.push(node.settings.name.clone());
     let heard: Vec<_> = heard.iter().map(String::as_str).collect();
     let table = shares.table.borrow().clone();
-    let next = ledger.plan(&table, &accounts, &heard, &candidates, now);
-    *shares.ledger.borrow_mut() = Some(ledger);
+    let next = planner.plan(&table, &accounts, &heard, &candidates, now);
+    *shares.planner.borrow_mut() = Some(planner);
     match next {
         Some(next) => write_table(node, &next).await,
         None => Ok(()),
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -237,7 +237,7 @@
     wait: Duration,
 ) -> Option<Rc<Member>> {
     let primary = group.member(&old.upstream)?;
-    if !reason.is_doubt() {
+    if !reason.is_uncertain() {
         return None;
     }
     sleep(wait.saturating_sub(probe::STATUS_TIMEOUT)).await;
--- a/crates/proxy/src/takeover/due.rs
+++ b/crates/proxy/src/takeover/due.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns true if the old primary stays in its role should it answer after all.
-    pub(super) fn is_doubt(self) -> bool {
+    pub(super) fn is_uncertain(self) -> bool {
         matches!(self, Self::Gone | Self::Full)
     }
 }
--- a/crates/proxy/src/takeover/fence.rs
+++ b/crates/proxy/src/takeover/fence.rs
@@ -92,7 +92,7 @@
         return Some(Choice::Leads(Rc::clone(primary), status.term));
     }
     if let (Some(primary), Answer::Status(status)) = (primary, primary_reply)
-        && reason.is_doubt()
+        && reason.is_uncertain()
         && status.leads
         && status.term == old.term
     {
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -142,7 +142,7 @@
         }
     }
     node.proof_wanted.notify_one();
-    let again = old.as_deref() == Some(&*member.upstream.id);
+    let is_unchanged = old.as_deref() == Some(&*member.upstream.id);
     let others: Vec<_> = group
         .members()
         .into_iter()
@@ -150,7 +150,7 @@
         .collect();
     spawn_local(async move {
         probe::order_all::<E::Protocol>(&others, &Command::Resume).await;
-        if again {
+        if is_unchanged {
             return;
         }
         probe::order_all::<E::Protocol>(&others, &Command::Demote(term)).await;
