--- a/crates/proxy/src/peers/peer.rs
+++ b/crates/proxy/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! Another instance, and what this one is to it.
+//! A peer, and what the peer needs from this instance.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,42 +10,43 @@
 
 use super::{
     heartbeat::{Observation, ReplyRequest, StoreContact},
-    membership::Seen,
+    membership::Roles,
 };
 use crate::node::ServiceState;
 
-/// How late a beat may be.
-pub(super) const LATE: Duration = Duration::from_millis(100);
+/// Tolerated delay of a heartbeat.
+pub(super) const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Another instance.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
     pub(super) heard: Option<Instant>,
-    /// When its next beat is due behind the last one.
+    /// Time until the peer's next heartbeat, counted from the last one.
     pub(super) next: Duration,
     pub(super) listed: bool,
     pub(super) observations: Vec<Observation>,
-    /// The version of its catalogue.
+    /// Version of the peer's catalogue.
     pub(super) version: u64,
     pub(super) zone: String,
     pub(super) weight: u32,
     pub(super) service: ServiceState,
-    /// The newest format that it reads.
+    /// Newest format that the peer reads.
     pub(super) format: u8,
     pub(super) store: StoreContact,
-    /// Whether it asks the store for its zone.
+    /// Whether the peer is a relay of its zone.
     pub(super) is_relay: bool,
-    /// The other zones of which it hears nobody.
+    /// Other zones from which the peer hears no instance.
     pub(super) unreachable_zones: Vec<String>,
-    /// What the last look took it for.
-    pub(super) seen: Seen,
-    /// When it was told last that this instance lives.
-    pub(super) told: Instant,
-    /// When it waits for the next beat behind that.
+    /// Roles that the last refresh assigned to the peer.
+    pub(super) roles: Roles,
+    /// When a heartbeat was last sent to the peer.
+    pub(super) sent_at: Instant,
+    /// Time after `sent_at` at which the peer expects the next heartbeat.
     pub(super) promised: Duration,
-    /// Whether it was told once of a longer pause; that datagram may be lost.
-    eased: bool,
+    /// Whether a longer pause was announced once. That datagram may be lost, so the pause takes
+    /// effect with the second one.
+    lengthened: bool,
 }
 
 impl Peer {
@@ -64,40 +65,41 @@
             store: StoreContact::Unknown,
             is_relay: false,
             unreachable_zones: Vec::new(),
-            seen: Seen::default(),
-            told: Instant::ZERO,
+            roles: Roles::default(),
+            sent_at: Instant::ZERO,
             promised: FREQUENT_INTERVAL,
-            eased: false,
+            lengthened: false,
         }
     }
 
-    /// Notes that it is told at `now` that the next beat comes behind `pause`.
-    pub(super) fn tells(&mut self, now: Instant, pause: Duration) {
-        self.told = now;
-        self.eased = pause > self.promised && !self.eased;
-        if !self.eased {
+    /// Records that a heartbeat sent at `now` announced the next one after `pause`.
+    pub(super) fn record_sent(&mut self, now: Instant, pause: Duration) {
+        self.sent_at = now;
+        self.lengthened = pause > self.promised && !self.lengthened;
+        if !self.lengthened {
             self.promised = pause;
         }
     }
 
-    /// Whether fewer than `beats` of it are missing.
-    pub(super) fn was_heard(&self, now: Instant, beats: u32) -> bool {
-        let span = self.next * beats + LATE;
+    /// Returns true if fewer than `heartbeats` heartbeats of the peer are missing.
+    pub(super) fn was_heard(&self, now: Instant, heartbeats: u32) -> bool {
+        let span = self.next * heartbeats + HEARTBEAT_TOLERANCE;
         self.heard.is_some_and(|at| at + span > now)
     }
 
-    /// Whether it is heard so often that its silence tells something at once.
-    pub(super) fn is_prompt(&self) -> bool {
+    /// Returns true if the peer's heartbeats are frequent, so that a missing one is noticed
+    /// soon.
+    pub(super) fn is_frequent(&self) -> bool {
         self.next <= FREQUENT_INTERVAL
     }
 
-    /// Whether it is asked for primaries, so that it can judge them.
+    /// Returns true if the peer serves sessions, so that its verdicts on primaries count.
     pub(super) fn serves(&self) -> bool {
-        self.is_prompt() && self.service != ServiceState::Idle
+        self.is_frequent() && self.service != ServiceState::Idle
     }
 }
 
-/// An instance that asks the store for its zone.
+/// A relay of some zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relay {
     pub(super) name: String,
@@ -107,7 +109,7 @@
 }
 
 impl Relay {
-    /// It as one of several that may have a duty.
+    /// Returns the relay as a candidate for a duty.
     pub fn candidate(&self) -> Candidate<'_> {
         Candidate {
             name: &self.name,
@@ -118,20 +120,20 @@
     }
 }
 
-/// A beat that is to be sent.
+/// A heartbeat to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Due {
+pub(super) struct Outgoing {
     pub(super) address: SocketAddr,
-    /// When the one behind it is due.
+    /// Time until the next heartbeat to the same peer.
     pub(super) next: Duration,
-    /// Whether it asks for an answer.
+    /// The requested reply.
     pub(super) reply_request: ReplyRequest,
-    /// Whom it introduces.
+    /// Addresses of the instances that the heartbeat introduces.
     pub(super) introduced: Vec<SocketAddr>,
 }
 
-impl Due {
-    /// A beat to somebody who is not known yet.
+impl Outgoing {
+    /// Creates a heartbeat to an instance that isn't known yet.
     pub(super) fn greeting(address: SocketAddr, reply_request: ReplyRequest) -> Self {
         Self {
             address,
@@ -142,33 +144,33 @@
     }
 }
 
-/// Whom a beat that is sent at once concerns.
+/// Urgency of the next round of heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Urgent {
-    /// Nobody: it is sent because its time has come.
-    Nobody,
-    /// Those who wait for this instance's beats.
-    Prompt,
-    /// Everybody: the instance comes or goes.
+pub(super) enum Urgency {
+    /// Only heartbeats that are due by schedule are sent.
+    Scheduled,
+    /// Peers that get frequent heartbeats get one at once.
+    Frequent,
+    /// All peers get a heartbeat at once, because this instance starts or stops.
     All,
 }
 
-/// What this instance is to others.
+/// Duties of this instance that its peers depend on.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Standing {
-    /// Whether it serves sessions, or did a moment ago.
+pub(super) struct Role {
+    /// Whether this instance serves sessions or recently did.
     pub(super) serves: bool,
-    /// Whether it asks the store for its zone.
+    /// Whether this instance is a relay of its zone.
     pub(super) is_relay: bool,
 }
 
-impl Standing {
-    /// Whether `peer`, which handed sessions over or did not, waits for this instance's
-    /// beats.
-    pub(super) fn need(self, zone: &str, peer: &Peer, is_guest: bool) -> Frequency {
+impl Role {
+    /// Returns how often `peer` needs heartbeats of this instance. `forwards` tells whether
+    /// `peer` forwards sessions to this instance.
+    pub(super) fn frequency(self, zone: &str, peer: &Peer, forwards: bool) -> Frequency {
         let is_near = peer.zone.is_empty() || peer.zone == zone;
-        let judges = self.serves && (is_near || is_guest || peer.serves());
-        match judges || self.is_relay && (is_near || peer.is_relay) {
+        let is_observed = self.serves && (is_near || forwards || peer.serves());
+        match is_observed || self.is_relay && (is_near || peer.is_relay) {
             true => Frequency::Frequent,
             false => Frequency::Infrequent,
         }
--- a/crates/proxy/src/peers/table.rs
+++ b/crates/proxy/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Which other instances there are, and what they said of themselves last.
+//! The known peers and their last heartbeats.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,149 +15,149 @@
 
 use super::{
     heartbeat::{FORMAT, Observation, ReplyRequest, StoreContact},
-    membership::{Census, FORGET},
-    peer::{Due, LATE, Peer, Standing, Urgent},
+    membership::{FORGET_AFTER, Membership},
+    peer::{HEARTBEAT_TOLERANCE, Outgoing, Peer, Role, Urgency},
 };
 use crate::{catalog_lag::Tracker, node::ServiceState, settings::Settings};
 
-/// How many beats of an instance may be missing until what it said counts no more.
-pub(super) const HEARD: u32 = 3;
+/// Number of missing heartbeats after which an instance's state is no longer used.
+pub(super) const STALE_HEARTBEATS: u32 = 3;
 
-/// How many beats of an instance may be missing until it is taken for lost by those who
-/// hand their sessions to it: datagrams are lost now and then.
+/// Number of missing heartbeats after which an instance is considered lost by those that
+/// forward sessions to it. One is tolerated, since datagrams get lost.
 pub const LOST_HEARTBEATS: u32 = 2;
 
-/// How long an instance that started asks its seeds again and again: they may start with
-/// it, a moment later.
-const NEW: Duration = Duration::from_secs(1);
+/// Time after its start for which an instance keeps contacting its seeds, which may start
+/// slightly later.
+const STARTUP: Duration = Duration::from_secs(1);
 
-/// How many instances of its zone one that starts is told of. It greets them, and asks the
-/// store for the whole list only if it is to ask the store at all.
-const INTRODUCED: usize = 8;
+/// Number of instances of its zone that an instance is introduced to when it starts. It greets
+/// them, and reads the whole list from the store only if it is a relay.
+const MAX_INTRODUCED: usize = 8;
 
-/// From which gap on between two looks at the time, which are a tenth of a second apart, a
-/// process stood still.
-const STILL: Duration = Duration::from_millis(300);
+/// Minimum gap between two readings of the clock that counts as a stall of the process. The
+/// clock is read every 100 ms.
+const MIN_STALL: Duration = Duration::from_millis(300);
 
-/// A session that was handed over; it counts until it is dropped.
+/// Counts a forwarded session until dropped.
 #[derive(Debug)]
-pub(super) struct Guest<'a> {
+pub(super) struct ForwardedSession<'a> {
     peers: &'a Peers,
-    guest: IpAddr,
+    from: IpAddr,
 }
 
-impl Drop for Guest<'_> {
+impl Drop for ForwardedSession<'_> {
     fn drop(&mut self) {
-        let mut guests = self.peers.guests.borrow_mut();
-        let Some(count) = guests.get_mut(&self.guest) else {
+        let mut forwarded = self.peers.forwarded.borrow_mut();
+        let Some(count) = forwarded.get_mut(&self.from) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            guests.remove(&self.guest);
+            forwarded.remove(&self.from);
         }
     }
 }
 
-/// Other instances.
+/// The peers of this instance.
 #[derive(Debug)]
 pub struct Peers {
     name: String,
     own: SocketAddr,
     began: Instant,
     pub(super) zone: String,
-    /// When time was looked at last, and for how long this process stood still in all.
-    looked: Cell<(Instant, Duration)>,
-    /// What this instance is to others, as it was looked at last.
-    pub(super) standing: Cell<Standing>,
+    /// Last reading of the clock, and total duration of stalls.
+    stalls: Cell<(Instant, Duration)>,
+    /// Duties of this instance, as of the last round of heartbeats.
+    pub(super) role: Cell<Role>,
     seeds: Vec<SocketAddr>,
     pub(super) table: RefCell<HashMap<String, Peer>>,
-    pub(super) census: Census,
-    /// Instances that stop, and when they were heard last: no session is handed to them,
-    /// but they finish those that they have.
+    pub(super) membership: Membership,
+    /// Stopping instances, and when each was last heard. No session is forwarded to them, but
+    /// they finish the sessions that they have.
     pub(super) leaving: RefCell<HashMap<SocketAddr, Instant>>,
-    /// Whom this instance greeted, and when.
+    /// Addresses that this instance has greeted, and when.
     greeted: RefCell<HashMap<SocketAddr, Instant>>,
-    /// From where sessions are handed to this instance, and how many.
-    guests: RefCell<HashMap<IpAddr, usize>>,
-    /// Told when beats should be sent at once.
-    pub(super) called: Notify,
-    /// To whom besides those that wait.
-    told: RefCell<Vec<SocketAddr>>,
-    /// To whom.
-    pub(super) urgent: Cell<Urgent>,
-    /// How long this instance has been behind others.
-    pub(super) news: Cell<Tracker>,
-    /// Whether another instance is being asked for its catalogue.
+    /// Addresses that forward sessions to this instance, and the number of sessions.
+    forwarded: RefCell<HashMap<IpAddr, usize>>,
+    /// Notified when heartbeats are to be sent at once.
+    pub(super) wake: Notify,
+    /// Addresses that get a heartbeat at once besides the peers that `urgent` selects.
+    announce_to: RefCell<Vec<SocketAddr>>,
+    /// Peers that get a heartbeat at once.
+    pub(super) urgent: Cell<Urgency>,
+    /// Tracks whether this instance's catalogue is behind.
+    pub(super) catalog_lag: Cell<Tracker>,
+    /// Whether a catalogue is being fetched from a peer.
     pub(super) fetching: Cell<bool>,
-    /// How often another instance was asked for its catalogue.
+    /// Number of times that a catalogue was fetched from a peer.
     pub fetches: Cell<u64>,
 }
 
 impl Peers {
-    /// Nobody is known but the seeds.
+    /// Creates the table, with only the seeds known.
     pub fn new(settings: &Settings) -> Self {
         Self {
             name: settings.name.clone(),
             own: settings.peers,
             began: Boot.now(),
             zone: settings.zone.clone(),
-            looked: Cell::new((Boot.now(), Duration::ZERO)),
-            standing: Cell::default(),
+            stalls: Cell::new((Boot.now(), Duration::ZERO)),
+            role: Cell::default(),
             seeds: settings.seeds.clone(),
             table: RefCell::default(),
-            census: Census::default(),
+            membership: Membership::default(),
             leaving: RefCell::default(),
             greeted: RefCell::default(),
-            guests: RefCell::default(),
-            called: Notify::new(),
-            told: RefCell::default(),
-            urgent: Cell::new(Urgent::Nobody),
-            news: Cell::default(),
+            forwarded: RefCell::default(),
+            wake: Notify::new(),
+            announce_to: RefCell::default(),
+            urgent: Cell::new(Urgency::Scheduled),
+            catalog_lag: Cell::default(),
             fetching: Cell::default(),
             fetches: Cell::default(),
         }
     }
 
-    /// The moment it is, the time left out for which this process stood still.
+    /// The current time less all stalls of this process.
     ///
-    /// Who stood still has heard nobody meanwhile. If that counted, it would take itself for a
-    /// holder of everything when it goes on: where a machine was busy, all of its instances
-    /// did, and sent to upstreams that take few connections all at once.
+    /// A stalled process receives no heartbeats. If stalls counted as silence, the process
+    /// would afterwards take itself for the holder of everything: on a busy machine all
+    /// instances did, and together overran upstreams that take few connections.
     pub(crate) fn unstalled_now(&self) -> Instant {
         let now = Boot.now();
-        let (last, still) = self.looked.get();
+        let (last, stalled) = self.stalls.get();
         let gap = now.since(last);
-        let still = match gap > STILL {
-            true => still + gap,
-            false => still,
+        let stalled = match gap > MIN_STALL {
+            true => stalled + gap,
+            false => stalled,
         };
-        self.looked.set((now, still));
-        now - still
+        self.stalls.set((now, stalled));
+        now - stalled
     }
 
-    /// Has a beat sent at once to those who wait for this instance's beats.
+    /// Sends a heartbeat at once to the peers that get frequent ones.
     pub fn announce(&self) {
-        self.tell(Urgent::Prompt);
+        self.wake(Urgency::Frequent);
     }
 
-    /// Has a beat sent at once to everybody.
+    /// Sends a heartbeat at once to all peers.
     pub fn announce_to_all(&self) {
-        self.tell(Urgent::All);
+        self.wake(Urgency::All);
     }
 
-    /// Has a beat sent at once to the instance at `address`.
+    /// Sends a heartbeat at once to the instance at `address`.
     pub(crate) fn announce_to(&self, address: SocketAddr) {
-        self.told.borrow_mut().push(address);
-        self.called.notify_one();
+        self.announce_to.borrow_mut().push(address);
+        self.wake.notify_one();
     }
 
-    fn tell(&self, urgent: Urgent) {
+    fn wake(&self, urgent: Urgency) {
         self.urgent.set(self.urgent.get().max(urgent));
-        self.called.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Takes in the store's list of instances.
+    /// Applies the store's list of instances.
     pub fn list(&self, listed: &HashMap<&str, SocketAddr>) {
         for (name, address) in listed {
             self.add(name, *address);
@@ -167,10 +167,10 @@
         }
     }
 
-    /// Takes in one entry of the store's list.
+    /// Applies one entry of the store's list.
     ///
-    /// The entry of a life before, at another address, is none: an instance that took it for
-    /// another one would follow itself, and learn nothing.
+    /// An entry of this instance itself from an earlier run, at another address, is ignored:
+    /// otherwise the instance would follow itself and learn nothing.
     pub fn add(&self, name: &str, address: SocketAddr) {
         if address == self.own || name == self.name {
             return;
@@ -180,64 +180,69 @@
         let peer = table.entry(name.to_owned()).or_insert_with(new);
         peer.address = address;
         peer.listed = true;
-        self.census.touch();
+        self.membership.mark_stale();
     }
 
-    /// Takes in that the store does not list an instance any more.
+    /// Records that the store no longer lists an instance.
     pub fn unlist(&self, name: &str) {
         if let Some(peer) = self.table.borrow_mut().get_mut(name) {
             peer.listed = false;
         }
     }
 
-    /// Other instances that were heard lately.
+    /// Addresses of the instances that were recently heard.
     pub(super) fn heard(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &&Peer| p.was_heard(now, HEARD);
+        let heard = |p: &&Peer| p.was_heard(now, STALE_HEARTBEATS);
         table.values().filter(heard).map(|p| p.address).collect()
     }
 
-    /// Instances that hear the store as far as they say, and read questions for proofs.
-    pub fn hearing(&self) -> Vec<SocketAddr> {
+    /// Addresses of the instances that report contact with the store and answer proof requests.
+    pub fn with_store_contact(&self) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let hears = |p: &&Peer| {
+        let reaches_store = |p: &&Peer| {
             p.was_heard(now, LOST_HEARTBEATS)
                 && p.store == StoreContact::Reachable
                 && p.format >= FORMAT
         };
-        table.values().filter(hears).map(|p| p.address).collect()
+        table
+            .values()
+            .filter(reaches_store)
+            .map(|p| p.address)
+            .collect()
     }
 
-    /// Where to send a beat now, and when the one behind it is due there: to those whose
-    /// time has come, and to all whom `urgent` concerns.
-    pub(super) fn due(&self, urgent: Urgent) -> Vec<Due> {
+    /// Heartbeats to send now: those that are due by schedule, and those that `urgent` selects.
+    pub(super) fn due(&self, urgent: Urgency) -> Vec<Outgoing> {
         let now = Boot.now();
         let mut due = Vec::new();
         if self.is_new() {
             let seeds = self.seeds.iter().filter(|seed| **seed != self.own);
-            due.extend(seeds.map(|seed| Due::greeting(*seed, ReplyRequest::Introduce)));
+            due.extend(seeds.map(|seed| Outgoing::greeting(*seed, ReplyRequest::Introduce)));
         }
-        let told = self.told.take().into_iter();
-        due.extend(told.map(|address| Due::greeting(address, ReplyRequest::None)));
+        let announced = self.announce_to.take().into_iter();
+        due.extend(announced.map(|address| Outgoing::greeting(address, ReplyRequest::None)));
         let mut table = self.table.borrow_mut();
         let others = table.len();
-        let guests = self.guests.borrow();
+        let forwarded = self.forwarded.borrow();
         for peer in table.values_mut() {
-            let is_guest = guests.contains_key(&peer.address.ip());
-            let need = self.standing.get().need(&self.zone, peer, is_guest);
-            let pause = relays::interval(need, others);
-            let wait = pause.min(peer.promised).saturating_sub(LATE / 2);
-            let come = peer.told + wait <= now;
-            let called = match urgent {
-                Urgent::All => true,
-                Urgent::Prompt => need == Frequency::Frequent,
-                Urgent::Nobody => false,
+            let forwards = forwarded.contains_key(&peer.address.ip());
+            let frequency = self.role.get().frequency(&self.zone, peer, forwards);
+            let pause = relays::interval(frequency, others);
+            let wait = pause
+                .min(peer.promised)
+                .saturating_sub(HEARTBEAT_TOLERANCE / 2);
+            let is_due = peer.sent_at + wait <= now;
+            let is_urgent = match urgent {
+                Urgency::All => true,
+                Urgency::Frequent => frequency == Frequency::Frequent,
+                Urgency::Scheduled => false,
             };
-            if come || called {
-                peer.tells(now, pause);
-                due.push(Due {
+            if is_due || is_urgent {
+                peer.record_sent(now, pause);
+                due.push(Outgoing {
                     address: peer.address,
                     next: pause,
                     reply_request: match peer.heard {
@@ -251,46 +256,48 @@
         due
     }
 
-    /// Whether nobody of the own zone was heard yet, and the process is young: it asks its
-    /// seeds again and again.
+    /// Returns true if no peer of this zone has been heard yet and the process has just
+    /// started, or no peer is known at all. The instance then keeps contacting its seeds.
     pub(super) fn is_new(&self) -> bool {
         let table = self.table.borrow();
         let near = |p: &Peer| p.zone == self.zone && p.heard.is_some();
-        self.began + NEW > Boot.now() && !table.values().any(near) || table.is_empty()
+        self.began + STARTUP > Boot.now() && !table.values().any(near) || table.is_empty()
     }
 
-    /// Some instances of `zone` that were heard and some relays, all but the one at `but`.
-    fn near(&self, zone: &str, but: SocketAddr) -> Vec<SocketAddr> {
+    /// Addresses of some instances of `zone` and of some relays that are heard, without
+    /// `except`.
+    fn near(&self, zone: &str, except: SocketAddr) -> Vec<SocketAddr> {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = |p: &&Peer| p.was_heard(now, LOST_HEARTBEATS) && p.address != but;
+        let heard = |p: &&Peer| p.was_heard(now, LOST_HEARTBEATS) && p.address != except;
         let near = table.values().filter(heard).filter(|p| p.zone == zone);
         let far = table.values().filter(heard).filter(|p| p.zone != zone);
         let relays = far.filter(|p| p.is_relay);
-        let introduced = near.take(INTRODUCED).chain(relays.take(INTRODUCED));
+        let introduced = near.take(MAX_INTRODUCED).chain(relays.take(MAX_INTRODUCED));
         introduced.map(|p| p.address).collect()
     }
 
-    /// Whom of those at `addresses` to greet: who is not known yet.
+    /// Returns the addresses to greet: those that aren't known yet.
     ///
-    /// Each of them once in a second, whoever introduces it: it would else be greeted again
-    /// for each one more that names it until it answers, and answer each time.
+    /// Each address is returned at most once per second, however many peers introduce it.
+    /// Otherwise an instance would be greeted again for every further introduction before its
+    /// answer arrives, and would answer every time.
     pub fn greet(&self, addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let now = Boot.now();
         let table = self.table.borrow();
         let mut greeted = self.greeted.borrow_mut();
-        greeted.retain(|_, at| *at + NEW > now);
+        greeted.retain(|_, at| *at + STARTUP > now);
         let mut new = addresses;
         new.retain(|address| {
             let heard = |p: &Peer| p.heard.is_some() && p.address == *address;
-            let known = *address == self.own || table.values().any(heard);
-            !known && greeted.insert(*address, now).is_none()
+            let is_known = *address == self.own || table.values().any(heard);
+            !is_known && greeted.insert(*address, now).is_none()
         });
         new
     }
 
-    /// The answer to a beat of `name` that asks for one by `greeting`.
-    pub(super) fn answer(&self, name: &str, reply_request: ReplyRequest) -> Option<Due> {
+    /// Creates the reply to a heartbeat of `name` with this `reply_request`.
+    pub(super) fn reply(&self, name: &str, reply_request: ReplyRequest) -> Option<Outgoing> {
         let (zone, address) = {
             let table = self.table.borrow();
             let peer = table.get(name)?;
@@ -303,11 +310,11 @@
         let mut table = self.table.borrow_mut();
         let others = table.len();
         let peer = table.get_mut(name)?;
-        let is_guest = self.guests.borrow().contains_key(&peer.address.ip());
-        let need = self.standing.get().need(&self.zone, peer, is_guest);
-        let next = relays::interval(need, others);
-        peer.tells(Boot.now(), next);
-        Some(Due {
+        let forwards = self.forwarded.borrow().contains_key(&peer.address.ip());
+        let frequency = self.role.get().frequency(&self.zone, peer, forwards);
+        let next = relays::interval(frequency, others);
+        peer.record_sent(Boot.now(), next);
+        Some(Outgoing {
             address: peer.address,
             next,
             reply_request: ReplyRequest::None,
@@ -315,38 +322,39 @@
         })
     }
 
-    /// Counts a session that was handed over from `guest`, until what is returned is
-    /// dropped.
-    pub(super) fn host(&self, guest: IpAddr) -> Guest<'_> {
-        *self.guests.borrow_mut().entry(guest).or_default() += 1;
-        Guest { peers: self, guest }
+    /// Counts a session forwarded from `from` until the returned guard is dropped.
+    pub(super) fn count_forwarded(&self, from: IpAddr) -> ForwardedSession<'_> {
+        *self.forwarded.borrow_mut().entry(from).or_default() += 1;
+        ForwardedSession { peers: self, from }
     }
 
-    /// The weight of the instance with this name, zero if it is not known.
+    /// Weight of the instance with this name; zero if it isn't known.
     pub(crate) fn weight(&self, name: &str) -> u32 {
         self.table.borrow().get(name).map_or(0, |peer| peer.weight)
     }
 
-    /// Where the instance with this name is reached.
+    /// Address of the instance with this name.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         Some(self.table.borrow().get(name)?.address)
     }
 
-    /// Whether the instance with this name is in the own zone.
+    /// Returns true if the instance with this name is in this zone.
     pub(crate) fn is_near(&self, name: &str) -> bool {
         let table = self.table.borrow();
         table.get(name).is_some_and(|peer| peer.zone == self.zone)
     }
 
-    /// The newest version of the catalogue that somebody who is heard has.
-    pub(crate) fn newest(&self) -> u64 {
+    /// Newest version of the catalogue among the peers that are heard.
+    pub(crate) fn newest_catalog(&self) -> u64 {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let heard = table.values().filter(|p| p.was_heard(now, HEARD));
+        let heard = table
+            .values()
+            .filter(|p| p.was_heard(now, STALE_HEARTBEATS));
         heard.map(|p| p.version).max().unwrap_or(0)
     }
 
-    /// Whether somebody who is heard has a catalogue.
+    /// Returns true if a peer that is heard has a catalogue.
     pub(crate) fn is_catalog_known(&self) -> bool {
         let now = self.unstalled_now();
         let table = self.table.borrow();
@@ -354,55 +362,55 @@
         heard.any(|p| p.version > 0)
     }
 
-    /// The newest format that the instance at `address` reads.
+    /// Newest format that the instance at `address` reads.
     pub(super) fn format(&self, address: SocketAddr) -> u8 {
         let table = self.table.borrow();
         let peer = table.values().find(|peer| peer.address == address);
         peer.map_or(0, |peer| peer.format)
     }
 
-    /// Takes in that the instance at `address` could not be reached: it is chosen no more
-    /// until it is heard again.
+    /// Records that the instance at `address` can't be reached. If its heartbeats are
+    /// infrequent, it isn't chosen again until it is heard.
     pub fn mark_unreachable(&self, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         for peer in table.values_mut().filter(|peer| peer.address == address) {
-            if !peer.is_prompt() {
+            if !peer.is_frequent() {
                 peer.heard = None;
             }
         }
-        self.census.touch();
+        self.membership.mark_stale();
     }
 
-    /// Takes in that the instance `name` is gone.
+    /// Removes the instance `name`, which has left.
     pub(super) fn remove(&self, name: &str) {
         if let Some(peer) = self.table.borrow_mut().remove(name) {
-            self.census.remove(name, &peer);
+            self.membership.remove(name, &peer);
         }
     }
 
-    /// How many instances judge primaries, this one included, as far as is known.
+    /// Number of known instances whose verdicts on primaries count, this one included.
     pub fn judges(&self) -> usize {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let known = |p: &&Peer| p.listed || p.heard.is_some_and(|at| at + FORGET > now);
+        let known = |p: &&Peer| p.listed || p.heard.is_some_and(|at| at + FORGET_AFTER > now);
         let judges = table.values().filter(|p| p.serves());
         judges.filter(known).count() + 1
     }
 
-    /// What those who were heard lately say of the primary of `service` in `term`,
-    /// the `own` verdict included, and the names of those who see it fail.
+    /// The verdicts of the recently heard instances on the primary of `service` in `term`,
+    /// `own` included, and the names of the instances that see the primary fail.
     pub fn tally(&self, service: &str, term: Term, own: Verdict) -> (Tally, Vec<String>) {
         let now = self.unstalled_now();
         let mut tally = Tally::default();
         tally.add(own);
         let mut failing = Vec::new();
         for (name, peer) in self.table.borrow().iter() {
-            if !peer.was_heard(now, HEARD) || !peer.serves() {
+            if !peer.was_heard(now, STALE_HEARTBEATS) || !peer.serves() {
                 continue;
             }
             let same = |b: &&Observation| b.service == service && b.term == term;
-            let belief = peer.observations.iter().find(same);
-            let verdict = belief.map_or(Verdict::Unknown, |b| b.verdict);
+            let observation = peer.observations.iter().find(same);
+            let verdict = observation.map_or(Verdict::Unknown, |b| b.verdict);
             if verdict == Verdict::Failing {
                 failing.push(name.clone());
             }
@@ -411,48 +419,55 @@
         (tally, failing)
     }
 
-    /// Whether others may serve callers while this instance can't: some were heard that
-    /// can, or no other zone can be reached any more.
+    /// Returns true if other instances may be able to serve callers: one is heard that can, or
+    /// no other zone can be reached.
     pub fn may_others_serve(&self) -> bool {
-        self.is_served() || self.is_alone()
+        self.has_serving_peer() || self.is_isolated()
     }
 
-    /// Takes in that the instance at `address` says that it stops.
-    pub(super) fn leaves(&self, address: SocketAddr, now: Instant) {
+    /// Records that the instance at `address` is stopping.
+    pub(super) fn mark_leaving(&self, address: SocketAddr, now: Instant) {
         let mut leaving = self.leaving.borrow_mut();
-        leaving.retain(|_, at| *at + FORGET > now);
+        leaving.retain(|_, at| *at + FORGET_AFTER > now);
         leaving.insert(address, now);
     }
 
-    /// Whether fewer than `beats` of the instance at `address` are missing.
-    pub fn was_heard(&self, address: SocketAddr, beats: u32) -> bool {
+    /// Returns true if fewer than `heartbeats` heartbeats of the instance at `address` are
+    /// missing.
+    pub fn was_heard(&self, address: SocketAddr, heartbeats: u32) -> bool {
         let now = Boot.now();
         let leaving = self.leaving.borrow().get(&address).copied();
-        if leaving.is_some_and(|at| at + FREQUENT_INTERVAL * beats + LATE > now) {
+        if leaving.is_some_and(|at| at + FREQUENT_INTERVAL * heartbeats + HEARTBEAT_TOLERANCE > now)
+        {
             return true;
         }
         let now = self.unstalled_now();
         let table = self.table.borrow();
         let same = |p: &&Peer| p.address == address;
-        table.values().filter(same).any(|p| p.was_heard(now, beats))
+        table
+            .values()
+            .filter(same)
+            .any(|p| p.was_heard(now, heartbeats))
     }
 
-    /// Whether somebody is heard who serves.
-    pub(super) fn is_served(&self) -> bool {
-        self.is_said(ServiceState::Able)
+    /// Returns true if an instance that is heard can serve.
+    pub(super) fn has_serving_peer(&self) -> bool {
+        self.has_peer_reporting(ServiceState::Able)
     }
 
-    /// Whether somebody who is heard promptly says so of itself.
-    fn is_said(&self, service: ServiceState) -> bool {
+    /// Returns true if a peer with frequent heartbeats reports this ability to serve.
+    fn has_peer_reporting(&self, service: ServiceState) -> bool {
         let now = self.unstalled_now();
         let table = self.table.borrow();
-        let mut heard = table.values().filter(|p| p.was_heard(now, HEARD));
-        heard.any(|p| p.is_prompt() && p.service == service)
+        let mut heard = table
+            .values()
+            .filter(|p| p.was_heard(now, STALE_HEARTBEATS));
+        heard.any(|p| p.is_frequent() && p.service == service)
     }
 
-    /// Whether an instance that hands its sessions over has nobody left who serves them:
-    /// its zone is cut off, and nobody in it can serve.
+    /// Returns true if an instance that forwards its sessions has no instance left to serve
+    /// them: its zone is cut off, and no instance in the zone can serve.
     pub fn is_unserved(&self) -> bool {
-        self.is_alone() && !self.is_served()
+        self.is_isolated() && !self.has_serving_peer()
     }
 }
--- a/crates/proxy/src/shares/table.rs
+++ b/crates/proxy/src/shares/table.rs
@@ -1,5 +1,5 @@
-//! The table of who keeps which part of the quotas: looked after by the relay that reads the
-//! catalogue for all others, fetched by everybody else.
+//! Maintains the table of quota shares: the relay that reads the catalogue writes it, all other
+//! instances fetch it.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,43 +18,43 @@
     relay::{self, Source},
 };
 
-/// How often the table is looked after.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the table is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an instance that starts waits until it writes the first table: its keepers are
-/// those that are heard by then.
-const SETTLED: Duration = Duration::from_secs(1);
+/// Time after its start before an instance writes the table, so that the peers that could be
+/// limiters have been heard.
+const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
-/// How long the store may take to answer.
-const CALL: Duration = Duration::from_millis(400);
+/// Timeout of a call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Looks after the table while this instance reads the catalogue for all others, and fetches
-/// it while it does not, until the process ends.
+/// Rebalances the table while this instance reads the catalogue, and fetches the table
+/// otherwise, until the process ends.
 pub(crate) async fn run<E: Edge>(node: Rc<Node<E>>) {
     let began = Boot.now();
     loop {
-        let _ = timeout(LOOK, node.shares.behind.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.shares.outdated.notified()).await;
         if node.catalog().accounts.is_empty() {
             continue;
         }
-        limiter::tell_tallies(&node);
-        let kept = match freshness::source(&node) {
-            Source::Relay(address) if is_behind(&node) => fetch(&node, address).await,
+        limiter::log_refusals(&node);
+        let result = match freshness::source(&node) {
+            Source::Relay(address) if is_outdated(&node) => fetch(&node, address).await,
             Source::Relay(_) => Ok(()),
-            Source::Store if began + SETTLED > Boot.now() => Ok(()),
-            Source::Store => divide(&node).await,
+            Source::Store if began + STARTUP_DELAY > Boot.now() => Ok(()),
+            Source::Store => rebalance(&node).await,
         };
-        if let Err(fault) = kept {
-            log::info!(error:% = fault; "shares not kept");
-            sleep(LOOK).await;
+        if let Err(fault) = result {
+            log::info!(error:% = fault; "quota shares not updated");
+            sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
-/// Whether the store has a newer table than this instance.
-fn is_behind<E: Edge>(node: &Node<E>) -> bool {
-    let ahead = node.freshness.ahead();
-    ahead.is_some_and(|mark| mark.shares > node.mark().shares)
+/// Returns true if the store has a newer table than this instance.
+fn is_outdated<E: Edge>(node: &Node<E>) -> bool {
+    let pending = node.freshness.pending();
+    pending.is_some_and(|mark| mark.shares > node.mark().shares)
 }
 
 async fn fetch<E: Edge>(node: &Rc<Node<E>>, address: SocketAddr) -> Result<(), Fault> {
@@ -64,9 +64,9 @@
     Ok(())
 }
 
-/// Changes the table, if keepers are lost or missing.
-async fn divide<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
-    // Without a proof the table may be one that was changed since; a write would be in vain.
+/// Changes the table if limiters are lost or missing.
+async fn rebalance<E: Edge>(node: &Rc<Node<E>>) -> Result<(), Fault> {
+    // Without a proof the known table may be outdated, and the write would fail.
     if !node
         .freshness
         .covers(Boot.now(), node.settings.agreement_ttl())
@@ -75,17 +75,17 @@
     }
     let shares = &node.shares;
     let now = Boot.now();
-    if shares.is_unsettled(now) {
+    if shares.is_previous_in_use(now) {
         return Ok(());
     }
-    // A share is not given again before the window is over in which it was used last.
+    // A share isn't reassigned until the window in which it was last used has ended.
     let window = node
         .settings
         .slack
         .map_or(Duration::ZERO, |slack| slack.window);
     let span = node.settings.agreement_ttl().max(window);
-    let open = || Planner::new(span, now);
-    let mut ledger = shares.ledger.take().unwrap_or_else(open);
+    let new_planner = || Planner::new(span, now);
+    let mut planner = shares.planner.take().unwrap_or_else(new_planner);
     let catalog = node.catalog();
     let mut accounts: Vec<_> = catalog.accounts.with_quota().collect();
     accounts.sort_unstable();
@@ -95,16 +95,16 @@
     heard.push(node.settings.name.clone());
     let heard: Vec<_> = heard.iter().map(String::as_str).collect();
     let table = shares.table.borrow().clone();
-    let next = ledger.plan(&table, &accounts, &heard, &candidates, now);
-    *shares.ledger.borrow_mut() = Some(ledger);
+    let next = planner.plan(&table, &accounts, &heard, &candidates, now);
+    *shares.planner.borrow_mut() = Some(planner);
     match next {
-        Some(next) => change(node, &next).await,
+        Some(next) => write_table(node, &next).await,
         None => Ok(()),
     }
 }
 
-/// Writes the next table, unless the store has another one by now: then that is taken in.
-async fn change<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
+/// Writes the next table. If the store has another table by now, applies that one instead.
+async fn write_table<E: Edge>(node: &Rc<Node<E>>, next: &Table) -> Result<(), Fault> {
     let key = table_key::<E>();
     let known = node.mark().shares;
     let mut value = vec![FORMAT];
@@ -115,7 +115,7 @@
         puts: vec![(key.clone(), value.clone(), 0)],
         deletes: Vec::new(),
     };
-    let swapped = timeout(CALL, node.store().swap(&swap)).await;
+    let swapped = timeout(STORE_TIMEOUT, node.store().swap(&swap)).await;
     match swapped.map_err(|_| Fault::Unknown)?? {
         Swapped::Done(revision) => {
             let item = Item {
@@ -123,11 +123,14 @@
                 value,
                 revision,
             };
-            log::info!(revision, size = item.value.len(); "shares changed");
+            log::info!(revision, size = item.value.len(); "quota shares changed");
             control::apply_change(node, Change::Put(item));
         }
         Swapped::Conflict | Swapped::NoLease => {
-            let newer = node.store().read_newer(&[(&key, known)], CALL).await?;
+            let newer = node
+                .store()
+                .read_newer(&[(&key, known)], STORE_TIMEOUT)
+                .await?;
             for item in newer {
                 control::apply_change(node, Change::Put(item));
             }
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -1,7 +1,8 @@
-//! Replacing a primary.
+//! Replaces primaries.
 //!
-//! [`due`] tells when, [`right`] who may, [`record`] what the store is told, [`fence`]
-//! who is stopped and who leads next; here the steps are put together.
+//! `due` decides when a primary has to be replaced, `lock` which instance may do so,
+//! `fence` fences the old primary and chooses the next one, and `record` keeps the store up
+//! to date. This module runs the steps in order.
 
 mod due;
 mod fence;
@@ -28,42 +29,42 @@
     probe,
     proof_lease::UNANIMITY_AFTER,
 };
-use due::{RANK, Reason, due};
-use fence::{Chosen, Fenced, fence, still_holds};
-pub(crate) use lock::OUTLASTED;
-use lock::{Lock, RIGHT, claim, renew, write_duty};
-use record::{announce, end_era, settle};
-/// How often primaries are looked at.
-const LOOK: Duration = Duration::from_millis(50);
+use due::{RANK_DELAY, Reason, due};
+use fence::{Choice, Fenced, fence, still_holds};
+pub(crate) use lock::RESTORE_GRACE;
+use lock::{LOCK_TTL, Lock, claim, renew, write_lock};
+use record::{announce, end_lease, record_primary};
+/// Interval at which the primaries are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long whoever has the right keeps it without anything to do: where a zone is cut off,
-/// others tell it one by one of primaries that fail.
-const LINGER: Duration = Duration::from_secs(1);
+/// Time for which an idle holder keeps the lock: if a zone is cut off, peers report the failed
+/// primaries one by one.
+const LOCK_LINGER: Duration = Duration::from_secs(1);
 
-/// How long an instance leaves the store alone that asked for the right while another one
-/// has it. That one is told what this one sees, and acts for it.
-const HELD: Duration = Duration::from_millis(400);
+/// Pause after an attempt to take the lock while another instance holds it. The holder receives
+/// this instance's verdicts and acts on them.
+const HELD_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How long an order may take.
-const ORDER: Duration = Duration::from_millis(450);
+/// Timeout of an order to an upstream.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The pause between two looks at an upstream that is to lead.
-const POLL: Duration = Duration::from_millis(25);
+/// Interval at which an upstream that is being promoted is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a promotion may take to show.
-const SHOW: Duration = Duration::from_millis(2_000);
+/// Time that a promotion may take to become visible.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Looks after all primaries until the process ends.
+/// Replaces failed or leaving primaries until the process ends.
 ///
-/// One instance at a time gives orders, for all groups, under one fence. So the
-/// fences of calls that arrive never fall, whichever group they are for.
+/// One instance at a time gives orders, for all groups and with one fencing token, so the
+/// tokens of the orders that arrive never decrease, whatever their group.
 pub async fn run<E: Edge>(node: Rc<Node<E>>) {
     let mut held: Option<Rc<Lock>> = None;
-    let mut used = Boot.now();
+    let mut last_used = Boot.now();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         if let Some(lock) = held.take_if(|lock| !lock.holds()) {
-            log::warn!(fence = lock.token; "the right to give orders ran out");
+            log::warn!(fence = lock.token; "takeover lock expired");
         }
         node.holds_takeover_lock.set(held.is_some());
         let due: Vec<_> = node
@@ -74,16 +75,16 @@
             .collect();
         if let Some(lock) = &held {
             if !due.is_empty() || lock.active.get() > 0 {
-                used = Boot.now();
+                last_used = Boot.now();
             }
-            let idle = used + LINGER < Boot.now();
-            let old = Boot.now() + RIGHT * 3 / 4 > lock.until.get();
-            if idle || node.is_stopping() && lock.active.get() == 0 {
-                let _ = write_duty(&node, lock.revision.get(), false).await;
+            let is_idle = last_used + LOCK_LINGER < Boot.now();
+            let is_old = Boot.now() + LOCK_TTL * 3 / 4 > lock.until.get();
+            if is_idle || node.is_stopping() && lock.active.get() == 0 {
+                let _ = write_lock(&node, lock.revision.get(), false).await;
                 held = None;
                 continue;
             }
-            if old {
+            if is_old {
                 renew(&node, lock).await;
             }
         }
@@ -94,10 +95,10 @@
             held = match claim(&node).await {
                 Ok(lock) => Some(Rc::new(lock)),
                 Err(failed) => {
-                    log::debug!(failed:?; "no right to give orders");
+                    log::debug!(failed:?; "takeover lock not taken");
                     let rest = match failed {
-                        Failed::Held => HELD,
-                        _ => RANK / 2,
+                        Failed::Held => HELD_RETRY_DELAY,
+                        _ => RANK_DELAY / 2,
                     };
                     sleep(rest).await;
                     None
@@ -116,7 +117,7 @@
                 let ended = replace(&node, &group, &lock, reason).await;
                 log::info!(service = &*group.service, ended:?; "replacement over");
                 if ended.is_err() {
-                    sleep(RANK).await;
+                    sleep(RANK_DELAY).await;
                 }
                 group.replacing.set(false);
                 lock.active.set(lock.active.get() - 1);
@@ -125,8 +126,8 @@
     }
 }
 
-/// Notes who has the right to give orders as soon as a group's primary is being replaced:
-/// if that instance is lost, the right has run out so long after it was seen first.
+/// Notes the holder of the takeover lock when a group's primary is being replaced: if the
+/// holder is lost, its lock expires a fixed time after it was first seen.
 pub(crate) fn track_replacement<E: Edge>(node: &Rc<Node<E>>, group: &Rc<Group>) {
     let changes = |known: &StoredRecord| known.record.phase == Phase::Changing;
     if !group.stored_record().as_ref().is_some_and(changes) {
@@ -137,19 +138,19 @@
         return;
     }
     let node = Rc::clone(node);
-    spawn_local(async move { lock::look(&node).await });
+    spawn_local(async move { lock::observe(&node).await });
 }
 
-/// Why a replacement did not come about.
+/// Reason why a replacement didn't take place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum Failed {
-    #[error("another instance has the right to give orders")]
+    #[error("another instance holds the takeover lock")]
     Held,
-    #[error("another instance was first")]
+    #[error("another instance changed the record or the lock first")]
     Overtaken,
-    #[error("the store did not answer")]
+    #[error("the store didn't answer")]
     Store(#[from] Fault),
-    #[error("the right to give orders ran out")]
+    #[error("takeover lock expired")]
     Expired,
 }
 
@@ -161,41 +162,45 @@
 ) -> Result<(), Failed> {
     let old = group.stored_record().ok_or(Failed::Overtaken)?.record;
     let revision = announce(node, group, lock).await?;
-    let ended = end_era(node, lock).await?;
+    let ended = end_lease(node, lock).await?;
     while lock.holds() {
         let Some(chosen) = fence(node, group, &old, reason).await else {
-            sleep(POLL * 4).await;
+            sleep(POLL_INTERVAL * 4).await;
             continue;
         };
-        let (member, fenced, told) = match chosen {
-            Chosen::Leads(member, term) => {
-                return settle(node, group, lock, revision, &member, term).await;
+        let (member, fenced, informed) = match chosen {
+            Choice::Leads(member, term) => {
+                return record_primary(node, group, lock, revision, &member, term).await;
             }
-            // Somebody may still prove the old primary by a majority of the group.
-            Chosen::Candidate {
-                fenced: Fenced::InPart,
+            // An instance may still prove the old primary by a majority of the group.
+            Choice::Candidate {
+                fenced: Fenced::Partial,
                 ..
             } if Boot.now() < ended + UNANIMITY_AFTER => {
-                sleep(POLL * 4).await;
+                sleep(POLL_INTERVAL * 4).await;
                 continue;
             }
-            Chosen::Candidate {
+            Choice::Candidate {
                 member,
                 fenced,
-                told,
-            } => (member, fenced, told),
+                informed,
+            } => (member, fenced, informed),
         };
         let lapsed = proof::all_expired_at(Boot.now(), node.settings.proof);
         let wait = lapsed.since(Boot.now());
-        let (back, ()) = join(is_back::<E>(group, &old, reason, wait), sleep(wait)).await;
+        let (recovered, ()) = join(
+            recovered_primary::<E>(group, &old, reason, wait),
+            sleep(wait),
+        )
+        .await;
         if !lock.holds() {
             break;
         }
-        if let Some(primary) = back {
-            return settle(node, group, lock, revision, &primary, old.term).await;
+        if let Some(primary) = recovered {
+            return record_primary(node, group, lock, revision, &primary, old.term).await;
         }
-        if !still_holds::<E>(group, &old, &member, fenced, &told).await {
-            log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica holds no more");
+        if !still_holds::<E>(group, &old, &member, fenced, &informed).await {
+            log::warn!(service = &*group.service, upstream = &*member.upstream.id; "replica no longer holds for the next term");
             continue;
         }
         reason = reason.ordered();
@@ -205,7 +210,7 @@
             .edge
             .orders()
             .promote(&group.service, id, name, lock.token);
-        let ordered = timeout(ORDER, order).await;
+        let ordered = timeout(ORDER_TIMEOUT, order).await;
         node.last_order_at.set(Some(Boot.now()));
         let answer = match &ordered {
             Ok(ordered) => counted::answer(ordered.as_ref().err()),
@@ -216,23 +221,23 @@
         if matches!(ordered, Ok(Err(Fault::Missing | Fault::Refused))) {
             continue;
         }
-        if let Some(term) = shown::<E>(&member, old.term).await {
-            return settle(node, group, lock, revision, &member, term).await;
+        if let Some(term) = wait_until_promoted::<E>(&member, old.term).await {
+            return record_primary(node, group, lock, revision, &member, term).await;
         }
     }
     Err(Failed::Expired)
 }
 
-/// The old primary, if it leads its term again before others' proofs have lapsed
-/// and no order may be on its way.
-async fn is_back<E: Edge>(
+/// The old primary, if it is found to lead its term again before the proofs of other instances
+/// have expired and while no order can be in flight.
+async fn recovered_primary<E: Edge>(
     group: &Group,
     old: &Record,
     reason: Reason,
     wait: Duration,
 ) -> Option<Rc<Member>> {
     let primary = group.member(&old.upstream)?;
-    if !reason.is_doubt() {
+    if !reason.is_uncertain() {
         return None;
     }
     sleep(wait.saturating_sub(probe::STATUS_TIMEOUT)).await;
@@ -240,9 +245,9 @@
     (status.leads && status.term == old.term).then_some(primary)
 }
 
-/// Waits until `member` leads a newer term than `old`; that term.
-async fn shown<E: Edge>(member: &Rc<Member>, old: Term) -> Option<Term> {
-    let deadline = Boot.now() + SHOW;
+/// Waits until `member` leads a newer term than `old`. Returns that term.
+async fn wait_until_promoted<E: Edge>(member: &Rc<Member>, old: Term) -> Option<Term> {
+    let deadline = Boot.now() + PROMOTION_TIMEOUT;
     while Boot.now() < deadline {
         if let Some(status) = probe::status::<E::Protocol>(member).await.status()
             && status.leads
@@ -250,7 +255,7 @@
         {
             return Some(status.term);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
--- a/crates/proxy/src/takeover/record.rs
+++ b/crates/proxy/src/takeover/record.rs
@@ -1,5 +1,4 @@
-//! What the store is told of a replacement: its beginning, the end of the era, its
-//! end.
+//! Records a replacement in the store: its start, the end of the proof lease, and its result.
 
 use std::rc::Rc;
 
@@ -12,8 +11,8 @@
 };
 
 use super::{
-    Failed, POLL,
-    lock::{CALL, Lock},
+    Failed, POLL_INTERVAL,
+    lock::{Lock, STORE_TIMEOUT},
 };
 use crate::{
     control::{encode, record_key, takeover_lock_key},
@@ -23,10 +22,10 @@
     message::Command,
     node::Node,
     probe,
-    proof_lease::{era_key, era_of},
+    proof_lease::{find_lease, lease_key},
 };
 
-/// Writes into the record that the primary is being replaced; the new revision.
+/// Marks the primary's record as changing. Returns the new revision.
 pub(super) async fn announce<E: Edge>(
     node: &Node<E>,
     group: &Group,
@@ -48,28 +47,29 @@
     while lock.holds() {
         let duty = lock.revision.get();
         swap.expected[1].1 = duty;
-        match timeout(CALL, node.store().swap(&swap)).await {
+        match timeout(STORE_TIMEOUT, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
                 group.update_record(record, revision);
                 return Ok(revision);
             }
-            // The right was renewed meanwhile, or an unanswered try was done.
+            // The lock was renewed in the meantime, or an earlier call succeeded without an
+            // answer.
             Ok(Ok(_)) if duty != lock.revision.get() => {}
-            Ok(Ok(_)) => return announced(node, group, &record).await,
-            Ok(Err(_)) | Err(_) => sleep(POLL).await,
+            Ok(Ok(_)) => return verify_written(node, group, &record).await,
+            Ok(Err(_)) | Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
     Err(Failed::Expired)
 }
 
-/// Whether the record says just what this instance tried to write.
-pub(super) async fn announced<E: Edge>(
+/// Returns the record's revision if the record is what this instance tried to write.
+pub(super) async fn verify_written<E: Edge>(
     node: &Node<E>,
     group: &Group,
     record: &Record,
 ) -> Result<u64, Failed> {
     let key = record_key::<E>(&group.service);
-    let items = timeout(CALL, node.store().read(&key, CALL)).await;
+    let items = timeout(STORE_TIMEOUT, node.store().read(&key, STORE_TIMEOUT)).await;
     let items = items.map_err(|_| Fault::Unknown)??;
     let item = items.items.iter().find(|item| item.key == key);
     let item = item.ok_or(Failed::Overtaken)?;
@@ -81,28 +81,29 @@
     Ok(item.revision)
 }
 
-/// Ends the era in which proofs were given before the announcement; when that was.
-pub(super) async fn end_era<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
+/// Ends the lease under which proofs were given before the announcement. Returns the time at
+/// which the lease had ended.
+pub(super) async fn end_lease<E: Edge>(node: &Node<E>, lock: &Lock) -> Result<Instant, Failed> {
     let store = node.store();
     while lock.holds() {
-        let items = timeout(CALL, store.read(&era_key::<E>(), CALL)).await;
+        let items = timeout(STORE_TIMEOUT, store.read(&lease_key::<E>(), STORE_TIMEOUT)).await;
         let Ok(Ok(items)) = items else {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
-        let Some(lease) = era_of::<E>(&items) else {
+        let Some(lease) = find_lease::<E>(&items) else {
             return Ok(Boot.now());
         };
-        match timeout(CALL, store.revoke(lease.id)).await {
+        match timeout(STORE_TIMEOUT, store.revoke(lease.id)).await {
             Ok(Ok(()) | Err(Fault::Missing)) => return Ok(Boot.now()),
-            _ => sleep(POLL).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
     Err(Failed::Expired)
 }
 
-/// Records the new primary, and tells the others to follow.
-pub(super) async fn settle<E: Edge>(
+/// Records the new primary and makes the other members follow it.
+pub(super) async fn record_primary<E: Edge>(
     node: &Rc<Node<E>>,
     group: &Rc<Group>,
     lock: &Lock,
@@ -128,20 +129,20 @@
         if !lock.holds() {
             return Err(Failed::Expired);
         }
-        match timeout(CALL, node.store().swap(&swap)).await {
+        match timeout(STORE_TIMEOUT, node.store().swap(&swap)).await {
             Ok(Ok(Swapped::Done(revision))) => {
                 group.update_record(record, revision);
                 break;
             }
             Ok(Ok(_)) => {
-                announced(node, group, &record).await?;
+                verify_written(node, group, &record).await?;
                 break;
             }
-            Ok(Err(_)) | Err(_) => sleep(POLL * 2).await,
+            Ok(Err(_)) | Err(_) => sleep(POLL_INTERVAL * 2).await,
         }
     }
     node.proof_wanted.notify_one();
-    let again = old.as_deref() == Some(&*member.upstream.id);
+    let is_unchanged = old.as_deref() == Some(&*member.upstream.id);
     let others: Vec<_> = group
         .members()
         .into_iter()
@@ -149,7 +150,7 @@
         .collect();
     spawn_local(async move {
         probe::order_all::<E::Protocol>(&others, &Command::Resume).await;
-        if again {
+        if is_unchanged {
             return;
         }
         probe::order_all::<E::Protocol>(&others, &Command::Demote(term)).await;
