--- a/crates/fleet/src/force.rs
+++ b/crates/fleet/src/activation.rs
@@ -28,15 +28,15 @@
 
 /// The catalogue's revision in force and the one that is held back.
 #[derive(Debug, Default)]
-pub(crate) struct Force {
+pub(crate) struct Activation {
     applied: Revision,
     /// The one before, kept until the next, in case `applied` is refused.
-    before: Revision,
+    previous: Revision,
     refused: Option<Revision>,
     held: Option<Held>,
 }
 
-impl Force {
+impl Activation {
     pub(crate) fn applied(&self) -> Revision {
         self.applied
     }
@@ -46,12 +46,12 @@
     }
 
     /// Looks at what the mirror holds now, understanding formats up to `format`.
-    pub(crate) fn look(&mut self, mirror: &Mirror, format: u16) -> Option<Action> {
-        if mirror.catalog() == 0 {
+    pub(crate) fn evaluate(&mut self, mirror: &Mirror, format: u16) -> Option<Action> {
+        if mirror.catalog_revision() == 0 {
             return None;
         }
-        match judge(mirror, format) {
-            Ok(revision) => self.put_in_force(mirror, revision),
+        match validate(mirror, format) {
+            Ok(revision) => self.activate(mirror, revision),
             Err(reason) => self.hold(mirror, reason),
         }
     }
@@ -61,7 +61,7 @@
         if revision != self.applied {
             return None;
         }
-        self.applied = self.before;
+        self.applied = self.previous;
         self.refused = Some(revision);
         let held = Held {
             revision,
@@ -71,12 +71,12 @@
         Some(Action::Notice(Notice::Held(held)))
     }
 
-    fn put_in_force(&mut self, mirror: &Mirror, revision: Revision) -> Option<Action> {
+    fn activate(&mut self, mirror: &Mirror, revision: Revision) -> Option<Action> {
         if revision <= self.applied || self.refused == Some(revision) {
             return None;
         }
         let (scope, changes) = changes_since(mirror, self.applied);
-        self.before = self.applied;
+        self.previous = self.applied;
         self.applied = revision;
         self.held = None;
         Some(Action::Catalog {
@@ -91,18 +91,18 @@
             revision: mirror.revision(),
             reason,
         };
-        let told = self.held.replace(held).map(|held| held.reason);
-        (told != Some(reason)).then_some(Action::Notice(Notice::Held(held)))
+        let reported = self.held.replace(held).map(|held| held.reason);
+        (reported != Some(reason)).then_some(Action::Notice(Notice::Held(held)))
     }
 }
 
-fn judge(mirror: &Mirror, format: u16) -> Result<Revision, Reason> {
+fn validate(mirror: &Mirror, format: u16) -> Result<Revision, Reason> {
     let (written, value) = mirror.find(keys::HEAD).ok_or(Reason::NoHead)?;
     let head = Head::parse(value).ok_or(Reason::NoHead)?;
     if head.format > format {
         return Err(Reason::Format(head.format));
     }
-    if mirror.catalog() > written {
+    if mirror.catalog_revision() > written {
         return Err(Reason::Incomplete);
     }
     Ok(Revision {
--- a/crates/fleet/src/answer.rs
+++ b/crates/fleet/src/answer.rs
@@ -15,35 +15,35 @@
 /// How many large answers may go out at once.
 const LARGE_BURST: u32 = 4;
 /// How long it takes until one more large answer may go out.
-const LARGE_EVERY: Duration = Duration::from_millis(250);
+const LARGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How many large answers may go out now.
 ///
 /// A whole zone that starts anew would else pull everything from the few peers
 /// it knows, and take their processors and memory from the work they do.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    left: u32,
+pub(crate) struct Limiter {
+    tokens: u32,
     refilled: Instant,
 }
 
-impl Allowance {
+impl Limiter {
     pub(crate) fn open(now: Instant) -> Self {
         Self {
-            left: LARGE_BURST,
+            tokens: LARGE_BURST,
             refilled: now,
         }
     }
 
-    fn take(&mut self, now: Instant) -> Option<()> {
-        while self.left < LARGE_BURST && now.since(self.refilled) >= LARGE_EVERY {
-            self.left += 1;
-            self.refilled = self.refilled + LARGE_EVERY;
+    fn acquire(&mut self, now: Instant) -> Option<()> {
+        while self.tokens < LARGE_BURST && now.since(self.refilled) >= LARGE_INTERVAL {
+            self.tokens += 1;
+            self.refilled = self.refilled + LARGE_INTERVAL;
         }
-        if self.left == LARGE_BURST {
+        if self.tokens == LARGE_BURST {
             self.refilled = now;
         }
-        self.left = self.left.checked_sub(1)?;
+        self.tokens = self.tokens.checked_sub(1)?;
         Some(())
     }
 }
@@ -63,7 +63,7 @@
     fn answer_pull(&mut self, now: Instant, from: Revision) -> Vec<Message> {
         let (from, changes) = self.mirror.since(from);
         let len: usize = changes.iter().map(len).sum();
-        if len > LARGE_MIN && self.pulls.allowance.take(now).is_none() {
+        if len > LARGE_MIN && self.pulls.limiter.acquire(now).is_none() {
             return vec![Message::Busy];
         }
         let chunks = chunks(changes);
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     Action, Call, Conf, Event, Member, Mirror, Notice, Table,
+    activation::Activation,
     event::Store,
-    force::Force,
-    gossip::{Gossip, Telling},
+    gossip::{Detail, Gossip},
     list::List,
     probe::{self, Probes},
     pull::{self, Pulls},
@@ -22,7 +22,7 @@
 
 /// How long a new or resumed instance listens to peers before it believes what
 /// the store says: a store restored from a backup may be older than they are.
-const SETTLE_WAIT: std::time::Duration = std::time::Duration::from_secs(1);
+const DISCOVERY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
 /// An instance not stepped for this long was paused: its timers all fell due at
 /// once, and peers that answered meanwhile would look silent.
 const PAUSE_MIN: std::time::Duration = std::time::Duration::from_secs(5);
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Due {
     /// The next heartbeat.
-    Period,
+    Heartbeat,
     /// A probe waits for its answer no longer.
     Probe(u32),
     /// The next round of telling news.
@@ -41,14 +41,14 @@
     /// The store is to be checked, or waited for no longer.
     Relay(u64),
     /// Peers had their time to tell what they hold.
-    Settle,
+    Discovery,
     /// The next members are asked for a survey.
     Survey,
 }
 
 /// Whether peers were heard since the start or the last pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Settled {
+pub(crate) enum Discovery {
     Waiting,
     Done,
 }
@@ -87,12 +87,12 @@
     pub(crate) gossip: Gossip,
     pub(crate) probes: Probes,
     pub(crate) mirror: Mirror,
-    pub(crate) force: Force,
+    pub(crate) activation: Activation,
     pub(crate) push: Push,
     pub(crate) pulls: Pulls,
     pub(crate) relay: Relay,
     pub(crate) list: List,
-    pub(crate) settled: Settled,
+    pub(crate) discovery: Discovery,
     pub(crate) last_step: Instant,
     calls: u64,
     wake: Option<Instant>,
@@ -113,21 +113,23 @@
             gossip: Gossip::default(),
             probes: Probes::default(),
             mirror: Mirror::default(),
-            force: Force::default(),
+            activation: Activation::default(),
             push: Push::open(),
             pulls: Pulls::open(now),
             relay: Relay::default(),
             list: List::default(),
-            settled: Settled::Waiting,
+            discovery: Discovery::Waiting,
             last_step: now,
             calls: 0,
             wake: None,
             out: Vec::new(),
             conf,
         };
-        fleet.tell_self(now);
-        fleet.timer.subscribe(now + SETTLE_WAIT, Due::Settle);
-        fleet.start_period(now);
+        fleet.publish_record(now);
+        fleet
+            .timer
+            .subscribe(now + DISCOVERY_TIMEOUT, Due::Discovery);
+        fleet.schedule_first_heartbeat(now);
         fleet.ping_seeds();
         let actions = fleet.finish(now);
         (fleet, actions)
@@ -138,7 +140,7 @@
     /// Moments must not go back; an event is handled after all timers that fell
     /// due before it.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.last_step = now;
         for due in self.timer.expired(now) {
             self.on_due(now, due);
@@ -164,7 +166,7 @@
 
     /// The revision of the catalogue in force.
     pub fn applied(&self) -> wire::Revision {
-        self.force.applied()
+        self.activation.applied()
     }
 
     /// The members that may be given work, the strongest for `key` first.
@@ -174,19 +176,19 @@
 
     /// The members that watch the store for `zone`, as seen from here.
     pub fn relays(&self, zone: &model::name::Zone) -> Vec<&Member> {
-        let mut ranked = rank(relay::DUTY, self.table.zone(zone));
+        let mut ranked = rank(relay::KEY, self.table.zone(zone));
         ranked.truncate(self.conf.relays);
         ranked
     }
 
     fn on_due(&mut self, now: Instant, due: Due) {
         match due {
-            Due::Period => self.on_period(now),
-            Due::Probe(probe) => self.on_probe_due(now, probe),
+            Due::Heartbeat => self.on_heartbeat_due(now),
+            Due::Probe(probe) => self.on_probe_timeout(now, probe),
             Due::Push => self.on_push_due(now),
             Due::Pull(call) => self.on_pull_failed(now, call),
-            Due::Relay(turn) => self.on_relay_due(now, turn),
-            Due::Settle => self.settle(now),
+            Due::Relay(timer_generation) => self.on_relay_due(now, timer_generation),
+            Due::Discovery => self.finish_discovery(now),
             Due::Survey => self.on_survey_due(now),
         }
     }
@@ -205,7 +207,7 @@
             Event::Store { call, answer } => self.on_store(now, call, answer),
             Event::Instances(listings) => self.on_list(now, &listings),
             Event::Refused(revision) => {
-                let action = self.force.refuse(revision);
+                let action = self.activation.refuse(revision);
                 self.out.extend(action);
             }
             Event::Survey => self.start_survey(now),
@@ -224,10 +226,10 @@
         }
     }
 
-    pub(crate) fn tell_self(&mut self, now: Instant) {
+    pub(crate) fn publish_record(&mut self, now: Instant) {
         let record = self.record();
         self.table.merge_record(now, &record);
-        self.gossip.tell(self.node, Telling::Record);
+        self.gossip.enqueue(self.node, Detail::Record);
     }
 
     pub(crate) fn leave(&mut self, now: Instant) {
@@ -235,7 +237,7 @@
             return;
         }
         self.state = State::Leaving;
-        self.tell_self(now);
+        self.publish_record(now);
         self.start_push(now);
     }
 
@@ -250,7 +252,7 @@
             state: State::Gone,
         };
         let view = self.view();
-        for to in self.push_targets(push::GOODBYES) {
+        for to in self.push_targets(push::GOODBYE_FANOUT) {
             let message = Message::Rumour {
                 view,
                 delta: None,
@@ -263,8 +265,8 @@
     }
 
     pub(crate) fn view(&self) -> View {
-        let applied = self.force.applied();
-        let held = self.force.held().is_some();
+        let applied = self.activation.applied();
+        let held = self.activation.held().is_some();
         View {
             revision: self.mirror.revision(),
             digest: self.mirror.digest(),
@@ -292,39 +294,40 @@
         call
     }
 
-    fn notice_pause(&mut self, now: Instant) {
-        let gap = now.since(self.last_step);
-        if gap < PAUSE_MIN {
+    fn detect_pause(&mut self, now: Instant) {
+        let pause = now.since(self.last_step);
+        if pause < PAUSE_MIN {
             return;
         }
         // Milliseconds of a pause fit in 64 bits.
-        self.notice(Notice::Paused(gap.as_millis() as u64));
+        self.notice(Notice::Paused(pause.as_millis() as u64));
         self.timer = Timer::default();
         self.probes = Probes::default();
         self.pulls = Pulls::open(now);
         self.push = Push::open();
         self.stop_relay();
-        self.settled = Settled::Waiting;
-        self.timer.subscribe(now + SETTLE_WAIT, Due::Settle);
-        self.timer.subscribe(now, Due::Period);
+        self.discovery = Discovery::Waiting;
+        self.timer
+            .subscribe(now + DISCOVERY_TIMEOUT, Due::Discovery);
+        self.timer.subscribe(now, Due::Heartbeat);
     }
 
     /// Believes the store from now on, and puts in force what is held.
-    pub(crate) fn settle(&mut self, now: Instant) {
-        if self.settled == Settled::Done {
+    pub(crate) fn finish_discovery(&mut self, now: Instant) {
+        if self.discovery == Discovery::Done {
             return;
         }
-        self.settled = Settled::Done;
-        self.look();
-        self.review_duty(now);
+        self.discovery = Discovery::Done;
+        self.apply_catalog();
+        self.update_relay(now);
     }
 
     /// Puts the catalogue in force if it is whole and can be understood.
-    pub(crate) fn look(&mut self) {
-        if self.settled == Settled::Waiting {
+    pub(crate) fn apply_catalog(&mut self) {
+        if self.discovery == Discovery::Waiting {
             return;
         }
-        let action = self.force.look(&self.mirror, self.conf.format);
+        let action = self.activation.evaluate(&self.mirror, self.conf.format);
         self.out.extend(action);
     }
 
@@ -351,5 +354,5 @@
     }
 }
 
-const _: () = assert!(probe::PERIOD.as_millis() < PAUSE_MIN.as_millis());
-const _: () = assert!(pull::WAIT.as_millis() < PAUSE_MIN.as_millis());
+const _: () = assert!(probe::HEARTBEAT_INTERVAL.as_millis() < PAUSE_MIN.as_millis());
+const _: () = assert!(pull::TIMEOUT.as_millis() < PAUSE_MIN.as_millis());
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -10,17 +10,17 @@
 use crate::Table;
 
 /// The bytes of rumours that one datagram carries, reckoned.
-const BUDGET: usize = 420;
+const UPDATES_MAX: usize = 420;
 /// The bytes that a mark takes on the wire, reckoned.
 const MARK_LEN: usize = 19;
 /// The bytes that a record takes on the wire, reckoned.
 const RECORD_LEN: usize = 64;
 /// The most rumours that wait; those told most often are dropped first.
-const WAITING_MAX: usize = 1_024;
+const QUEUE_MAX: usize = 1_024;
 
 /// How a rumour is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Telling {
+pub(crate) enum Detail {
     /// The member in full: receivers may not know it.
     Record,
     /// Its state only.
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Rumour {
     sent: u8,
-    telling: Telling,
+    detail: Detail,
 }
 
 /// Rumours about members that are still to be passed on.
@@ -43,50 +43,50 @@
 
 impl Gossip {
     /// Passes on what the table says of `node` from now on.
-    pub(crate) fn tell(&mut self, node: Node, telling: Telling) {
-        let before = self.forget(node).map(|rumour| rumour.telling);
-        let telling = before.map_or(telling, |before| before.min(telling));
-        self.keep(node, Rumour { sent: 0, telling });
-        if self.rumours.len() > WAITING_MAX
+    pub(crate) fn enqueue(&mut self, node: Node, detail: Detail) {
+        let before = self.remove(node).map(|rumour| rumour.detail);
+        let detail = before.map_or(detail, |before| before.min(detail));
+        self.insert(node, Rumour { sent: 0, detail });
+        if self.rumours.len() > QUEUE_MAX
             && let Some(&(_, stalest)) = self.order.last()
         {
-            self.forget(stalest);
+            self.remove(stalest);
         }
     }
 
     /// The rumours for one datagram, `first` before all others: the least told
     /// go first, and each is told a number of times that grows with the
     /// logarithm of the fleet.
-    pub(crate) fn take(&mut self, table: &Table, first: Option<Node>) -> Vec<Update> {
+    pub(crate) fn next_updates(&mut self, table: &Table, first: Option<Node>) -> Vec<Update> {
         let mut updates = Vec::new();
-        let mut room = BUDGET;
-        if let Some(update) = first.and_then(|node| update(table, node, Telling::Mark)) {
+        let mut room = UPDATES_MAX;
+        if let Some(update) = first.and_then(|node| update(table, node, Detail::Mark)) {
             room -= MARK_LEN;
             updates.push(update);
         }
         if self.rumours.is_empty() {
             return updates;
         }
-        let often = times(table.len());
-        let mut told = Vec::new();
+        let limit = transmissions(table.len());
+        let mut selected = Vec::new();
         for &(_, node) in &self.order {
             let rumour = self.rumours[&node];
-            let len = match rumour.telling {
-                Telling::Record => RECORD_LEN,
-                Telling::Mark => MARK_LEN,
+            let len = match rumour.detail {
+                Detail::Record => RECORD_LEN,
+                Detail::Mark => MARK_LEN,
             };
             if len > room {
                 break;
             }
             room -= len;
-            updates.extend(update(table, node, rumour.telling));
-            told.push((node, rumour));
+            updates.extend(update(table, node, rumour.detail));
+            selected.push((node, rumour));
         }
-        for (node, rumour) in told {
-            self.forget(node);
+        for (node, rumour) in selected {
+            self.remove(node);
             let sent = rumour.sent + 1;
-            if sent < often {
-                self.keep(node, Rumour { sent, ..rumour });
+            if sent < limit {
+                self.insert(node, Rumour { sent, ..rumour });
             }
         }
         updates
@@ -97,12 +97,12 @@
         self.rumours.len() * slot * 3 / 2
     }
 
-    fn keep(&mut self, node: Node, rumour: Rumour) {
+    fn insert(&mut self, node: Node, rumour: Rumour) {
         self.rumours.insert(node, rumour);
         self.order.insert((rumour.sent, node));
     }
 
-    fn forget(&mut self, node: Node) -> Option<Rumour> {
+    fn remove(&mut self, node: Node) -> Option<Rumour> {
         let rumour = self.rumours.remove(&node)?;
         self.order.remove(&(rumour.sent, node));
         Some(rumour)
@@ -110,15 +110,15 @@
 }
 
 /// How often a rumour is told by each instance that hears it.
-fn times(members: usize) -> u8 {
+fn transmissions(members: usize) -> u8 {
     // The logarithm of a 64-bit number is below 64.
     (usize::BITS - members.leading_zeros()) as u8 + 2
 }
 
-fn update(table: &Table, node: Node, telling: Telling) -> Option<Update> {
+fn update(table: &Table, node: Node, detail: Detail) -> Option<Update> {
     let record = &table.find(node)?.record;
-    match (telling, record.state) {
-        (Telling::Record, State::Alive | State::Leaving) => Some(Update::Record(record.clone())),
+    match (detail, record.state) {
+        (Detail::Record, State::Alive | State::Leaving) => Some(Update::Record(record.clone())),
         _ => Some(Update::Mark(Mark {
             node,
             incarnation: record.incarnation,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,14 +9,13 @@
 //!   moves forward, a whole revision at a time;
 //! * watches the store itself only while it is one of its zone's few relays.
 
+mod activation;
 mod answer;
 mod choose;
 mod conf;
 mod event;
 mod fleet;
-mod force;
 mod gossip;
-mod hear;
 mod keys;
 mod list;
 mod member;
@@ -25,14 +24,15 @@
 mod pull;
 mod push;
 mod rank;
+mod receive;
 mod relay;
 mod status;
 mod table;
 
+pub use activation::{Held, Reason};
 pub use conf::Conf;
 pub use event::{Action, Answer, Call, Event, Lifecycle, Listing, Notice, Request, Scope, Store};
 pub use fleet::Fleet;
-pub use force::{Held, Reason};
 pub use keys::{HEAD, Head, RANGE_END, RANGE_START};
 pub use member::{Member, Path};
 pub use mirror::{Error, Mirror};
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -3,12 +3,12 @@
 use clock::Instant;
 use wire::{Node, Record, State};
 
-use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Settled, table::Merge};
+use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Discovery, table::Merge};
 
 /// What the list says of this instance.
 #[derive(Debug, Default)]
 pub(crate) struct List {
-    ours: Option<Lifecycle>,
+    own: Option<Lifecycle>,
 }
 
 impl Fleet {
@@ -17,19 +17,19 @@
     /// It introduces members and tells who leaves. It buries nobody: a member
     /// that answers heartbeats lives, whether the list has it or not.
     pub(crate) fn on_list(&mut self, now: Instant, listings: &[Listing]) {
-        self.introduce(now, listings);
-        if self.distrusts(listings) {
+        self.add_listed(now, listings);
+        if self.reject_implausible(listings) {
             return;
         }
         for listing in listings {
             self.on_listing(now, listing);
         }
-        self.review_duty(now);
+        self.update_relay(now);
     }
 
-    fn introduce(&mut self, now: Instant, listings: &[Listing]) {
-        let waiting = self.settled == Settled::Waiting;
-        let mut greeted = 0;
+    fn add_listed(&mut self, now: Instant, listings: &[Listing]) {
+        let waiting = self.discovery == Discovery::Waiting;
+        let mut pinged = 0;
         for listing in listings {
             let record = Record {
                 name: listing.name.clone(),
@@ -46,9 +46,9 @@
             if !known {
                 self.out.push(Action::Member(record));
             }
-            if waiting && greeted < GREETED_MAX && listing.zone == self.conf.zone {
-                greeted += 1;
-                self.greet(listing.address);
+            if waiting && pinged < LISTED_PINGS_MAX && listing.zone == self.conf.zone {
+                pinged += 1;
+                self.ping_with_record(listing.address);
             }
         }
     }
@@ -57,7 +57,7 @@
     ///
     /// A platform whose list is empty or marks everyone as leaving, while the
     /// instances answer each other, would else stop the whole service at once.
-    fn distrusts(&mut self, listings: &[Listing]) -> bool {
+    fn reject_implausible(&mut self, listings: &[Listing]) -> bool {
         let alive = self
             .table
             .members()
@@ -93,29 +93,29 @@
     }
 
     fn on_own_listing(&mut self, now: Instant, lifecycle: Lifecycle) {
-        let before = self.list.ours.replace(lifecycle);
+        let before = self.list.own.replace(lifecycle);
         match (before, lifecycle) {
             (Some(Lifecycle::Leaving), Lifecycle::Leaving) | (None, Lifecycle::Live) => {}
             (_, Lifecycle::Leaving) => {
                 self.notice(Notice::ListedLeaving);
                 self.leave(now);
             }
-            (Some(Lifecycle::Leaving), Lifecycle::Live) => self.come_back(now),
+            (Some(Lifecycle::Leaving), Lifecycle::Live) => self.cancel_leave(now),
             (Some(Lifecycle::Live), Lifecycle::Live) => {}
         }
     }
 
     /// The platform took back that this instance leaves.
-    fn come_back(&mut self, now: Instant) {
+    fn cancel_leave(&mut self, now: Instant) {
         if self.state != State::Leaving {
             return;
         }
         self.state = State::Alive;
         self.incarnation += 1;
-        self.tell_self(now);
+        self.publish_record(now);
         self.start_push(now);
     }
 }
 
 /// How many members of the own zone are greeted at once when starting.
-const GREETED_MAX: usize = 5;
+const LISTED_PINGS_MAX: usize = 5;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether it is worth sending to: it is not known to be away.
-    pub(crate) fn reachable(&self) -> bool {
+    pub(crate) fn is_reachable(&self) -> bool {
         matches!(self.record.state, State::Alive | State::Leaving)
     }
 }
--- a/crates/fleet/src/mirror.rs
+++ b/crates/fleet/src/mirror.rs
@@ -74,7 +74,7 @@
     /// Removals up to this revision may have been forgotten.
     floor: u64,
     /// The newest revision that wrote or removed a key of the catalogue.
-    catalog: u64,
+    catalog_revision: u64,
 }
 
 impl Mirror {
@@ -105,8 +105,8 @@
     }
 
     /// The newest revision that touched the catalogue.
-    pub(crate) fn catalog(&self) -> u64 {
-        self.catalog
+    pub(crate) fn catalog_revision(&self) -> u64 {
+        self.catalog_revision
     }
 
     /// Moves on by `changes`, which lead from the revision held to `to`.
@@ -145,7 +145,7 @@
         }
         self.digest = sum;
         self.revision = to;
-        self.forget_removed();
+        self.prune_removed();
         Ok(())
     }
 
@@ -181,12 +181,12 @@
             return Err(Error::Digest);
         }
         let differences = self.differences(&next);
-        let catalog = differences
+        let catalog_revision = differences
             .iter()
             .filter(|change| change.key.starts_with(keys::CATALOG))
             .map(|change| change.revision)
             .max();
-        next.catalog = next.catalog.max(catalog.unwrap_or(0));
+        next.catalog_revision = next.catalog_revision.max(catalog_revision.unwrap_or(0));
         *self = next;
         Ok(differences)
     }
@@ -231,9 +231,9 @@
 
     fn put(&mut self, change: &Change) {
         if change.key.starts_with(keys::CATALOG) {
-            self.catalog = self.catalog.max(change.revision);
+            self.catalog_revision = self.catalog_revision.max(change.revision);
         }
-        self.forget(&change.key);
+        self.remove(&change.key);
         self.recent.insert((change.revision, change.key.clone()));
         match &change.value {
             Some(bytes) => {
@@ -250,7 +250,7 @@
     }
 
     /// Drops a key, and what is remembered of its removal.
-    fn forget(&mut self, key: &Arc<str>) {
+    fn remove(&mut self, key: &Arc<str>) {
         let value = self.values.remove(key).map(|value| value.revision);
         let removed = self.removed.remove(key);
         for revision in value.into_iter().chain(removed) {
@@ -258,7 +258,7 @@
         }
     }
 
-    fn forget_removed(&mut self) {
+    fn prune_removed(&mut self) {
         if self.removed.len() <= REMOVED_MAX {
             return;
         }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -19,23 +19,23 @@
 
 use crate::{
     Fleet, Path,
-    fleet::{Due, Settled},
-    gossip::Telling,
+    fleet::{Discovery, Due},
+    gossip::Detail,
 };
 
 /// Between two heartbeats of an instance.
-pub(crate) const PERIOD: Duration = Duration::from_secs(1);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the first ping of a probe may take: several times the way between
 /// regions.
-const DIRECT_WAIT: Duration = Duration::from_millis(400);
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long the second ping and the helpers may take.
-const INDIRECT_WAIT: Duration = Duration::from_millis(900);
+const INDIRECT_TIMEOUT: Duration = Duration::from_millis(900);
 /// How many helpers ping a member that did not answer.
 const HELPERS: usize = 3;
 /// How many others of a zone are asked whether it is cut off.
 const WITNESSES: usize = 4;
 /// How often the table is searched for members that were away for long.
-const EXPIRE_EVERY: u32 = 60;
+const EXPIRE_HEARTBEATS: u32 = 60;
 
 /// How far a probe has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,41 +63,41 @@
 #[derive(Debug, Clone, Copy)]
 enum Purpose {
     /// A heartbeat of our own.
-    Own {
+    Heartbeat {
         target: Node,
         stage: Stage,
         attempt: Attempt,
     },
     /// A ping for a peer that got no answer.
-    Helped { asker: SocketAddr, probe: u32 },
+    OnBehalf { requester: SocketAddr, probe: u32 },
     /// A greeting or a survey, whose silence means nothing.
-    Courtesy,
+    Untracked,
 }
 
 /// The probes that wait for an answer.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
-    made: u32,
-    waiting: BTreeMap<u32, Purpose>,
-    periods: u32,
+    last_id: u32,
+    pending: BTreeMap<u32, Purpose>,
+    heartbeats: u32,
     survey: Vec<Node>,
     /// When somebody of a zone was last heard.
-    heard: BTreeMap<name::Zone, Instant>,
+    last_heard: BTreeMap<name::Zone, Instant>,
 }
 
 impl Probes {
-    fn make(&mut self, purpose: Purpose) -> u32 {
-        self.made = self.made.wrapping_add(1);
-        self.waiting.insert(self.made, purpose);
-        self.made
+    fn register(&mut self, purpose: Purpose) -> u32 {
+        self.last_id = self.last_id.wrapping_add(1);
+        self.pending.insert(self.last_id, purpose);
+        self.last_id
     }
 
     pub(crate) fn note_heard(&mut self, now: Instant, zone: name::Zone) {
-        self.heard.insert(zone, now);
+        self.last_heard.insert(zone, now);
     }
 
     pub(crate) fn state_bytes(&self) -> usize {
-        self.waiting.len() * (size_of::<Purpose>() + 4) * 3 / 2
+        self.pending.len() * (size_of::<Purpose>() + 4) * 3 / 2
             + self.survey.capacity() * size_of::<Node>()
     }
 }
@@ -105,25 +105,26 @@
 /// How many members a survey asks at once, and how long it then waits, so that
 /// asking 4,000 members takes four seconds and no burst.
 const SURVEY_BATCH: usize = 50;
-const SURVEY_WAIT: Duration = Duration::from_millis(50);
+const SURVEY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Fleet {
     /// The first heartbeat falls anywhere in the first period, so that instances
     /// started together do not beat together.
-    pub(crate) fn start_period(&mut self, now: Instant) {
-        let millis = PERIOD.as_millis() as u64;
+    pub(crate) fn schedule_first_heartbeat(&mut self, now: Instant) {
+        let millis = HEARTBEAT_INTERVAL.as_millis() as u64;
         let wait = Duration::from_millis(self.rng.random_range(0..millis));
-        self.timer.subscribe(now + wait, Due::Period);
+        self.timer.subscribe(now + wait, Due::Heartbeat);
     }
 
-    pub(crate) fn on_period(&mut self, now: Instant) {
-        self.timer.subscribe(now + PERIOD, Due::Period);
-        self.probes.periods = self.probes.periods.wrapping_add(1);
-        if self.probes.periods.is_multiple_of(EXPIRE_EVERY) {
+    pub(crate) fn on_heartbeat_due(&mut self, now: Instant) {
+        self.timer
+            .subscribe(now + HEARTBEAT_INTERVAL, Due::Heartbeat);
+        self.probes.heartbeats = self.probes.heartbeats.wrapping_add(1);
+        if self.probes.heartbeats.is_multiple_of(EXPIRE_HEARTBEATS) {
             self.expire(now);
         }
-        self.review_duty(now);
-        self.greet_cut_off();
+        self.update_relay(now);
+        self.ping_cut_off_zone();
         match self.choose_target() {
             Some(target) => self.probe(now, target, Attempt::First),
             None => self.ping_seeds(),
@@ -132,7 +133,7 @@
 
     fn expire(&mut self, now: Instant) {
         for node in self.table.expire(now) {
-            self.announce(now, node, Telling::Mark);
+            self.announce(now, node, Detail::Mark);
         }
     }
 
@@ -140,17 +141,17 @@
     pub(crate) fn ping_seeds(&mut self) {
         for to in self.conf.seeds.clone() {
             if to != self.conf.address {
-                self.greet(to);
+                self.ping_with_record(to);
             }
         }
     }
 
     /// Pings an instance whose answer alone matters.
-    fn knock(&mut self, to: SocketAddr) {
-        let probe = self.probes.make(Purpose::Courtesy);
+    fn ping_untracked(&mut self, to: SocketAddr) {
+        let probe = self.probes.register(Purpose::Untracked);
         self.ping(to, probe, None);
         // It is not timed; whatever answers last counts.
-        self.probes.waiting.remove(&probe);
+        self.probes.pending.remove(&probe);
     }
 
     /// Pings an instance that may not know this one, and tells it just that.
@@ -158,8 +159,8 @@
     /// A rumour is told a few times only. If greetings used those up and were
     /// lost, as all are that leave before the network is up, a member would
     /// stay unknown to those who answer it later.
-    pub(crate) fn greet(&mut self, to: SocketAddr) {
-        let probe = self.probes.make(Purpose::Courtesy);
+    pub(crate) fn ping_with_record(&mut self, to: SocketAddr) {
+        let probe = self.probes.register(Purpose::Untracked);
         let message = Message::Ping {
             probe,
             view: self.view(),
@@ -167,7 +168,7 @@
         };
         self.send(to, message);
         // Greetings are not timed; only the last one's answer matters.
-        self.probes.waiting.remove(&probe);
+        self.probes.pending.remove(&probe);
     }
 
     fn probe(&mut self, now: Instant, target: Node, attempt: Attempt) {
@@ -175,85 +176,93 @@
             return;
         };
         let to = member.record.address;
-        let probe = self.probes.make(Purpose::Own {
+        let probe = self.probes.register(Purpose::Heartbeat {
             target,
             stage: Stage::Direct,
             attempt,
         });
         self.ping(to, probe, Some(target));
-        self.timer.subscribe(now + DIRECT_WAIT, Due::Probe(probe));
+        self.timer
+            .subscribe(now + DIRECT_TIMEOUT, Due::Probe(probe));
     }
 
     /// Pings `to`, with the doubt about `target`, if any, told first: who is
     /// suspected must hear it to refute it.
     fn ping(&mut self, to: SocketAddr, probe: u32, target: Option<Node>) {
-        let doubted = target.filter(|&node| self.doubts(node));
+        let unreachable = target.filter(|&node| self.is_unreachable(node));
         let message = Message::Ping {
             probe,
             view: self.view(),
-            updates: self.gossip.take(&self.table, doubted),
+            updates: self.gossip.next_updates(&self.table, unreachable),
         };
         self.send(to, message);
     }
 
-    fn doubts(&self, node: Node) -> bool {
+    fn is_unreachable(&self, node: Node) -> bool {
         let member = self.table.find(node);
-        member.is_some_and(|member| !member.reachable())
+        member.is_some_and(|member| !member.is_reachable())
     }
 
     pub(crate) fn answer_ping(&mut self, from: Node, to: SocketAddr, probe: u32) {
-        let doubted = Some(from).filter(|&node| self.doubts(node));
+        let unreachable = Some(from).filter(|&node| self.is_unreachable(node));
         let message = Message::Ack {
             probe,
             view: self.view(),
-            updates: self.gossip.take(&self.table, doubted),
+            updates: self.gossip.next_updates(&self.table, unreachable),
         };
         self.send(to, message);
     }
 
     pub(crate) fn on_ack(&mut self, now: Instant, from: Node, address: SocketAddr, probe: u32) {
-        let purpose = self.probes.waiting.remove(&probe);
-        if let Some(Purpose::Helped { asker, probe }) = purpose {
+        let purpose = self.probes.pending.remove(&probe);
+        if let Some(Purpose::OnBehalf { requester, probe }) = purpose {
             let message = Message::Ack {
                 probe,
                 view: self.view(),
                 updates: Vec::new(),
             };
-            self.send(asker, message);
+            self.send(requester, message);
         }
-        if self.doubts(from) {
+        if self.is_unreachable(from) {
             let message = Message::Rumour {
                 view: self.view(),
                 delta: None,
-                updates: self.gossip.take(&self.table, Some(from)),
+                updates: self.gossip.next_updates(&self.table, Some(from)),
             };
             self.send(address, message);
         }
-        if self.settled == Settled::Waiting {
+        if self.discovery == Discovery::Waiting {
             self.on_first_ack(now, address);
         }
     }
 
-    pub(crate) fn help(&mut self, now: Instant, asker: SocketAddr, probe: u32, to: SocketAddr) {
-        let own = self.probes.make(Purpose::Helped { asker, probe });
+    pub(crate) fn probe_on_behalf(
+        &mut self,
+        now: Instant,
+        requester: SocketAddr,
+        probe: u32,
+        to: SocketAddr,
+    ) {
+        let own = self.probes.register(Purpose::OnBehalf { requester, probe });
         self.ping(to, own, None);
-        self.timer.subscribe(now + INDIRECT_WAIT, Due::Probe(own));
+        self.timer
+            .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(own));
     }
 
-    pub(crate) fn on_probe_due(&mut self, now: Instant, probe: u32) {
-        let Some(Purpose::Own {
+    pub(crate) fn on_probe_timeout(&mut self, now: Instant, probe: u32) {
+        let Some(Purpose::Heartbeat {
             target,
             stage,
             attempt,
-        }) = self.probes.waiting.remove(&probe)
+        }) = self.probes.pending.remove(&probe)
         else {
             return;
         };
         match (stage, attempt) {
             (Stage::Direct, attempt) => self.probe_indirectly(now, probe, target, attempt),
             (Stage::Indirect, Attempt::First) => self.probe(now, target, Attempt::Second),
-            (Stage::Indirect, Attempt::Second) => self.ask_witnesses(now, probe, target),
-            (Stage::Witness { since }, _) => self.judge(now, probe, target, since),
+            (Stage::Indirect, Attempt::Second) => self.ping_witnesses(now, probe, target),
+            (Stage::Witness { since }, _) => self.conclude(now, probe, target, since),
             (Stage::Last, _) => self.suspect(now, target),
         }
     }
@@ -263,27 +272,28 @@
             return;
         };
         let to = member.record.address;
-        let purpose = Purpose::Own {
+        let purpose = Purpose::Heartbeat {
             target,
             stage: Stage::Indirect,
             attempt,
         };
-        self.probes.waiting.insert(probe, purpose);
+        self.probes.pending.insert(probe, purpose);
         self.ping(to, probe, Some(target));
         for helper in self.choose_helpers(target) {
             self.send(helper, Message::Probe { probe, target: to });
         }
-        self.timer.subscribe(now + INDIRECT_WAIT, Due::Probe(probe));
+        self.timer
+            .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(probe));
     }
 
     fn choose_helpers(&mut self, target: Node) -> Vec<SocketAddr> {
         let alive = |state| state == State::Alive;
         let mut helpers = Vec::new();
-        for turn in 0..2 * HELPERS {
-            let chosen = if turn % 2 == 0 {
-                self.choose_at_home(alive)
+        for index in 0..2 * HELPERS {
+            let chosen = if index % 2 == 0 {
+                self.choose_local(alive)
             } else {
-                self.choose_abroad(alive)
+                self.choose_remote(alive)
             };
             let Some(node) = chosen.filter(|&node| node != target) else {
                 continue;
@@ -298,36 +308,37 @@
         helpers
     }
 
-    fn ask_witnesses(&mut self, now: Instant, probe: u32, target: Node) {
+    fn ping_witnesses(&mut self, now: Instant, probe: u32, target: Node) {
         let Some(member) = self.table.find(target) else {
             return;
         };
         let zone = member.record.zone.clone();
         let mut asked = 0;
         for _ in 0..WITNESSES {
-            let chosen = self.choose_in(&zone, |state| state == State::Alive);
+            let chosen = self.choose_in_zone(&zone, |state| state == State::Alive);
             let other = chosen.filter(|&node| node != target);
             let Some(member) = other.and_then(|node| self.table.find(node)) else {
                 continue;
             };
             asked += 1;
-            self.knock(member.record.address);
+            self.ping_untracked(member.record.address);
         }
         if asked == 0 {
             self.suspect(now, target);
             return;
         }
-        let purpose = Purpose::Own {
+        let purpose = Purpose::Heartbeat {
             target,
             stage: Stage::Witness { since: now },
             attempt: Attempt::Second,
         };
-        self.probes.waiting.insert(probe, purpose);
-        self.timer.subscribe(now + INDIRECT_WAIT, Due::Probe(probe));
+        self.probes.pending.insert(probe, purpose);
+        self.timer
+            .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(probe));
     }
 
     /// Pings the member a last time if others of its zone answered meanwhile.
-    fn judge(&mut self, now: Instant, probe: u32, target: Node, since: Instant) {
+    fn conclude(&mut self, now: Instant, probe: u32, target: Node, since: Instant) {
         let Some(member) = self.table.find(target) else {
             return;
         };
@@ -335,9 +346,9 @@
         // In its own zone an instance can't be cut off from all but itself: as
         // long as anyone answers, the silent there are dead.
         let heard = if zone == self.conf.zone {
-            self.probes.heard.values().max()
+            self.probes.last_heard.values().max()
         } else {
-            self.probes.heard.get(&zone)
+            self.probes.last_heard.get(&zone)
         };
         if heard.is_some_and(|&heard| heard >= since) {
             self.probe_last(now, probe, target);
@@ -353,18 +364,19 @@
             return;
         };
         let to = member.record.address;
-        let purpose = Purpose::Own {
+        let purpose = Purpose::Heartbeat {
             target,
             stage: Stage::Last,
             attempt: Attempt::Second,
         };
-        self.probes.waiting.insert(probe, purpose);
+        self.probes.pending.insert(probe, purpose);
         self.ping(to, probe, None);
-        self.timer.subscribe(now + INDIRECT_WAIT, Due::Probe(probe));
+        self.timer
+            .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(probe));
     }
 
     /// Looks whether a zone that is cut off answers again.
-    fn greet_cut_off(&mut self) {
+    fn ping_cut_off_zone(&mut self) {
         let cut: Vec<_> = self
             .table
             .zones()
@@ -375,9 +387,9 @@
             return;
         }
         let zone = &cut[self.rng.random_range(0..cut.len())];
-        let chosen = self.choose_in(zone, |state| state != State::Gone);
+        let chosen = self.choose_in_zone(zone, |state| state != State::Gone);
         if let Some(member) = chosen.and_then(|node| self.table.find(node)) {
-            self.knock(member.record.address);
+            self.ping_untracked(member.record.address);
         }
     }
 
@@ -407,11 +419,11 @@
         let rest = self.probes.survey.len().saturating_sub(SURVEY_BATCH);
         for node in self.probes.survey.split_off(rest) {
             if let Some(member) = self.table.find(node) {
-                self.knock(member.record.address);
+                self.ping_untracked(member.record.address);
             }
         }
         if !self.probes.survey.is_empty() {
-            self.timer.subscribe(now + SURVEY_WAIT, Due::Survey);
+            self.timer.subscribe(now + SURVEY_INTERVAL, Due::Survey);
         }
     }
 }
--- a/crates/fleet/src/pull.rs
+++ b/crates/fleet/src/pull.rs
@@ -7,23 +7,23 @@
 
 use crate::{
     Action, Call, Fleet, Notice,
-    answer::Allowance,
-    fleet::{Due, Settled},
+    answer::Limiter,
+    fleet::{Discovery, Due},
     keys,
     mirror::Error,
 };
 
 /// How long a pull may take without a frame coming in.
-pub(crate) const WAIT: Duration = Duration::from_secs(1);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(1);
 /// How long tables of members are left to agree by rumours before they are
 /// compared, once an instance has run for a while.
-const COMPARE_EVERY: Duration = Duration::from_secs(10);
+const COMPARE_INTERVAL_MAX: Duration = Duration::from_secs(10);
 /// The same just after its start; from there it doubles. An instance whose
 /// first datagrams were lost has told its record as often as it will, and is
 /// known to nobody until tables are compared.
-const COMPARE_FIRST: Duration = Duration::from_millis(250);
+const COMPARE_INTERVAL_MIN: Duration = Duration::from_millis(250);
 /// How many buckets of the table are asked for at once.
-const BUCKETS_ASKED: usize = 16;
+const BUCKETS_PER_REQUEST: usize = 16;
 
 #[derive(Debug)]
 struct Pull {
@@ -38,33 +38,33 @@
 pub(crate) struct Pulls {
     keys: Option<Pull>,
     members: Option<(Call, Token)>,
-    whole_table: bool,
-    compare: Pace,
-    pub(crate) allowance: Allowance,
+    has_table: bool,
+    compare_schedule: Schedule,
+    pub(crate) limiter: Limiter,
 }
 
 /// When tables may be compared next.
 #[derive(Debug)]
-struct Pace {
+struct Schedule {
     last: Instant,
-    gap: Duration,
+    interval: Duration,
 }
 
-impl Pace {
+impl Schedule {
     fn open(now: Instant) -> Self {
         Self {
             last: now,
-            gap: COMPARE_FIRST,
+            interval: COMPARE_INTERVAL_MIN,
         }
     }
 
     /// Whether it is time; the next one then comes after twice the gap.
-    fn due(&mut self, now: Instant) -> bool {
-        if now.since(self.last) < self.gap {
+    fn poll(&mut self, now: Instant) -> bool {
+        if now.since(self.last) < self.interval {
             return false;
         }
         self.last = now;
-        self.gap = (self.gap * 2).min(COMPARE_EVERY);
+        self.interval = (self.interval * 2).min(COMPARE_INTERVAL_MAX);
         true
     }
 }
@@ -74,9 +74,9 @@
         Self {
             keys: None,
             members: None,
-            whole_table: false,
-            compare: Pace::open(now),
-            allowance: Allowance::open(now),
+            has_table: false,
+            compare_schedule: Schedule::open(now),
+            limiter: Limiter::open(now),
         }
     }
 
@@ -127,7 +127,7 @@
             return;
         }
         let call = self.call();
-        let token = self.timer.subscribe(now + WAIT, Due::Pull(call));
+        let token = self.timer.subscribe(now + TIMEOUT, Due::Pull(call));
         self.pulls.keys = Some(Pull {
             call,
             token,
@@ -143,11 +143,11 @@
 
     /// The first answer after a start: its sender has the table and the keys.
     pub(crate) fn on_first_ack(&mut self, now: Instant, address: SocketAddr) {
-        if !self.pulls.whole_table {
+        if !self.pulls.has_table {
             self.ask_members(now, address, Vec::new());
         }
         if self.pulls.keys.is_none() {
-            self.settle(now);
+            self.finish_discovery(now);
         }
     }
 
@@ -161,7 +161,7 @@
             self.table.fingerprints(&buckets)
         };
         let call = self.call();
-        let token = self.timer.subscribe(now + WAIT, Due::Pull(call));
+        let token = self.timer.subscribe(now + TIMEOUT, Due::Pull(call));
         self.pulls.members = Some((call, token));
         self.out.push(Action::Ask {
             call,
@@ -176,7 +176,7 @@
     /// A peer that is a stranger here knows more than this instance, which asks
     /// it. Any other is told the digests of ours, and asks for what it lacks.
     fn compare_tables(&mut self, now: Instant, peer: Node, to: SocketAddr) {
-        if !self.pulls.compare.due(now) {
+        if !self.pulls.compare_schedule.poll(now) {
             return;
         }
         if self.table.find(peer).is_none() {
@@ -195,7 +195,7 @@
             .zip(ours.iter().zip(sums))
             .filter(|(_, (ours, theirs))| ours != theirs)
             .map(|(bucket, _)| bucket)
-            .take(BUCKETS_ASKED)
+            .take(BUCKETS_PER_REQUEST)
             .collect();
         if !differing.is_empty() {
             self.ask_members(now, address, differing);
@@ -213,7 +213,7 @@
     pub(crate) fn on_pull_failed(&mut self, now: Instant, call: Call) {
         if let Some(pull) = self.pulls.keys.take_if(|pull| pull.call == call) {
             self.timer.cancel(pull.token);
-            self.settle_after_pull(now);
+            self.finish_discovery_after_pull(now);
         }
         if let Some((_, token)) = self.pulls.members.take_if(|(own, _)| *own == call) {
             self.timer.cancel(token);
@@ -225,11 +225,11 @@
             return;
         };
         self.timer.cancel(token);
-        self.pulls.whole_table = true;
+        self.pulls.has_table = true;
         for record in records {
-            self.merge_quietly(now, record);
+            self.merge_without_gossip(now, record);
         }
-        self.review_duty(now);
+        self.update_relay(now);
     }
 
     fn on_part(&mut self, now: Instant, call: Call, part: Part) {
@@ -247,7 +247,7 @@
         pull.parts.push(part);
         self.timer.cancel(pull.token);
         if !done {
-            pull.token = self.timer.subscribe(now + WAIT, Due::Pull(call));
+            pull.token = self.timer.subscribe(now + TIMEOUT, Due::Pull(call));
             return;
         }
         if let Some(pull) = self.pulls.keys.take() {
@@ -279,12 +279,12 @@
             }
             Err(error) => self.notice(Notice::BadAnswer { error }),
         }
-        self.settle_after_pull(now);
+        self.finish_discovery_after_pull(now);
     }
 
-    fn settle_after_pull(&mut self, now: Instant) {
-        if self.settled == Settled::Waiting && self.pulls.keys.is_none() {
-            self.settle(now);
+    fn finish_discovery_after_pull(&mut self, now: Instant) {
+        if self.discovery == Discovery::Waiting && self.pulls.keys.is_none() {
+            self.finish_discovery(now);
         }
     }
 
@@ -309,9 +309,9 @@
         changes: Vec<Change>,
     ) -> Result<(), Error> {
         self.mirror.advance(from, to, digest, &changes)?;
-        self.tell_primaries(&changes);
-        self.keep_delta(Delta { from, changes });
-        self.on_moved(now);
+        self.emit_primaries(&changes);
+        self.set_delta(Delta { from, changes });
+        self.on_advanced(now);
         Ok(())
     }
 
@@ -324,20 +324,20 @@
     ) -> Result<(), Error> {
         let before = self.mirror.revision();
         let differences = self.mirror.replace(to, digest, changes)?;
-        self.tell_primaries(&differences);
+        self.emit_primaries(&differences);
         self.push.delta = None;
         if to > before {
-            self.on_moved(now);
+            self.on_advanced(now);
         }
         Ok(())
     }
 
-    fn on_moved(&mut self, now: Instant) {
-        self.look();
+    fn on_advanced(&mut self, now: Instant) {
+        self.apply_catalog();
         self.push_revision(now);
     }
 
-    fn tell_primaries(&mut self, changes: &[Change]) {
+    fn emit_primaries(&mut self, changes: &[Change]) {
         let primaries = changes
             .iter()
             .filter(|change| change.key.starts_with(keys::PRIMARY))
--- a/crates/fleet/src/push.rs
+++ b/crates/fleet/src/push.rs
@@ -18,19 +18,25 @@
     Duration::from_millis(400),
 ];
 /// The least time between two rounds.
-const GAP_MIN: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(100);
 /// How many peers are told in each round, and how many of them in other zones.
-const FANOUT: Fanout = Fanout { home: 2, abroad: 1 };
+const FANOUT: Fanout = Fanout {
+    local: 2,
+    remote: 1,
+};
 /// Whom a stopping instance says goodbye to.
-pub(crate) const GOODBYES: Fanout = Fanout { home: 4, abroad: 2 };
+pub(crate) const GOODBYE_FANOUT: Fanout = Fanout {
+    local: 4,
+    remote: 2,
+};
 /// The most bytes of a change that a rumour carries whole.
 const DELTA_MAX: usize = 640;
 
 /// How many peers to tell.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fanout {
-    home: usize,
-    abroad: usize,
+    local: usize,
+    remote: usize,
 }
 
 /// News that is being told.
@@ -40,7 +46,7 @@
     started: Instant,
     last: Option<Instant>,
     /// The last push of a revision.
-    revised: Option<Instant>,
+    revision_round: Option<Instant>,
     token: Option<Token>,
     /// The last step of the mirror, where it is small.
     pub(crate) delta: Option<Delta>,
@@ -53,7 +59,7 @@
             round: ROUNDS.len(),
             started: Instant::ZERO,
             last: None,
-            revised: None,
+            revision_round: None,
             token: None,
             delta: None,
         }
@@ -72,14 +78,20 @@
     /// Rounds keep their distance however fast news comes in: when a zone heals
     /// hundreds of members are news within a second.
     pub(crate) fn start_push(&mut self, now: Instant) {
-        let next = self.push.last.map_or(now, |last| (last + GAP_MIN).max(now));
+        let next = self
+            .push
+            .last
+            .map_or(now, |last| (last + ROUND_INTERVAL_MIN).max(now));
         self.push_at(now, next);
     }
 
     /// Tells of a suspicion in one round, unless rounds are under way, which
     /// tell it as well. It may be wrong, and a lost zone brings many.
     pub(crate) fn push_once(&mut self, now: Instant) {
-        let last = self.push.last.map_or(Instant::ZERO, |last| last + GAP_MIN);
+        let last = self
+            .push
+            .last
+            .map_or(Instant::ZERO, |last| last + ROUND_INTERVAL_MIN);
         if self.push.due().is_some() || now < last {
             return;
         }
@@ -94,12 +106,12 @@
     /// A round that is to come tells this one as well. Were it put off instead, a
     /// storm of changes would be told by heartbeats alone.
     pub(crate) fn push_revision(&mut self, now: Instant) {
-        let next = match self.push.revised {
-            Some(coming) if coming > now => coming,
-            Some(last) => (last + GAP_MIN).max(now),
+        let next = match self.push.revision_round {
+            Some(scheduled) if scheduled > now => scheduled,
+            Some(last) => (last + ROUND_INTERVAL_MIN).max(now),
             None => now,
         };
-        self.push.revised = Some(next);
+        self.push.revision_round = Some(next);
         self.push_at(now, next);
     }
 
@@ -130,7 +142,7 @@
     }
 
     /// Keeps a step of the mirror to tell it whole, if it is small.
-    pub(crate) fn keep_delta(&mut self, delta: Delta) {
+    pub(crate) fn set_delta(&mut self, delta: Delta) {
         let len: usize = delta
             .changes
             .iter()
@@ -147,7 +159,7 @@
             let message = Message::Rumour {
                 view,
                 delta: self.push.delta.clone(),
-                updates: self.gossip.take(&self.table, None),
+                updates: self.gossip.next_updates(&self.table, None),
             };
             self.send(to, message);
         }
@@ -160,13 +172,13 @@
     pub(crate) fn push_targets(&mut self, fanout: Fanout) -> Vec<SocketAddr> {
         let alive = |state| matches!(state, State::Alive | State::Leaving);
         let mut targets = Vec::new();
-        for turn in 0..fanout.home + fanout.abroad {
-            let chosen = if turn < fanout.home {
-                self.choose_at_home(alive)
-                    .or_else(|| self.choose_abroad(alive))
+        for index in 0..fanout.local + fanout.remote {
+            let chosen = if index < fanout.local {
+                self.choose_local(alive)
+                    .or_else(|| self.choose_remote(alive))
             } else {
-                self.choose_abroad(alive)
-                    .or_else(|| self.choose_at_home(alive))
+                self.choose_remote(alive)
+                    .or_else(|| self.choose_local(alive))
             };
             let Some(member) = chosen.and_then(|node| self.table.find(node)) else {
                 continue;
--- a/crates/fleet/src/rank.rs
+++ b/crates/fleet/src/rank.rs
@@ -48,22 +48,22 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Assignments {
-    each: usize,
+    per_key: usize,
     keys: BTreeMap<Arc<str>, Vec<(u64, Node)>>,
 }
 
 impl Assignments {
     /// Keeps the `each` strongest nodes of each key.
-    pub fn open(each: usize) -> Self {
+    pub fn open(per_key: usize) -> Self {
         Self {
-            each,
+            per_key,
             keys: BTreeMap::new(),
         }
     }
 
     /// Adds a key, ranked over `nodes`.
     pub fn add(&mut self, key: &str, nodes: &[Node]) {
-        let ranked = strongest(key, nodes, self.each);
+        let ranked = highest_ranked(key, nodes, self.per_key);
         self.keys.insert(key.into(), ranked);
     }
 
@@ -94,9 +94,9 @@
             }
             let entry = (weight(key, node), node);
             let at = ranked.partition_point(|other| *other > entry);
-            if at < self.each {
+            if at < self.per_key {
                 ranked.insert(at, entry);
-                ranked.truncate(self.each);
+                ranked.truncate(self.per_key);
             }
         }
     }
@@ -105,7 +105,7 @@
     pub fn leave(&mut self, node: Node, nodes: &[Node]) {
         for (key, ranked) in &mut self.keys {
             if ranked.iter().any(|&(_, other)| other == node) {
-                *ranked = strongest(key, nodes, self.each);
+                *ranked = highest_ranked(key, nodes, self.per_key);
             }
         }
     }
@@ -116,20 +116,20 @@
         let keys = self
             .keys
             .keys()
-            .map(|key| slot * 3 / 2 + key.len() + 16 + self.each * size_of::<(u64, Node)>());
+            .map(|key| slot * 3 / 2 + key.len() + 16 + self.per_key * size_of::<(u64, Node)>());
         size_of::<Self>() + keys.sum::<usize>()
     }
 }
 
-fn strongest(key: &str, nodes: &[Node], each: usize) -> Vec<(u64, Node)> {
+fn highest_ranked(key: &str, nodes: &[Node], per_key: usize) -> Vec<(u64, Node)> {
     let mut ranked: Vec<_> = nodes
         .iter()
         .map(|&node| (weight(key, node), node))
         .collect();
-    if ranked.len() > each && each > 0 {
-        ranked.select_nth_unstable_by(each - 1, |a, b| b.cmp(a));
+    if ranked.len() > per_key && per_key > 0 {
+        ranked.select_nth_unstable_by(per_key - 1, |a, b| b.cmp(a));
     }
-    ranked.truncate(each);
+    ranked.truncate(per_key);
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked
 }
--- a/crates/fleet/src/hear.rs
+++ b/crates/fleet/src/receive.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 use wire::{Message, Node, Record, State, Update, View};
 
-use crate::{Action, Fleet, Path, gossip::Telling, table::Merge};
+use crate::{Action, Fleet, Path, gossip::Detail, table::Merge};
 
 impl Fleet {
     pub(crate) fn on_message(
@@ -21,7 +21,7 @@
                 view,
                 updates,
             } => {
-                self.hear(now, from, address, &view, &updates);
+                self.on_gossip(now, from, address, &view, &updates);
                 self.answer_ping(from, address, probe);
             }
             Message::Ack {
@@ -29,10 +29,10 @@
                 view,
                 updates,
             } => {
-                self.hear(now, from, address, &view, &updates);
+                self.on_gossip(now, from, address, &view, &updates);
                 self.on_ack(now, from, address, probe);
             }
-            Message::Probe { probe, target } => self.help(now, address, probe, target),
+            Message::Probe { probe, target } => self.probe_on_behalf(now, address, probe, target),
             Message::Rumour {
                 view,
                 delta,
@@ -41,7 +41,7 @@
                 if let Some(delta) = delta {
                     self.on_delta(now, &view, &delta);
                 }
-                self.hear(now, from, address, &view, &updates);
+                self.on_gossip(now, from, address, &view, &updates);
             }
             Message::Buckets(sums) => self.compare_buckets(now, address, &sums),
             // What belongs on a stream means nothing in a datagram, and evidence
@@ -58,7 +58,7 @@
     }
 
     /// Takes in what every heartbeat and rumour tells.
-    fn hear(
+    fn on_gossip(
         &mut self,
         now: Instant,
         from: Node,
@@ -92,46 +92,46 @@
     }
 
     pub(crate) fn merge(&mut self, now: Instant, update: &Update) {
-        let (node, telling) = match self.take_in(now, update) {
-            (_, Merge::Known | Merge::Stranger) => return,
-            (node, Merge::Joined) => (node, Telling::Record),
-            (node, Merge::Changed) => (node, Telling::Mark),
+        let (node, detail) = match self.merge_or_refute(now, update) {
+            (_, Merge::Unchanged | Merge::UnknownMember) => return,
+            (node, Merge::Joined) => (node, Detail::Record),
+            (node, Merge::Changed) => (node, Detail::Mark),
         };
-        self.announce(now, node, telling);
+        self.announce(now, node, detail);
     }
 
     /// Merges what is told of a member, unless it is of this instance itself.
-    fn take_in(&mut self, now: Instant, update: &Update) -> (Node, Merge) {
+    fn merge_or_refute(&mut self, now: Instant, update: &Update) -> (Node, Merge) {
         let (node, incarnation, state) = match update {
             Update::Record(record) => (Node::of(&record.name), record.incarnation, record.state),
             Update::Mark(mark) => (mark.node, mark.incarnation, mark.state),
         };
         if node == self.node {
             self.refute(now, incarnation, state);
-            return (node, Merge::Known);
+            return (node, Merge::Unchanged);
         }
         (node, self.table.merge(now, update))
     }
 
     /// Merges a record from a peer's table. It is not passed on as a rumour: a
     /// member that joins would repeat the whole table to those who know it.
-    pub(crate) fn merge_quietly(&mut self, now: Instant, record: &Record) {
+    pub(crate) fn merge_without_gossip(&mut self, now: Instant, record: &Record) {
         let update = Update::Record(record.clone());
-        if let (node, Merge::Joined | Merge::Changed) = self.take_in(now, &update) {
+        if let (node, Merge::Joined | Merge::Changed) = self.merge_or_refute(now, &update) {
             self.report_member(node);
         }
     }
 
     /// Passes on a change of a member, and tells the daemon.
-    pub(crate) fn announce(&mut self, now: Instant, node: Node, telling: Telling) {
-        self.gossip.tell(node, telling);
+    pub(crate) fn announce(&mut self, now: Instant, node: Node, detail: Detail) {
+        self.gossip.enqueue(node, detail);
         let state = self.table.find(node).map(|member| member.record.state);
         // Work goes on to a member that leaves or died, and passes by one that has
         // started, until that is known; so none of them waits for heartbeats.
         match state {
             Some(State::Suspect) => self.push_once(now),
             Some(State::Leaving) => self.start_push(now),
-            _ if telling == Telling::Record => self.start_push(now),
+            _ if detail == Detail::Record => self.start_push(now),
             _ => {}
         }
         self.report_member(node);
@@ -155,6 +155,6 @@
             return;
         }
         self.incarnation = self.incarnation.max(incarnation) + 1;
-        self.tell_self(now);
+        self.publish_record(now);
     }
 }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -8,23 +8,23 @@
 
 use crate::{
     Answer, Call, Fleet, Head, Notice, Request, Watch,
-    fleet::{Due, Settled},
+    fleet::{Discovery, Due},
     keys,
     mirror::Error,
 };
 
 /// The duty that relays are ranked for.
-pub(crate) const DUTY: &str = "relay";
+pub(crate) const KEY: &str = "relay";
 /// How long the store may take to answer.
-const CALL_WAIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Between two looks at the head, which find a watch that went silent.
-const CHECK_EVERY: Duration = Duration::from_secs(10);
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// How long to leave a store alone that failed, at first and at most.
 const BACKOFF_MIN: Duration = Duration::from_secs(1);
 const BACKOFF_MAX: Duration = Duration::from_secs(16);
 /// How long an instance goes on watching after another took over, so that
 /// membership that flaps does not cost a watch each time.
-const RELEASE_AFTER: Duration = Duration::from_secs(5);
+const RELEASE_DELAY: Duration = Duration::from_secs(5);
 
 /// How a relay stands with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -48,27 +48,27 @@
     stage: Stage,
     /// The revision held when the store was last asked: the store's answer must
     /// not be older. Rumours may have moved the mirror on since.
-    asked_at: Revision,
+    asked_revision: Revision,
     /// Numbers the subscription that counts; those before are void.
-    turn: u64,
+    timer_generation: u64,
     failures: u32,
-    unranked: Option<Instant>,
-    duty: Option<Duty>,
+    outranked_since: Option<Instant>,
+    cached: Option<CachedSelection>,
 }
 
 /// Whether this instance is a relay, by the version of its zone that told it:
 /// ranking a zone of 400 members each second was most of an instance's work.
 #[derive(Debug, Clone, Copy)]
-struct Duty {
+struct CachedSelection {
     version: u64,
     state: State,
-    ranked: Ranked,
+    selection: Selection,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ranked {
-    In,
-    Out,
+enum Selection {
+    Relay,
+    Other,
 }
 
 impl Relay {
@@ -84,14 +84,14 @@
 
 impl Fleet {
     /// Takes up the duty of a relay or lays it down, as membership has it.
-    pub(crate) fn review_duty(&mut self, now: Instant) {
-        if self.settled == Settled::Waiting {
+    pub(crate) fn update_relay(&mut self, now: Instant) {
+        if self.discovery == Discovery::Waiting {
             return;
         }
-        let ranked = self.ranked();
+        let selection = self.selection();
         let idle = self.relay.stage == Stage::Idle;
-        if ranked == Ranked::In {
-            self.relay.unranked = None;
+        if selection == Selection::Relay {
+            self.relay.outranked_since = None;
             if idle {
                 self.start_watch(now);
             }
@@ -100,41 +100,41 @@
         if idle {
             return;
         }
-        let since = *self.relay.unranked.get_or_insert(now);
-        if now.since(since) >= RELEASE_AFTER || self.state != State::Alive {
+        let since = *self.relay.outranked_since.get_or_insert(now);
+        if now.since(since) >= RELEASE_DELAY || self.state != State::Alive {
             self.stop_relay();
         }
     }
 
-    fn ranked(&mut self) -> Ranked {
+    fn selection(&mut self) -> Selection {
         let version = self.table.version(&self.conf.zone);
         let state = self.state;
         let known = self
             .relay
-            .duty
-            .filter(|duty| (duty.version, duty.state) == (version, state));
-        if let Some(duty) = known {
-            return duty.ranked;
+            .cached
+            .filter(|cached| (cached.version, cached.state) == (version, state));
+        if let Some(cached) = known {
+            return cached.selection;
         }
         let relays = self.relays(&self.conf.zone);
         let among = relays.iter().any(|member| member.node == self.node);
-        let ranked = if state == State::Alive && among {
-            Ranked::In
+        let selection = if state == State::Alive && among {
+            Selection::Relay
         } else {
-            Ranked::Out
+            Selection::Other
         };
-        self.relay.duty = Some(Duty {
+        self.relay.cached = Some(CachedSelection {
             version,
             state,
-            ranked,
+            selection,
         });
-        ranked
+        selection
     }
 
     pub(crate) fn stop_relay(&mut self) {
         self.unwatch();
         self.relay = Relay {
-            turn: self.relay.turn + 1,
+            timer_generation: self.relay.timer_generation + 1,
             ..Relay::default()
         };
     }
@@ -143,7 +143,7 @@
     pub(crate) fn recheck_store(&mut self, now: Instant) {
         if let Stage::Watching { .. } = self.relay.stage {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
         }
     }
 
@@ -167,55 +167,57 @@
                 },
                 Answer::Head { revision, written },
             ) if check == call => self.on_head(now, watch, revision, written),
-            (Stage::Starting(own), Answer::Compacted) if own == call => self.range(now),
-            (Stage::Watching { watch, .. }, Answer::Compacted) if watch == call => self.range(now),
+            (Stage::Starting(own), Answer::Compacted) if own == call => self.start_range(now),
+            (Stage::Watching { watch, .. }, Answer::Compacted) if watch == call => {
+                self.start_range(now)
+            }
             (stage, Answer::Down) if stage.awaits(call) => self.on_store_down(now),
             // An answer to a call that was given up.
             _ => {}
         }
     }
 
-    pub(crate) fn on_relay_due(&mut self, now: Instant, turn: u64) {
-        if turn != self.relay.turn {
+    pub(crate) fn on_relay_due(&mut self, now: Instant, timer_generation: u64) {
+        if timer_generation != self.relay.timer_generation {
             return;
         }
         match self.relay.stage {
             Stage::Idle => {}
             Stage::Ranging(_) | Stage::Starting(_) => self.on_store_down(now),
             Stage::Watching { check: Some(_), .. } => self.on_store_down(now),
-            Stage::Watching { watch, check: None } => self.check(now, watch),
+            Stage::Watching { watch, check: None } => self.check_head(now, watch),
             Stage::Waiting => self.range_or_watch(now),
         }
     }
 
     fn range_or_watch(&mut self, now: Instant) {
         if self.relay.failures > 0 || self.mirror.is_empty() {
-            self.range(now);
+            self.start_range(now);
         } else {
             self.start_watch(now);
         }
     }
 
-    fn range(&mut self, now: Instant) {
-        self.relay.asked_at = self.mirror.revision();
+    fn start_range(&mut self, now: Instant) {
+        self.relay.asked_revision = self.mirror.revision();
         let call = self.ask_store(Request::Range);
         self.relay.stage = Stage::Ranging(call);
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn start_watch(&mut self, now: Instant) {
         if self.mirror.is_empty() {
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.watch_from(now, self.mirror.revision().number + 1);
     }
 
     fn watch_from(&mut self, now: Instant, from: u64) {
-        self.relay.asked_at = self.mirror.revision();
+        self.relay.asked_revision = self.mirror.revision();
         let call = self.ask_store(Request::Watch { from });
         self.relay.stage = Stage::Starting(call);
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn unwatch(&mut self) {
@@ -229,17 +231,17 @@
         }
     }
 
-    fn wait_for_store(&mut self, now: Instant, wait: Duration) {
-        self.relay.turn += 1;
+    fn set_store_timer(&mut self, now: Instant, wait: Duration) {
+        self.relay.timer_generation += 1;
         self.timer
-            .subscribe(now + wait, Due::Relay(self.relay.turn));
+            .subscribe(now + wait, Due::Relay(self.relay.timer_generation));
     }
 
-    fn check(&mut self, now: Instant, watch: Call) {
-        self.relay.asked_at = self.mirror.revision();
+    fn check_head(&mut self, now: Instant, watch: Call) {
+        self.relay.asked_revision = self.mirror.revision();
         let check = Some(self.ask_store(Request::Head));
         self.relay.stage = Stage::Watching { watch, check };
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn on_range(&mut self, now: Instant, revision: u64, mut changes: Vec<Change>) {
@@ -282,7 +284,7 @@
     /// configuration and old primaries, and would have the fleet send writes to
     /// primaries that were replaced. Only a raised epoch makes it believed.
     fn is_behind(&self, store: Revision) -> bool {
-        store < self.relay.asked_at
+        store < self.relay.asked_revision
     }
 
     /// Whether a key is older in the store than here, though the store's own
@@ -294,24 +296,24 @@
         changes.iter().any(|change| {
             let held = self.mirror.find(&change.key);
             held.is_some_and(|(held, _)| {
-                held > change.revision && held <= self.relay.asked_at.number
+                held > change.revision && held <= self.relay.asked_revision.number
             })
         })
     }
 
     fn refuse_store(&mut self, now: Instant, store: Revision) {
-        let held = self.relay.asked_at;
+        let held = self.relay.asked_revision;
         self.notice(Notice::StoreBehind { store, held });
         self.unwatch();
         self.relay.failures = self.relay.failures.max(1);
         self.relay.stage = Stage::Waiting;
-        self.wait_for_store(now, CHECK_EVERY);
+        self.set_store_timer(now, CHECK_INTERVAL);
     }
 
     fn on_watching(&mut self, now: Instant, watch: Call, revision: u64) {
-        if self.looks_behind(revision) {
+        if self.is_number_behind(revision) {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.on_store_back();
@@ -321,14 +323,14 @@
 
     /// Whether the store's bare revision is lower than ours was; a range then
     /// tells the epoch.
-    fn looks_behind(&self, revision: u64) -> bool {
-        revision < self.relay.asked_at.number
+    fn is_number_behind(&self, revision: u64) -> bool {
+        revision < self.relay.asked_revision.number
     }
 
     fn on_head(&mut self, now: Instant, watch: Call, revision: u64, written: Option<u64>) {
-        if self.looks_behind(revision) {
+        if self.is_number_behind(revision) {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.relay.stage = Stage::Watching { watch, check: None };
@@ -343,7 +345,7 @@
     /// Checks are spread out, so that relays do not ask the store together.
     fn wait_for_check(&mut self, now: Instant) {
         let jitter = self.rng.random_range(0.8..1.2);
-        self.wait_for_store(now, CHECK_EVERY.mul_f64(jitter));
+        self.set_store_timer(now, CHECK_INTERVAL.mul_f64(jitter));
     }
 
     fn on_changes(&mut self, now: Instant, revision: u64, mut changes: Vec<Change>) {
@@ -378,7 +380,7 @@
         let jitter = self.rng.random_range(0.5..1.0);
         self.relay.failures = (self.relay.failures + 1).min(8);
         self.relay.stage = Stage::Waiting;
-        self.wait_for_store(now, backoff.min(BACKOFF_MAX).mul_f64(jitter));
+        self.set_store_timer(now, backoff.min(BACKOFF_MAX).mul_f64(jitter));
     }
 
     fn on_store_back(&mut self) {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -68,8 +68,8 @@
     pub fn status(&self) -> Status {
         Status {
             mirrored: self.mirror.revision(),
-            applied: self.force.applied(),
-            held: self.force.held(),
+            applied: self.activation.applied(),
+            held: self.activation.held(),
             watch: self.relay.status(),
             zones: self
                 .table
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -18,22 +18,22 @@
 pub(crate) const BUCKETS: usize = 64;
 /// How long a suspect stays in the table: longer than the hour that regions are
 /// cut off from each other, so that healing needs no one to join again.
-const SUSPECT_KEEP: Duration = Duration::from_secs(2 * 60 * 60);
+const SUSPECT_TTL: Duration = Duration::from_secs(2 * 60 * 60);
 /// How long a member that is gone stays, so that a late rumour does not bring
 /// it back.
-const GONE_KEEP: Duration = Duration::from_secs(10 * 60);
+const GONE_TTL: Duration = Duration::from_secs(10 * 60);
 
 /// What merging a rumour into the table did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Merge {
     /// The rumour was known, or older than what is known.
-    Known,
+    Unchanged,
     /// The member is new here, or has restarted.
     Joined,
     /// The member's state or incarnation changed.
     Changed,
     /// The rumour is of a member that is not known here.
-    Stranger,
+    UnknownMember,
 }
 
 /// The members of a zone.
@@ -133,15 +133,15 @@
         let node = Node::of(&record.name);
         let Some(member) = self.members.get(&node) else {
             if record.state == State::Gone {
-                return Merge::Known;
+                return Merge::Unchanged;
             }
             self.insert(now, node, record);
             return Merge::Joined;
         };
-        if rank(record.incarnation, record.state)
-            <= rank(member.record.incarnation, member.record.state)
+        if precedence(record.incarnation, record.state)
+            <= precedence(member.record.incarnation, member.record.state)
         {
-            return Merge::Known;
+            return Merge::Unchanged;
         }
         if member.record.zone != record.zone || member.record.address != record.address {
             self.remove(node);
@@ -158,11 +158,11 @@
 
     pub(crate) fn merge_mark(&mut self, now: Instant, mark: &Mark) -> Merge {
         let Some(member) = self.members.get_mut(&mark.node) else {
-            return Merge::Stranger;
+            return Merge::UnknownMember;
         };
         let known = &mut member.record;
-        if rank(mark.incarnation, mark.state) <= rank(known.incarnation, known.state) {
-            return Merge::Known;
+        if precedence(mark.incarnation, mark.state) <= precedence(known.incarnation, known.state) {
+            return Merge::Unchanged;
         }
         let bucket = bucket(mark.node);
         self.sums[bucket] = self.sums[bucket].wrapping_sub(sum(known, mark.node));
@@ -216,7 +216,7 @@
     /// whose fingerprint is known.
     pub(crate) fn records(&self, buckets: &[u16], known: &[u32]) -> Vec<Record> {
         let known: HashSet<_> = known.iter().collect();
-        self.of_buckets(buckets)
+        self.members_in(buckets)
             .filter(|member| !known.contains(&fingerprint(&member.record, member.node)))
             .map(|member| member.record.clone())
             .collect()
@@ -224,12 +224,12 @@
 
     /// Fingerprints of the members of some buckets.
     pub(crate) fn fingerprints(&self, buckets: &[u16]) -> Vec<u32> {
-        self.of_buckets(buckets)
+        self.members_in(buckets)
             .map(|member| fingerprint(&member.record, member.node))
             .collect()
     }
 
-    fn of_buckets(&self, buckets: &[u16]) -> impl Iterator<Item = &Member> {
+    fn members_in(&self, buckets: &[u16]) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| {
             // A bucket's number is below `BUCKETS`, which 16 bits hold.
             buckets.is_empty() || buckets.contains(&(bucket(member.node) as u16))
@@ -239,16 +239,16 @@
     /// Takes suspects that were silent for long as gone, and forgets members
     /// that are gone for long; tells who went.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<Node> {
-        let older = |member: &&Member, state, keep| {
-            member.record.state == state && now.since(member.since) > keep
+        let older = |member: &&Member, state, ttl| {
+            member.record.state == state && now.since(member.since) > ttl
         };
-        let nodes = |state, keep| -> Vec<Node> {
+        let nodes = |state, ttl| -> Vec<Node> {
             let members = self.members.values();
-            let expired = members.filter(|member| older(member, state, keep));
+            let expired = members.filter(|member| older(member, state, ttl));
             expired.map(|member| member.node).collect()
         };
-        let forgotten = nodes(State::Gone, GONE_KEEP);
-        let gone = nodes(State::Suspect, SUSPECT_KEEP);
+        let forgotten = nodes(State::Gone, GONE_TTL);
+        let gone = nodes(State::Suspect, SUSPECT_TTL);
         for node in forgotten {
             self.remove(node);
         }
@@ -315,7 +315,7 @@
     }
 }
 
-fn rank(incarnation: u64, state: State) -> (u64, State) {
+fn precedence(incarnation: u64, state: State) -> (u64, State) {
     (incarnation, state)
 }
 
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_paused_instance_wakes_with_an_old_view() {
+fn a_paused_instance_catches_up() {
     // Symptom: a paused instance brings back an old revision, or takes its
     // peers for dead because none "answered" while it slept.
     // Events: its machine stops it for a minute; a change is made meanwhile.
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_goodbye_is_known_at_once_and_a_restart_undoes_it() {
+fn a_goodbye_spreads_at_once_and_a_restart_clears_it() {
     let mut world = world(9, 3);
     world.tell(4, Event::Stop);
     world.kill(4);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_list_says_that_everyone_is_leaving() {
+fn an_implausible_list_is_ignored() {
     // Symptom: the whole service drains at once and refuses all calls.
     // Events: the platform's list marks all instances as leaving, or is empty.
     // Cause: the list is wrong; the instances answer each other all the while.
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn the_list_takes_one_away_and_gives_it_back() {
+fn the_list_marks_an_instance_as_leaving_and_clears_it() {
     let mut world = world(9, 5);
     let tell = |world: &mut World, lifecycle: fn(usize) -> Lifecycle| {
         let list = listing(world, lifecycle);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn instances_find_each_other_by_the_list_alone() {
+fn instances_discover_each_other_by_the_list_alone() {
     let mut world = World::open(Setup::sized(9, 6));
     let first = world.apply(&[("catalog/entry/a", Some(b"first"))]);
     let list = listing(&world, |_| Lifecycle::Live);
@@ -256,14 +256,14 @@
     let bytes: Vec<_> = zone.iter().map(|&slot| world.count(slot).bytes()).collect();
     // The whole catalogue has a megabyte.
     assert!(bytes.iter().all(|&bytes| bytes < 250_000), "{bytes:?}");
-    let doubted = (0..30).flat_map(|at| (0..30).map(move |of| (at, of)));
-    let doubted = doubted.filter(|&(at, of)| !is_available(&world, at, of));
-    assert_eq!(doubted.count(), 0, "all doubts are refuted");
+    let unavailable = (0..30).flat_map(|at| (0..30).map(move |of| (at, of)));
+    let unavailable = unavailable.filter(|&(at, of)| !is_available(&world, at, of));
+    assert_eq!(unavailable.count(), 0, "all doubts are refuted");
     assert_eq!(world.monitor.violations(), []);
 }
 
 #[test]
-fn a_survey_names_who_is_not_reached() {
+fn a_survey_reports_members_that_do_not_reply() {
     let mut world = world(9, 9);
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.kill(7);
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn rumours_about_oneself_are_refuted() {
+fn an_instance_refutes_rumours_about_itself() {
     // Symptom: a slow instance stays out of service for ever.
     // Events: a peer tells that it is gone, under its own incarnation.
     // Cause: nobody but itself can know better.
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn healing_blames_nobody_for_the_time_before() {
+fn a_healed_partition_leaves_no_suspects() {
     // Symptom: after a cut of a minute many members are suspects, though all run.
     // Events: the way between two parts opens while probes into the other part
     // have failed, and others there were just asked whether they answer.
@@ -355,7 +355,7 @@
 /// are lost. Cause: a record is told a few times only, and tables that differ
 /// were left to rumours for the first ten seconds.
 #[test]
-fn instances_whose_first_datagrams_are_lost_know_each_other_soon() {
+fn instances_whose_first_datagrams_are_lost_discover_each_other() {
     for seed in 0..20 {
         let mut world = World::open(Setup::sized(9, seed));
         world.apply(&[("catalog/entry/a", Some(b"first"))]);
--- a/crates/fleet/tests/mirror.rs
+++ b/crates/fleet/tests/mirror.rs
@@ -37,7 +37,7 @@
     mirrors
 }
 
-fn naive(writes: &[Write]) -> BTreeMap<String, u8> {
+fn expected_contents(writes: &[Write]) -> BTreeMap<String, u8> {
     let mut map = BTreeMap::new();
     for (key, value) in writes {
         let key = format!("catalog/entry/{key}");
@@ -91,7 +91,7 @@
                     behind.replace(ahead.revision(), digest, &changes).unwrap();
                 }
             }
-            prop_assert_eq!(contents(&behind), naive(&writes[..new]));
+            prop_assert_eq!(contents(&behind), expected_contents(&writes[..new]));
             prop_assert_eq!(behind.digest(), ahead.digest());
             // And it tells others the same as the one it learned from.
             let (_, told) = behind.since(mirrors[0].revision());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_does_not_add_up_changes_nothing() {
+fn invalid_changes_leave_the_mirror_unchanged() {
     let mut mirror = Mirror::default();
     let first = change(1, (1, Some(1)));
     mirror
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn removals_are_forgotten_only_with_a_whole_answer_in_their_place() {
+fn pruned_removals_require_a_full_answer() {
     // Symptom: a database that was removed is still served somewhere.
     // Events: more keys are removed than are remembered, while a peer is away.
     // Cause: what is no longer remembered is missing from what differs.
--- a/crates/fleet/tests/rank.rs
+++ b/crates/fleet/tests/rank.rs
@@ -9,63 +9,63 @@
         .collect()
 }
 
-fn duties(nodes: &[Node]) -> Assignments {
-    let mut duties = Assignments::open(3);
+fn assignments(nodes: &[Node]) -> Assignments {
+    let mut assignments = Assignments::open(3);
     for key in 0..500 {
-        duties.add(&format!("database-{key}"), nodes);
+        assignments.add(&format!("database-{key}"), nodes);
     }
-    duties
+    assignments
 }
 
-fn all(duties: &Assignments) -> Vec<Vec<Node>> {
-    let key = |key| duties.nodes(&format!("database-{key}"));
+fn all(assignments: &Assignments) -> Vec<Vec<Node>> {
+    let key = |key| assignments.nodes(&format!("database-{key}"));
     (0..500).map(key).collect()
 }
 
 #[test]
-fn duties_kept_up_are_those_ranked_anew() {
-    let everyone = nodes(40);
-    let mut kept = duties(&everyone[..30]);
-    for &node in &everyone[30..] {
-        kept.join(node);
-        kept.join(node);
+fn incremental_assignments_equal_a_full_ranking() {
+    let members = nodes(40);
+    let mut updated = assignments(&members[..30]);
+    for &node in &members[30..] {
+        updated.join(node);
+        updated.join(node);
     }
-    assert_eq!(all(&kept), all(&duties(&everyone)));
+    assert_eq!(all(&updated), all(&assignments(&members)));
     for gone in 0..20 {
-        kept.leave(everyone[gone], &everyone[gone + 1..]);
+        updated.leave(members[gone], &members[gone + 1..]);
     }
-    assert_eq!(all(&kept), all(&duties(&everyone[20..])));
+    assert_eq!(all(&updated), all(&assignments(&members[20..])));
 }
 
 #[test]
-fn one_node_more_moves_its_share_only() {
-    let everyone = nodes(40);
-    let before = all(&duties(&everyone[..39]));
-    let after = all(&duties(&everyone));
+fn an_added_node_moves_only_its_share() {
+    let members = nodes(40);
+    let before = all(&assignments(&members[..39]));
+    let after = all(&assignments(&members));
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     // Three of forty nodes for each of 500 keys: 37.5 are expected to move.
     assert!((20..60).contains(&moved), "{moved}");
-    let last = everyone[39];
+    let last = members[39];
     for (before, after) in before.iter().zip(&after) {
-        let kept = after.iter().filter(|&&node| node != last);
+        let remaining = after.iter().filter(|&&node| node != last);
         assert!(
-            kept.eq(before
+            remaining.eq(before
                 .iter()
                 .take(after.iter().filter(|&&n| n != last).count()))
         );
     }
-    let of_last = duties(&everyone);
+    let of_last = assignments(&members);
     assert_eq!(of_last.keys_of(last).count(), moved);
 }
 
 #[test]
-fn few_nodes_share_all_duties() {
-    let everyone = nodes(2);
-    let mut duties = duties(&everyone);
-    assert!(all(&duties).iter().all(|nodes| nodes.len() == 2));
-    duties.leave(everyone[0], &everyone[1..]);
-    duties.leave(everyone[1], &[]);
-    assert!(all(&duties).iter().all(Vec::is_empty));
-    duties.remove("database-1");
-    assert!(duties.nodes("database-1").is_empty());
+fn few_nodes_share_all_keys() {
+    let members = nodes(2);
+    let mut assignments = assignments(&members);
+    assert!(all(&assignments).iter().all(|nodes| nodes.len() == 2));
+    assignments.leave(members[0], &members[1..]);
+    assignments.leave(members[1], &[]);
+    assert!(all(&assignments).iter().all(Vec::is_empty));
+    assignments.remove("database-1");
+    assert!(assignments.nodes("database-1").is_empty());
 }
--- a/crates/fleet/tests/store.rs
+++ b/crates/fleet/tests/store.rs
@@ -9,7 +9,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Nine instances in three zones, which know each other and the first revision.
-fn nine(seed: u64) -> World {
+fn nine_instances(seed: u64) -> World {
     let mut world = World::open(Setup::sized(9, seed));
     world.apply(&[("catalog/entry/a", Some(b"first"))]);
     world.warm_up(10 * SECOND);
@@ -34,7 +34,7 @@
     world.running().filter(watches).collect()
 }
 
-fn assert_sound(world: &World) {
+fn assert_no_violations(world: &World) {
     assert_eq!(world.monitor.violations(), []);
 }
 
@@ -45,7 +45,7 @@
     // Events: the store is cut off from all but one relay; that relay is told of
     // a change and dies before any of its rumours arrives.
     // Cause: had the watch been the only way in, nobody else would have it.
-    let mut world = nine(1);
+    let mut world = nine_instances(1);
     let lone = relays(&world)[0];
     world.store_island = 9;
     let revision = world.apply(&[("catalog/entry/a", Some(b"second"))]);
@@ -60,7 +60,7 @@
     world.store_island = 0;
     let taken = world.run_until(30 * SECOND, |world| all_have(world, revision));
     assert!(taken.is_some());
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     // Symptom: a zone without relays misses a change.
     // Events: all relays of a zone die in the moment of the change.
     // Cause: others take over only once the dead are suspected.
-    let mut world = nine(2);
+    let mut world = nine_instances(2);
     let dead: Vec<_> = relays(&world)
         .into_iter()
         .filter(|&slot| world.zone(slot) == 1)
@@ -86,17 +86,17 @@
         .filter(|&slot| world.zone(slot) == 1)
         .collect();
     assert_eq!(zone.len(), 1, "the one that is left watches");
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn two_revisions_at_once_with_an_answer_lost() {
+fn concurrent_revisions_converge_despite_loss() {
     // Symptom: some instances hold the first operator's change, some the second.
     // Events: two operators apply within a millisecond; the first one's answer
     // is lost and they look at the store again; datagrams are lost and crossed.
     // Cause: rumours of the first arrive after those of the second.
     for seed in 0..20 {
-        let mut world = nine(seed);
+        let mut world = nine_instances(seed);
         world.loss = 0.3;
         let first = world.apply(&[("catalog/entry/a", Some(b"one"))]);
         world.run(Duration::from_micros(700));
@@ -104,16 +104,16 @@
         assert!(first < second);
         let taken = world.run_until(20 * SECOND, |world| all_have(world, second));
         assert!(taken.is_some(), "seed {seed}");
-        assert_sound(&world);
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn the_store_comes_back_older() {
+fn an_older_store_is_refused() {
     // Symptom: the whole fleet falls back to last night's configuration.
     // Events: the store is restored from a backup, and answers readily.
     // Cause: its revisions look like any others to whoever does not compare.
-    let mut world = nine(3);
+    let mut world = nine_instances(3);
     world.run(SECOND);
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
@@ -124,7 +124,7 @@
     world.set_store_down(false);
     world.run(40 * SECOND);
     assert!(all_have(&world, second));
-    let told = world.notices.iter().any(|(_, notice)| {
+    let refused = world.notices.iter().any(|(_, notice)| {
         *notice
             == Notice::StoreBehind {
                 store: Revision {
@@ -134,7 +134,7 @@
                 held: second,
             }
     });
-    assert!(told, "it is refused loudly");
+    assert!(refused, "it is refused loudly");
 
     // A restarted instance asks its peers before it believes the store.
     world.kill(4);
@@ -154,11 +154,11 @@
     let third = world.apply_as(1, 1, &[("catalog/entry/a", Some(b"third"))]);
     let taken = world.run_until(40 * SECOND, |world| all_have(world, third));
     assert!(taken.is_some());
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 /// A version without the guard: it takes what an older store says.
-fn believe_anything(_: usize, actions: &mut Vec<Action>) {
+fn accept_older_store(_: usize, actions: &mut Vec<Action>) {
     for action in actions {
         if let Action::Notice(Notice::StoreBehind { store, .. }) = action {
             *action = Action::Catalog {
@@ -171,11 +171,11 @@
 }
 
 #[test]
-fn the_monitor_sees_a_version_that_believes_an_older_store() {
-    let mut world = nine(3);
+fn the_monitor_detects_acceptance_of_an_older_store() {
+    let mut world = nine_instances(3);
     world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
-    world.tamper = Some(believe_anything);
+    world.tamper = Some(accept_older_store);
     world.set_store_down(true);
     world.store.restore(1);
     world.set_store_down(false);
@@ -185,7 +185,7 @@
 }
 
 /// A version that puts half of a revision in force.
-fn drop_half(_: usize, actions: &mut Vec<Action>) {
+fn truncate_changes(_: usize, actions: &mut Vec<Action>) {
     for action in actions {
         if let Action::Catalog { changes, .. } = action {
             changes.truncate(1);
@@ -194,9 +194,9 @@
 }
 
 #[test]
-fn the_monitor_sees_half_a_revision() {
-    let mut world = nine(4);
-    world.tamper = Some(drop_half);
+fn the_monitor_detects_a_partial_revision() {
+    let mut world = nine_instances(4);
+    world.tamper = Some(truncate_changes);
     world.apply(&[
         ("catalog/entry/a", Some(b"x")),
         ("catalog/entry/b", Some(b"y")),
@@ -207,8 +207,8 @@
 }
 
 #[test]
-fn a_restarted_instance_that_starts_behind_is_seen() {
-    let mut world = nine(5);
+fn the_monitor_detects_an_instance_that_starts_behind() {
+    let mut world = nine_instances(5);
     world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
     world.kill(0);
@@ -233,7 +233,7 @@
     // Symptom: a whole zone refuses all calls until the store is back.
     // Events: the store is down; a zone loses power and starts again.
     // Cause: instances have no disks, so the zone's own memory is gone.
-    let mut world = nine(6);
+    let mut world = nine_instances(6);
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
     world.set_store_down(true);
@@ -247,30 +247,30 @@
     }
     let taken = world.run_until(10 * SECOND, |world| all_have(world, second));
     assert!(taken.unwrap() < 3 * SECOND, "{taken:?}");
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_watch_that_went_silent_is_found() {
+fn a_silent_watch_is_detected() {
     // Symptom: changes stop arriving, and no error is seen.
     // Events: the store's answers to watches are lost from some moment on.
     // Cause: a watch without news looks like a watch that is dead.
-    let mut world = nine(7);
+    let mut world = nine_instances(7);
     world.store_island = 9;
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(SECOND);
     world.store_island = 0;
     let taken = world.run_until(60 * SECOND, |world| all_have(world, second));
     assert!(taken.unwrap() < 15 * SECOND, "{taken:?}");
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_compacted_store_is_read_anew() {
+fn a_compacted_store_is_read_again() {
     // Symptom: relays loop on a watch that the store refuses.
     // Events: relays were cut off while the store compacted its history.
     // Cause: the revision to watch from is gone.
-    let mut world = nine(8);
+    let mut world = nine_instances(8);
     world.set_store_down(true);
     world.apply(&[("catalog/entry/b", Some(b"b"))]);
     let third = world.apply(&[("catalog/entry/a", None)]);
@@ -279,15 +279,15 @@
     world.set_store_down(false);
     let taken = world.run_until(60 * SECOND, |world| all_have(world, third));
     assert!(taken.is_some());
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_revision_of_a_newer_version_is_held() {
+fn a_revision_in_a_newer_format_is_held() {
     // Symptom: instances that are not upgraded yet drop limits they can't read.
     // Events: an operator applies a catalogue in format 2 too early.
     // Cause: unknown parts of a value read as absent.
-    let mut world = nine(9);
+    let mut world = nine_instances(9);
     let mut upgraded = world.conf(0);
     world.kill(0);
     upgraded.format = 2;
@@ -325,12 +325,12 @@
     let fourth = world.apply(&[("catalog/entry/a", Some(b"old form"))]);
     let taken = world.run_until(10 * SECOND, |world| all_have(world, fourth));
     assert!(taken.is_some());
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_refused_revision_keeps_the_last_good_one() {
-    let mut world = nine(10);
+fn a_refused_revision_leaves_the_last_one_applied() {
+    let mut world = nine_instances(10);
     let second = world.apply(&[("catalog/entry/a", Some(b"bad"))]);
     world.run(5 * SECOND);
     world.tell(3, Event::Refused(second));
@@ -346,11 +346,11 @@
 }
 
 #[test]
-fn keys_without_their_head_are_not_put_in_force() {
+fn keys_without_their_head_are_not_applied() {
     // Symptom: half of an operator's change is in force.
     // Events: a tool writes keys one by one, without the head or before it.
     // Cause: each write is a revision of the store of its own.
-    let mut world = nine(11);
+    let mut world = nine_instances(11);
     world.write(&[("catalog/entry/a", Some(b"half"))]);
     world.run(5 * SECOND);
     assert!(
@@ -363,28 +363,28 @@
     let third = world.apply(&[("catalog/entry/b", Some(b"rest"))]);
     world.run(5 * SECOND);
     assert!(all_have(&world, third));
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn an_operator_store_call_budget_holds_at_nine() {
+fn nine_instances_stay_within_the_store_call_budget() {
     // A tenth of 2,000 reads a second, with every waiting watch as one call.
-    let mut world = nine(12);
+    let mut world = nine_instances(12);
     world.reset_counts();
-    for turn in 0..30 {
-        world.apply(&[("catalog/entry/a", Some(&[turn]))]);
+    for number in 0..30 {
+        world.apply(&[("catalog/entry/a", Some(&[number]))]);
         world.run(SECOND);
     }
     let calls = world.store.calls as f64 / 30.0 + world.watches() as f64;
     assert!(calls < 20.0, "{calls}");
-    assert_sound(&world);
+    assert_no_violations(&world);
 }
 
 /// Symptom: in a storm of changes an instance has the newest in force seconds
 /// late, by heartbeats. Events: changes come faster than rounds may follow each
 /// other. Cause: each change put the next round off by another tenth of a second.
 #[test]
-fn a_storm_of_changes_is_told_while_it_lasts() {
+fn a_burst_of_changes_spreads_while_it_lasts() {
     for seed in 0..12 {
         let mut world = World::open(Setup::sized(90, seed));
         world.apply(&[("catalog/entry/a", Some(b"first"))]);
--- a/crates/view/tests/json.rs
+++ b/crates/view/tests/json.rs
@@ -13,7 +13,7 @@
 }"#;
 
 #[test]
-fn a_status_is_read_and_written_back() {
+fn a_status_survives_a_round_trip() {
     let status: Status = serde_json::from_str(STATUS).unwrap();
     assert_eq!(status.store, Store::Silent { since_ms: 900 });
     let doubt = Doubt::StoreOlder {
@@ -35,7 +35,7 @@
 /// Events: a newer instance adds a field and a doubt; an older tool reads it.
 /// Cause: a reader that refuses what it does not know.
 #[test]
-fn what_a_newer_instance_adds_is_passed_over() {
+fn unknown_fields_and_doubts_are_ignored() {
     let newer = STATUS
         .replace("\"version\"", "\"build\": \"x\", \"version\"")
         .replace("\"store-older\"", "\"moon-phase\"");
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn a_half_status_is_refused() {
-    let half = STATUS.replace("\"revision\": {\"number\": 42},\n", "");
-    assert!(serde_json::from_str::<Status>(&half).is_err());
+fn an_incomplete_status_is_refused() {
+    let incomplete = STATUS.replace("\"revision\": {\"number\": 42},\n", "");
+    assert!(serde_json::from_str::<Status>(&incomplete).is_err());
     let wrong = STATUS.replace("\"i-1\"", "\"I 1\"");
     assert!(serde_json::from_str::<Status>(&wrong).is_err());
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -106,7 +106,7 @@
 fn decode(format: Format, bytes: &[u8]) -> Result<(Header, Message), Error> {
     let (header, rest) = postcard::take_from_bytes(bytes).map_err(|_| Error::Malformed)?;
     let message = match format {
-        Format::Newest => whole(rest)?,
+        Format::Newest => decode_all(rest)?,
         Format::Previous => previous::decode(rest)?,
     };
     Ok((header, message))
@@ -114,7 +114,7 @@
 
 /// Decodes all of `bytes`; bytes left over mean that the sender and we
 /// disagree about the layout, so nothing of it can be trusted.
-pub(crate) fn whole<'de, T: Deserialize<'de>>(bytes: &'de [u8]) -> Result<T, Error> {
+pub(crate) fn decode_all<'de, T: Deserialize<'de>>(bytes: &'de [u8]) -> Result<T, Error> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
         _ => Err(Error::Malformed),
--- a/crates/wire/src/previous.rs
+++ b/crates/wire/src/previous.rs
@@ -51,39 +51,39 @@
 }
 
 pub(crate) fn encode(message: &Message, buf: Vec<u8>) -> Result<Vec<u8>, Error> {
-    let old = lower(message)?;
+    let old = downgrade(message)?;
     postcard::to_extend(&old, buf).map_err(|_| Error::Malformed)
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Message, Error> {
-    frame::whole(bytes).map(raise)
+    frame::decode_all(bytes).map(upgrade)
 }
 
-fn lower(message: &Message) -> Result<OldMessage, Error> {
+fn downgrade(message: &Message) -> Result<OldMessage, Error> {
     Ok(match message.clone() {
         Message::Ping {
             probe,
             view,
             updates,
-        } => OldMessage::Ping(probe, lower_view(view)?, updates),
+        } => OldMessage::Ping(probe, downgrade_view(view)?, updates),
         Message::Ack {
             probe,
             view,
             updates,
-        } => OldMessage::Ack(probe, lower_view(view)?, updates),
+        } => OldMessage::Ack(probe, downgrade_view(view)?, updates),
         Message::Probe { probe, target } => OldMessage::Probe(probe, target),
         Message::Rumour {
             view,
             delta,
             updates,
         } => {
-            let delta = delta.map(lower_delta).transpose()?;
-            OldMessage::Rumour(lower_view(view)?, delta, updates)
+            let delta = delta.map(downgrade_delta).transpose()?;
+            OldMessage::Rumour(downgrade_view(view)?, delta, updates)
         }
         Message::Buckets(sums) => OldMessage::Buckets(sums),
         Message::Evidence(_) => return Err(Error::NotInFormat),
         Message::Pull(revision) => OldMessage::Pull(number(revision)?),
-        Message::Part(part) => OldMessage::Part(lower_part(part)?),
+        Message::Part(part) => OldMessage::Part(downgrade_part(part)?),
         Message::Busy => OldMessage::Busy,
         // Without fingerprints, all members of the buckets are answered.
         Message::Members { buckets, .. } => OldMessage::Members(buckets),
@@ -101,21 +101,21 @@
     })
 }
 
-fn raise(old: OldMessage) -> Message {
+fn upgrade(old: OldMessage) -> Message {
     match old {
         OldMessage::Ping(probe, view, updates) => Message::Ping {
             probe,
-            view: raise_view(view),
+            view: upgrade_view(view),
             updates,
         },
         OldMessage::Ack(probe, view, updates) => Message::Ack {
             probe,
-            view: raise_view(view),
+            view: upgrade_view(view),
             updates,
         },
         OldMessage::Probe(probe, target) => Message::Probe { probe, target },
         OldMessage::Rumour(view, delta, updates) => Message::Rumour {
-            view: raise_view(view),
+            view: upgrade_view(view),
             delta: delta.map(|delta| Delta {
                 from: revision(delta.from),
                 changes: delta.changes,
@@ -162,7 +162,7 @@
     Revision { epoch: 0, number }
 }
 
-fn lower_view(view: View) -> Result<OldView, Error> {
+fn downgrade_view(view: View) -> Result<OldView, Error> {
     Ok(OldView {
         revision: number(view.revision)?,
         digest: view.digest,
@@ -171,7 +171,7 @@
     })
 }
 
-fn raise_view(view: OldView) -> View {
+fn upgrade_view(view: OldView) -> View {
     View {
         revision: revision(view.revision),
         digest: view.digest,
@@ -180,14 +180,14 @@
     }
 }
 
-fn lower_delta(delta: Delta) -> Result<OldDelta, Error> {
+fn downgrade_delta(delta: Delta) -> Result<OldDelta, Error> {
     Ok(OldDelta {
         from: number(delta.from)?,
         changes: delta.changes,
     })
 }
 
-fn lower_part(part: Part) -> Result<OldPart, Error> {
+fn downgrade_part(part: Part) -> Result<OldPart, Error> {
     Ok(OldPart {
         from: part.from.map(number).transpose()?,
         to: number(part.to)?,
--- a/crates/wire/src/replay.rs
+++ b/crates/wire/src/replay.rs
@@ -10,7 +10,7 @@
 const SENDERS_MAX: usize = 16_384;
 
 /// Of this many frames to a peer of the previous format one is in the newest.
-const TRIAL_ONE_IN: u32 = 16;
+const NEWEST_ONE_IN: u32 = 16;
 
 #[derive(Debug, Clone, Copy)]
 struct Window {
@@ -60,7 +60,7 @@
             return Format::Newest;
         };
         *written = written.wrapping_add(1);
-        if written.is_multiple_of(TRIAL_ONE_IN) {
+        if written.is_multiple_of(NEWEST_ONE_IN) {
             Format::Newest
         } else {
             Format::Previous
@@ -74,7 +74,7 @@
             seen: 1,
         };
         let Some(window) = self.senders.get_mut(&header.sender) else {
-            self.make_room();
+            self.evict_oldest();
             self.senders.insert(header.sender, fresh);
             return Ok(());
         };
@@ -90,7 +90,7 @@
 
     /// Drops the sender that started longest ago; only holders of a key can
     /// fill this, so the bound guards memory against a key in wrong hands.
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.senders.len() < SENDERS_MAX {
             return;
         }
--- a/crates/wire/tests/arbitrary.rs
+++ b/crates/wire/tests/arbitrary.rs
@@ -10,9 +10,9 @@
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
 
 /// What serde may set aside ahead of a list's elements, whatever its length says.
-const AHEAD_MAX: usize = 1024 * 1024;
+const PREALLOCATION_MAX: usize = 1024 * 1024;
 /// How much larger than its bytes a decoded element is at most.
-const GROWTH_MAX: usize = 256;
+const EXPANSION_MAX: usize = 256;
 
 fn ring() -> Ring {
     Ring::parse("1:00112233445566778899aabbccddeeff").unwrap()
@@ -78,7 +78,7 @@
             body.insert(0, kind);
             let frame = sealed(format, &body);
             let before = HEAP.allocated();
-            let most = before + AHEAD_MAX + GROWTH_MAX * frame.len();
+            let most = before + PREALLOCATION_MAX + EXPANSION_MAX * frame.len();
             HEAP.set_limit(most).unwrap();
             let result = endpoint().receive(address(), &frame);
             HEAP.set_limit(usize::MAX).unwrap();
@@ -93,7 +93,7 @@
     let mut body = vec![4];
     body.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0x0f]);
     let frame = sealed(Format::Newest, &body);
-    HEAP.set_limit(HEAP.allocated() + AHEAD_MAX + GROWTH_MAX * frame.len())
+    HEAP.set_limit(HEAP.allocated() + PREALLOCATION_MAX + EXPANSION_MAX * frame.len())
         .unwrap();
     let result = endpoint().receive(address(), &frame);
     HEAP.set_limit(usize::MAX).unwrap();
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -56,8 +56,8 @@
         };
         assert_eq!(error, expected, "byte {at}");
     }
-    let mut stranger = endpoint(1, 7, "1:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa");
-    let forged = stranger.seal(address(2), &ping(1)).unwrap();
+    let mut forger = endpoint(1, 7, "1:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa");
+    let forged = forger.seal(address(2), &ping(1)).unwrap();
     assert_eq!(
         theirs.receive(address(1), &forged),
         Err(Error::Unauthenticated)
@@ -74,7 +74,7 @@
     // address under the seal tell the copies apart.
     let mut ours = endpoint(1, 7, OLD_KEY);
     let mut theirs = endpoint(2, 7, OLD_KEY);
-    let mut others = endpoint(3, 7, OLD_KEY);
+    let mut third = endpoint(3, 7, OLD_KEY);
     let first = ours.seal(address(2), &ping(1)).unwrap();
     let second = ours.seal(address(2), &ping(2)).unwrap();
     assert!(theirs.receive(address(1), &second).is_ok());
@@ -85,7 +85,7 @@
     assert_eq!(theirs.receive(address(1), &first), Err(Error::Replayed));
     assert_eq!(theirs.receive(address(1), &second), Err(Error::Replayed));
     assert_eq!(
-        others.receive(address(1), &first),
+        third.receive(address(1), &first),
         Err(Error::Unauthenticated)
     );
 
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn keys_rotate_without_a_stop() {
+fn keys_rotate_without_downtime() {
     let old = endpoint(1, 7, OLD_KEY);
     let rings = [
         OLD_KEY.to_owned(),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn the_previous_format_is_spoken_during_an_upgrade() {
+fn the_previous_format_is_written_during_an_upgrade() {
     // Symptom: half of the fleet is deaf to the other during an upgrade.
     // Events: instances of formats 1 and 2 run side by side for minutes.
     // Cause: a new version that writes only what it likes best.
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_connection_played_back_runs_nothing() {
+fn a_replayed_connection_is_rejected() {
     // Symptom: a payment that was forwarded once is booked twice.
     // Events: the bytes of a connection between two instances are recorded and
     // sent again on a connection of the attacker's.
