--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -8,14 +8,14 @@
     replay::Windows,
 };
 
-/// An opened frame.
+/// A verified and decoded frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// The format it was written in.
+    /// Format of the frame.
     pub format: Format,
-    /// Who sent it.
+    /// Sender and sequence number.
     pub header: Header,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Endpoint {
-    /// Opens the endpoint of an instance that peers reach at `address`.
+    /// Creates the endpoint of an instance whose peers send to `address`.
     pub fn open(node: Node, incarnation: u64, address: SocketAddr, ring: Ring) -> Self {
         Self {
             node,
@@ -57,34 +57,35 @@
         }
     }
 
-    /// Takes new keys; frames under keys no longer in the ring are dropped.
+    /// Replaces the keys. Frames under keys that are no longer in the ring are
+    /// dropped.
     pub fn rotate(&mut self, ring: Ring) {
         self.ring = ring;
     }
 
-    /// The keys that are valid now.
+    /// The valid keys.
     pub fn ring(&self) -> &Ring {
         &self.ring
     }
 
-    /// Seals `message` for the instance at `to`, in the format that was last
-    /// heard from there; the newest is tried now and then, and while nothing was
-    /// heard.
+    /// Seals `message` for the instance at `to`, in the format last received
+    /// from that address. The newest format is used if nothing was received
+    /// from there, and for an occasional frame otherwise.
     ///
     /// # Errors
     ///
-    /// [`Error::Oversized`], and [`Error::NotInFormat`] for a message that the
-    /// peer's format has not.
+    /// [`Error::Oversized`], or [`Error::NotInFormat`] for a message that the
+    /// peer's format lacks.
     pub fn seal(&mut self, to: SocketAddr, message: &Message) -> Result<Vec<u8>, Error> {
         let format = self.windows.format(to);
         self.seal_in(format, to, message)
     }
 
-    /// Seals `message` in a format of the caller's choice.
+    /// Seals `message` in the given format.
     ///
     /// # Errors
     ///
-    /// As [`Endpoint::seal`].
+    /// The errors of [`Endpoint::seal`].
     pub fn seal_in(
         &mut self,
         format: Format,
@@ -101,11 +102,11 @@
         frame::seal(&context(to), key, format, &header, message, DATAGRAM_MAX)
     }
 
-    /// Opens a datagram that arrived at our address from `from`.
+    /// Verifies and decodes a datagram received from `from`.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells why it must be dropped; the caller counts it by
+    /// The [`Error`] is the reason to drop the datagram; callers count it under
     /// [`Error::label`].
     pub fn receive(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<Frame, Error> {
         let context = context(self.address);
@@ -119,8 +120,9 @@
     }
 }
 
-/// A datagram is sealed for one receiver, since windows are kept per sender: a
-/// frame caught on its way to one instance could else be replayed at another.
+/// Returns the authenticated context of a datagram: the receiver's address.
+/// Replay windows are kept per sender on each receiver, so without the address
+/// a datagram captured on its way to one instance could be replayed to another.
 fn context(to: SocketAddr) -> Vec<u8> {
     let mut context = b"datagram ".to_vec();
     match to {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,44 +1,45 @@
-//! Why a frame was dropped.
+//! Errors of frames that can't be sealed or opened.
 
-/// Why a frame can't be sealed or was dropped; each kind is counted apart.
+/// Reason why a frame can't be sealed, or was dropped on receipt. Each kind has
+/// a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Error {
-    /// The frame is longer than its channel takes.
-    #[error("a frame of {len} bytes is over the limit of {max}")]
+    /// The frame exceeds the size limit of its transport.
+    #[error("frame of {len} bytes exceeds the limit of {max} bytes")]
     Oversized {
-        /// Its length in bytes.
+        /// Length of the frame in bytes.
         len: usize,
-        /// The channel's limit in bytes.
+        /// Limit of the transport in bytes.
         max: usize,
     },
-    /// The frame is shorter than a prefix and a seal.
-    #[error("the frame is cut short")]
+    /// The frame is shorter than its prefix and tag.
+    #[error("frame is truncated")]
     Truncated,
-    /// The frame's format is neither the newest nor the one before.
-    #[error("format {0} is not spoken here")]
+    /// The frame's format is neither the newest nor the previous one.
+    #[error("frame format {0} is not supported")]
     ForeignFormat(u8),
-    /// No key with this id is valid here.
+    /// No valid key has the frame's key id.
     #[error("no valid key has id {0}")]
     UnknownKey(u8),
-    /// The seal does not fit the bytes, the receiver or the stream.
-    #[error("the seal is not authentic")]
+    /// The tag does not match the bytes, the receiver or the stream.
+    #[error("authentication tag of the frame is invalid")]
     Unauthenticated,
-    /// The sequence number was seen before, or is older than the window.
-    #[error("the frame was replayed or is too old")]
+    /// The sequence number was received before, or is older than the window.
+    #[error("frame was replayed or is older than the replay window")]
     Replayed,
-    /// The sender has restarted since it sealed this.
-    #[error("the frame is of an earlier incarnation of its sender")]
+    /// The sender has restarted since it sealed the frame.
+    #[error("frame is from an earlier incarnation of its sender")]
     EarlierIncarnation,
-    /// An authentic frame does not decode, or has bytes left over.
-    #[error("the frame does not decode")]
+    /// An authentic frame can't be decoded, or has trailing bytes.
+    #[error("frame can't be decoded")]
     Malformed,
-    /// The message does not exist in the format that the peer speaks.
-    #[error("the peer's format has no such message")]
+    /// The message does not exist in the peer's format.
+    #[error("message does not exist in the peer's frame format")]
     NotInFormat,
 }
 
 impl Error {
-    /// A short label for metrics.
+    /// Label of the error in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Oversized { .. } => "oversized",
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The layout of a frame.
+//! Layout and authentication of a frame.
 //!
 //! ```text
 //! format u8 | key id u8 | header and message (postcard) | tag 16 bytes
@@ -8,28 +8,29 @@
 
 use crate::{Error, Key, Message, Node, Ring, previous};
 
-/// The most bytes of a UDP datagram, so that no path between zones cuts it up.
+/// Maximum bytes of a UDP datagram, small enough to avoid IP fragmentation
+/// between zones.
 pub const DATAGRAM_MAX: usize = 1_200;
-/// The most bytes of a frame on a TCP stream: a value of the store and a header.
+/// Maximum bytes of a frame on a TCP stream: a value of the store and a header.
 pub const STREAM_MAX: usize = 1024 * 1024 + 1024;
-/// The bytes of a seal.
+/// Bytes of an authentication tag.
 pub const TAG_LEN: usize = 16;
 
 pub(crate) const PREFIX_LEN: usize = 2;
-/// The most bytes of an encoded [`Header`].
+/// Maximum bytes of an encoded [`Header`].
 pub(crate) const HEADER_MAX: usize = 8 + 10 + 10;
 
-/// The format that a frame is written in.
+/// Format in which a frame is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Format {
     /// Format 1: revisions without an epoch, and no evidence.
     Previous,
-    /// Format 2.
+    /// Format 2: revisions with an epoch, and evidence.
     Newest,
 }
 
 impl Format {
-    /// The number that frames carry.
+    /// Number of the format in frames.
     pub fn number(self) -> u8 {
         match self {
             Self::Previous => 1,
@@ -46,14 +47,14 @@
     }
 }
 
-/// Who sent a frame, and which of its frames this is.
+/// Sender and sequence number of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// The sender.
     pub sender: Node,
-    /// When the sender's process started; see [`crate::Record::incarnation`].
+    /// Incarnation of the sender's process; see [`crate::Record::incarnation`].
     pub incarnation: u64,
-    /// Counts the sender's frames on this channel.
+    /// Number of the frame among the sender's frames on this channel.
     pub sequence: u64,
 }
 
@@ -112,8 +113,8 @@
     Ok((header, message))
 }
 
-/// Decodes all of `bytes`; bytes left over mean that the sender and we
-/// disagree about the layout, so nothing of it can be trusted.
+/// Decodes all of `bytes`. Trailing bytes mean that sender and receiver
+/// disagree about the layout, so the whole frame is rejected.
 pub(crate) fn decode_all<'de, T: Deserialize<'de>>(bytes: &'de [u8]) -> Result<T, Error> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,49 +1,50 @@
-//! Keys from settings, two of them valid at once.
+//! Shared keys from the settings, of which two may be valid at once.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
 use crate::frame::TAG_LEN;
 
-/// The fewest bytes that a secret may have.
+/// Minimum length of a secret in bytes.
 const SECRET_MIN: usize = 16;
 
-/// A shared secret and the id that frames name it by.
+/// A shared secret, and the id by which frames refer to the key.
 #[derive(Debug, Clone)]
 pub struct Key {
     id: u8,
     mac: Hmac<Sha256>,
 }
 
-/// Why a text is not a ring of keys.
+/// Reason why a text is not a valid ring of keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// There is no key at all.
+    /// No key is given.
     #[error("at least one peer key is needed")]
     None,
     /// More than two keys are given.
     #[error("at most two peer keys may be valid at once")]
     TooMany,
-    /// Two keys have one id.
+    /// Two keys have the same id.
     #[error("two peer keys have the id {0}")]
     SameId(u8),
-    /// A key lacks its id, as in `7:00112233…`.
-    #[error("a peer key is written as its id, a colon and its secret in hexadecimal")]
+    /// A key is not written as its id, a colon and its secret, as in
+    /// `7:00112233…`.
+    #[error("a peer key must be its id, a colon and its secret in hexadecimal")]
     Shape,
     /// A secret is not hexadecimal.
     #[error("the secret of peer key {0} is not hexadecimal")]
     Hexadecimal(u8),
-    /// A secret is too short to be one.
+    /// A secret is too short.
     #[error("the secret of peer key {0} has fewer than {SECRET_MIN} bytes")]
     Short(u8),
 }
 
 impl Key {
-    /// Makes a key of a secret of at least 16 bytes.
+    /// Creates a key from a secret of at least 16 bytes.
     ///
     /// # Errors
     ///
-    /// [`KeyError::Short`] when the secret has fewer.
+    /// [`KeyError::Short`] if the secret is shorter.
     pub fn new(id: u8, secret: &[u8]) -> Result<Self, KeyError> {
         if secret.len() < SECRET_MIN {
             return Err(KeyError::Short(id));
@@ -52,7 +53,7 @@
         Ok(Self { id, mac })
     }
 
-    /// The id that frames name this key by.
+    /// Id by which frames refer to the key.
     pub fn id(&self) -> u8 {
         self.id
     }
@@ -74,21 +75,22 @@
     }
 }
 
-/// The keys that are valid now; the first one seals.
+/// The valid keys, of which the first seals new frames.
 ///
-/// A key is rotated without a stop in three rounds of settings: the new key
-/// goes second everywhere, then first everywhere, then the old one is dropped.
+/// A key is rotated without downtime by three changes of the settings on all
+/// instances: the new key is added as the second, then moved to the first
+/// place, then the old key is removed.
 #[derive(Debug, Clone)]
 pub struct Ring {
     keys: Vec<Key>,
 }
 
 impl Ring {
-    /// Reads a ring such as `2:00112233445566778899aabbccddeeff,1:…`.
+    /// Parses a ring such as `2:00112233445566778899aabbccddeeff,1:…`.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] tells what is wrong with the text; it never shows a secret.
+    /// [`KeyError`] if the text is invalid; the error never contains a secret.
     ///
     /// ```
     /// let ring = wire::Ring::parse("7:00112233445566778899aabbccddeeff").unwrap();
@@ -104,11 +106,11 @@
         Self::new(keys)
     }
 
-    /// Makes a ring of one or two keys, the sealing one first.
+    /// Creates a ring of one or two keys, of which the first seals.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] when there are none, more than two, or two of one id.
+    /// [`KeyError`] for no keys, more than two keys, or two keys with one id.
     pub fn new(keys: Vec<Key>) -> Result<Self, KeyError> {
         match keys.as_slice() {
             [] => Err(KeyError::None),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The key that seals.
+    /// The key that seals new frames.
     pub fn sealing(&self) -> &Key {
         &self.keys[0]
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! Frames between instances: their messages, seals and replay windows.
+//! Frames between instances: messages, authentication and replay protection.
 //!
-//! An [`Endpoint`] turns a [`Message`] into the bytes of a datagram or of a frame on
-//! a TCP stream, and back. Every frame carries the format's number, a key's id,
-//! its sender, the sender's incarnation and a sequence number, and is sealed
-//! with HMAC-SHA-256 truncated to [`TAG_LEN`] bytes. Nothing is decoded before
-//! its seal was verified.
+//! An [`Endpoint`] converts a [`Message`] into a datagram and back, a
+//! [`Stream`] into a frame on a TCP connection and back. Every frame carries
+//! the format's number, a key's id, its sender, the sender's incarnation and a
+//! sequence number, and is authenticated with HMAC-SHA-256 truncated to
+//! [`TAG_LEN`] bytes. No frame is decoded before its tag was verified.
 
 mod endpoint;
 mod error;
@@ -25,10 +25,10 @@
 };
 pub use stream::{Side, Stream};
 
-/// The length in bytes of `message` in the newest format, without its frame.
+/// Length in bytes of `message` in the newest format, without its frame.
 pub fn len(message: &Message) -> usize {
     postcard::experimental::serialized_size(message).unwrap_or(usize::MAX)
 }
 
-/// The bytes that a frame adds to its message, at most.
+/// Maximum bytes that a frame adds to its message.
 pub const FRAME_LEN: usize = frame::PREFIX_LEN + frame::HEADER_MAX + TAG_LEN;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Messages between instances.
 
 use std::{fmt, net::SocketAddr, sync::Arc};
 
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An instance's short name on the wire: a hash of its name.
+/// Identifier of an instance on the wire: a hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node(pub [u8; 8]);
 
 impl Node {
-    /// The short name of `instance`.
+    /// The identifier of `instance`.
     ///
     /// ```
     /// let name = model::name::Instance::new("nl-1").unwrap();
@@ -28,22 +28,24 @@
     }
 }
 
-/// A state of the store's keys that the fleet mirrors.
+/// Revision of the store's keys that the instances mirror.
 ///
-/// The store's revision orders all changes. The epoch is raised by operators
-/// after the store was restored from a backup, and goes before the number.
+/// The store's revision orders all changes. Operators raise the epoch after the
+/// store was restored from a backup, and the epoch takes precedence over the
+/// number.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often operators have declared the store restored.
+    /// Number of times that operators have declared the store restored.
     pub epoch: u32,
     /// The store's revision.
     pub number: u64,
 }
 
 impl Revision {
-    /// Before any change: what an instance that holds nothing has.
+    /// Revision before any change, held by an instance that has mirrored
+    /// nothing.
     pub const NONE: Self = Self {
         epoch: 0,
         number: 0,
@@ -56,56 +58,57 @@
     }
 }
 
-/// What an instance holds, told with each heartbeat.
+/// Summary of an instance's state, sent with each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct View {
-    /// The newest revision that it mirrors.
+    /// Newest mirrored revision.
     pub revision: Revision,
-    /// A digest over all keys, revisions and values of that revision.
+    /// Digest of all keys, revisions and values at that revision.
     pub digest: u64,
-    /// The catalogue revision in force, where it is not the newest mirrored.
+    /// Catalogue revision in force, if that is not the newest mirrored one.
     pub applied: Option<Revision>,
-    /// A digest over its table of members.
+    /// Digest of the member table.
     pub members: u32,
 }
 
-/// Whether a member may be given work.
+/// State of a member, which decides if the member may be given work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It did not answer several peers; it may refute this.
+    /// The member did not answer probes, and may refute the suspicion.
     Suspect,
-    /// It finishes what runs and takes no new work.
+    /// The member finishes its running work and takes no new work.
     Leaving,
-    /// It said goodbye, or was silent for long.
+    /// The member announced its stop, or was silent for too long.
     Gone,
 }
 
-/// All that is known of a member.
+/// Full record of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name.
+    /// Name of the instance.
     pub name: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Where it listens for peers, by UDP and by TCP.
+    /// Address on which the instance listens for peers, by UDP and TCP.
     pub address: SocketAddr,
-    /// Its start in milliseconds since the Unix epoch times 1,024, plus one for
-    /// each suspicion that it refuted.
+    /// Start of the process in milliseconds since the Unix epoch times 1,024,
+    /// plus one for each refuted suspicion.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the member.
     pub state: State,
 }
 
-/// A change of state of a member that the receiver is likely to know.
+/// Change of a member's state, for receivers that are likely to have the
+/// member's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The member.
+    /// Identifier of the member.
     pub node: Node,
-    /// The incarnation that the state is of.
+    /// Incarnation to which the state applies.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the member.
     pub state: State,
 }
 
@@ -114,147 +117,152 @@
 pub enum Update {
     /// A member that joined or restarted.
     Record(Record),
-    /// A change of state.
+    /// A change of a member's state.
     Mark(Mark),
 }
 
-/// One key of the store, as it was at a revision.
+/// A key of the store at a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The key.
     pub key: Arc<str>,
-    /// The store's revision that wrote or removed it.
+    /// Store revision that wrote or removed the key.
     pub revision: u64,
-    /// Its value, or `None` where it was removed.
+    /// Value of the key, or `None` if the key was removed.
     pub value: Option<Bytes>,
 }
 
-/// What leads from one revision to the next.
+/// Changes that lead from one revision to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision that it applies to.
+    /// Revision to which the changes apply.
     pub from: Revision,
-    /// What changed.
+    /// Changed keys.
     pub changes: Vec<Change>,
 }
 
 /// One frame of an answer to [`Message::Pull`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The revision that it applies to; `None` when the answer holds every key.
+    /// Revision to which the changes apply; `None` if the answer contains every
+    /// key.
     pub from: Option<Revision>,
-    /// The revision that it leads to.
+    /// Revision to which the changes lead.
     pub to: Revision,
-    /// The digest of that revision.
+    /// Digest of that revision.
     pub digest: u64,
-    /// Counts the parts of an answer from zero.
+    /// Index of the part in the answer, from zero.
     pub index: u32,
-    /// How many parts the answer has.
+    /// Number of parts in the answer.
     pub count: u32,
-    /// What changed.
+    /// Changed keys.
     pub changes: Vec<Change>,
 }
 
-/// How an instance that probes a database finds its primary.
+/// State of a database's primary, as judged by an instance that probes the
+/// primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It can't tell yet.
+    /// There is no verdict yet.
     Unsure,
-    /// It answers.
+    /// The primary answers.
     Alive,
-    /// It has not answered for too long.
+    /// The primary has not answered for too long.
     Silent,
-    /// It refuses connections, or says that it is no primary.
+    /// The primary refuses connections, or reports that it is no primary.
     Refused,
 }
 
-/// What one candidate tells another of a database's primary.
+/// Report about a database's primary from one failover candidate to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The database.
     pub database: name::Database,
-    /// The term whose primary the verdict is about.
+    /// Term whose primary the verdict is about.
     pub term: Term,
-    /// How the teller finds that primary.
+    /// Verdict of the sender about that primary.
     pub verdict: Verdict,
-    /// How far that primary's log went when it answered the teller last.
+    /// Log position of that primary at its last answer to the sender.
     pub place: Option<Position>,
-    /// The claim of a term that the teller is working on.
+    /// Term that the sender is claiming.
     pub claim: Option<Term>,
 }
 
 /// A message between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// By UDP: a heartbeat that asks for an [`Message::Ack`].
+    /// UDP: heartbeat that requests a [`Message::Ack`].
     Ping {
-        /// The sender's number for this probe.
+        /// Number of the probe, chosen by the sender.
         probe: u32,
-        /// What the sender holds.
+        /// Summary of the sender's state.
         view: View,
         /// Rumours about members.
         updates: Vec<Update>,
     },
-    /// By UDP: the answer to a ping, or to a probe that a helper passed on.
+    /// UDP: answer to a ping, or to a ping that a helper sent on the receiver's
+    /// behalf.
     Ack {
-        /// The number of the probe that is answered.
+        /// Number of the answered probe.
         probe: u32,
-        /// What the sender holds.
+        /// Summary of the sender's state.
         view: View,
         /// Rumours about members.
         updates: Vec<Update>,
     },
-    /// By UDP: asks the receiver to ping `target` for the sender.
+    /// UDP: asks the receiver to ping `target` on behalf of the sender.
     Probe {
-        /// The sender's number for this probe.
+        /// Number of the probe, chosen by the sender.
         probe: u32,
-        /// Whom to ping.
+        /// Address to ping.
         target: SocketAddr,
     },
-    /// By UDP: a new revision or member, told at once.
+    /// UDP: a new revision or a change of a member, sent without waiting for
+    /// the next heartbeat.
     Rumour {
-        /// What the sender holds.
+        /// Summary of the sender's state.
         view: View,
-        /// The step to it, where that is small.
+        /// Changes that lead to the sender's revision, if they are small.
         delta: Option<Delta>,
         /// Rumours about members.
         updates: Vec<Update>,
     },
-    /// By UDP: digests of the table of members, a bucket each.
+    /// UDP: digests of the member table, one per bucket.
     Buckets(Vec<u32>),
-    /// By UDP: what a candidate finds of a database's primary.
+    /// UDP: report of a failover candidate about a database's primary.
     Evidence(Evidence),
-    /// By TCP: asks for what leads from a revision to the newest.
+    /// TCP: request for the changes from a revision to the newest one.
     Pull(Revision),
-    /// By TCP: an answer to a pull, in parts.
+    /// TCP: one part of the answer to a pull.
     Part(Part),
-    /// By TCP: the receiver answers too many pulls already.
+    /// TCP: refusal of a pull by an instance that is answering too many pulls.
     Busy,
-    /// By TCP: asks for members that the sender does not know as they are.
+    /// TCP: request for members whose current record the sender lacks.
     Members {
-        /// The buckets to look at; empty asks for all.
+        /// Buckets of the member table to return; empty for all.
         buckets: Vec<u16>,
-        /// Fingerprints of the members that the sender knows in them.
+        /// Fingerprints of the records in these buckets that the sender has.
         known: Vec<u32>,
     },
-    /// By TCP: the members asked for.
+    /// TCP: the requested members.
     Table(Vec<Record>),
-    /// By TCP: a statement for an upstream connection that the receiver holds.
+    /// TCP: a statement for an upstream connection that the receiver holds.
     Forward {
-        /// The generation of the connection; an answer to an earlier one is dropped.
+        /// Generation of the connection; answers of an earlier generation are
+        /// dropped.
         generation: u64,
-        /// Counts the statements of that generation.
+        /// Number of the statement within that generation.
         sequence: u64,
-        /// The statement, in a form that the pool settles.
+        /// The statement, in an encoding that the pool defines.
         body: Bytes,
     },
-    /// By TCP: the answer to a forwarded statement.
+    /// TCP: the answer to a forwarded statement.
     Answer {
-        /// The generation of the connection that answers.
+        /// Generation of the connection that ran the statement.
         generation: u64,
-        /// Which statement is answered.
+        /// Number of the answered statement.
         sequence: u64,
-        /// The answer, in a form that the pool settles.
+        /// The answer, in an encoding that the pool defines.
         body: Bytes,
     },
 }
--- a/crates/wire/src/previous.rs
+++ b/crates/wire/src/previous.rs
@@ -1,7 +1,9 @@
-//! Format 1, kept so that versions can be mixed while the fleet is upgraded.
+//! Format 1, supported so that instances of two versions can run together
+//! during an upgrade.
 //!
-//! Its revisions have no epoch and it has no evidence. Epochs are raised only
-//! after the whole fleet was upgraded, so a view with one is not written in it.
+//! Revisions in format 1 have no epoch, and there is no evidence. Operators
+//! raise the epoch only after all instances were upgraded, so a revision with
+//! an epoch is never written in format 1.
 
 use std::net::SocketAddr;
 
@@ -85,7 +87,8 @@
         Message::Pull(revision) => OldMessage::Pull(number(revision)?),
         Message::Part(part) => OldMessage::Part(downgrade_part(part)?),
         Message::Busy => OldMessage::Busy,
-        // Without fingerprints, all members of the buckets are answered.
+        // Format 1 has no fingerprints, so the answer contains all members of
+        // the buckets.
         Message::Members { buckets, .. } => OldMessage::Members(buckets),
         Message::Table(records) => OldMessage::Table(records),
         Message::Forward {
--- a/crates/wire/src/replay.rs
+++ b/crates/wire/src/replay.rs
@@ -1,15 +1,18 @@
-//! Windows of sequence numbers, so that a replayed datagram is dropped.
+//! Windows of sequence numbers, by which replayed datagrams are dropped.
 
 use std::{collections::HashMap, net::SocketAddr};
 
 use crate::{Error, Header, Node, frame::Format};
 
-/// How far behind a sender's newest frame one may still arrive.
+/// Number of sequence numbers up to a sender's newest frame that are still
+/// accepted.
 const WINDOW: u64 = 128;
-/// The most senders remembered; four times the target fleet.
+/// Maximum number of tracked senders: four times the target number of
+/// instances.
 const SENDERS_MAX: usize = 16_384;
 
-/// Of this many frames to a peer of the previous format one is in the newest.
+/// One in this many frames to a peer that writes the previous format is in the
+/// newest format.
 const NEWEST_ONE_IN: u32 = 16;
 
 #[derive(Debug, Clone, Copy)]
@@ -19,17 +22,17 @@
     seen: u128,
 }
 
-/// The windows of all senders.
+/// Replay windows of all senders.
 #[derive(Debug, Default)]
 pub(crate) struct Windows {
     senders: HashMap<Node, Window>,
-    /// Addresses last heard in the previous format, with the frames written to
-    /// them since.
+    /// Addresses whose last frame was in the previous format, with the number
+    /// of frames written to each address since then.
     previous: HashMap<SocketAddr, u32>,
 }
 
 impl Windows {
-    /// Notes an authentic frame, unless it was noted before.
+    /// Records an authentic frame; fails if the frame was received before.
     pub(crate) fn admit(
         &mut self,
         from: SocketAddr,
@@ -49,12 +52,13 @@
         Ok(())
     }
 
-    /// The format to write to an address: the one last heard from there, but now
-    /// and then the newest.
+    /// Format of the next frame to an address: the format last received from
+    /// there, and occasionally the newest.
     ///
-    /// Two upgraded instances that each answer in the format they heard would
-    /// else stay in the previous one for ever, and never tell each other what
-    /// only the newest can. A peer that is not upgraded drops the trial.
+    /// Two upgraded instances that each answer in the format they receive would
+    /// otherwise stay in the previous format for ever, and never exchange
+    /// messages that only the newest format has. A peer that is not upgraded
+    /// drops the occasional frame in the newest format.
     pub(crate) fn format(&mut self, to: SocketAddr) -> Format {
         let Some(written) = self.previous.get_mut(&to) else {
             return Format::Newest;
@@ -88,8 +92,9 @@
         window.admit(header.sequence)
     }
 
-    /// Drops the sender that started longest ago; only holders of a key can
-    /// fill this, so the bound guards memory against a key in wrong hands.
+    /// Drops the sender with the earliest start if the map is full. Only
+    /// holders of a key can add senders, so the limit bounds memory if a key
+    /// leaks.
     fn evict_oldest(&mut self) {
         if self.senders.len() < SENDERS_MAX {
             return;
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -2,23 +2,23 @@
 
 use crate::{Error, Frame, Header, Message, Node, Ring, STREAM_MAX, frame, frame::Format};
 
-/// Which end of a connection an instance is.
+/// End of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// It opened the connection.
+    /// The instance that opened the connection.
     Connector,
-    /// It accepted the connection and chose the nonce.
+    /// The instance that accepted the connection and chose the nonce.
     Acceptor,
 }
 
 /// One end of a TCP connection between two instances.
 ///
-/// The acceptor writes 16 random bytes first, the nonce, in the clear. Every
-/// seal covers the nonce, the direction and a sequence number that counts from
-/// zero without a gap. A connection that is recorded and played back, to run a
-/// forwarded write twice, meets another nonce and is dropped at its first frame.
+/// The acceptor first writes the nonce, 16 random bytes, in clear text. Every
+/// tag covers the nonce, the direction and a sequence number that counts from
+/// zero without gaps. A recorded connection that is replayed, to run a
+/// forwarded write twice, gets another nonce and fails at its first frame.
 ///
-/// Each frame travels behind its length, four bytes little-endian.
+/// Each frame is preceded by its length in four bytes, little-endian.
 #[derive(Debug)]
 pub struct Stream {
     node: Node,
@@ -32,10 +32,10 @@
 }
 
 impl Stream {
-    /// The bytes of the length in front of each frame.
+    /// Bytes of the length in front of each frame.
     pub const LENGTH_LEN: usize = 4;
 
-    /// Opens one end under the connection's nonce.
+    /// Creates one end of the connection with the given nonce.
     pub fn open(node: Node, incarnation: u64, ring: Ring, nonce: [u8; 16], side: Side) -> Self {
         Self {
             node,
@@ -49,16 +49,17 @@
         }
     }
 
-    /// Writes in `format` from now on; an end answers in the format it hears.
+    /// Sets the format of later frames; [`Stream::receive`] sets the format to
+    /// that of the received frame.
     pub fn set_format(&mut self, format: Format) {
         self.format = format;
     }
 
-    /// Reads the length in front of a frame.
+    /// Decodes the length in front of a frame.
     ///
     /// # Errors
     ///
-    /// [`Error::Oversized`] before anything is allocated for the frame.
+    /// [`Error::Oversized`], before memory is allocated for the frame.
     pub fn length(prefix: [u8; Self::LENGTH_LEN]) -> Result<usize, Error> {
         let len = u32::from_le_bytes(prefix) as usize;
         if len > STREAM_MAX {
@@ -74,8 +75,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Oversized`], and [`Error::NotInFormat`] for a message that the
-    /// format spoken has not; the connection stays usable after either.
+    /// [`Error::Oversized`], or [`Error::NotInFormat`] for a message that the
+    /// current format lacks. The connection stays usable after either error.
     pub fn seal(&mut self, message: &Message) -> Result<Vec<u8>, Error> {
         let header = Header {
             sender: self.node,
@@ -87,17 +88,17 @@
         let frame = frame::seal(&context, key, self.format, &header, message, STREAM_MAX)?;
         self.sent += 1;
         let mut buf = Vec::with_capacity(Self::LENGTH_LEN + frame.len());
-        // The length is at most `STREAM_MAX`, far below 32 bits.
+        // The length is at most `STREAM_MAX`, which fits in 32 bits.
         buf.extend_from_slice(&(frame.len() as u32).to_le_bytes());
         buf.extend_from_slice(&frame);
         Ok(buf)
     }
 
-    /// Opens the next frame, given without its length.
+    /// Verifies and decodes the next frame, given without its length.
     ///
     /// # Errors
     ///
-    /// [`Error`]; the connection must be closed then.
+    /// Any [`Error`]; the connection must then be closed.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Frame, Error> {
         let other = match self.side {
             Side::Connector => Side::Acceptor,
--- a/crates/wire/tests/arbitrary.rs
+++ b/crates/wire/tests/arbitrary.rs
@@ -1,4 +1,5 @@
-//! Arbitrary bytes neither panic nor make the decoder allocate without bound.
+//! Arbitrary bytes neither cause a panic nor make the decoder allocate without
+//! bound.
 
 use std::{alloc::System, net::SocketAddr};
 
@@ -9,9 +10,10 @@
 #[global_allocator]
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
 
-/// What serde may set aside ahead of a list's elements, whatever its length says.
+/// Maximum bytes that serde preallocates for a list, whatever length the input
+/// claims.
 const PREALLOCATION_MAX: usize = 1024 * 1024;
-/// How much larger than its bytes a decoded element is at most.
+/// Maximum ratio of a decoded element's size to its encoded size.
 const EXPANSION_MAX: usize = 256;
 
 fn ring() -> Ring {
@@ -26,7 +28,7 @@
     Endpoint::open(Node([1; 8]), 1, address(), ring())
 }
 
-/// Seals bytes of the test's choice as a holder of the key could.
+/// Seals an arbitrary body with the valid key.
 fn sealed(format: Format, body: &[u8]) -> Vec<u8> {
     use hmac::{Hmac, Mac};
 
@@ -89,7 +91,7 @@
         })
         .unwrap();
 
-    // A list that claims four billion elements.
+    // A list whose length claims four billion elements.
     let mut body = vec![4];
     body.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0x0f]);
     let frame = sealed(Format::Newest, &body);
@@ -99,7 +101,8 @@
     HEAP.set_limit(usize::MAX).unwrap();
     assert_eq!(result, Err(Error::Malformed));
 
-    // The test's own seal is right, or all of the above would prove nothing.
+    // Checks that `sealed` makes valid tags; otherwise the cases above would
+    // not reach the decoder.
     let ping = Message::Ping {
         probe: 3,
         view: View::default(),
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! What a gate lets in, and what it drops.
+//! Frames that endpoints and streams accept, and frames that they drop.
 
 use std::net::SocketAddr;
 
@@ -39,9 +39,9 @@
 
 #[test]
 fn forged_frames_are_dropped() {
-    // Symptom: a host without the key moves the fleet to a revision of its own.
-    // Events: it sends frames of the right shape, and changes caught ones.
-    // Cause it guards against: decoding before the seal was verified.
+    // Guards against decoding before the tag is verified: a host without the
+    // key sends well-formed frames, or modifies captured ones, to move the
+    // instances to a revision of its own.
     let mut ours = endpoint(1, 7, OLD_KEY);
     let mut theirs = endpoint(2, 7, OLD_KEY);
     let bytes = ours.seal(address(2), &ping(1)).unwrap();
@@ -67,11 +67,10 @@
 
 #[test]
 fn replayed_frames_are_dropped() {
-    // Symptom: a member that left is back, or evidence is counted twice.
-    // Events: a datagram is recorded and sent again, now or after a restart, or
-    // sent to another instance that has not seen it.
-    // Cause: authentic bytes stay authentic; only windows and the receiver's
-    // address under the seal tell the copies apart.
+    // Guards against replays, which could bring back a member that left or
+    // count evidence twice: a datagram is recorded and sent again, now or after
+    // a restart, or to another instance. Its bytes stay authentic; only the
+    // windows and the receiver's address under the tag identify the copy.
     let mut ours = endpoint(1, 7, OLD_KEY);
     let mut theirs = endpoint(2, 7, OLD_KEY);
     let mut third = endpoint(3, 7, OLD_KEY);
@@ -125,7 +124,7 @@
     let mut ours = old;
     let mut theirs = endpoint(2, 7, OLD_KEY);
     for step in rings.windows(2) {
-        // The fleet is between two rounds: each end may have either ring.
+        // Between two changes of the settings, each end may have either ring.
         for (a, b) in [(0, 0), (0, 1), (1, 0), (1, 1)] {
             ours.rotate(Ring::parse(&step[a]).unwrap());
             theirs.rotate(Ring::parse(&step[b]).unwrap());
@@ -146,9 +145,9 @@
 
 #[test]
 fn the_previous_format_is_written_during_an_upgrade() {
-    // Symptom: half of the fleet is deaf to the other during an upgrade.
-    // Events: instances of formats 1 and 2 run side by side for minutes.
-    // Cause: a new version that writes only what it likes best.
+    // Guards against upgraded instances that write only the newest format:
+    // during an upgrade, instances of formats 1 and 2 run side by side for
+    // minutes, and those not upgraded could not read the frames.
     let mut new = endpoint(1, 7, OLD_KEY);
     let mut old = endpoint(2, 7, OLD_KEY);
     let view = View {
@@ -175,13 +174,14 @@
     assert_eq!(old.receive(address(1), &answer).unwrap().message, message);
     assert_eq!(new.seal(address(2), &evidence()), Err(Error::NotInFormat));
 
-    // A peer that is not upgraded reads most frames, and drops a trial.
+    // A peer that is not upgraded can read all but the occasional frame in the
+    // newest format.
     let formats: Vec<_> = (0..32)
         .map(|_| new.seal(address(2), &message).unwrap()[0])
         .collect();
     assert_eq!(formats.iter().filter(|&&format| format == 1).count(), 30);
 
-    // Once upgraded it writes format 2, and is answered in it.
+    // Once upgraded, the peer writes format 2 and is answered in format 2.
     let mut upgraded = endpoint(2, 8, OLD_KEY);
     let bytes = upgraded.seal(address(1), &message).unwrap();
     new.receive(address(2), &bytes).unwrap();
@@ -191,11 +191,9 @@
 
 #[test]
 fn upgraded_instances_leave_the_previous_format() {
-    // Symptom: long after an upgrade some pairs still speak format 1, and no
-    // evidence passes between them.
-    // Events: an upgraded instance's first frame is in format 1, because its
-    // predecessor's was; the other, upgraded too, answers in what it hears.
-    // Cause: each end waits for the other to begin.
+    // Guards against upgraded pairs that stay in format 1 and can't exchange
+    // evidence: the first frame is in format 1 because the predecessor's was,
+    // and each end then answers in the format it receives.
     let mut ours = endpoint(1, 7, OLD_KEY);
     let mut theirs = endpoint(2, 7, OLD_KEY);
     let first = ours
@@ -243,10 +241,9 @@
 
 #[test]
 fn a_replayed_connection_is_rejected() {
-    // Symptom: a payment that was forwarded once is booked twice.
-    // Events: the bytes of a connection between two instances are recorded and
-    // sent again on a connection of the attacker's.
-    // Cause: the seals of the first connection are still authentic.
+    // Guards against a forwarded payment that is booked twice: the bytes of a
+    // connection between two instances are recorded and sent again on another
+    // connection, where their tags would be authentic without the nonce.
     let ring = Ring::parse(OLD_KEY).unwrap();
     let open = |id, nonce, side| Stream::open(Node([id; 8]), 7, ring.clone(), nonce, side);
     let mut ours = open(1, [5; 16], Side::Connector);
