--- a/crates/cli/tests/cmd/status.rs
+++ b/crates/cli/tests/cmd/status.rs
@@ -38,7 +38,7 @@
     );
     assert_eq!(row("i-3"), "i-3 z3 dead (as told) 40 - - -");
     assert_eq!(row("core"), "core 3 a 12 ms ago 1");
-    assert!(lines.contains(&"  i-2: database `core` has no primary: no write lands"));
+    assert!(lines.contains(&"  i-2: database `core` has no primary: writes fail"));
     assert!(
         run.out.contains(&format!("  {gone}: no answer: ")),
         "{run:?}"
--- a/crates/view/src/doubt.rs
+++ b/crates/view/src/doubt.rs
@@ -1,4 +1,4 @@
-//! What an instance finds wrong, in words an operator can act on.
+//! Problems that an instance reports to operators.
 
 use std::fmt;
 
@@ -7,36 +7,36 @@
 
 use crate::Revision;
 
-/// Something that an operator should know.
+/// A problem that an instance reports to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Doubt {
-    /// It has no catalogue, and so serves nobody.
+    /// The instance has no catalogue, so it serves no sessions.
     NoCatalog,
     /// The store does not answer; the last catalogue stays in force.
     StoreSilent {
-        /// For how many milliseconds.
+        /// Milliseconds without an answer.
         since_ms: u64,
     },
-    /// The store shows a lower revision than one that was in force.
+    /// The store has a lower revision than the one in force.
     StoreOlder {
-        /// The revision that the store shows.
+        /// Revision in the store.
         shown: Revision,
         /// The revision in force.
         held: Revision,
     },
-    /// A later revision can't be understood; the one in force is kept.
+    /// A later revision has an unsupported format; the revision in force stays.
     Newer {
         /// The revision that is held back.
         revision: Revision,
-        /// Its format, above what this version reads.
+        /// Format of that revision, newer than this version supports.
         format: u64,
     },
-    /// A later revision breaks the rules; the one in force is kept.
+    /// A later revision is invalid; the revision in force stays.
     Unfit {
         /// The revision that is held back.
         revision: Revision,
-        /// The first fault.
+        /// First fault found in the revision.
         reason: String,
     },
     /// A database has no primary.
@@ -44,61 +44,62 @@
         /// The database.
         database: name::Database,
     },
-    /// No majority of a database confirms its primary: no write lands.
+    /// No majority confirms the primary of a database, so writes fail.
     Unconfirmed {
         /// The database.
         database: name::Database,
-        /// For how many milliseconds.
+        /// Milliseconds without confirmation.
         since_ms: u64,
     },
     /// An upstream does not answer.
     UpstreamSilent {
-        /// Its database.
+        /// Database of the upstream.
         database: name::Database,
         /// The upstream.
         upstream: name::Upstream,
-        /// For how many milliseconds.
+        /// Milliseconds without an answer.
         since_ms: u64,
     },
-    /// An upstream is so far behind that it serves no fresh reads.
+    /// An upstream lags too far behind its primary to serve reads of fresh
+    /// data.
     UpstreamBehind {
-        /// Its database.
+        /// Database of the upstream.
         database: name::Database,
         /// The upstream.
         upstream: name::Upstream,
-        /// How far behind it is, in milliseconds.
+        /// Replication lag in milliseconds.
         lag_ms: u64,
     },
-    /// The circuit breaker of an upstream is open: it failed several times.
+    /// The circuit breaker of an upstream is open after several failures.
     BreakerOpen {
-        /// Its database.
+        /// Database of the upstream.
         database: name::Database,
         /// The upstream.
         upstream: name::Upstream,
     },
-    /// Nothing is heard from any instance of any other zone.
+    /// No message arrives from any instance of any other zone.
     ZoneAlone {
         /// The zone of this instance.
         zone: name::Zone,
     },
     /// A thread of the instance does not answer.
     DutySilent {
-        /// What it is there for.
+        /// Task of the thread.
         duty: Duty,
     },
-    /// Nothing is heard from any instance of another zone.
+    /// No message arrives from any instance of one other zone.
     ZoneSilent {
         /// The zone.
         zone: name::Zone,
     },
     /// The instance is stopping.
     Stopping,
-    /// A doubt that only a newer version knows.
+    /// A problem of a kind that only a newer version defines.
     #[serde(other)]
     Other,
 }
 
-/// What a thread of an instance is there for.
+/// Task of a thread of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Duty {
@@ -106,11 +107,11 @@
     Callers,
     /// Connections to upstreams.
     Upstreams,
-    /// Who leads each database.
+    /// Failover of each database's primary.
     Control,
-    /// Other instances and the spread of the catalogue.
+    /// Membership, and distribution of the catalogue to other instances.
     Peers,
-    /// The platform's store.
+    /// Calls to the platform's store.
     Store,
 }
 
@@ -129,7 +130,7 @@
 impl fmt::Display for Doubt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoCatalog => f.write_str("no catalogue yet: it serves nobody"),
+            Self::NoCatalog => f.write_str("no catalogue yet: the instance serves no sessions"),
             Self::StoreSilent { since_ms } => write!(
                 f,
                 "the store is silent for {since_ms} ms: the last catalogue stays in force"
@@ -148,12 +149,12 @@
                 write!(f, "revision {revision} is held back: {reason}")
             }
             Self::NoPrimary { database } => {
-                write!(f, "database `{database}` has no primary: no write lands")
+                write!(f, "database `{database}` has no primary: writes fail")
             }
             Self::Unconfirmed { database, since_ms } => write!(
                 f,
-                "no majority of database `{database}` confirms its primary for {since_ms} ms: \
-                 no write lands"
+                "no majority has confirmed the primary of database `{database}` for {since_ms} ms: \
+                 writes fail"
             ),
             Self::UpstreamSilent {
                 database,
@@ -175,19 +176,18 @@
             Self::BreakerOpen { database, upstream } => write!(
                 f,
                 "upstream `{upstream}` of database `{database}` failed several times: \
-                 its breaker is open and it gets no work"
+                 its circuit breaker is open and it gets no requests"
             ),
             Self::ZoneAlone { zone } => write!(
                 f,
-                "no other zone is heard: zone `{zone}` serves on alone with what it has"
+                "no message arrives from any other zone: zone `{zone}` continues with its own state"
             ),
-            Self::DutySilent { duty } => write!(
-                f,
-                "the thread of duty `{duty}` does not answer: what it knows is not shown"
-            ),
-            Self::ZoneSilent { zone } => write!(f, "nothing is heard from zone `{zone}`"),
+            Self::DutySilent { duty } => {
+                write!(f, "thread `{duty}` does not answer: its state is not shown")
+            }
+            Self::ZoneSilent { zone } => write!(f, "no message arrives from zone `{zone}`"),
             Self::Stopping => f.write_str("the instance is stopping"),
-            Self::Other => f.write_str("something that only a newer tool can tell"),
+            Self::Other => f.write_str("problem of a kind that this tool does not know"),
         }
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,9 +1,9 @@
-//! What an instance shows of itself on its operators' port, as JSON.
+//! JSON pages that an instance serves on its operators' port.
 //!
-//! The daemon fills these types and the operators' tool reads them. Fields may
-//! be added: readers ignore those they do not know, so that a tool and an
-//! instance of neighbouring versions understand each other. Ages are counted
-//! in milliseconds before the answer, since clocks of instances differ.
+//! The daemon writes these types and the command-line tool reads them. Readers
+//! ignore unknown fields, so that fields can be added and a tool works with an
+//! instance of an adjacent version. Times are ages in milliseconds at the time
+//! of the answer, since the clocks of instances differ.
 
 mod doubt;
 mod revision;
@@ -17,11 +17,11 @@
 pub use status::{Health, Member, Primary, Status, Store};
 pub use upstream::{Breaker, Link, Pool, Upstream, Upstreams};
 
-/// The path of [`Status`].
+/// HTTP path of [`Status`].
 pub const STATUS: &str = "/status";
 
-/// The path of [`Upstreams`].
+/// HTTP path of [`Upstreams`].
 pub const UPSTREAMS: &str = "/upstreams";
 
-/// The path of [`Sessions`].
+/// HTTP path of [`Sessions`].
 pub const SESSIONS: &str = "/sessions";
--- a/crates/view/src/revision.rs
+++ b/crates/view/src/revision.rs
@@ -1,4 +1,4 @@
-//! The revision of a catalogue, as operators read and write it.
+//! Revision of the catalogue, in the notation of operators.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
@@ -14,15 +14,17 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Revision {
-    /// How often operators have declared the store restored from a backup.
+    /// Number of times that operators have declared the store restored from a
+    /// backup.
     #[serde(default)]
     pub epoch: u32,
-    /// The store's revision at the change; 0 before the first.
+    /// Store revision of the change; 0 before the first change.
     pub number: u64,
 }
 
 impl fmt::Display for Revision {
-    /// The number alone in epoch 0, which most stores never leave.
+    /// Writes the number alone in epoch 0, which applies to stores that were
+    /// never restored.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.epoch {
             0 => write!(f, "{}", self.number),
--- a/crates/view/src/session.rs
+++ b/crates/view/src/session.rs
@@ -1,60 +1,63 @@
-//! An instance's callers.
+//! Sessions of an instance's callers.
 
 use std::{fmt, net::SocketAddr};
 
 use model::{Position, name};
 use serde::{Deserialize, Serialize};
 
-/// Callers of an instance: all counted, a bounded number shown.
+/// Sessions of an instance: the total, and the details of a limited number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sessions {
     /// The instance that answers.
     pub instance: name::Instance,
-    /// How many sessions it has.
+    /// Total number of sessions.
     pub total: u64,
-    /// Some of them, those in longest work first.
+    /// Some of the sessions, longest running work first.
     pub sessions: Vec<Session>,
 }
 
 /// One caller's session.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Session {
-    /// The tenant that it belongs to; none if the instance does not tell.
+    /// Tenant of the session; none if the instance does not report the tenant.
     #[serde(default)]
     pub tenant: Option<name::Tenant>,
-    /// The entry it is connected to.
+    /// Entry to which the caller is connected.
     pub entry: name::Entry,
-    /// The user it logged in as.
+    /// User name of the login.
     pub user: String,
-    /// Where it connects from.
+    /// Address of the caller.
     pub client: SocketAddr,
-    /// Milliseconds since it logged in; none if the instance does not tell.
+    /// Milliseconds since the login; none if the instance does not report the
+    /// time.
     #[serde(default)]
     pub connected_ms: Option<u64>,
-    /// Milliseconds that its transaction is open; none outside one.
+    /// Milliseconds since the open transaction began; none outside a
+    /// transaction.
     #[serde(default)]
     pub transaction_ms: Option<u64>,
-    /// What it does.
+    /// Current phase.
     pub phase: Phase,
-    /// Milliseconds that it has been doing that.
+    /// Milliseconds in the current phase.
     pub phase_ms: u64,
-    /// How far its reads must have come; none before it wrote or saw anything.
+    /// Log position that reads must have reached; none before the session's
+    /// first write or read.
     pub token: Option<Position>,
 }
 
-/// What a session does.
+/// Phase of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It is logging in.
+    /// The caller is logging in.
     Starting,
-    /// It asks for nothing.
+    /// No request is pending.
     Idle,
     /// A request waits for a connection or a replica.
     Queued,
     /// A request runs.
     Running,
-    /// It holds a connection in an open transaction and asks for nothing.
+    /// No request is pending in an open transaction, which holds a connection.
     InTransaction,
 }
 
--- a/crates/view/src/status.rs
+++ b/crates/view/src/status.rs
@@ -7,41 +7,41 @@
 
 use crate::{Doubt, Revision};
 
-/// What an instance knows and holds in force.
+/// State of an instance, and of the system as the instance sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The instance that answers.
     pub instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// The version of its program.
+    /// Version of the instance's program.
     pub version: String,
-    /// The catalogue's revision in force; number 0 while it has none.
+    /// Catalogue revision in force; number 0 without a catalogue.
     pub revision: Revision,
-    /// How long that revision has been in force here, in milliseconds.
+    /// Milliseconds since that revision was put in force.
     pub applied_ms_ago: u64,
-    /// Whether the platform's store answers.
+    /// State of the connection to the platform's store.
     pub store: Store,
-    /// Who leads each database.
+    /// Primary of each database.
     pub primaries: Vec<Primary>,
-    /// The other instances that it knows.
+    /// Other known instances.
     pub members: Vec<Member>,
-    /// What it finds wrong.
+    /// Problems that the instance reports.
     pub doubts: Vec<Doubt>,
 }
 
-/// Whether the platform's store answers.
+/// State of the connection to the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum Store {
-    /// This instance does not ask the store itself now; its peers do.
+    /// This instance does not call the store; other instances do.
     Idle,
-    /// It answered, last so long ago.
+    /// The store answers.
     Answering {
         /// Milliseconds since the last answer.
         answered_ms_ago: u64,
     },
-    /// It does not answer.
+    /// The store does not answer.
     Silent {
         /// Milliseconds since the last answer, or since the start.
         since_ms: u64,
@@ -58,30 +58,32 @@
     }
 }
 
-/// Who leads a database, as the instance sees it.
+/// Primary of a database, as the instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Primary {
     /// The database.
     pub database: name::Database,
-    /// The latest term known.
+    /// Latest known term.
     pub term: Term,
-    /// The upstream that leads; none while the term is only claimed.
+    /// The upstream that is the primary; none while the term is only claimed.
     pub upstream: Option<name::Upstream>,
-    /// Milliseconds since a majority confirmed the term; none if not yet.
+    /// Milliseconds since a majority confirmed the term; none before the first
+    /// confirmation.
     pub confirmed_ms_ago: Option<u64>,
 }
 
-/// Whether an instance is alive, as another one sees it.
+/// Health of an instance, as another instance sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// Heard of lately.
+    /// The instance was heard of recently.
     Alive,
-    /// Not heard of for a while; it may refute that.
+    /// The instance was not heard of for a while, and may refute the suspicion.
     Suspect,
-    /// It said goodbye or is marked as leaving: it gets no new work.
+    /// The instance announced its stop or is marked as leaving, and gets no new
+    /// work.
     Leaving,
-    /// Taken for dead.
+    /// The instance is presumed dead.
     Dead,
 }
 
@@ -99,16 +101,17 @@
 /// Another instance, as the instance that answers sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the other instance.
     pub instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of the other instance.
     pub zone: name::Zone,
-    /// Where its peers reach it.
+    /// Address for the other instance's peers.
     pub address: SocketAddr,
-    /// Whether it is alive.
+    /// Health of the other instance.
     pub health: Health,
-    /// The catalogue's revision that it told of last; none if it never did.
+    /// Catalogue revision that the other instance reported last; none if never
+    /// reported.
     pub revision: Option<Revision>,
-    /// Milliseconds since it was last heard of.
+    /// Milliseconds since the other instance was last heard of.
     pub heard_ms_ago: u64,
 }
--- a/crates/view/src/upstream.rs
+++ b/crates/view/src/upstream.rs
@@ -17,40 +17,42 @@
 /// One upstream, as the instance that answers sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its database.
+    /// Database of the upstream.
     pub database: name::Database,
-    /// Its name.
+    /// Name of the upstream.
     pub upstream: name::Upstream,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: name::Zone,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// Whether it answers.
+    /// State of the link to the upstream.
     pub link: Link,
-    /// Whether it takes writes; none if it never told.
+    /// Role that the upstream reports, primary or replica; none if never
+    /// reported.
     pub role: Option<Role>,
-    /// How far it has received its log; none if it never told.
+    /// Log position that the upstream has received; none if never reported.
     #[serde(default)]
     pub received: Option<Position>,
-    /// How far it has replayed its log; none if it never told.
+    /// Log position that the upstream has replayed; none if never reported.
     pub position: Option<Position>,
-    /// How old its data was when last asked, in milliseconds.
+    /// Age of the upstream's data at the last check, in milliseconds.
     pub lag_ms: Option<u64>,
-    /// Whether it is leaving: it gets no new work.
+    /// True if the upstream is leaving and gets no new work.
     pub leaving: bool,
-    /// Its connections held here; none where another instance holds them.
+    /// Connections that this instance holds; none if another instance holds the
+    /// connections.
     pub pool: Option<Pool>,
 }
 
-/// Whether an upstream answers.
+/// State of the link to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Link {
-    /// It answers.
+    /// The upstream answers.
     Up,
-    /// It is not asked yet, or its last answer is old.
+    /// The upstream was not checked yet, or its last answer is old.
     Unsure,
-    /// It does not answer.
+    /// The upstream does not answer.
     Down,
 }
 
@@ -67,28 +69,29 @@
 /// Connections to one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// How many are open.
+    /// Number of open connections.
     pub open: u32,
-    /// How many of them run a request or hold a transaction.
+    /// Number of open connections that run a request or hold a transaction.
     pub busy: u32,
-    /// How many may be open.
+    /// Maximum number of open connections.
     pub limit: u32,
-    /// How many requests wait for one.
+    /// Number of requests that wait for a connection.
     pub waiting: u32,
-    /// Whether requests pass; none if the instance does not tell.
+    /// State of the circuit breaker; none if the instance does not report the
+    /// state.
     #[serde(default)]
     pub breaker: Option<Breaker>,
 }
 
-/// Whether the circuit breaker of an upstream lets requests pass.
+/// State of the circuit breaker of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum Breaker {
-    /// They pass.
+    /// Requests pass.
     Closed,
-    /// They are refused, as the upstream failed several times.
+    /// Requests are refused, since the upstream failed several times.
     Open {
-        /// Milliseconds until one may pass to try it.
+        /// Milliseconds until a trial request may pass.
         retry_ms: u64,
     },
 }
--- a/crates/view/tests/json.rs
+++ b/crates/view/tests/json.rs
@@ -1,4 +1,4 @@
-//! The JSON that tools and instances of different versions exchange.
+//! JSON between tools and instances of different versions.
 
 use view::{Doubt, Revision, Status, Store};
 
@@ -31,9 +31,9 @@
     assert_eq!(serde_json::from_str::<Status>(&json).unwrap(), status);
 }
 
-/// Symptom: during a rolling upgrade `status` fails on every upgraded instance.
-/// Events: a newer instance adds a field and a doubt; an older tool reads it.
-/// Cause: a reader that refuses what it does not know.
+/// Guards against a reader that refuses unknown fields or kinds of doubts:
+/// during a rolling upgrade, an older tool's `status` would fail on every
+/// upgraded instance.
 #[test]
 fn unknown_fields_and_doubts_are_ignored() {
     let newer = STATUS
