--- a/crates/fleet/src/activation.rs
+++ b/crates/fleet/src/activation.rs
@@ -1,4 +1,4 @@
-//! Which revision of the catalogue is in force.
+//! Activation of the catalogue's revisions.
 
 use wire::{Change, Revision};
 
@@ -9,28 +9,29 @@
 pub struct Held {
     /// The revision.
     pub revision: Revision,
-    /// Why it is held.
+    /// Reason why the revision is not in force.
     pub reason: Reason,
 }
 
-/// Why a revision is held.
+/// Reason why a revision is not in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It is written in a format that this version does not know.
+    /// This version does not support the revision's format.
     Format(u16),
     /// There is no readable head.
     NoHead,
-    /// Keys were written after the head: a change not made in one transaction.
+    /// Keys were written after the head, so the change was not made in one
+    /// transaction.
     Incomplete,
-    /// The catalogue was read and refused.
+    /// The catalogue was read and refused as invalid.
     Refused,
 }
 
-/// The catalogue's revision in force and the one that is held back.
+/// The catalogue's revision in force, and the one that is held back.
 #[derive(Debug, Default)]
 pub(crate) struct Activation {
     applied: Revision,
-    /// The one before, kept until the next, in case `applied` is refused.
+    /// Revision in force before, restored if `applied` is refused.
     previous: Revision,
     refused: Option<Revision>,
     held: Option<Held>,
@@ -45,7 +46,8 @@
         self.held
     }
 
-    /// Looks at what the mirror holds now, understanding formats up to `format`.
+    /// Puts the mirrored catalogue in force if it is valid and its format is at
+    /// most `format`; otherwise holds the revision back.
     pub(crate) fn evaluate(&mut self, mirror: &Mirror, format: u16) -> Option<Action> {
         if mirror.catalog_revision() == 0 {
             return None;
@@ -56,7 +58,8 @@
         }
     }
 
-    /// The catalogue of `revision` was read and can't be put in force.
+    /// Restores the previous revision after the catalogue of `revision` was
+    /// refused.
     pub(crate) fn refuse(&mut self, revision: Revision) -> Option<Action> {
         if revision != self.applied {
             return None;
--- a/crates/fleet/src/answer.rs
+++ b/crates/fleet/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answering peers that pull.
+//! Answers to peers' requests for keys and members.
 
 use std::time::Duration;
 
@@ -7,20 +7,21 @@
 
 use crate::Fleet;
 
-/// The most bytes of keys and values in one frame, below the frame's limit by
-/// more than the largest value's key and numbers take.
+/// Maximum bytes of keys and values in one frame. The margin below the frame's
+/// limit exceeds the key and the numbers of the largest value.
 const PART_MAX: usize = 900 * 1024;
-/// An answer above this many bytes counts against the allowance.
+/// Size in bytes above which an answer counts as large and takes a token.
 const LARGE_MIN: usize = 64 * 1024;
-/// How many large answers may go out at once.
+/// Number of large answers that may be sent at once.
 const LARGE_BURST: u32 = 4;
-/// How long it takes until one more large answer may go out.
+/// Interval after which one more large answer may be sent.
 const LARGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many large answers may go out now.
+/// Token bucket that limits large answers.
 ///
-/// A whole zone that starts anew would else pull everything from the few peers
-/// it knows, and take their processors and memory from the work they do.
+/// A whole zone that restarts would otherwise pull all keys from the few peers
+/// it knows, and take the processors and memory that these peers need for
+/// requests.
 #[derive(Debug)]
 pub(crate) struct Limiter {
     tokens: u32,
@@ -88,7 +89,7 @@
     change.key.len() + change.value.as_ref().map_or(0, |bytes| bytes.len()) + 24
 }
 
-/// Parts changes into frames; there is at least one, if an empty one.
+/// Splits changes into frames; returns at least one frame, which may be empty.
 fn chunks(changes: Vec<Change>) -> Vec<Vec<Change>> {
     let mut chunks = vec![Vec::new()];
     let mut room = PART_MAX;
--- a/crates/fleet/src/choose.rs
+++ b/crates/fleet/src/choose.rs
@@ -1,4 +1,4 @@
-//! Whom an instance asks next.
+//! Random choice of peers.
 
 use model::name;
 use rand::{Rng, seq::IndexedRandom};
@@ -6,15 +6,16 @@
 
 use crate::Fleet;
 
-/// Of this many heartbeats one goes to a member of another zone.
+/// One in this many heartbeats goes to a member of another zone.
 const REMOTE_ONE_IN: u32 = 4;
-/// Of this many heartbeats one may go to a suspect, to find it back.
+/// One in this many heartbeats goes to a suspect if there is one, so that a
+/// recovery is noticed.
 const SUSPECT_ONE_IN: u32 = 8;
-/// How often a random choice among a zone's members is tried.
+/// Number of random draws from a zone's members to find a suitable one.
 const ATTEMPTS: usize = 16;
 
 impl Fleet {
-    /// Whom the next heartbeat goes to.
+    /// Chooses the target of the next heartbeat.
     pub(crate) fn choose_target(&mut self) -> Option<Node> {
         if self.rng.random_ratio(1, SUSPECT_ONE_IN)
             && let Some(suspect) = self.choose_suspect()
@@ -35,11 +36,11 @@
             .or_else(|| self.choose_remote(|state| state != State::Gone))
     }
 
-    /// A member that is suspected here.
+    /// Chooses a member that this instance suspects.
     ///
-    /// Picked among all members alike, one of hundreds would be asked once in
-    /// many minutes; and where all others know better, only its own answer
-    /// clears it.
+    /// Among hundreds of members, a suspect chosen uniformly would be pinged
+    /// once in many minutes. If no other instance suspects the member, only the
+    /// member's own answer clears the suspicion.
     fn choose_suspect(&mut self) -> Option<Node> {
         let members = self.table.members();
         let suspects = members.filter(|it| it.record.state == State::Suspect);
@@ -52,7 +53,8 @@
         self.choose_in_zone(&zone, wanted)
     }
 
-    /// A member of another zone: the zone first, so that each is heard of alike.
+    /// Chooses a member of another zone: first the zone, then the member, so
+    /// that all zones are probed equally often.
     pub(crate) fn choose_remote(&mut self, wanted: impl Fn(State) -> bool) -> Option<Node> {
         let zones = self.table.zones().count();
         if zones < 2 {
--- a/crates/fleet/src/conf.rs
+++ b/crates/fleet/src/conf.rs
@@ -1,36 +1,37 @@
-//! What an instance is told by its settings.
+//! Settings of an instance's membership and mirror.
 
 use std::net::SocketAddr;
 
 use model::name;
 
-/// An instance's settings.
+/// Settings of an instance.
 #[derive(Debug, Clone)]
 pub struct Conf {
-    /// Its name, unique among instances that run at once.
+    /// Name of the instance, unique among running instances.
     pub name: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Where peers reach it, by UDP and by TCP.
+    /// Address for peers, by UDP and by TCP.
     pub address: SocketAddr,
-    /// When its process started, in milliseconds since the Unix epoch.
+    /// Start of the process, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// The newest catalogue format that this version understands.
+    /// Newest catalogue format that this version supports.
     pub format: u16,
-    /// How many instances of each zone watch the store.
+    /// Number of relays per zone, the instances that watch the store.
     pub relays: usize,
-    /// Peers to ask when the platform's list is absent.
+    /// Peers to contact if the platform's list is absent.
     pub seeds: Vec<SocketAddr>,
-    /// Where its random choices start.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl Conf {
-    /// How many instances of a zone watch the store unless settings differ:
-    /// one may die without the zone waiting for another zone's rumours.
+    /// Default number of relays per zone: one may die without the zone waiting
+    /// for rumours from another zone.
     pub const RELAYS: usize = 2;
 
-    /// The incarnation of the process; refuted suspicions count up from it.
+    /// Incarnation of the process at its start; each refuted suspicion raises
+    /// the incarnation.
     pub fn incarnation(&self) -> u64 {
         self.started_ms << 10
     }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What a fleet part is told, and what it asks for.
+//! Events and actions of [`crate::Fleet`].
 
 use std::net::SocketAddr;
 
@@ -8,52 +8,54 @@
 
 use crate::{Held, Path};
 
-/// Numbers a call, so that an answer that comes late finds no taker.
+/// Identifier of a call, by which late answers are recognised and dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Call(pub u64);
 
-/// What happened.
+/// Input of [`crate::Fleet::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The moment of [`Action::Wake`] has come.
+    /// The time of [`Action::Wake`] has come.
     Wake,
-    /// An authentic datagram came.
+    /// An authentic datagram arrived.
     Message {
-        /// Its sender.
+        /// Sender of the datagram.
         from: Node,
-        /// Where it came from.
+        /// Source address of the datagram.
         address: SocketAddr,
-        /// What it says.
+        /// Message in the datagram.
         message: Message,
     },
-    /// A frame of the answer to [`Action::Ask`] came.
+    /// A frame of the answer to [`Action::Ask`] arrived.
     Answer {
-        /// The call that is answered.
+        /// The answered call.
         call: Call,
-        /// What the peer says.
+        /// Message from the peer.
         message: Message,
     },
-    /// The call of [`Action::Ask`] failed: refused, broken or badly sealed.
+    /// The call of [`Action::Ask`] failed: it was refused, disconnected or not
+    /// authentic.
     Failed(Call),
-    /// A peer asks by TCP; [`Action::Reply`] names the same stream.
+    /// A peer sent a request by TCP; [`Action::Reply`] refers to the same
+    /// stream.
     Asked {
-        /// The stream it asks on.
+        /// Stream of the request.
         stream: u64,
-        /// What it asks for.
+        /// The request.
         message: Message,
     },
     /// The store answered a call of [`Action::Store`].
     Store {
-        /// The call that is answered.
+        /// The answered call.
         call: Call,
-        /// What the store said.
+        /// Answer of the store.
         answer: Answer,
     },
-    /// The platform's list was read.
+    /// The platform's list of instances was read.
     Instances(Vec<Listing>),
     /// The catalogue of this revision was read and can't be put in force.
     Refused(Revision),
-    /// Ask every member what it holds, for `status` and `wait`.
+    /// Request to ask every member for its state, for `status` and `wait`.
     Survey,
     /// This instance takes no new work from now on.
     Leave,
@@ -61,53 +63,53 @@
     Stop,
 }
 
-/// What a store call asks for.
+/// Request to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request {
     /// All keys from [`crate::RANGE_START`] up to [`crate::RANGE_END`].
     Range,
-    /// Their changes, from this revision of the store on.
+    /// Changes of these keys.
     Watch {
-        /// The first revision to tell.
+        /// First store revision to report.
         from: u64,
     },
     /// The key [`crate::HEAD`] alone.
     Head,
-    /// End the watch of this call.
+    /// End of the watch with the identifier of this call.
     Unwatch,
 }
 
-/// What the store answers.
+/// Answer of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// To a range: the keys as they were at the store's revision.
+    /// Answer to a range: the keys at the store's revision.
     Range {
         /// The store's revision.
         revision: u64,
         /// Every key with its value.
         changes: Vec<Change>,
     },
-    /// To a head request.
+    /// Answer to a head request.
     Head {
         /// The store's revision.
         revision: u64,
-        /// The store's revision that wrote the head; `None` without a head.
+        /// Store revision that wrote the head; `None` without a head.
         written: Option<u64>,
     },
-    /// To a watch: it is set up.
+    /// Answer to a watch: the watch is established.
     Watching {
         /// The store's revision.
         revision: u64,
     },
-    /// To a watch: all changes of one revision of the store. An answer that the
-    /// store sent in fragments must be put together first.
+    /// Answer to a watch: all changes of one store revision. An answer that the
+    /// store sent in fragments must be reassembled first.
     Changes {
-        /// The revision that made them.
+        /// Revision of the changes.
         revision: u64,
-        /// What it changed.
+        /// Changed keys.
         changes: Vec<Change>,
     },
-    /// To a watch: the revision it should start from was compacted away.
+    /// Answer to a watch: the revision to start from was compacted away.
     Compacted,
     /// The call failed, timed out, or the watch broke.
     Down,
@@ -116,136 +118,140 @@
 /// One instance of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// Its name.
+    /// Name of the instance.
     pub name: name::Instance,
-    /// Its zone.
+    /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddr,
-    /// What the platform says of it.
+    /// State of the instance according to the platform.
     pub lifecycle: Lifecycle,
 }
 
-/// What the platform says of an instance.
+/// State of an instance according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It runs.
+    /// The instance runs.
     Live,
-    /// It is being taken away.
+    /// The instance is being removed.
     Leaving,
 }
 
-/// Whom to ask the store, and what.
+/// A call of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Store {
-    /// Numbers the call; an unwatch carries the watch's number.
+    /// Identifier of the call; an unwatch carries the identifier of the watch.
     pub call: Call,
-    /// What to ask.
+    /// The request.
     pub request: Request,
 }
 
-/// What a fleet part asks for.
+/// Output of [`crate::Fleet::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// What to say.
+        /// Message to send.
         message: Message,
     },
-    /// Ask a peer by TCP.
+    /// Send a request to a peer by TCP.
     Ask {
-        /// Numbers the call.
+        /// Identifier of the call.
         call: Call,
-        /// Whom to ask.
+        /// Address of the peer.
         to: SocketAddr,
-        /// What to ask for.
+        /// The request.
         message: Message,
     },
-    /// Answer on a stream that a peer asked on, and end the answer.
+    /// Answer a peer's request on its stream, and end the answer.
     Reply {
-        /// The stream.
+        /// Stream of the request.
         stream: u64,
         /// The frames of the answer.
         messages: Vec<Message>,
     },
     /// Call the store.
     Store(Store),
-    /// Put a revision of the catalogue in force: all of it, or answer
-    /// [`Event::Refused`] and keep the last.
+    /// Put a revision of the catalogue in force as a whole, or answer
+    /// [`Event::Refused`] and keep the revision before.
     Catalog {
         /// The revision.
         revision: Revision,
-        /// Whether `changes` hold every key, or what differs from the last.
+        /// Extent of `changes`: every key, or differences only.
         scope: Scope,
-        /// The keys under `catalog/`.
+        /// Keys under `catalog/`.
         changes: Vec<Change>,
     },
     /// A primary's record under `primary/` changed.
     Primary(Change),
     /// A member joined, changed its state or restarted.
     Member(Record),
-    /// Nobody in a zone answers this instance, or someone does again. Its
-    /// members keep their states: it may be this instance that is cut off.
+    /// A zone became unreachable from this instance, or reachable again. The
+    /// zone's members keep their states, since this instance may be the one
+    /// that is cut off.
     Zone {
         /// The zone.
         zone: name::Zone,
-        /// Whether it answers.
+        /// Reachability of the zone.
         path: Path,
     },
-    /// Something an operator wants to know.
+    /// A notice for operators.
     Notice(Notice),
-    /// Step with [`Event::Wake`] at this moment, in place of the one before.
+    /// Step with [`Event::Wake`] at this time, which replaces the time
+    /// requested before.
     Wake(Instant),
 }
 
-/// How much of the catalogue an [`Action::Catalog`] holds.
+/// Extent of the changes in an [`Action::Catalog`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// Every key; keys not told are gone.
+    /// Every key; absent keys are removed.
     Whole,
-    /// What differs from the revision put in force before.
+    /// Differences from the revision put in force before.
     Delta,
 }
 
-/// Something an operator wants to know.
+/// A notice for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// The store is older than what was seen; what it says is refused.
+    /// The store is older than the mirrored revision, and its answers are
+    /// refused.
     StoreBehind {
-        /// The store's revision, under the epoch in its head.
+        /// Revision of the store, under the epoch in its head.
         store: Revision,
-        /// The revision held here.
+        /// Mirrored revision.
         held: Revision,
     },
     /// The store does not answer; the last revision is kept.
     StoreDown,
     /// The store answers again.
     StoreBack,
-    /// A revision is held and not in force.
+    /// A revision is mirrored but not in force.
     Held(Held),
-    /// A peer holds other content under the same revision.
+    /// A peer has other content for the same revision.
     Diverged {
         /// The peer.
         peer: Node,
         /// The revision.
         revision: Revision,
     },
-    /// A peer's answer did not add up and was dropped.
+    /// Changes were inconsistent and were dropped.
     BadAnswer {
-        /// Why.
+        /// Fault of the changes.
         error: crate::Error,
     },
-    /// The platform's list would take away most members that answer.
+    /// The platform's list would remove most members that answer, so its states
+    /// are not applied.
     ListDistrusted {
-        /// How many members the list would take away.
+        /// Number of members that the list would remove.
         lost: usize,
-        /// How many members answer.
+        /// Number of members that answer.
         alive: usize,
     },
     /// This instance was paused for this many milliseconds.
     Paused(u64),
-    /// The platform's list says that this instance leaves.
+    /// The platform's list marks this instance as leaving.
     ListedLeaving,
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the fleet.
+//! State machine of one instance's membership and mirror.
 
 use std::net::SocketAddr;
 
@@ -20,40 +20,43 @@
     relay::{self, Relay},
 };
 
-/// How long a new or resumed instance listens to peers before it believes what
-/// the store says: a store restored from a backup may be older than they are.
+/// Time that a new or resumed instance listens to peers before it accepts
+/// answers of the store: a store restored from a backup may be older than the
+/// peers' mirrors.
 const DISCOVERY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
-/// An instance not stepped for this long was paused: its timers all fell due at
-/// once, and peers that answered meanwhile would look silent.
+/// Time without a step after which an instance counts as paused. All its timers
+/// are then due at once, and peers that answered during the pause would look
+/// silent.
 const PAUSE_MIN: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// What a moment was subscribed to for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Due {
     /// The next heartbeat.
     Heartbeat,
-    /// A probe waits for its answer no longer.
+    /// Timeout of a probe.
     Probe(u32),
-    /// The next round of telling news.
+    /// The next push round.
     Push,
-    /// A pull waits for its answer no longer.
+    /// Timeout of a pull.
     Pull(Call),
-    /// The store is to be checked, or waited for no longer.
+    /// Check of the store, or timeout of a call; contains the timer's
+    /// generation.
     Relay(u64),
-    /// Peers had their time to tell what they hold.
+    /// End of the discovery period.
     Discovery,
-    /// The next members are asked for a survey.
+    /// The next batch of a survey.
     Survey,
 }
 
-/// Whether peers were heard since the start or the last pause.
+/// Progress of collecting peers' state after a start or a pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Discovery {
     Waiting,
     Done,
 }
 
-/// One instance's part in the fleet.
+/// Membership and mirror of one instance.
 ///
 /// ```
 /// use clock::Instant;
@@ -100,7 +103,7 @@
 }
 
 impl Fleet {
-    /// Opens an instance's part, with the first actions to take.
+    /// Creates the state of an instance, and returns the first actions with it.
     pub fn open(conf: Conf, now: Instant) -> (Self, Vec<Action>) {
         let node = Node::of(&conf.name);
         let mut fleet = Self {
@@ -135,10 +138,9 @@
         (fleet, actions)
     }
 
-    /// Takes in what happened at `now`.
+    /// Processes an event at `now` and returns the actions to take.
     ///
-    /// Moments must not go back; an event is handled after all timers that fell
-    /// due before it.
+    /// Time must not go back. Timers that are due are handled before the event.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         self.last_step = now;
@@ -149,7 +151,7 @@
         self.finish(now)
     }
 
-    /// This instance's short name.
+    /// Identifier of this instance.
     pub fn node(&self) -> Node {
         self.node
     }
@@ -159,7 +161,7 @@
         &self.table
     }
 
-    /// The keys held.
+    /// The mirrored keys.
     pub fn mirror(&self) -> &Mirror {
         &self.mirror
     }
@@ -169,12 +171,12 @@
         self.activation.applied()
     }
 
-    /// The members that may be given work, the strongest for `key` first.
+    /// Available members by descending rendezvous weight for `key`.
     pub fn rank(&self, key: &str) -> Vec<&Member> {
         rank(key, self.table.members())
     }
 
-    /// The members that watch the store for `zone`, as seen from here.
+    /// Relays of `zone`, as seen from this instance.
     pub fn relays(&self, zone: &model::name::Zone) -> Vec<&Member> {
         let mut ranked = rank(relay::KEY, self.table.zone(zone));
         ranked.truncate(self.conf.relays);
@@ -241,7 +243,8 @@
         self.start_push(now);
     }
 
-    /// Says goodbye: peers need not find out by silence.
+    /// Announces the stop to peers, so that they need not detect missed
+    /// heartbeats.
     fn stop(&mut self, now: Instant) {
         self.state = State::Gone;
         let record = self.record();
@@ -312,7 +315,8 @@
         self.timer.subscribe(now, Due::Heartbeat);
     }
 
-    /// Believes the store from now on, and puts in force what is held.
+    /// Accepts answers of the store from now on, and puts the mirrored
+    /// catalogue in force.
     pub(crate) fn finish_discovery(&mut self, now: Instant) {
         if self.discovery == Discovery::Done {
             return;
@@ -322,7 +326,8 @@
         self.update_relay(now);
     }
 
-    /// Puts the catalogue in force if it is whole and can be understood.
+    /// Puts the mirrored catalogue in force if it is complete and its format is
+    /// supported.
     pub(crate) fn apply_catalog(&mut self) {
         if self.discovery == Discovery::Waiting {
             return;
@@ -343,7 +348,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// The bytes of control state that this instance holds.
+    /// Estimated memory of this instance's control state, in bytes.
     pub fn state_bytes(&self) -> usize {
         size_of::<Self>()
             + self.table.state_bytes()
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Rumours about members, passed on with heartbeats.
+//! Queue of rumours about members, which are sent with heartbeats.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,21 +9,21 @@
 
 use crate::Table;
 
-/// The bytes of rumours that one datagram carries, reckoned.
+/// Maximum estimated bytes of rumours in one datagram.
 const UPDATES_MAX: usize = 420;
-/// The bytes that a mark takes on the wire, reckoned.
+/// Estimated bytes of a mark on the wire.
 const MARK_LEN: usize = 19;
-/// The bytes that a record takes on the wire, reckoned.
+/// Estimated bytes of a record on the wire.
 const RECORD_LEN: usize = 64;
-/// The most rumours that wait; those told most often are dropped first.
+/// Maximum number of queued rumours; the one sent most often is dropped first.
 const QUEUE_MAX: usize = 1_024;
 
-/// How a rumour is told.
+/// Level of detail of a rumour.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Detail {
-    /// The member in full: receivers may not know it.
+    /// The full record, for receivers that may not know the member.
     Record,
-    /// Its state only.
+    /// The member's state only.
     Mark,
 }
 
@@ -33,16 +33,17 @@
     detail: Detail,
 }
 
-/// Rumours about members that are still to be passed on.
+/// Rumours about members that are still to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Gossip {
     rumours: BTreeMap<Node, Rumour>,
-    /// The same, the least told first.
+    /// The same rumours, the least sent first.
     order: BTreeSet<(u8, Node)>,
 }
 
 impl Gossip {
-    /// Passes on what the table says of `node` from now on.
+    /// Queues a rumour about `node`. The content is read from the table when
+    /// the rumour is sent.
     pub(crate) fn enqueue(&mut self, node: Node, detail: Detail) {
         let before = self.remove(node).map(|rumour| rumour.detail);
         let detail = before.map_or(detail, |before| before.min(detail));
@@ -54,9 +55,9 @@
         }
     }
 
-    /// The rumours for one datagram, `first` before all others: the least told
-    /// go first, and each is told a number of times that grows with the
-    /// logarithm of the fleet.
+    /// Returns the rumours for one datagram: the state of `first`, then the
+    /// least sent rumours. Each rumour is sent a number of times that grows
+    /// with the logarithm of the number of members.
     pub(crate) fn next_updates(&mut self, table: &Table, first: Option<Node>) -> Vec<Update> {
         let mut updates = Vec::new();
         let mut room = UPDATES_MAX;
@@ -109,9 +110,9 @@
     }
 }
 
-/// How often a rumour is told by each instance that hears it.
+/// Returns the number of times that each instance sends a rumour.
 fn transmissions(members: usize) -> u8 {
-    // The logarithm of a 64-bit number is below 64.
+    // The bit length of a 64-bit number is at most 64.
     (usize::BITS - members.leading_zeros()) as u8 + 2
 }
 
--- a/crates/fleet/src/keys.rs
+++ b/crates/fleet/src/keys.rs
@@ -1,4 +1,4 @@
-//! The layout of the store's keys that the fleet mirrors.
+//! Layout of the store's keys that are mirrored.
 //!
 //! ```text
 //! catalog/head                 the catalogue's format, epoch and change id
@@ -8,42 +8,42 @@
 //! primary/<database>           one record per database
 //! ```
 //!
-//! One key per entry, because a value holds at most 1 MB and 6,600 databases
-//! with their entries do not fit in it, and because the store's revision of
-//! each key then tells what differs. Every change of the catalogue also writes
-//! the head, in the same transaction.
+//! Each entry has its own key, because a value holds at most 1 MB, too little
+//! for 6,600 databases with their entries, and because the store's revision of
+//! each key then identifies what changed. Every change of the catalogue also
+//! writes the head, in the same transaction.
 
 use serde::{Deserialize, Serialize};
 
-/// The key of the catalogue's [`Head`].
+/// Key of the catalogue's [`Head`].
 pub const HEAD: &str = "catalog/head";
-/// The first key that is mirrored.
+/// First mirrored key.
 pub const RANGE_START: &str = "catalog/";
-/// The first key past those that are mirrored.
+/// First key past the mirrored ones.
 ///
-/// Other keys of the system, such as leases, must sort outside of this range,
-/// or every one of their changes would be told to the whole fleet.
+/// Other keys of the system, such as leases, must sort outside of this range;
+/// otherwise each of their changes would be sent to all instances.
 pub const RANGE_END: &str = "primary0";
 
 pub(crate) const CATALOG: &str = "catalog/";
 pub(crate) const PRIMARY: &str = "primary/";
 
-/// The value under [`HEAD`], as JSON.
+/// Value under [`HEAD`], as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The format that the catalogue's values are written in.
+    /// Format of the catalogue's values.
     pub format: u16,
-    /// Raised by operators after the store was restored from a backup.
+    /// Epoch, raised by operators after the store was restored from a backup.
     #[serde(default)]
     pub epoch: u32,
-    /// Marks the change, so that an operator whose answer was lost recognises
-    /// their own.
+    /// Identifier of the change, by which an operator whose answer was lost
+    /// recognises the change.
     #[serde(default)]
     pub change: String,
 }
 
 impl Head {
-    /// Reads a head; `None` when the value is not one.
+    /// Parses a head; returns `None` if the value is invalid.
     ///
     /// ```
     /// let head = fleet::Head::parse(br#"{"format":1,"change":"a"}"#).unwrap();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! Membership, and the spread of the store's keys over all instances.
+//! Membership of instances, and replication of the store's keys to all of them.
 //!
-//! [`Fleet`] is one instance's part in the fleet. It is pure: it is stepped
-//! with a moment and an [`Event`] and returns [`Action`]s. Each instance
+//! [`Fleet`] is the state machine of one instance. It does no I/O: each step
+//! takes a time and an [`Event`] and returns [`Action`]s. Each instance
 //!
-//! * keeps a [`Table`] of members from heartbeats, goodbyes, rumours and the
-//!   platform's list;
-//! * holds a [`Mirror`] of the store's catalogue and primary records, which only
-//!   moves forward, a whole revision at a time;
-//! * watches the store itself only while it is one of its zone's few relays.
+//! * maintains a [`Table`] of members from heartbeats, announced stops, rumours
+//!   and the platform's list;
+//! * holds a [`Mirror`] of the store's catalogue and primary records, which
+//!   only advances, by whole revisions;
+//! * watches the store itself only while it is one of the few relays of its
+//!   zone.
 
 mod activation;
 mod answer;
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,21 +1,21 @@
-//! The platform's list of instances, which lags and may be wrong.
+//! Handling of the platform's list of instances, which may be late or wrong.
 
 use clock::Instant;
 use wire::{Node, Record, State};
 
 use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Discovery, table::Merge};
 
-/// What the list says of this instance.
+/// State of this instance in the list.
 #[derive(Debug, Default)]
 pub(crate) struct List {
     own: Option<Lifecycle>,
 }
 
 impl Fleet {
-    /// Takes in the list.
+    /// Processes the platform's list.
     ///
-    /// It introduces members and tells who leaves. It buries nobody: a member
-    /// that answers heartbeats lives, whether the list has it or not.
+    /// The list adds members and marks members as leaving. It removes none: a
+    /// member that answers heartbeats is alive, listed or not.
     pub(crate) fn on_list(&mut self, now: Instant, listings: &[Listing]) {
         self.add_listed(now, listings);
         if self.reject_implausible(listings) {
@@ -35,7 +35,8 @@
                 name: listing.name.clone(),
                 zone: listing.zone.clone(),
                 address: listing.address,
-                // Below any incarnation of a process: its own word goes first.
+                // Below the incarnation of any process, so that the member's
+                // own record takes precedence.
                 incarnation: 0,
                 state: State::Alive,
             };
@@ -53,10 +54,12 @@
         }
     }
 
-    /// Whether the list would take away most of the members that answer.
+    /// Returns true, and sends a notice, if the list would remove most of the
+    /// members that answer.
     ///
-    /// A platform whose list is empty or marks everyone as leaving, while the
-    /// instances answer each other, would else stop the whole service at once.
+    /// If a platform's list is empty or marks all instances as leaving while
+    /// they answer each other, following the list would stop the whole service
+    /// at once.
     fn reject_implausible(&mut self, listings: &[Listing]) -> bool {
         let alive = self
             .table
@@ -105,7 +108,8 @@
         }
     }
 
-    /// The platform took back that this instance leaves.
+    /// Resumes work after the platform no longer marks this instance as
+    /// leaving.
     fn cancel_leave(&mut self, now: Instant) {
         if self.state != State::Leaving {
             return;
@@ -117,5 +121,6 @@
     }
 }
 
-/// How many members of the own zone are greeted at once when starting.
+/// Maximum number of listed members of the own zone that are pinged at once
+/// when starting.
 const LISTED_PINGS_MAX: usize = 5;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,45 +1,45 @@
-//! One member, as this instance knows it.
+//! A member, as this instance sees it.
 
 use clock::Instant;
 use wire::{Node, Record, State, View};
 
 use crate::Lifecycle;
 
-/// Whether a member's zone answers this instance.
+/// Reachability of a member's zone from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
-    /// Someone there answers, or nobody was asked.
+    /// A member of the zone answers, or none was asked.
     Open,
-    /// Nobody there answers.
+    /// No member of the zone answers.
     CutOff,
 }
 
-/// One member, as this instance knows it.
+/// A member, as this instance sees it.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its short name.
+    /// Identifier of the member.
     pub node: Node,
-    /// Its name, zone, address, incarnation and state.
+    /// Name, zone, address, incarnation and state of the member.
     pub record: Record,
-    /// Since when it has this state.
+    /// Time since which the member has this state.
     pub since: Instant,
-    /// What the platform's list says of it, unless the list is distrusted.
+    /// State in the platform's list, unless the list is distrusted.
     pub listed: Option<Lifecycle>,
-    /// Whether its zone answers this instance.
+    /// Reachability of the member's zone.
     pub path: Path,
-    /// What it held when it was last heard, and when that was.
+    /// The member's last view, with the time of receipt.
     pub view: Option<(View, Instant)>,
 }
 
 impl Member {
-    /// Whether it may be given new work.
+    /// Returns true if the member may be given new work.
     pub fn is_available(&self) -> bool {
         self.record.state == State::Alive
             && self.path == Path::Open
             && self.listed != Some(Lifecycle::Leaving)
     }
 
-    /// Whether it is worth sending to: it is not known to be away.
+    /// Returns true if the member is neither suspect nor gone.
     pub(crate) fn is_reachable(&self) -> bool {
         matches!(self.record.state, State::Alive | State::Leaving)
     }
--- a/crates/fleet/src/mirror.rs
+++ b/crates/fleet/src/mirror.rs
@@ -1,4 +1,4 @@
-//! A copy of the store's keys that only moves forward.
+//! Copy of the store's keys that only advances.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,34 +12,35 @@
 
 use crate::keys;
 
-/// How many removed keys are remembered, so that a peer which missed their
-/// removal catches up by what differs.
+/// Number of removed keys that are remembered, so that a peer that missed their
+/// removal catches up by a delta.
 const REMOVED_MAX: usize = 1_024;
 
-/// Why changes were not taken; nothing of them was.
+/// Reason why changes were rejected, all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The changes lead to a revision that is not newer.
     #[error("revision {to} is not newer than {held}")]
     NotNewer {
-        /// The revision held.
+        /// Mirrored revision.
         held: Revision,
-        /// The revision that the changes lead to.
+        /// Revision to which the changes lead.
         to: Revision,
     },
-    /// The changes start from another revision than the one held.
+    /// The changes start from another revision than the mirrored one.
     #[error("the changes start from {from}, not from {held}")]
     Gap {
-        /// The revision held.
+        /// Mirrored revision.
         held: Revision,
-        /// The revision that the changes start from.
+        /// Revision from which the changes start.
         from: Revision,
     },
-    /// The changes are not sorted by key, or are newer than their revision.
+    /// The changes are not sorted by key, or some are newer than the revision
+    /// to which they lead.
     #[error("the changes are out of order")]
     Order,
-    /// The keys would not add up to the digest told with them.
-    #[error("the keys do not add up to the digest told with them")]
+    /// The resulting keys would not match the digest sent with the changes.
+    #[error("the keys do not match the digest sent with them")]
     Digest,
 }
 
@@ -68,52 +69,52 @@
     digest: u64,
     values: BTreeMap<Arc<str>, Value>,
     removed: BTreeMap<Arc<str>, u64>,
-    /// Keys by the revision that wrote or removed them, so that what differs is
-    /// found without a look at every key.
+    /// Keys by the revision that wrote or removed them, by which a delta is
+    /// found without a scan of all keys.
     recent: BTreeSet<(u64, Arc<str>)>,
-    /// Removals up to this revision may have been forgotten.
+    /// Removals up to this revision may have been pruned.
     floor: u64,
-    /// The newest revision that wrote or removed a key of the catalogue.
+    /// Newest revision that wrote or removed a key of the catalogue.
     catalog_revision: u64,
 }
 
 impl Mirror {
-    /// The revision held.
+    /// Mirrored revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// A digest over all keys, revisions and values.
+    /// Digest of all keys, revisions and values.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The number of keys.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether it holds nothing.
+    /// Returns true if the mirror has no keys.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// The revision that wrote `key`, and its value.
+    /// Revision that wrote `key`, and the key's value.
     pub fn find(&self, key: &str) -> Option<(u64, &Bytes)> {
         let value = self.values.get(key)?;
         Some((value.revision, &value.bytes))
     }
 
-    /// The newest revision that touched the catalogue.
+    /// Newest revision that changed the catalogue.
     pub(crate) fn catalog_revision(&self) -> u64 {
         self.catalog_revision
     }
 
-    /// Moves on by `changes`, which lead from the revision held to `to`.
+    /// Applies `changes`, which lead from the mirrored revision to `to`.
     ///
     /// # Errors
     ///
-    /// [`Error`]; nothing is changed then.
+    /// Any [`Error`] leaves the mirror unchanged.
     pub fn advance(
         &mut self,
         from: Revision,
@@ -149,12 +150,12 @@
         Ok(())
     }
 
-    /// Takes `changes` as all the keys of revision `to`, and tells what differs
-    /// from what was held.
+    /// Replaces all keys by `changes`, the keys of revision `to`, and returns
+    /// the differences.
     ///
     /// # Errors
     ///
-    /// [`Error`]; nothing is changed then.
+    /// Any [`Error`] leaves the mirror unchanged.
     pub fn replace(
         &mut self,
         to: Revision,
@@ -191,8 +192,9 @@
         Ok(differences)
     }
 
-    /// What leads from `from` to the revision held: the revision it starts
-    /// from, or `None` when every key is told; sorted by key.
+    /// Returns the changes that lead from `from` to the mirrored revision,
+    /// sorted by key, and the revision to which they apply: `from`, or `None`
+    /// if every key is returned.
     pub fn since(&self, from: Revision) -> (Option<Revision>, Vec<Change>) {
         let nothing = from == Revision::NONE;
         if nothing || from.epoch != self.revision.epoch || from.number < self.floor {
@@ -210,13 +212,13 @@
         (Some(from), changes)
     }
 
-    /// Every key, sorted.
+    /// All keys, sorted.
     pub fn all(&self) -> Vec<Change> {
         let values = self.values.iter();
         values.map(|(key, value)| change_of(key, value)).collect()
     }
 
-    /// The bytes that it takes in memory, B-tree nodes reckoned at two thirds
+    /// Estimated memory of the mirror in bytes, with B-tree nodes two thirds
     /// full.
     pub fn state_bytes(&self) -> usize {
         let slot = size_of::<Arc<str>>() + size_of::<Value>();
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Drops a key, and what is remembered of its removal.
+    /// Drops a key and the record of its removal.
     fn remove(&mut self, key: &Arc<str>) {
         let value = self.values.remove(key).map(|value| value.revision);
         let removed = self.removed.remove(key);
@@ -289,7 +291,8 @@
     }
 }
 
-/// A key told twice would make the digest wrong for what is then held.
+/// Checks that no key occurs twice, which would make the digest wrong, and that
+/// no change is newer than `to`.
 fn check_order(to: Revision, changes: &[Change]) -> Result<(), Error> {
     let sorted = changes.windows(2).all(|pair| pair[0].key < pair[1].key);
     let known = changes.iter().all(|change| change.revision <= to.number);
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,14 +1,16 @@
-//! Heartbeats: who answers, and who is suspected.
+//! Heartbeats and failure detection.
 //!
-//! Once a period an instance pings one member. When no answer comes in time it
-//! pings again and has helpers ping, each on its own path. Only a member that
-//! failed this twice in a row is suspected, since at one datagram in ten lost a
-//! single failure is common, and each suspicion costs rumours to all.
+//! Once per interval, an instance pings one member. Without an answer in time,
+//! the instance pings again and asks helpers to ping the member over their own
+//! paths. Only a member that failed this twice in a row is suspected, since
+//! with one datagram in ten lost a single failure is common, and each suspicion
+//! costs rumours to all members.
 //!
-//! Where nobody else of the member's zone answers either, the zone is taken as
-//! cut off from here and nobody is blamed. Two halves of a fleet would else each
-//! bury the other, and drown in refutations when they meet again; and a single
-//! instance that lost its network would blame all others.
+//! If no other member of the zone answers either, the zone counts as cut off
+//! from this instance and no member is suspected. Otherwise the two sides of a
+//! partition would each declare the other dead, and send floods of refutations
+//! after the partition heals; and a single instance without a network would
+//! suspect all others.
 
 use std::{collections::BTreeMap, mem::size_of, net::SocketAddr, time::Duration};
 
@@ -23,37 +25,39 @@
     gossip::Detail,
 };
 
-/// Between two heartbeats of an instance.
+/// Interval between two heartbeats of an instance.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the first ping of a probe may take: several times the way between
+/// Timeout of the first ping of a probe: several times the latency between
 /// regions.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the second ping and the helpers may take.
+/// Timeout of the second ping and of the helpers' pings.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(900);
-/// How many helpers ping a member that did not answer.
+/// Number of helpers that ping a member that did not answer.
 const HELPERS: usize = 3;
-/// How many others of a zone are asked whether it is cut off.
+/// Number of other members of a zone that are pinged to find out if the zone is
+/// cut off.
 const WITNESSES: usize = 4;
-/// How often the table is searched for members that were away for long.
+/// Number of heartbeats between two searches of the table for expired members.
 const EXPIRE_HEARTBEATS: u32 = 60;
 
-/// How far a probe has come.
+/// Stage of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     /// The member was pinged.
     Direct,
-    /// It was pinged again, and helpers were asked.
+    /// The member was pinged again, and helpers were asked to ping it.
     Indirect,
-    /// It failed; others of its zone are pinged to tell whether that is cut off.
+    /// The probe failed, and other members of the zone were pinged to find out
+    /// if the zone is cut off.
     Witness {
-        /// Since when they have had time to answer.
+        /// Time at which the other members were pinged.
         since: Instant,
     },
-    /// Others of its zone answered, and it was pinged once more.
+    /// Other members of the zone answered, and the member was pinged once more.
     Last,
 }
 
-/// Which of the two probes that lead to a suspicion this is.
+/// First or second of the two probes that precede a suspicion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Attempt {
     First,
@@ -62,26 +66,27 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Purpose {
-    /// A heartbeat of our own.
+    /// A heartbeat of this instance.
     Heartbeat {
         target: Node,
         stage: Stage,
         attempt: Attempt,
     },
-    /// A ping for a peer that got no answer.
+    /// A ping on behalf of a peer that got no answer.
     OnBehalf { requester: SocketAddr, probe: u32 },
-    /// A greeting or a survey, whose silence means nothing.
+    /// A ping without a timeout, such as in a survey: a missing answer has no
+    /// consequence.
     Untracked,
 }
 
-/// The probes that wait for an answer.
+/// Probes that wait for an answer.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
     last_id: u32,
     pending: BTreeMap<u32, Purpose>,
     heartbeats: u32,
     survey: Vec<Node>,
-    /// When somebody of a zone was last heard.
+    /// Time at which a member of each zone was last heard.
     last_heard: BTreeMap<name::Zone, Instant>,
 }
 
@@ -102,14 +107,15 @@
     }
 }
 
-/// How many members a survey asks at once, and how long it then waits, so that
-/// asking 4,000 members takes four seconds and no burst.
+/// Number of members that a survey pings at once, and the interval to the next
+/// batch: 4,000 members take four seconds, without a burst.
 const SURVEY_BATCH: usize = 50;
 const SURVEY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Fleet {
-    /// The first heartbeat falls anywhere in the first period, so that instances
-    /// started together do not beat together.
+    /// Schedules the first heartbeat at a random time in the first interval, so
+    /// that instances started together do not send their heartbeats at the same
+    /// time.
     pub(crate) fn schedule_first_heartbeat(&mut self, now: Instant) {
         let millis = HEARTBEAT_INTERVAL.as_millis() as u64;
         let wait = Duration::from_millis(self.rng.random_range(0..millis));
@@ -137,7 +143,7 @@
         }
     }
 
-    /// Greets the peers of the settings, and members of the list not heard yet.
+    /// Pings the seeds of the settings.
     pub(crate) fn ping_seeds(&mut self) {
         for to in self.conf.seeds.clone() {
             if to != self.conf.address {
@@ -146,19 +152,20 @@
         }
     }
 
-    /// Pings an instance whose answer alone matters.
+    /// Pings an instance without a timeout.
     fn ping_untracked(&mut self, to: SocketAddr) {
         let probe = self.probes.register(Purpose::Untracked);
         self.ping(to, probe, None);
-        // It is not timed; whatever answers last counts.
+        // Without a timeout, the probe need not stay pending.
         self.probes.pending.remove(&probe);
     }
 
-    /// Pings an instance that may not know this one, and tells it just that.
+    /// Pings an instance that may not know this one, with this instance's
+    /// record as the only update.
     ///
-    /// A rumour is told a few times only. If greetings used those up and were
-    /// lost, as all are that leave before the network is up, a member would
-    /// stay unknown to those who answer it later.
+    /// A rumour is sent only a few times. If these pings used up the rumours
+    /// and were lost, as are all that are sent before the network is up, the
+    /// member would stay unknown to peers that answer later.
     pub(crate) fn ping_with_record(&mut self, to: SocketAddr) {
         let probe = self.probes.register(Purpose::Untracked);
         let message = Message::Ping {
@@ -167,7 +174,7 @@
             updates: vec![Update::Record(self.record())],
         };
         self.send(to, message);
-        // Greetings are not timed; only the last one's answer matters.
+        // Without a timeout, the probe need not stay pending.
         self.probes.pending.remove(&probe);
     }
 
@@ -186,8 +193,8 @@
             .subscribe(now + DIRECT_TIMEOUT, Due::Probe(probe));
     }
 
-    /// Pings `to`, with the doubt about `target`, if any, told first: who is
-    /// suspected must hear it to refute it.
+    /// Pings `to`. If `target` is suspected, the suspicion is the first update,
+    /// since a member must receive a suspicion to refute it.
     fn ping(&mut self, to: SocketAddr, probe: u32, target: Option<Node>) {
         let unreachable = target.filter(|&node| self.is_unreachable(node));
         let message = Message::Ping {
@@ -337,14 +344,16 @@
             .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(probe));
     }
 
-    /// Pings the member a last time if others of its zone answered meanwhile.
+    /// Pings the member a last time if other members of its zone answered in
+    /// the meantime; otherwise marks the zone as cut off.
     fn conclude(&mut self, now: Instant, probe: u32, target: Node, since: Instant) {
         let Some(member) = self.table.find(target) else {
             return;
         };
         let zone = member.record.zone.clone();
-        // In its own zone an instance can't be cut off from all but itself: as
-        // long as anyone answers, the silent there are dead.
+        // The own zone is never cut off from an instance that receives answers:
+        // as long as any member answers, the silent members of the own zone are
+        // dead.
         let heard = if zone == self.conf.zone {
             self.probes.last_heard.values().max()
         } else {
@@ -357,8 +366,9 @@
         }
     }
 
-    /// Where the way to a zone opens in this moment, others there answer, and a
-    /// member that was asked before would be blamed for the time before.
+    /// If the path to a zone is restored during the probe, other members there
+    /// answer, and a member that was pinged before would be suspected for pings
+    /// lost earlier. One more ping avoids that.
     fn probe_last(&mut self, now: Instant, probe: u32, target: Node) {
         let Some(member) = self.table.find(target) else {
             return;
@@ -375,7 +385,8 @@
             .subscribe(now + INDIRECT_TIMEOUT, Due::Probe(probe));
     }
 
-    /// Looks whether a zone that is cut off answers again.
+    /// Pings a member of a zone that is cut off, to find out if the zone
+    /// answers again.
     fn ping_cut_off_zone(&mut self) {
         let cut: Vec<_> = self
             .table
--- a/crates/fleet/src/pull.rs
+++ b/crates/fleet/src/pull.rs
@@ -1,4 +1,4 @@
-//! Getting what peers hold and this instance does not.
+//! Requests to peers for keys and members that this instance lacks.
 
 use std::{mem::size_of, net::SocketAddr, time::Duration};
 
@@ -13,16 +13,16 @@
     mirror::Error,
 };
 
-/// How long a pull may take without a frame coming in.
+/// Timeout of a pull for its next frame.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(1);
-/// How long tables of members are left to agree by rumours before they are
-/// compared, once an instance has run for a while.
+/// Maximum interval between comparisons of member tables, which rumours make
+/// equal in the meantime.
 const COMPARE_INTERVAL_MAX: Duration = Duration::from_secs(10);
-/// The same just after its start; from there it doubles. An instance whose
-/// first datagrams were lost has told its record as often as it will, and is
-/// known to nobody until tables are compared.
+/// Interval between comparisons just after the start, from which the interval
+/// doubles. An instance whose first datagrams were lost has sent its record as
+/// often as a rumour is sent, and stays unknown until tables are compared.
 const COMPARE_INTERVAL_MIN: Duration = Duration::from_millis(250);
-/// How many buckets of the table are asked for at once.
+/// Maximum number of buckets of the member table in one request.
 const BUCKETS_PER_REQUEST: usize = 16;
 
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     parts: Vec<Part>,
 }
 
-/// Pulls on their way, and answers to others' pulls.
+/// Pending pulls, and the limiter of answers to peers' pulls.
 #[derive(Debug)]
 pub(crate) struct Pulls {
     keys: Option<Pull>,
@@ -43,7 +43,7 @@
     pub(crate) limiter: Limiter,
 }
 
-/// When tables may be compared next.
+/// Schedule of table comparisons.
 #[derive(Debug)]
 struct Schedule {
     last: Instant,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Whether it is time; the next one then comes after twice the gap.
+    /// Returns true if a comparison is due, and then doubles the interval to
+    /// the next one.
     fn poll(&mut self, now: Instant) -> bool {
         if now.since(self.last) < self.interval {
             return false;
@@ -94,7 +95,8 @@
 }
 
 impl Fleet {
-    /// Compares what a peer holds with what is held here.
+    /// Compares a peer's view with this instance's state, and requests what
+    /// this instance lacks.
     pub(crate) fn compare_views(
         &mut self,
         now: Instant,
@@ -141,7 +143,8 @@
         });
     }
 
-    /// The first answer after a start: its sender has the table and the keys.
+    /// Handles the first answer after a start: the sender has the member table
+    /// and the keys.
     pub(crate) fn on_first_ack(&mut self, now: Instant, address: SocketAddr) {
         if !self.pulls.has_table {
             self.ask_members(now, address, Vec::new());
@@ -170,11 +173,12 @@
         });
     }
 
-    /// Compares tables with a peer whose table differs, at most now and then:
-    /// rumours on their way make tables differ for a moment all the time.
+    /// Compares tables with a peer whose table differs. The rate is limited,
+    /// since rumours in transit make tables differ for a moment all the time.
     ///
-    /// A peer that is a stranger here knows more than this instance, which asks
-    /// it. Any other is told the digests of ours, and asks for what it lacks.
+    /// A peer that is not in the table knows more than this instance, which
+    /// requests the peer's table. Any other peer is sent this instance's
+    /// digests, and requests the members that it lacks.
     fn compare_tables(&mut self, now: Instant, peer: Node, to: SocketAddr) {
         if !self.pulls.compare_schedule.poll(now) {
             return;
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Takes in a whole answer, or nothing of it.
+    /// Applies a complete answer, or nothing of it.
     fn on_pulled(&mut self, now: Instant, mut pull: Pull) {
         let Some(Part {
             from, to, digest, ..
@@ -270,10 +274,11 @@
         };
         match result {
             Ok(()) | Err(Error::NotNewer { .. }) => {}
-            // Rumours moved the mirror on while the answer was on its way.
+            // Rumours advanced the mirror while the answer was in transit.
             Err(Error::Gap { .. }) => self.pull(now, pull.to),
             // This instance started from a store restored from a backup, whose
-            // history has parted from the fleet's: only the whole will fit.
+            // history diverged from the peers' mirrors. Only a full answer can
+            // be applied.
             Err(Error::Digest) if from.is_some() => {
                 self.pull_since(now, pull.to, Revision::NONE);
             }
@@ -288,7 +293,7 @@
         }
     }
 
-    /// A rumour told a step whole; it is taken only if it fits what is held.
+    /// Applies the delta in a rumour if it starts from the mirrored revision.
     pub(crate) fn on_delta(&mut self, now: Instant, view: &View, delta: &Delta) {
         if view.revision <= self.mirror.revision() || delta.from != self.mirror.revision() {
             return;
--- a/crates/fleet/src/push.rs
+++ b/crates/fleet/src/push.rs
@@ -1,8 +1,8 @@
-//! Telling news at once instead of with the next heartbeat.
+//! Immediate spread of news, without waiting for the next heartbeat.
 //!
-//! Whoever learns something new tells a few peers in each of a few rounds. That
-//! reaches nearly all of the fleet in a time that grows with the logarithm of
-//! its size; heartbeats find the rest.
+//! An instance that receives news sends it to a few peers in each of a few
+//! rounds. The news reaches nearly all instances in a time that grows with the
+//! logarithm of their number; heartbeats reach the rest.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,49 +11,50 @@
 
 use crate::{Fleet, fleet::Due};
 
-/// When the rounds are, counted from the news; each to [`FANOUT`] peers.
+/// Times of the rounds after the news arrived; each round goes to [`FANOUT`]
+/// peers.
 const ROUNDS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(150),
     Duration::from_millis(400),
 ];
-/// The least time between two rounds.
+/// Minimum interval between two rounds.
 const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(100);
-/// How many peers are told in each round, and how many of them in other zones.
+/// Number of peers that receive each round.
 const FANOUT: Fanout = Fanout {
     local: 2,
     remote: 1,
 };
-/// Whom a stopping instance says goodbye to.
+/// Number of peers to which a stopping instance announces its stop.
 pub(crate) const GOODBYE_FANOUT: Fanout = Fanout {
     local: 4,
     remote: 2,
 };
-/// The most bytes of a change that a rumour carries whole.
+/// Maximum bytes of a delta in a rumour.
 const DELTA_MAX: usize = 640;
 
-/// How many peers to tell.
+/// Number of peers in the own zone and in other zones.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fanout {
     local: usize,
     remote: usize,
 }
 
-/// News that is being told.
+/// News that is being sent.
 #[derive(Debug)]
 pub(crate) struct Push {
     round: usize,
     started: Instant,
     last: Option<Instant>,
-    /// The last push of a revision.
+    /// Time of the latest push of a revision, which may be in the future.
     revision_round: Option<Instant>,
     token: Option<Token>,
-    /// The last step of the mirror, where it is small.
+    /// Last delta of the mirror, if it is small.
     pub(crate) delta: Option<Delta>,
 }
 
 impl Push {
-    /// Has nothing to tell yet.
+    /// Creates a state without news.
     pub(crate) fn open() -> Self {
         Self {
             round: ROUNDS.len(),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// When the next round is, if there is one.
+    /// Time of the next round, if there is one.
     fn due(&self) -> Option<Instant> {
         let after = ROUNDS.get(self.round)?;
         Some(self.started + *after)
@@ -73,10 +74,11 @@
 }
 
 impl Fleet {
-    /// Tells news from now on.
+    /// Starts the rounds for news about members.
     ///
-    /// Rounds keep their distance however fast news comes in: when a zone heals
-    /// hundreds of members are news within a second.
+    /// Rounds keep their minimum interval however fast news arrives: when a
+    /// zone becomes reachable again, hundreds of members change within a
+    /// second.
     pub(crate) fn start_push(&mut self, now: Instant) {
         let next = self
             .push
@@ -85,8 +87,9 @@
         self.push_at(now, next);
     }
 
-    /// Tells of a suspicion in one round, unless rounds are under way, which
-    /// tell it as well. It may be wrong, and a lost zone brings many.
+    /// Sends a suspicion in one round, unless rounds are in progress, which
+    /// carry the suspicion as well. A suspicion may be wrong, and the loss of a
+    /// zone causes many.
     pub(crate) fn push_once(&mut self, now: Instant) {
         let last = self
             .push
@@ -99,12 +102,14 @@
         self.push.round = ROUNDS.len();
     }
 
-    /// Tells a new revision from now on. It waits for the last revision's
-    /// rounds, and not for news of members: each zone that starts brings those
-    /// for a second, and a change would come into force that much later.
+    /// Starts the rounds for a new revision. These rounds keep the minimum
+    /// interval to the last revision's rounds, but not to rounds for news about
+    /// members: a zone that starts causes such news for a second, which would
+    /// delay a change of the catalogue by as much.
     ///
-    /// A round that is to come tells this one as well. Were it put off instead, a
-    /// storm of changes would be told by heartbeats alone.
+    /// A round that is scheduled already carries the new revision as well. If
+    /// changes postponed that round instead, a burst of changes would spread by
+    /// heartbeats alone.
     pub(crate) fn push_revision(&mut self, now: Instant) {
         let next = match self.push.revision_round {
             Some(scheduled) if scheduled > now => scheduled,
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Keeps a step of the mirror to tell it whole, if it is small.
+    /// Stores a delta of the mirror for the next rounds, if it is small.
     pub(crate) fn set_delta(&mut self, delta: Delta) {
         let len: usize = delta
             .changes
@@ -163,7 +168,7 @@
             };
             self.send(to, message);
         }
-        // Later news of members need not carry it again.
+        // Later rounds for news about members need not carry the delta again.
         if self.push.round == ROUNDS.len() {
             self.push.delta = None;
         }
--- a/crates/fleet/src/rank.rs
+++ b/crates/fleet/src/rank.rs
@@ -1,7 +1,9 @@
-//! Rendezvous hashing: who does a duty, agreed upon from membership alone.
+//! Rendezvous hashing: assignment of keys to members, derived from the
+//! membership alone.
 //!
-//! Two instances whose tables differ may both take a duty, or each expect the
-//! other to. That costs calls or a delay; no duty relies on being alone.
+//! Two instances whose tables differ may both consider themselves assigned to a
+//! key, or each consider the other assigned. That costs extra calls or a delay;
+//! no task relies on an exclusive assignment.
 
 use std::{collections::BTreeMap, mem::size_of, sync::Arc};
 
@@ -10,7 +12,8 @@
 
 use crate::Member;
 
-/// How strongly `node` stands for the duty `key`; the strongest does it.
+/// Rendezvous weight of `node` for `key`; the node with the highest weight is
+/// assigned to the key.
 ///
 /// ```
 /// let node = wire::Node([1; 8]);
@@ -20,7 +23,7 @@
     xxh3_64_with_seed(key.as_bytes(), node.number())
 }
 
-/// The members that may be given work, the strongest for `key` first.
+/// Available members by descending weight for `key`.
 pub fn rank<'a>(key: &str, members: impl IntoIterator<Item = &'a Member>) -> Vec<&'a Member> {
     let mut ranked: Vec<_> = members
         .into_iter()
@@ -31,20 +34,21 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The few strongest nodes for each of many keys, kept up with each change of
-/// membership instead of ranked anew.
+/// The few nodes with the highest weight for each of many keys, updated with
+/// each change of membership instead of ranked again.
 ///
-/// Ranking 6,600 databases over 4,000 members takes 26 million hashes; a member
-/// that joins takes 6,600, and one that leaves 4,000 for each key it stood for.
+/// A full ranking of 6,600 databases over 4,000 members takes 26 million
+/// hashes. A member that joins takes 6,600, and one that leaves takes 4,000 for
+/// each key it was assigned to.
 ///
 /// ```
 /// use fleet::Assignments;
 /// use wire::Node;
 ///
-/// let mut duties = Assignments::open(1);
-/// duties.add("a", &[]);
-/// duties.join(Node([1; 8]));
-/// assert_eq!(duties.nodes("a"), [Node([1; 8])]);
+/// let mut assignments = Assignments::open(1);
+/// assignments.add("a", &[]);
+/// assignments.join(Node([1; 8]));
+/// assert_eq!(assignments.nodes("a"), [Node([1; 8])]);
 /// ```
 #[derive(Debug, Clone)]
 pub struct Assignments {
@@ -53,7 +57,7 @@
 }
 
 impl Assignments {
-    /// Keeps the `each` strongest nodes of each key.
+    /// Creates assignments of `per_key` nodes to each key.
     pub fn open(per_key: usize) -> Self {
         Self {
             per_key,
@@ -72,13 +76,13 @@
         self.keys.remove(key);
     }
 
-    /// The strongest nodes for a key, the strongest first.
+    /// Nodes assigned to a key, by descending weight.
     pub fn nodes(&self, key: &str) -> Vec<Node> {
         let ranked = self.keys.get(key).map_or(&[][..], Vec::as_slice);
         ranked.iter().map(|&(_, node)| node).collect()
     }
 
-    /// The keys that `node` is among the strongest for.
+    /// Keys to which `node` is assigned.
     pub fn keys_of(&self, node: Node) -> impl Iterator<Item = &str> {
         self.keys
             .iter()
@@ -86,7 +90,7 @@
             .map(|(key, _)| &**key)
     }
 
-    /// A node may be given work from now on.
+    /// Adds a node that became available.
     pub fn join(&mut self, node: Node) {
         for (key, ranked) in &mut self.keys {
             if ranked.iter().any(|&(_, other)| other == node) {
@@ -101,7 +105,8 @@
         }
     }
 
-    /// A node may be given no more work; `nodes` are those that still may.
+    /// Removes a node that is no longer available; `nodes` are the remaining
+    /// ones.
     pub fn leave(&mut self, node: Node, nodes: &[Node]) {
         for (key, ranked) in &mut self.keys {
             if ranked.iter().any(|&(_, other)| other == node) {
@@ -110,7 +115,7 @@
         }
     }
 
-    /// The bytes that it takes in memory.
+    /// Estimated memory of the assignments in bytes.
     pub fn state_bytes(&self) -> usize {
         let slot = size_of::<Arc<str>>() + size_of::<Vec<(u64, Node)>>();
         let keys = self
--- a/crates/fleet/src/receive.rs
+++ b/crates/fleet/src/receive.rs
@@ -1,4 +1,4 @@
-//! Taking in what peers tell.
+//! Handling of peers' datagrams.
 
 use std::net::SocketAddr;
 
@@ -44,8 +44,8 @@
                 self.on_gossip(now, from, address, &view, &updates);
             }
             Message::Buckets(sums) => self.compare_buckets(now, address, &sums),
-            // What belongs on a stream means nothing in a datagram, and evidence
-            // is for the failover machines.
+            // Stream messages are not valid in datagrams, and evidence is
+            // handled by the failover state machines.
             Message::Evidence(_)
             | Message::Pull(_)
             | Message::Part(_)
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in what every heartbeat and rumour tells.
+    /// Processes the view and the updates in a heartbeat or rumour.
     fn on_gossip(
         &mut self,
         now: Instant,
@@ -100,7 +100,8 @@
         self.announce(now, node, detail);
     }
 
-    /// Merges what is told of a member, unless it is of this instance itself.
+    /// Merges an update into the table. An update about this instance itself is
+    /// not merged, but refuted if it is wrong.
     fn merge_or_refute(&mut self, now: Instant, update: &Update) -> (Node, Merge) {
         let (node, incarnation, state) = match update {
             Update::Record(record) => (Node::of(&record.name), record.incarnation, record.state),
@@ -113,8 +114,8 @@
         (node, self.table.merge(now, update))
     }
 
-    /// Merges a record from a peer's table. It is not passed on as a rumour: a
-    /// member that joins would repeat the whole table to those who know it.
+    /// Merges a record from a peer's table without queueing a rumour: a joining
+    /// member would otherwise repeat the whole table to members that know it.
     pub(crate) fn merge_without_gossip(&mut self, now: Instant, record: &Record) {
         let update = Update::Record(record.clone());
         if let (node, Merge::Joined | Merge::Changed) = self.merge_or_refute(now, &update) {
@@ -122,12 +123,13 @@
         }
     }
 
-    /// Passes on a change of a member, and tells the daemon.
+    /// Spreads a change of a member, and reports the change to the daemon.
     pub(crate) fn announce(&mut self, now: Instant, node: Node, detail: Detail) {
         self.gossip.enqueue(node, detail);
         let state = self.table.find(node).map(|member| member.record.state);
-        // Work goes on to a member that leaves or died, and passes by one that has
-        // started, until that is known; so none of them waits for heartbeats.
+        // Until peers learn of the change, they give work to a member that
+        // leaves or died, and none to a member that started. Such changes are
+        // pushed without waiting for heartbeats.
         match state {
             Some(State::Suspect) => self.push_once(now),
             Some(State::Leaving) => self.start_push(now),
@@ -145,11 +147,11 @@
         self.out.push(Action::Member(record));
     }
 
-    /// Contradicts a rumour about this instance that is not true.
+    /// Refutes a false rumour about this instance by a later incarnation.
     ///
-    /// A paused or slow instance is suspected by peers and gets no work; it
-    /// would stay out of service for ever unless a later incarnation overruled
-    /// the suspicion.
+    /// Peers suspect a paused or slow instance and give it no work. Without a
+    /// later incarnation that overrides the suspicion, the instance would stay
+    /// out of service for ever.
     fn refute(&mut self, now: Instant, incarnation: u64, state: State) {
         if (incarnation, state) <= (self.incarnation, self.state) {
             return;
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,4 +1,4 @@
-//! Watching the store, while this instance is one of its zone's relays.
+//! Watch of the store, while this instance is a relay of its zone.
 
 use std::time::Duration;
 
@@ -13,51 +13,52 @@
     mirror::Error,
 };
 
-/// The duty that relays are ranked for.
+/// Key for which relays are ranked.
 pub(crate) const KEY: &str = "relay";
-/// How long the store may take to answer.
+/// Timeout of a call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two looks at the head, which find a watch that went silent.
+/// Interval between reads of the head, which detect a silent watch.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// How long to leave a store alone that failed, at first and at most.
+/// First and maximum delay before a store that failed is called again.
 const BACKOFF_MIN: Duration = Duration::from_secs(1);
 const BACKOFF_MAX: Duration = Duration::from_secs(16);
-/// How long an instance goes on watching after another took over, so that
-/// membership that flaps does not cost a watch each time.
+/// Time that an instance continues to watch after another one became relay in
+/// its place, so that flapping membership does not cost a new watch each time.
 const RELEASE_DELAY: Duration = Duration::from_secs(5);
 
-/// How a relay stands with the store.
+/// Stage of a relay's use of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Stage {
-    /// It is no relay.
+    /// The instance is no relay.
     #[default]
     Idle,
-    /// It asked for all keys.
+    /// A range over all keys was requested.
     Ranging(Call),
-    /// It asked for a watch.
+    /// A watch was requested.
     Starting(Call),
-    /// It watches, and looks at the head now and then.
+    /// The watch is established, and the head is read at intervals.
     Watching { watch: Call, check: Option<Call> },
-    /// The store failed or was refused; it is tried again later.
+    /// The store failed or was refused, and is called again later.
     Waiting,
 }
 
-/// An instance's standing with the store.
+/// State of an instance as a relay.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     stage: Stage,
-    /// The revision held when the store was last asked: the store's answer must
-    /// not be older. Rumours may have moved the mirror on since.
+    /// Mirrored revision at the last call of the store, whose answer must not
+    /// be older. Rumours may have advanced the mirror since.
     asked_revision: Revision,
-    /// Numbers the subscription that counts; those before are void.
+    /// Generation of the valid timer; timers of earlier generations are
+    /// ignored.
     timer_generation: u64,
     failures: u32,
     outranked_since: Option<Instant>,
     cached: Option<CachedSelection>,
 }
 
-/// Whether this instance is a relay, by the version of its zone that told it:
-/// ranking a zone of 400 members each second was most of an instance's work.
+/// Cached ranking of this instance, valid for one version of its zone: ranking
+/// a zone of 400 members each second was most of an instance's work.
 #[derive(Debug, Clone, Copy)]
 struct CachedSelection {
     version: u64,
@@ -83,7 +84,7 @@
 }
 
 impl Fleet {
-    /// Takes up the duty of a relay or lays it down, as membership has it.
+    /// Starts or stops acting as a relay, according to the membership.
     pub(crate) fn update_relay(&mut self, now: Instant) {
         if self.discovery == Discovery::Waiting {
             return;
@@ -139,7 +140,8 @@
         };
     }
 
-    /// A peer holds other content under our revision: the store decides.
+    /// Reads all keys from the store again, after a peer had other content for
+    /// the same revision.
     pub(crate) fn recheck_store(&mut self, now: Instant) {
         if let Stage::Watching { .. } = self.relay.stage {
             self.unwatch();
@@ -172,7 +174,7 @@
                 self.start_range(now)
             }
             (stage, Answer::Down) if stage.awaits(call) => self.on_store_down(now),
-            // An answer to a call that was given up.
+            // Answers to abandoned calls are ignored.
             _ => {}
         }
     }
@@ -260,8 +262,8 @@
             return;
         }
         self.on_store_back();
-        // The mirror may hold more by now, told by peers; then the watch below
-        // tells what it has already, which does no harm.
+        // Peers may have advanced the mirror further by now. The watch below
+        // then reports known changes, which are skipped.
         if to >= self.mirror.revision() {
             let result = self.replace(now, to, None, &changes);
             self.report(result);
@@ -269,7 +271,8 @@
         self.watch_from(now, revision + 1);
     }
 
-    /// The epoch that a head among `changes` tells, or else the one held.
+    /// Epoch in the head among `changes`, or else the mirrored epoch; never
+    /// less than the latter.
     fn epoch_in(&self, changes: &[Change]) -> u32 {
         let head = changes.iter().find(|change| &*change.key == keys::HEAD);
         let value = head.and_then(|change| change.value.as_ref());
@@ -278,17 +281,20 @@
         head.map_or(held, |head| head.epoch.max(held))
     }
 
-    /// Whether the store is older than what was held when it was asked.
+    /// Returns true if the store is older than the mirrored revision at the
+    /// time of the call.
     ///
-    /// A store restored from a backup answers as readily as before, with old
-    /// configuration and old primaries, and would have the fleet send writes to
-    /// primaries that were replaced. Only a raised epoch makes it believed.
+    /// A store restored from a backup answers like any other, with an old
+    /// catalogue and old primaries, and instances would send writes to
+    /// primaries that were replaced. The answers of such a store are accepted
+    /// only with a raised epoch.
     fn is_behind(&self, store: Revision) -> bool {
         store < self.relay.asked_revision
     }
 
-    /// Whether a key is older in the store than here, though the store's own
-    /// revision has passed ours again since it was restored.
+    /// Returns true if a key is older in the store than in the mirror, although
+    /// the store's own revision has passed the mirrored one again since the
+    /// store was restored.
     fn is_rewritten(&self, to: Revision, changes: &[Change]) -> bool {
         if to.epoch > self.mirror.revision().epoch {
             return false;
@@ -321,8 +327,8 @@
         self.wait_for_check(now);
     }
 
-    /// Whether the store's bare revision is lower than ours was; a range then
-    /// tells the epoch.
+    /// Returns true if the store's revision, without an epoch, is lower than
+    /// the mirrored one was. A range then reads the epoch.
     fn is_number_behind(&self, revision: u64) -> bool {
         revision < self.relay.asked_revision.number
     }
@@ -342,7 +348,8 @@
         self.wait_for_check(now);
     }
 
-    /// Checks are spread out, so that relays do not ask the store together.
+    /// Schedules the next check with jitter, so that relays do not call the
+    /// store at the same time.
     fn wait_for_check(&mut self, now: Instant) {
         let jitter = self.rng.random_range(0.8..1.2);
         self.set_store_timer(now, CHECK_INTERVAL.mul_f64(jitter));
@@ -355,8 +362,9 @@
             number: revision,
         };
         let from = self.mirror.revision();
-        // A watch tells every revision in order, so the first one past ours is
-        // the next; what peers told sooner is skipped.
+        // A watch reports every revision in order, so the first one above the
+        // mirrored revision is the next one. Revisions that peers sent earlier
+        // are skipped.
         if to <= from {
             return;
         }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet from one instance.
+//! Status of the membership and the mirror, as one instance sees it.
 
 use clock::Instant;
 use model::name;
@@ -6,14 +6,14 @@
 
 use crate::{Fleet, Held};
 
-/// How an instance stands with the store.
+/// State of an instance's watch of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Watch {
-    /// It is no relay and asks nothing of the store.
+    /// The instance is no relay and does not call the store.
     Off,
-    /// It asked the store and waits.
+    /// The store was called and has not answered yet.
     Starting,
-    /// It watches the store.
+    /// The watch is established.
     On,
     /// The store does not answer, or is refused because it is behind.
     Failing,
@@ -24,47 +24,48 @@
 pub struct ZoneStatus {
     /// The zone.
     pub zone: name::Zone,
-    /// How many answer and take work.
+    /// Number of members that answer and take work.
     pub alive: usize,
-    /// How many do not answer.
+    /// Number of members that do not answer.
     pub suspect: usize,
-    /// How many finish what runs.
+    /// Number of members that finish their running work.
     pub leaving: usize,
-    /// Who watches the store, as seen from here.
+    /// Relays of the zone, as seen from this instance.
     pub relays: Vec<name::Instance>,
 }
 
-/// What operators see of the fleet from one instance.
+/// Status of the membership and the mirror, as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The revision mirrored.
+    /// Mirrored revision.
     pub mirrored: Revision,
-    /// The catalogue's revision in force.
+    /// Catalogue revision in force.
     pub applied: Revision,
-    /// The revision that is mirrored and not in force, and why.
+    /// Revision that is mirrored and not in force, with the reason.
     pub held: Option<Held>,
-    /// How this instance stands with the store.
+    /// State of this instance's watch of the store.
     pub watch: Watch,
     /// Members by zone.
     pub zones: Vec<ZoneStatus>,
 }
 
-/// Where a member stands, to a `wait` for a revision.
+/// Reply of a member to a survey, for a `wait` for a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// It was heard since the survey began, and has this catalogue in force.
+    /// The member was heard since the survey began, and has this catalogue
+    /// revision in force.
     Applied(Revision),
-    /// It was not heard since.
+    /// The member was not heard since the survey began.
     Missing,
 }
 
 impl Fleet {
-    /// How this instance stands with the store.
+    /// State of this instance's watch of the store.
     pub fn watch(&self) -> Watch {
         self.relay.status()
     }
 
-    /// What operators see from here.
+    /// Status as seen from this instance.
     pub fn status(&self) -> Status {
         Status {
             mirrored: self.mirror.revision(),
@@ -79,9 +80,9 @@
         }
     }
 
-    /// What each member but this one was heard to hold since `since`, by name.
+    /// Replies received since `since` from all other members, by name.
     ///
-    /// A view tells the revision mirrored, and the one in force where another
+    /// A view contains the mirrored revision, and the one in force if another
     /// is held back.
     pub fn survey_replies(&self, since: Instant) -> impl Iterator<Item = (&name::Instance, Reply)> {
         let members = self
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,4 +1,4 @@
-//! All members, as this instance knows them.
+//! Table of members, as this instance sees them.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -13,42 +13,43 @@
 
 use crate::{Lifecycle, Member, Path};
 
-/// How many parts the table is compared in; at 4,000 members a part is 62 of
-/// them, and the digests of all parts fit in a datagram.
+/// Number of buckets in which tables are compared. With 4,000 members, a bucket
+/// has 62 of them, and the digests of all buckets fit in a datagram.
 pub(crate) const BUCKETS: usize = 64;
-/// How long a suspect stays in the table: longer than the hour that regions are
-/// cut off from each other, so that healing needs no one to join again.
+/// Time that a suspect stays in the table: longer than a partition of an hour
+/// between regions, so that no member has to join again when the partition
+/// heals.
 const SUSPECT_TTL: Duration = Duration::from_secs(2 * 60 * 60);
-/// How long a member that is gone stays, so that a late rumour does not bring
-/// it back.
+/// Time that a gone member stays in the table, so that a late rumour does not
+/// add the member again.
 const GONE_TTL: Duration = Duration::from_secs(10 * 60);
 
-/// What merging a rumour into the table did.
+/// Result of merging an update into the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Merge {
-    /// The rumour was known, or older than what is known.
+    /// The update was known, or older than what is known.
     Unchanged,
-    /// The member is new here, or has restarted.
+    /// The member is new in the table, or has another zone or address.
     Joined,
     /// The member's state or incarnation changed.
     Changed,
-    /// The rumour is of a member that is not known here.
+    /// The update is about a member that is not in the table.
     UnknownMember,
 }
 
-/// The members of a zone.
+/// Members of a zone.
 #[derive(Debug, Clone, Default)]
 struct Zone {
     nodes: Vec<Node>,
-    /// Counts every change of who of them may be given work.
+    /// Counts the changes of the set of available members.
     version: u64,
 }
 
-/// All members, as this instance knows them.
+/// Table of members, as this instance sees them.
 ///
-/// Of two records of a member the one of the later incarnation holds, and
-/// within an incarnation the later state: alive, suspect, leaving, gone. Order
-/// and repetition of rumours therefore do not matter.
+/// Of two records of a member, the one of the later incarnation takes
+/// precedence, and within an incarnation the later state: alive, suspect,
+/// leaving, gone. The order and repetition of rumours therefore do not matter.
 #[derive(Debug, Clone)]
 pub struct Table {
     members: BTreeMap<Node, Member>,
@@ -67,12 +68,12 @@
 }
 
 impl Table {
-    /// The member with this short name.
+    /// The member with this identifier.
     pub fn find(&self, node: Node) -> Option<&Member> {
         self.members.get(&node)
     }
 
-    /// All members, by short name.
+    /// All members, by identifier.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
@@ -83,23 +84,23 @@
         nodes.filter_map(|node| self.members.get(node))
     }
 
-    /// The zones that any member is of.
+    /// Zones that have members.
     pub fn zones(&self) -> impl Iterator<Item = &name::Zone> {
         let zones = self.zones.iter().filter(|(_, zone)| !zone.nodes.is_empty());
         zones.map(|(name, _)| name)
     }
 
-    /// How many members are known, whatever their state.
+    /// Number of known members, in any state.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no member is known.
+    /// Returns true if no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Counts every change of who of a zone may be given work.
+    /// Count of the changes of a zone's set of available members.
     pub(crate) fn version(&self, zone: &name::Zone) -> u64 {
         self.zones.get(zone).map_or(0, |zone| zone.version)
     }
@@ -112,10 +113,10 @@
         &self.sums
     }
 
-    /// A digest over all members' incarnations and departures.
+    /// Digest of all members' incarnations and departures.
     ///
     /// Suspicions are left out: they come and go with lost datagrams, and would
-    /// have members compare their tables without end.
+    /// make members compare their tables without end.
     pub(crate) fn digest(&self) -> u32 {
         self.sums
             .iter()
@@ -194,7 +195,7 @@
         Some(member)
     }
 
-    /// Whether a zone answers this instance.
+    /// Reachability of a zone from this instance.
     pub fn path(&self, zone: &name::Zone) -> Path {
         let member = self.zone(zone).next();
         member.map_or(Path::Open, |member| member.path)
@@ -212,8 +213,8 @@
         }
     }
 
-    /// The records of some buckets, or of all when none is named, but for those
-    /// whose fingerprint is known.
+    /// Records of the given buckets, or of all buckets if none is given,
+    /// without those whose fingerprint is in `known`.
     pub(crate) fn records(&self, buckets: &[u16], known: &[u32]) -> Vec<Record> {
         let known: HashSet<_> = known.iter().collect();
         self.members_in(buckets)
@@ -222,7 +223,8 @@
             .collect()
     }
 
-    /// Fingerprints of the members of some buckets.
+    /// Fingerprints of the members of the given buckets, or of all members if
+    /// none is given.
     pub(crate) fn fingerprints(&self, buckets: &[u16]) -> Vec<u32> {
         self.members_in(buckets)
             .map(|member| fingerprint(&member.record, member.node))
@@ -231,13 +233,13 @@
 
     fn members_in(&self, buckets: &[u16]) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| {
-            // A bucket's number is below `BUCKETS`, which 16 bits hold.
+            // A bucket's number is below `BUCKETS`, which fits in 16 bits.
             buckets.is_empty() || buckets.contains(&(bucket(member.node) as u16))
         })
     }
 
-    /// Takes suspects that were silent for long as gone, and forgets members
-    /// that are gone for long; tells who went.
+    /// Marks suspects that were silent for long as gone, and removes members
+    /// that were gone for long. Returns the members newly marked as gone.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<Node> {
         let older = |member: &&Member, state, ttl| {
             member.record.state == state && now.since(member.since) > ttl
@@ -265,7 +267,7 @@
         gone
     }
 
-    /// The bytes that it takes in memory, B-tree nodes reckoned at two thirds
+    /// Estimated memory of the table in bytes, with B-tree nodes two thirds
     /// full and each name as its own allocation.
     pub fn state_bytes(&self) -> usize {
         let slot = size_of::<Node>() + size_of::<Member>();
@@ -278,7 +280,7 @@
     }
 
     fn insert(&mut self, now: Instant, node: Node, record: &Record) {
-        // Members of a zone share its name's text.
+        // Members of a zone share the allocation of the zone's name.
         let zone = self.zones.get_key_value(&record.zone);
         let zone = zone.map_or(&record.zone, |(zone, _)| zone).clone();
         let path = self.path(&zone);
@@ -323,8 +325,8 @@
     node.number() as usize % BUCKETS
 }
 
-/// What a member adds to its bucket's sum. Members that are gone add nothing:
-/// each instance forgets them at a moment of its own.
+/// Contribution of a member to the sum of its bucket. Gone members contribute
+/// nothing, since each instance removes them at a different time.
 fn sum(record: &Record, node: Node) -> u32 {
     match record.state {
         State::Gone => 0,
@@ -332,13 +334,13 @@
     }
 }
 
-/// A hash of a member's incarnation and of whether it goes.
+/// Hash of a member's incarnation and of its departure.
 fn fingerprint(record: &Record, node: Node) -> u32 {
     let state = match record.state {
         State::Alive | State::Suspect => 0,
         State::Leaving => 1,
         State::Gone => 2,
     };
-    // The lower half of the hash is as good as any.
+    // The lower 32 bits of the hash suffice.
     xxh3_64_with_seed(&node.0, record.incarnation << 2 ^ state) as u32
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Failures of instances and of the ways between them.
+//! Failures of instances and of the network between them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -63,9 +63,9 @@
 
 #[test]
 fn lost_datagrams_alone_make_no_suspects() {
-    // Symptom: instances fall out of service one after the other on a bad day.
-    // Events: one datagram in ten is lost for minutes.
-    // Cause: a lost ping looks like a dead peer.
+    // Guards against false suspicions, which take instances out of service one
+    // after the other: one datagram in ten is lost for minutes, and a lost ping
+    // looks like a dead peer.
     let mut world = world(30, 1);
     world.loss = 0.1;
     let mut wrong = 0;
@@ -84,10 +84,10 @@
 
 #[test]
 fn a_paused_instance_catches_up() {
-    // Symptom: a paused instance brings back an old revision, or takes its
-    // peers for dead because none "answered" while it slept.
-    // Events: its machine stops it for a minute; a change is made meanwhile.
-    // Cause: all its timers fall due at once when it wakes.
+    // Guards against an instance that restores an old revision after a pause of
+    // a minute, or suspects its peers because none answered during the pause:
+    // all its timers are due when the machine resumes. A change is made during
+    // the pause.
     let mut world = world(9, 2);
     world.pause(4, 60 * SECOND);
     world.run(30 * SECOND);
@@ -103,9 +103,13 @@
     world.run(5 * SECOND);
     assert_eq!(world.applied(4).0, second);
     for at in others(&world, 4) {
-        assert_eq!(state(&world, 4, at), State::Alive, "it suspects nobody");
+        assert_eq!(
+            state(&world, 4, at),
+            State::Alive,
+            "the resumed instance suspects no peer"
+        );
     }
-    // It refutes the suspicion, and gets work again.
+    // The instance refutes the suspicion and gets work again.
     let taken = world.run_until(60 * SECOND, |world| {
         others(world, 4)
             .iter()
@@ -152,10 +156,10 @@
 }
 
 #[test]
-fn an_implausible_list_is_ignored() {
-    // Symptom: the whole service drains at once and refuses all calls.
-    // Events: the platform's list marks all instances as leaving, or is empty.
-    // Cause: the list is wrong; the instances answer each other all the while.
+fn an_implausible_list_marks_no_instance_as_leaving() {
+    // Guards against a whole service that drains at once and refuses all calls:
+    // the platform's list wrongly marks all instances as leaving, or is empty,
+    // while the instances answer each other.
     let mut world = world(9, 4);
     let all = listing(&world, |_| Lifecycle::Leaving);
     for slot in 0..9 {
@@ -207,7 +211,10 @@
         world.running().all(|slot| world.applied(slot).0 == first)
     });
     assert!(taken.unwrap() < 3 * SECOND, "{taken:?}");
-    assert!(world.watches() <= 6, "two relays a zone, not nine watches");
+    assert!(
+        world.watches() <= 6,
+        "two relays per zone, not nine watches"
+    );
 }
 
 #[test]
@@ -221,11 +228,11 @@
 
 #[test]
 fn a_zone_cut_off_for_an_hour_catches_up_by_what_differs() {
-    // Symptom: a healed partition floods the ways between zones, or takes the
-    // zone back to what it had.
-    // Events: a zone is cut off from all others and the store for an hour;
-    // 175 changes are made meanwhile, as many as the target has in an hour.
-    // Cause: everyone has news for everyone, and the whole catalogue is large.
+    // Guards against a healed partition that floods the network between zones,
+    // or reverts the zone to its old revision: a zone is cut off from all
+    // others and the store for an hour, while 175 changes are made, the
+    // target's rate. All instances then have news for all others, and the whole
+    // catalogue is large.
     let mut world = world(30, 8);
     let filler = vec![b'x'; 2_000];
     for number in 0..500 {
@@ -254,11 +261,11 @@
     assert!(taken.unwrap() < 30 * SECOND, "{taken:?}");
     world.run(30 * SECOND);
     let bytes: Vec<_> = zone.iter().map(|&slot| world.count(slot).bytes()).collect();
-    // The whole catalogue has a megabyte.
+    // The size of the whole catalogue is a megabyte.
     assert!(bytes.iter().all(|&bytes| bytes < 250_000), "{bytes:?}");
     let unavailable = (0..30).flat_map(|at| (0..30).map(move |of| (at, of)));
     let unavailable = unavailable.filter(|&(at, of)| !is_available(&world, at, of));
-    assert_eq!(unavailable.count(), 0, "all doubts are refuted");
+    assert_eq!(unavailable.count(), 0, "all suspicions are refuted");
     assert_eq!(world.monitor.violations(), []);
 }
 
@@ -285,9 +292,9 @@
 
 #[test]
 fn an_instance_refutes_rumours_about_itself() {
-    // Symptom: a slow instance stays out of service for ever.
-    // Events: a peer tells that it is gone, under its own incarnation.
-    // Cause: nobody but itself can know better.
+    // Guards against an instance that stays out of service for ever: a peer
+    // reports the instance as gone under its own incarnation, which only the
+    // instance itself can refute.
     let mut world = world(9, 10);
     let record = |world: &World| {
         let table = world.fleet(4).unwrap().table();
@@ -324,10 +331,10 @@
 
 #[test]
 fn a_healed_partition_leaves_no_suspects() {
-    // Symptom: after a cut of a minute many members are suspects, though all run.
-    // Events: the way between two parts opens while probes into the other part
-    // have failed, and others there were just asked whether they answer.
-    // Cause: they answer, so the member that did not seemed to be dead.
+    // Guards against suspects after a partition of a minute, although all
+    // instances run: the network heals while probes of the other side have
+    // failed and other members there were just pinged. The answers of the other
+    // members make the silent member seem dead.
     for seed in 0..8 {
         let mut world = world(90, seed);
         for slot in 0..90 {
@@ -349,11 +356,11 @@
     }
 }
 
-/// Symptom: nine instances that start at once don't know each other 10 s later;
-/// in a rolling restart more of them hold connections of an upstream than it
-/// has seats, and a healthy primary is replaced. Events: their first datagrams
-/// are lost. Cause: a record is told a few times only, and tables that differ
-/// were left to rumours for the first ten seconds.
+/// Guards against nine instances that start at once and don't know each other
+/// 10 s later: their first datagrams are lost, a record is sent only a few
+/// times, and differing tables were not compared for the first ten seconds. In
+/// a rolling restart, more of them then hold connections of an upstream than it
+/// has seats, and a healthy primary is replaced.
 #[test]
 fn instances_whose_first_datagrams_are_lost_discover_each_other() {
     for seed in 0..20 {
@@ -361,7 +368,8 @@
         world.apply(&[("catalog/entry/a", Some(b"first"))]);
         world.loss = 1.0;
         for slot in 0..9 {
-            // As an operator's script does, each is told of those that run.
+            // As in an operator's script, the seeds are the instances that run
+            // already.
             let mut conf = world.conf(slot);
             conf.seeds = (0..slot).map(|it| world.conf(it).address).collect();
             world.start_with(slot, conf);
--- a/crates/fleet/tests/mirror.rs
+++ b/crates/fleet/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! The mirror against a plain map, in any order of arrival.
+//! Comparison of the mirror with a plain map, in any order of arrival.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// One mirror of each revision, as a relay that missed nothing holds it.
+/// The mirror at each revision, as on a relay that receives every change.
 fn history(writes: &[Write]) -> Vec<Mirror> {
     let mut mirror = Mirror::default();
     let mut mirrors = vec![mirror.clone()];
@@ -93,7 +93,7 @@
             }
             prop_assert_eq!(contents(&behind), expected_contents(&writes[..new]));
             prop_assert_eq!(behind.digest(), ahead.digest());
-            // And it tells others the same as the one it learned from.
+            // The updated mirror sends others the same changes as its source.
             let (_, told) = behind.since(mirrors[0].revision());
             prop_assert_eq!(told, ahead.since(mirrors[0].revision()).1);
             Ok(())
@@ -155,9 +155,9 @@
 
 #[test]
 fn pruned_removals_require_a_full_answer() {
-    // Symptom: a database that was removed is still served somewhere.
-    // Events: more keys are removed than are remembered, while a peer is away.
-    // Cause: what is no longer remembered is missing from what differs.
+    // Guards against a removed database that is still served: more keys are
+    // removed than are remembered while a peer is away, so a delta for the peer
+    // would lack the pruned removals.
     let mut mirror = Mirror::default();
     let mut number = 0;
     let mut advance = |mirror: &mut Mirror, key: String, value: Option<u8>| {
--- a/crates/fleet/tests/store.rs
+++ b/crates/fleet/tests/store.rs
@@ -1,4 +1,4 @@
-//! Failures of the store and of the relays before it.
+//! Failures of the store and of its relays.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Nine instances in three zones, which know each other and the first revision.
+/// Nine instances in three zones that know each other and have the first
+/// revision.
 fn nine_instances(seed: u64) -> World {
     let mut world = World::open(Setup::sized(9, seed));
     world.apply(&[("catalog/entry/a", Some(b"first"))]);
@@ -40,23 +41,28 @@
 
 #[test]
 fn a_relay_dies_between_fetch_and_rumour() {
-    // Symptom: a zone stays on the revision before, though a relay had read the
-    // new one.
-    // Events: the store is cut off from all but one relay; that relay is told of
-    // a change and dies before any of its rumours arrives.
-    // Cause: had the watch been the only way in, nobody else would have it.
+    // Guards against a zone that stays on the revision before, although a relay
+    // had read the new one: the store is cut off from all but one relay, which
+    // dies before any of its rumours arrives. If the watch were the only
+    // source, no other instance would get the revision.
     let mut world = nine_instances(1);
     let lone = relays(&world)[0];
     world.store_island = 9;
     let revision = world.apply(&[("catalog/entry/a", Some(b"second"))]);
-    // The relay is on the store's side alone, and dies there with what it read.
+    // Only this relay is on the store's side, and dies there with the new
+    // revision.
     world.separate(lone, 9);
     world.run(20 * SECOND);
-    assert_eq!(world.applied(lone).0, revision, "the relay had read it");
+    assert_eq!(
+        world.applied(lone).0,
+        revision,
+        "the relay has read the new revision"
+    );
     world.kill(lone);
     world.run(5 * SECOND);
     assert!(world.running().all(|slot| world.applied(slot).0 < revision));
-    // The store comes back within reach: another relay reads it, and all have it.
+    // The store is reachable again: another relay reads the revision, and all
+    // instances get it.
     world.store_island = 0;
     let taken = world.run_until(30 * SECOND, |world| all_have(world, revision));
     assert!(taken.is_some());
@@ -65,9 +71,9 @@
 
 #[test]
 fn rumours_reach_a_zone_whose_relays_are_dead() {
-    // Symptom: a zone without relays misses a change.
-    // Events: all relays of a zone die in the moment of the change.
-    // Cause: others take over only once the dead are suspected.
+    // Guards against a zone that misses a change because all its relays die at
+    // the moment of the change. Others become relays only once the dead ones
+    // are suspected.
     let mut world = nine_instances(2);
     let dead: Vec<_> = relays(&world)
         .into_iter()
@@ -85,16 +91,16 @@
         .into_iter()
         .filter(|&slot| world.zone(slot) == 1)
         .collect();
-    assert_eq!(zone.len(), 1, "the one that is left watches");
+    assert_eq!(zone.len(), 1, "the remaining instance watches");
     assert_no_violations(&world);
 }
 
 #[test]
 fn concurrent_revisions_converge_despite_loss() {
-    // Symptom: some instances hold the first operator's change, some the second.
-    // Events: two operators apply within a millisecond; the first one's answer
-    // is lost and they look at the store again; datagrams are lost and crossed.
-    // Cause: rumours of the first arrive after those of the second.
+    // Guards against instances that keep the first of two concurrent changes:
+    // two operators apply within a millisecond, the first one's answer is lost,
+    // and datagrams are lost and reordered, so that rumours of the first change
+    // arrive after those of the second.
     for seed in 0..20 {
         let mut world = nine_instances(seed);
         world.loss = 0.3;
@@ -110,9 +116,9 @@
 
 #[test]
 fn an_older_store_is_refused() {
-    // Symptom: the whole fleet falls back to last night's configuration.
-    // Events: the store is restored from a backup, and answers readily.
-    // Cause: its revisions look like any others to whoever does not compare.
+    // Guards against a fallback of all instances to an old catalogue: the store
+    // is restored from a backup and answers as before, and its revisions look
+    // valid unless compared with the mirrored ones.
     let mut world = nine_instances(3);
     world.run(SECOND);
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
@@ -134,30 +140,32 @@
                 held: second,
             }
     });
-    assert!(refused, "it is refused loudly");
+    assert!(refused, "the older store is refused with a notice");
 
-    // A restarted instance asks its peers before it believes the store.
+    // A restarted instance asks its peers before it accepts the store's
+    // answers.
     world.kill(4);
     world.start(4);
     world.run(5 * SECOND);
     assert!(all_have(&world, second));
 
-    // Writes take the store's revision past ours again: still refused, since
-    // keys are older there than here.
+    // Writes raise the store's revision past the mirrored one again. The store
+    // is still refused, since keys are older there than in the mirrors.
     for _ in 0..4 {
         world.write(&[("primary/x", Some(b"other"))]);
     }
     world.run(40 * SECOND);
     assert!(all_have(&world, second));
 
-    // Operators declare it restored: the raised epoch goes before the number.
+    // Operators declare the store restored: the raised epoch takes precedence
+    // over the number.
     let third = world.apply_as(1, 1, &[("catalog/entry/a", Some(b"third"))]);
     let taken = world.run_until(40 * SECOND, |world| all_have(world, third));
     assert!(taken.is_some());
     assert_no_violations(&world);
 }
 
-/// A version without the guard: it takes what an older store says.
+/// A faulty version that accepts the answers of an older store.
 fn accept_older_store(_: usize, actions: &mut Vec<Action>) {
     for action in actions {
         if let Action::Notice(Notice::StoreBehind { store, .. }) = action {
@@ -184,7 +192,7 @@
     assert!(world.monitor.violations().iter().any(reverted));
 }
 
-/// A version that puts half of a revision in force.
+/// A faulty version that puts half of a revision in force.
 fn truncate_changes(_: usize, actions: &mut Vec<Action>) {
     for action in actions {
         if let Action::Catalog { changes, .. } = action {
@@ -212,7 +220,8 @@
     world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
     world.kill(0);
-    // A version that does not ask its peers: it gets the first revision alone.
+    // A faulty version that does not ask its peers and gets only the first
+    // revision.
     world.tamper = Some(|slot, actions| {
         if slot == 0 {
             for action in actions {
@@ -230,9 +239,9 @@
 
 #[test]
 fn a_zone_restarts_while_the_store_is_down() {
-    // Symptom: a whole zone refuses all calls until the store is back.
-    // Events: the store is down; a zone loses power and starts again.
-    // Cause: instances have no disks, so the zone's own memory is gone.
+    // Guards against a whole zone that refuses all calls until the store is
+    // back: the zone loses power and restarts while the store is down.
+    // Instances have no disks, so only other zones still have the catalogue.
     let mut world = nine_instances(6);
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(5 * SECOND);
@@ -252,9 +261,9 @@
 
 #[test]
 fn a_silent_watch_is_detected() {
-    // Symptom: changes stop arriving, and no error is seen.
-    // Events: the store's answers to watches are lost from some moment on.
-    // Cause: a watch without news looks like a watch that is dead.
+    // Guards against changes that stop arriving without an error: the store's
+    // answers to watches are lost, and a dead watch looks like a watch without
+    // news.
     let mut world = nine_instances(7);
     world.store_island = 9;
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
@@ -267,9 +276,9 @@
 
 #[test]
 fn a_compacted_store_is_read_again() {
-    // Symptom: relays loop on a watch that the store refuses.
-    // Events: relays were cut off while the store compacted its history.
-    // Cause: the revision to watch from is gone.
+    // Guards against relays that request a refused watch in a loop: the relays
+    // were cut off while the store compacted its history, so the revision to
+    // watch from is gone.
     let mut world = nine_instances(8);
     world.set_store_down(true);
     world.apply(&[("catalog/entry/b", Some(b"b"))]);
@@ -284,9 +293,9 @@
 
 #[test]
 fn a_revision_in_a_newer_format_is_held() {
-    // Symptom: instances that are not upgraded yet drop limits they can't read.
-    // Events: an operator applies a catalogue in format 2 too early.
-    // Cause: unknown parts of a value read as absent.
+    // Guards against instances that drop limits they can't read: an operator
+    // applies a catalogue in format 2 before all instances are upgraded, and
+    // unknown parts of a value read as absent.
     let mut world = nine_instances(9);
     let mut upgraded = world.conf(0);
     world.kill(0);
@@ -299,16 +308,20 @@
     assert_eq!(world.applied(0).0, newer);
     for slot in 1..9 {
         let fleet = world.fleet(slot).unwrap();
-        assert_eq!(world.applied(slot).0.number, 1, "the last good one is kept");
+        assert_eq!(
+            world.applied(slot).0.number,
+            1,
+            "the last valid revision is kept"
+        );
         let held = fleet.status().held.unwrap();
         assert_eq!((held.revision, held.reason), (newer, Reason::Format(2)));
         assert_eq!(
             fleet.mirror().revision(),
             newer,
-            "peers can have it from here"
+            "peers can pull the revision from here"
         );
     }
-    // Primaries do not wait for the catalogue.
+    // Records of primaries are mirrored even if the catalogue is held back.
     let number = world.write(&[("primary/x", Some(b"bc-2"))]);
     world.run(5 * SECOND);
     let found = |slot| {
@@ -321,7 +334,8 @@
             .0
     };
     assert!((0..9).all(|slot| found(slot) == number));
-    // Taken back in the old format, all go on, with what changed meanwhile.
+    // After a change in the old format, all instances proceed, with the changes
+    // made in the meantime.
     let fourth = world.apply(&[("catalog/entry/a", Some(b"old form"))]);
     let taken = world.run_until(10 * SECOND, |world| all_have(world, fourth));
     assert!(taken.is_some());
@@ -341,15 +355,15 @@
     assert_eq!(
         world.fleet(3).unwrap().applied().number,
         1,
-        "not tried again"
+        "the refused revision is not tried again"
     );
 }
 
 #[test]
 fn keys_without_their_head_are_not_applied() {
-    // Symptom: half of an operator's change is in force.
-    // Events: a tool writes keys one by one, without the head or before it.
-    // Cause: each write is a revision of the store of its own.
+    // Guards against half of an operator's change in force: a tool writes keys
+    // one by one, without the head or before it, and each write is a separate
+    // revision of the store.
     let mut world = nine_instances(11);
     world.write(&[("catalog/entry/a", Some(b"half"))]);
     world.run(5 * SECOND);
@@ -368,7 +382,8 @@
 
 #[test]
 fn nine_instances_stay_within_the_store_call_budget() {
-    // A tenth of 2,000 reads a second, with every waiting watch as one call.
+    // The budget is a tenth of 2,000 reads a second, with every pending watch
+    // as one call.
     let mut world = nine_instances(12);
     world.reset_counts();
     for number in 0..30 {
@@ -380,9 +395,10 @@
     assert_no_violations(&world);
 }
 
-/// Symptom: in a storm of changes an instance has the newest in force seconds
-/// late, by heartbeats. Events: changes come faster than rounds may follow each
-/// other. Cause: each change put the next round off by another tenth of a second.
+/// Guards against changes that come into force seconds late during a burst:
+/// changes arrive faster than rounds may follow each other, and each change
+/// postponed the next round by a tenth of a second, so that only heartbeats
+/// spread the newest one.
 #[test]
 fn a_burst_of_changes_spreads_while_it_lasts() {
     for seed in 0..12 {
