--- a/crates/fleet/src/force.rs
+++ b/crates/fleet/src/activation.rs
@@ -1,4 +1,4 @@
-//! Which revision of the catalogue is in force.
+//! Activation of the catalogue's revisions.
 
 use wire::{Change, Revision};
 
@@ -9,34 +9,35 @@
 pub struct Held {
     /// The revision.
     pub revision: Revision,
-    /// Why it is held.
+    /// Reason why the revision is not in force.
     pub reason: Reason,
 }
 
-/// Why a revision is held.
+/// Reason why a revision is not in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It is written in a format that this version does not know.
+    /// This version does not support the revision's format.
     Format(u16),
     /// There is no readable head.
     NoHead,
-    /// Keys were written after the head: a change not made in one transaction.
+    /// Keys were written after the head, so the change was not made in one
+    /// transaction.
     Incomplete,
-    /// The catalogue was read and refused.
+    /// The catalogue was read and refused as invalid.
     Refused,
 }
 
-/// The catalogue's revision in force and the one that is held back.
+/// The catalogue's revision in force, and the one that is held back.
 #[derive(Debug, Default)]
-pub(crate) struct Force {
+pub(crate) struct Activation {
     applied: Revision,
-    /// The one before, kept until the next, in case `applied` is refused.
-    before: Revision,
+    /// Revision in force before, restored if `applied` is refused.
+    previous: Revision,
     refused: Option<Revision>,
     held: Option<Held>,
 }
 
-impl Force {
+impl Activation {
     pub(crate) fn applied(&self) -> Revision {
         self.applied
     }
@@ -45,23 +46,25 @@
         self.held
     }
 
-    /// Looks at what the mirror holds now, understanding formats up to `format`.
-    pub(crate) fn look(&mut self, mirror: &Mirror, format: u16) -> Option<Action> {
-        if mirror.catalog() == 0 {
+    /// Puts the mirrored catalogue in force if it is valid and its format is at
+    /// most `format`; otherwise holds the revision back.
+    pub(crate) fn evaluate(&mut self, mirror: &Mirror, format: u16) -> Option<Action> {
+        if mirror.catalog_revision() == 0 {
             return None;
         }
-        match judge(mirror, format) {
-            Ok(revision) => self.put_in_force(mirror, revision),
+        match validate(mirror, format) {
+            Ok(revision) => self.activate(mirror, revision),
             Err(reason) => self.hold(mirror, reason),
         }
     }
 
-    /// The catalogue of `revision` was read and can't be put in force.
+    /// Restores the previous revision after the catalogue of `revision` was
+    /// refused.
     pub(crate) fn refuse(&mut self, revision: Revision) -> Option<Action> {
         if revision != self.applied {
             return None;
         }
-        self.applied = self.before;
+        self.applied = self.previous;
         self.refused = Some(revision);
         let held = Held {
             revision,
@@ -71,12 +74,12 @@
         Some(Action::Notice(Notice::Held(held)))
     }
 
-    fn put_in_force(&mut self, mirror: &Mirror, revision: Revision) -> Option<Action> {
+    fn activate(&mut self, mirror: &Mirror, revision: Revision) -> Option<Action> {
         if revision <= self.applied || self.refused == Some(revision) {
             return None;
         }
         let (scope, changes) = changes_since(mirror, self.applied);
-        self.before = self.applied;
+        self.previous = self.applied;
         self.applied = revision;
         self.held = None;
         Some(Action::Catalog {
@@ -91,18 +94,18 @@
             revision: mirror.revision(),
             reason,
         };
-        let told = self.held.replace(held).map(|held| held.reason);
-        (told != Some(reason)).then_some(Action::Notice(Notice::Held(held)))
+        let reported = self.held.replace(held).map(|held| held.reason);
+        (reported != Some(reason)).then_some(Action::Notice(Notice::Held(held)))
     }
 }
 
-fn judge(mirror: &Mirror, format: u16) -> Result<Revision, Reason> {
+fn validate(mirror: &Mirror, format: u16) -> Result<Revision, Reason> {
     let (written, value) = mirror.find(keys::HEAD).ok_or(Reason::NoHead)?;
     let head = Head::parse(value).ok_or(Reason::NoHead)?;
     if head.format > format {
         return Err(Reason::Format(head.format));
     }
-    if mirror.catalog() > written {
+    if mirror.catalog_revision() > written {
         return Err(Reason::Incomplete);
     }
     Ok(Revision {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the fleet.
+//! State machine of one instance's membership and mirror.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 
 use crate::{
     Action, Call, Conf, Event, Member, Mirror, Notice, Table,
+    activation::Activation,
     event::Store,
-    force::Force,
-    gossip::{Gossip, Telling},
+    gossip::{Detail, Gossip},
     list::List,
     probe::{self, Probes},
     pull::{self, Pulls},
@@ -20,40 +20,43 @@
     relay::{self, Relay},
 };
 
-/// How long a new or resumed instance listens to peers before it believes what
-/// the store says: a store restored from a backup may be older than they are.
-const SETTLE_WAIT: std::time::Duration = std::time::Duration::from_secs(1);
-/// An instance not stepped for this long was paused: its timers all fell due at
-/// once, and peers that answered meanwhile would look silent.
+/// Time that a new or resumed instance listens to peers before it accepts
+/// answers of the store: a store restored from a backup may be older than the
+/// peers' mirrors.
+const DISCOVERY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
+/// Time without a step after which an instance counts as paused. All its timers
+/// are then due at once, and peers that answered during the pause would look
+/// silent.
 const PAUSE_MIN: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// What a moment was subscribed to for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Due {
     /// The next heartbeat.
-    Period,
-    /// A probe waits for its answer no longer.
+    Heartbeat,
+    /// Timeout of a probe.
     Probe(u32),
-    /// The next round of telling news.
+    /// The next push round.
     Push,
-    /// A pull waits for its answer no longer.
+    /// Timeout of a pull.
     Pull(Call),
-    /// The store is to be checked, or waited for no longer.
+    /// Check of the store, or timeout of a call; contains the timer's
+    /// generation.
     Relay(u64),
-    /// Peers had their time to tell what they hold.
-    Settle,
-    /// The next members are asked for a survey.
+    /// End of the discovery period.
+    Discovery,
+    /// The next batch of a survey.
     Survey,
 }
 
-/// Whether peers were heard since the start or the last pause.
+/// Progress of collecting peers' state after a start or a pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Settled {
+pub(crate) enum Discovery {
     Waiting,
     Done,
 }
 
-/// One instance's part in the fleet.
+/// Membership and mirror of one instance.
 ///
 /// ```
 /// use clock::Instant;
@@ -87,12 +90,12 @@
     pub(crate) gossip: Gossip,
     pub(crate) probes: Probes,
     pub(crate) mirror: Mirror,
-    pub(crate) force: Force,
+    pub(crate) activation: Activation,
     pub(crate) push: Push,
     pub(crate) pulls: Pulls,
     pub(crate) relay: Relay,
     pub(crate) list: List,
-    pub(crate) settled: Settled,
+    pub(crate) discovery: Discovery,
     pub(crate) last_step: Instant,
     calls: u64,
     wake: Option<Instant>,
@@ -100,7 +103,7 @@
 }
 
 impl Fleet {
-    /// Opens an instance's part, with the first actions to take.
+    /// Creates the state of an instance, and returns the first actions with it.
     pub fn open(conf: Conf, now: Instant) -> (Self, Vec<Action>) {
         let node = Node::of(&conf.name);
         let mut fleet = Self {
@@ -113,32 +116,33 @@
             gossip: Gossip::default(),
             probes: Probes::default(),
             mirror: Mirror::default(),
-            force: Force::default(),
+            activation: Activation::default(),
             push: Push::open(),
             pulls: Pulls::open(now),
             relay: Relay::default(),
             list: List::default(),
-            settled: Settled::Waiting,
+            discovery: Discovery::Waiting,
             last_step: now,
             calls: 0,
             wake: None,
             out: Vec::new(),
             conf,
         };
-        fleet.tell_self(now);
-        fleet.timer.subscribe(now + SETTLE_WAIT, Due::Settle);
-        fleet.start_period(now);
+        fleet.publish_record(now);
+        fleet
+            .timer
+            .subscribe(now + DISCOVERY_TIMEOUT, Due::Discovery);
+        fleet.schedule_first_heartbeat(now);
         fleet.ping_seeds();
         let actions = fleet.finish(now);
         (fleet, actions)
     }
 
-    /// Takes in what happened at `now`.
+    /// Processes an event at `now` and returns the actions to take.
     ///
-    /// Moments must not go back; an event is handled after all timers that fell
-    /// due before it.
+    /// Time must not go back. Timers that are due are handled before the event.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.last_step = now;
         for due in self.timer.expired(now) {
             self.on_due(now, due);
@@ -147,7 +151,7 @@
         self.finish(now)
     }
 
-    /// This instance's short name.
+    /// Identifier of this instance.
     pub fn node(&self) -> Node {
         self.node
     }
@@ -157,36 +161,36 @@
         &self.table
     }
 
-    /// The keys held.
+    /// The mirrored keys.
     pub fn mirror(&self) -> &Mirror {
         &self.mirror
     }
 
     /// The revision of the catalogue in force.
     pub fn applied(&self) -> wire::Revision {
-        self.force.applied()
+        self.activation.applied()
     }
 
-    /// The members that may be given work, the strongest for `key` first.
+    /// Available members by descending rendezvous weight for `key`.
     pub fn rank(&self, key: &str) -> Vec<&Member> {
         rank(key, self.table.members())
     }
 
-    /// The members that watch the store for `zone`, as seen from here.
+    /// Relays of `zone`, as seen from this instance.
     pub fn relays(&self, zone: &model::name::Zone) -> Vec<&Member> {
-        let mut ranked = rank(relay::DUTY, self.table.zone(zone));
+        let mut ranked = rank(relay::KEY, self.table.zone(zone));
         ranked.truncate(self.conf.relays);
         ranked
     }
 
     fn on_due(&mut self, now: Instant, due: Due) {
         match due {
-            Due::Period => self.on_period(now),
-            Due::Probe(probe) => self.on_probe_due(now, probe),
+            Due::Heartbeat => self.on_heartbeat_due(now),
+            Due::Probe(probe) => self.on_probe_timeout(now, probe),
             Due::Push => self.on_push_due(now),
             Due::Pull(call) => self.on_pull_failed(now, call),
-            Due::Relay(turn) => self.on_relay_due(now, turn),
-            Due::Settle => self.settle(now),
+            Due::Relay(timer_generation) => self.on_relay_due(now, timer_generation),
+            Due::Discovery => self.finish_discovery(now),
             Due::Survey => self.on_survey_due(now),
         }
     }
@@ -205,7 +209,7 @@
             Event::Store { call, answer } => self.on_store(now, call, answer),
             Event::Instances(listings) => self.on_list(now, &listings),
             Event::Refused(revision) => {
-                let action = self.force.refuse(revision);
+                let action = self.activation.refuse(revision);
                 self.out.extend(action);
             }
             Event::Survey => self.start_survey(now),
@@ -224,10 +228,10 @@
         }
     }
 
-    pub(crate) fn tell_self(&mut self, now: Instant) {
+    pub(crate) fn publish_record(&mut self, now: Instant) {
         let record = self.record();
         self.table.merge_record(now, &record);
-        self.gossip.tell(self.node, Telling::Record);
+        self.gossip.enqueue(self.node, Detail::Record);
     }
 
     pub(crate) fn leave(&mut self, now: Instant) {
@@ -235,11 +239,12 @@
             return;
         }
         self.state = State::Leaving;
-        self.tell_self(now);
+        self.publish_record(now);
         self.start_push(now);
     }
 
-    /// Says goodbye: peers need not find out by silence.
+    /// Announces the stop to peers, so that they need not detect missed
+    /// heartbeats.
     fn stop(&mut self, now: Instant) {
         self.state = State::Gone;
         let record = self.record();
@@ -250,7 +255,7 @@
             state: State::Gone,
         };
         let view = self.view();
-        for to in self.push_targets(push::GOODBYES) {
+        for to in self.push_targets(push::GOODBYE_FANOUT) {
             let message = Message::Rumour {
                 view,
                 delta: None,
@@ -263,8 +268,8 @@
     }
 
     pub(crate) fn view(&self) -> View {
-        let applied = self.force.applied();
-        let held = self.force.held().is_some();
+        let applied = self.activation.applied();
+        let held = self.activation.held().is_some();
         View {
             revision: self.mirror.revision(),
             digest: self.mirror.digest(),
@@ -292,39 +297,42 @@
         call
     }
 
-    fn notice_pause(&mut self, now: Instant) {
-        let gap = now.since(self.last_step);
-        if gap < PAUSE_MIN {
+    fn detect_pause(&mut self, now: Instant) {
+        let pause = now.since(self.last_step);
+        if pause < PAUSE_MIN {
             return;
         }
         // Milliseconds of a pause fit in 64 bits.
-        self.notice(Notice::Paused(gap.as_millis() as u64));
+        self.notice(Notice::Paused(pause.as_millis() as u64));
         self.timer = Timer::default();
         self.probes = Probes::default();
         self.pulls = Pulls::open(now);
         self.push = Push::open();
         self.stop_relay();
-        self.settled = Settled::Waiting;
-        self.timer.subscribe(now + SETTLE_WAIT, Due::Settle);
-        self.timer.subscribe(now, Due::Period);
+        self.discovery = Discovery::Waiting;
+        self.timer
+            .subscribe(now + DISCOVERY_TIMEOUT, Due::Discovery);
+        self.timer.subscribe(now, Due::Heartbeat);
     }
 
-    /// Believes the store from now on, and puts in force what is held.
-    pub(crate) fn settle(&mut self, now: Instant) {
-        if self.settled == Settled::Done {
+    /// Accepts answers of the store from now on, and puts the mirrored
+    /// catalogue in force.
+    pub(crate) fn finish_discovery(&mut self, now: Instant) {
+        if self.discovery == Discovery::Done {
             return;
         }
-        self.settled = Settled::Done;
-        self.look();
-        self.review_duty(now);
+        self.discovery = Discovery::Done;
+        self.apply_catalog();
+        self.update_relay(now);
     }
 
-    /// Puts the catalogue in force if it is whole and can be understood.
-    pub(crate) fn look(&mut self) {
-        if self.settled == Settled::Waiting {
+    /// Puts the mirrored catalogue in force if it is complete and its format is
+    /// supported.
+    pub(crate) fn apply_catalog(&mut self) {
+        if self.discovery == Discovery::Waiting {
             return;
         }
-        let action = self.force.look(&self.mirror, self.conf.format);
+        let action = self.activation.evaluate(&self.mirror, self.conf.format);
         self.out.extend(action);
     }
 
@@ -340,7 +348,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// The bytes of control state that this instance holds.
+    /// Estimated memory of this instance's control state, in bytes.
     pub fn state_bytes(&self) -> usize {
         size_of::<Self>()
             + self.table.state_bytes()
@@ -351,5 +359,5 @@
     }
 }
 
-const _: () = assert!(probe::PERIOD.as_millis() < PAUSE_MIN.as_millis());
-const _: () = assert!(pull::WAIT.as_millis() < PAUSE_MIN.as_millis());
+const _: () = assert!(probe::HEARTBEAT_INTERVAL.as_millis() < PAUSE_MIN.as_millis());
+const _: () = assert!(pull::TIMEOUT.as_millis() < PAUSE_MIN.as_millis());
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,41 +1,42 @@
-//! The platform's list of instances, which lags and may be wrong.
+//! Handling of the platform's list of instances, which may be late or wrong.
 
 use clock::Instant;
 use wire::{Node, Record, State};
 
-use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Settled, table::Merge};
+use crate::{Action, Fleet, Lifecycle, Listing, Notice, fleet::Discovery, table::Merge};
 
-/// What the list says of this instance.
+/// State of this instance in the list.
 #[derive(Debug, Default)]
 pub(crate) struct List {
-    ours: Option<Lifecycle>,
+    own: Option<Lifecycle>,
 }
 
 impl Fleet {
-    /// Takes in the list.
+    /// Processes the platform's list.
     ///
-    /// It introduces members and tells who leaves. It buries nobody: a member
-    /// that answers heartbeats lives, whether the list has it or not.
+    /// The list adds members and marks members as leaving. It removes none: a
+    /// member that answers heartbeats is alive, listed or not.
     pub(crate) fn on_list(&mut self, now: Instant, listings: &[Listing]) {
-        self.introduce(now, listings);
-        if self.distrusts(listings) {
+        self.add_listed(now, listings);
+        if self.reject_implausible(listings) {
             return;
         }
         for listing in listings {
             self.on_listing(now, listing);
         }
-        self.review_duty(now);
+        self.update_relay(now);
     }
 
-    fn introduce(&mut self, now: Instant, listings: &[Listing]) {
-        let waiting = self.settled == Settled::Waiting;
-        let mut greeted = 0;
+    fn add_listed(&mut self, now: Instant, listings: &[Listing]) {
+        let waiting = self.discovery == Discovery::Waiting;
+        let mut pinged = 0;
         for listing in listings {
             let record = Record {
                 name: listing.name.clone(),
                 zone: listing.zone.clone(),
                 address: listing.address,
-                // Below any incarnation of a process: its own word goes first.
+                // Below the incarnation of any process, so that the member's
+                // own record takes precedence.
                 incarnation: 0,
                 state: State::Alive,
             };
@@ -46,18 +47,20 @@
             if !known {
                 self.out.push(Action::Member(record));
             }
-            if waiting && greeted < GREETED_MAX && listing.zone == self.conf.zone {
-                greeted += 1;
-                self.greet(listing.address);
+            if waiting && pinged < LISTED_PINGS_MAX && listing.zone == self.conf.zone {
+                pinged += 1;
+                self.ping_with_record(listing.address);
             }
         }
     }
 
-    /// Whether the list would take away most of the members that answer.
+    /// Returns true, and sends a notice, if the list would remove most of the
+    /// members that answer.
     ///
-    /// A platform whose list is empty or marks everyone as leaving, while the
-    /// instances answer each other, would else stop the whole service at once.
-    fn distrusts(&mut self, listings: &[Listing]) -> bool {
+    /// If a platform's list is empty or marks all instances as leaving while
+    /// they answer each other, following the list would stop the whole service
+    /// at once.
+    fn reject_implausible(&mut self, listings: &[Listing]) -> bool {
         let alive = self
             .table
             .members()
@@ -93,29 +96,31 @@
     }
 
     fn on_own_listing(&mut self, now: Instant, lifecycle: Lifecycle) {
-        let before = self.list.ours.replace(lifecycle);
+        let before = self.list.own.replace(lifecycle);
         match (before, lifecycle) {
             (Some(Lifecycle::Leaving), Lifecycle::Leaving) | (None, Lifecycle::Live) => {}
             (_, Lifecycle::Leaving) => {
                 self.notice(Notice::ListedLeaving);
                 self.leave(now);
             }
-            (Some(Lifecycle::Leaving), Lifecycle::Live) => self.come_back(now),
+            (Some(Lifecycle::Leaving), Lifecycle::Live) => self.cancel_leave(now),
             (Some(Lifecycle::Live), Lifecycle::Live) => {}
         }
     }
 
-    /// The platform took back that this instance leaves.
-    fn come_back(&mut self, now: Instant) {
+    /// Resumes work after the platform no longer marks this instance as
+    /// leaving.
+    fn cancel_leave(&mut self, now: Instant) {
         if self.state != State::Leaving {
             return;
         }
         self.state = State::Alive;
         self.incarnation += 1;
-        self.tell_self(now);
+        self.publish_record(now);
         self.start_push(now);
     }
 }
 
-/// How many members of the own zone are greeted at once when starting.
-const GREETED_MAX: usize = 5;
+/// Maximum number of listed members of the own zone that are pinged at once
+/// when starting.
+const LISTED_PINGS_MAX: usize = 5;
--- a/crates/fleet/src/push.rs
+++ b/crates/fleet/src/push.rs
@@ -1,8 +1,8 @@
-//! Telling news at once instead of with the next heartbeat.
+//! Immediate spread of news, without waiting for the next heartbeat.
 //!
-//! Whoever learns something new tells a few peers in each of a few rounds. That
-//! reaches nearly all of the fleet in a time that grows with the logarithm of
-//! its size; heartbeats find the rest.
+//! An instance that receives news sends it to a few peers in each of a few
+//! rounds. The news reaches nearly all instances in a time that grows with the
+//! logarithm of their number; heartbeats reach the rest.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,55 +11,62 @@
 
 use crate::{Fleet, fleet::Due};
 
-/// When the rounds are, counted from the news; each to [`FANOUT`] peers.
+/// Times of the rounds after the news arrived; each round goes to [`FANOUT`]
+/// peers.
 const ROUNDS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(150),
     Duration::from_millis(400),
 ];
-/// The least time between two rounds.
-const GAP_MIN: Duration = Duration::from_millis(100);
-/// How many peers are told in each round, and how many of them in other zones.
-const FANOUT: Fanout = Fanout { home: 2, abroad: 1 };
-/// Whom a stopping instance says goodbye to.
-pub(crate) const GOODBYES: Fanout = Fanout { home: 4, abroad: 2 };
-/// The most bytes of a change that a rumour carries whole.
+/// Minimum interval between two rounds.
+const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(100);
+/// Number of peers that receive each round.
+const FANOUT: Fanout = Fanout {
+    local: 2,
+    remote: 1,
+};
+/// Number of peers to which a stopping instance announces its stop.
+pub(crate) const GOODBYE_FANOUT: Fanout = Fanout {
+    local: 4,
+    remote: 2,
+};
+/// Maximum bytes of a delta in a rumour.
 const DELTA_MAX: usize = 640;
 
-/// How many peers to tell.
+/// Number of peers in the own zone and in other zones.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fanout {
-    home: usize,
-    abroad: usize,
+    local: usize,
+    remote: usize,
 }
 
-/// News that is being told.
+/// News that is being sent.
 #[derive(Debug)]
 pub(crate) struct Push {
     round: usize,
     started: Instant,
     last: Option<Instant>,
-    /// The last push of a revision.
-    revised: Option<Instant>,
+    /// Time of the latest push of a revision, which may be in the future.
+    revision_round: Option<Instant>,
     token: Option<Token>,
-    /// The last step of the mirror, where it is small.
+    /// Last delta of the mirror, if it is small.
     pub(crate) delta: Option<Delta>,
 }
 
 impl Push {
-    /// Has nothing to tell yet.
+    /// Creates a state without news.
     pub(crate) fn open() -> Self {
         Self {
             round: ROUNDS.len(),
             started: Instant::ZERO,
             last: None,
-            revised: None,
+            revision_round: None,
             token: None,
             delta: None,
         }
     }
 
-    /// When the next round is, if there is one.
+    /// Time of the next round, if there is one.
     fn due(&self) -> Option<Instant> {
         let after = ROUNDS.get(self.round)?;
         Some(self.started + *after)
@@ -67,19 +74,27 @@
 }
 
 impl Fleet {
-    /// Tells news from now on.
+    /// Starts the rounds for news about members.
     ///
-    /// Rounds keep their distance however fast news comes in: when a zone heals
-    /// hundreds of members are news within a second.
+    /// Rounds keep their minimum interval however fast news arrives: when a
+    /// zone becomes reachable again, hundreds of members change within a
+    /// second.
     pub(crate) fn start_push(&mut self, now: Instant) {
-        let next = self.push.last.map_or(now, |last| (last + GAP_MIN).max(now));
+        let next = self
+            .push
+            .last
+            .map_or(now, |last| (last + ROUND_INTERVAL_MIN).max(now));
         self.push_at(now, next);
     }
 
-    /// Tells of a suspicion in one round, unless rounds are under way, which
-    /// tell it as well. It may be wrong, and a lost zone brings many.
+    /// Sends a suspicion in one round, unless rounds are in progress, which
+    /// carry the suspicion as well. A suspicion may be wrong, and the loss of a
+    /// zone causes many.
     pub(crate) fn push_once(&mut self, now: Instant) {
-        let last = self.push.last.map_or(Instant::ZERO, |last| last + GAP_MIN);
+        let last = self
+            .push
+            .last
+            .map_or(Instant::ZERO, |last| last + ROUND_INTERVAL_MIN);
         if self.push.due().is_some() || now < last {
             return;
         }
@@ -87,19 +102,21 @@
         self.push.round = ROUNDS.len();
     }
 
-    /// Tells a new revision from now on. It waits for the last revision's
-    /// rounds, and not for news of members: each zone that starts brings those
-    /// for a second, and a change would come into force that much later.
+    /// Starts the rounds for a new revision. These rounds keep the minimum
+    /// interval to the last revision's rounds, but not to rounds for news about
+    /// members: a zone that starts causes such news for a second, which would
+    /// delay a change of the catalogue by as much.
     ///
-    /// A round that is to come tells this one as well. Were it put off instead, a
-    /// storm of changes would be told by heartbeats alone.
+    /// A round that is scheduled already carries the new revision as well. If
+    /// changes postponed that round instead, a burst of changes would spread by
+    /// heartbeats alone.
     pub(crate) fn push_revision(&mut self, now: Instant) {
-        let next = match self.push.revised {
-            Some(coming) if coming > now => coming,
-            Some(last) => (last + GAP_MIN).max(now),
+        let next = match self.push.revision_round {
+            Some(scheduled) if scheduled > now => scheduled,
+            Some(last) => (last + ROUND_INTERVAL_MIN).max(now),
             None => now,
         };
-        self.push.revised = Some(next);
+        self.push.revision_round = Some(next);
         self.push_at(now, next);
     }
 
@@ -129,8 +146,8 @@
         }
     }
 
-    /// Keeps a step of the mirror to tell it whole, if it is small.
-    pub(crate) fn keep_delta(&mut self, delta: Delta) {
+    /// Stores a delta of the mirror for the next rounds, if it is small.
+    pub(crate) fn set_delta(&mut self, delta: Delta) {
         let len: usize = delta
             .changes
             .iter()
@@ -147,11 +164,11 @@
             let message = Message::Rumour {
                 view,
                 delta: self.push.delta.clone(),
-                updates: self.gossip.take(&self.table, None),
+                updates: self.gossip.next_updates(&self.table, None),
             };
             self.send(to, message);
         }
-        // Later news of members need not carry it again.
+        // Later rounds for news about members need not carry the delta again.
         if self.push.round == ROUNDS.len() {
             self.push.delta = None;
         }
@@ -160,13 +177,13 @@
     pub(crate) fn push_targets(&mut self, fanout: Fanout) -> Vec<SocketAddr> {
         let alive = |state| matches!(state, State::Alive | State::Leaving);
         let mut targets = Vec::new();
-        for turn in 0..fanout.home + fanout.abroad {
-            let chosen = if turn < fanout.home {
-                self.choose_at_home(alive)
-                    .or_else(|| self.choose_abroad(alive))
+        for index in 0..fanout.local + fanout.remote {
+            let chosen = if index < fanout.local {
+                self.choose_local(alive)
+                    .or_else(|| self.choose_remote(alive))
             } else {
-                self.choose_abroad(alive)
-                    .or_else(|| self.choose_at_home(alive))
+                self.choose_remote(alive)
+                    .or_else(|| self.choose_local(alive))
             };
             let Some(member) = chosen.and_then(|node| self.table.find(node)) else {
                 continue;
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,4 +1,4 @@
-//! Watching the store, while this instance is one of its zone's relays.
+//! Watch of the store, while this instance is a relay of its zone.
 
 use std::time::Duration;
 
@@ -8,67 +8,68 @@
 
 use crate::{
     Answer, Call, Fleet, Head, Notice, Request, Watch,
-    fleet::{Due, Settled},
+    fleet::{Discovery, Due},
     keys,
     mirror::Error,
 };
 
-/// The duty that relays are ranked for.
-pub(crate) const DUTY: &str = "relay";
-/// How long the store may take to answer.
-const CALL_WAIT: Duration = Duration::from_secs(2);
-/// Between two looks at the head, which find a watch that went silent.
-const CHECK_EVERY: Duration = Duration::from_secs(10);
-/// How long to leave a store alone that failed, at first and at most.
+/// Key for which relays are ranked.
+pub(crate) const KEY: &str = "relay";
+/// Timeout of a call to the store.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between reads of the head, which detect a silent watch.
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// First and maximum delay before a store that failed is called again.
 const BACKOFF_MIN: Duration = Duration::from_secs(1);
 const BACKOFF_MAX: Duration = Duration::from_secs(16);
-/// How long an instance goes on watching after another took over, so that
-/// membership that flaps does not cost a watch each time.
-const RELEASE_AFTER: Duration = Duration::from_secs(5);
+/// Time that an instance continues to watch after another one became relay in
+/// its place, so that flapping membership does not cost a new watch each time.
+const RELEASE_DELAY: Duration = Duration::from_secs(5);
 
-/// How a relay stands with the store.
+/// Stage of a relay's use of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Stage {
-    /// It is no relay.
+    /// The instance is no relay.
     #[default]
     Idle,
-    /// It asked for all keys.
+    /// A range over all keys was requested.
     Ranging(Call),
-    /// It asked for a watch.
+    /// A watch was requested.
     Starting(Call),
-    /// It watches, and looks at the head now and then.
+    /// The watch is established, and the head is read at intervals.
     Watching { watch: Call, check: Option<Call> },
-    /// The store failed or was refused; it is tried again later.
+    /// The store failed or was refused, and is called again later.
     Waiting,
 }
 
-/// An instance's standing with the store.
+/// State of an instance as a relay.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     stage: Stage,
-    /// The revision held when the store was last asked: the store's answer must
-    /// not be older. Rumours may have moved the mirror on since.
-    asked_at: Revision,
-    /// Numbers the subscription that counts; those before are void.
-    turn: u64,
+    /// Mirrored revision at the last call of the store, whose answer must not
+    /// be older. Rumours may have advanced the mirror since.
+    asked_revision: Revision,
+    /// Generation of the valid timer; timers of earlier generations are
+    /// ignored.
+    timer_generation: u64,
     failures: u32,
-    unranked: Option<Instant>,
-    duty: Option<Duty>,
+    outranked_since: Option<Instant>,
+    cached: Option<CachedSelection>,
 }
 
-/// Whether this instance is a relay, by the version of its zone that told it:
-/// ranking a zone of 400 members each second was most of an instance's work.
+/// Cached ranking of this instance, valid for one version of its zone: ranking
+/// a zone of 400 members each second was most of an instance's work.
 #[derive(Debug, Clone, Copy)]
-struct Duty {
+struct CachedSelection {
     version: u64,
     state: State,
-    ranked: Ranked,
+    selection: Selection,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ranked {
-    In,
-    Out,
+enum Selection {
+    Relay,
+    Other,
 }
 
 impl Relay {
@@ -83,15 +84,15 @@
 }
 
 impl Fleet {
-    /// Takes up the duty of a relay or lays it down, as membership has it.
-    pub(crate) fn review_duty(&mut self, now: Instant) {
-        if self.settled == Settled::Waiting {
+    /// Starts or stops acting as a relay, according to the membership.
+    pub(crate) fn update_relay(&mut self, now: Instant) {
+        if self.discovery == Discovery::Waiting {
             return;
         }
-        let ranked = self.ranked();
+        let selection = self.selection();
         let idle = self.relay.stage == Stage::Idle;
-        if ranked == Ranked::In {
-            self.relay.unranked = None;
+        if selection == Selection::Relay {
+            self.relay.outranked_since = None;
             if idle {
                 self.start_watch(now);
             }
@@ -100,50 +101,51 @@
         if idle {
             return;
         }
-        let since = *self.relay.unranked.get_or_insert(now);
-        if now.since(since) >= RELEASE_AFTER || self.state != State::Alive {
+        let since = *self.relay.outranked_since.get_or_insert(now);
+        if now.since(since) >= RELEASE_DELAY || self.state != State::Alive {
             self.stop_relay();
         }
     }
 
-    fn ranked(&mut self) -> Ranked {
+    fn selection(&mut self) -> Selection {
         let version = self.table.version(&self.conf.zone);
         let state = self.state;
         let known = self
             .relay
-            .duty
-            .filter(|duty| (duty.version, duty.state) == (version, state));
-        if let Some(duty) = known {
-            return duty.ranked;
+            .cached
+            .filter(|cached| (cached.version, cached.state) == (version, state));
+        if let Some(cached) = known {
+            return cached.selection;
         }
         let relays = self.relays(&self.conf.zone);
         let among = relays.iter().any(|member| member.node == self.node);
-        let ranked = if state == State::Alive && among {
-            Ranked::In
+        let selection = if state == State::Alive && among {
+            Selection::Relay
         } else {
-            Ranked::Out
+            Selection::Other
         };
-        self.relay.duty = Some(Duty {
+        self.relay.cached = Some(CachedSelection {
             version,
             state,
-            ranked,
+            selection,
         });
-        ranked
+        selection
     }
 
     pub(crate) fn stop_relay(&mut self) {
         self.unwatch();
         self.relay = Relay {
-            turn: self.relay.turn + 1,
+            timer_generation: self.relay.timer_generation + 1,
             ..Relay::default()
         };
     }
 
-    /// A peer holds other content under our revision: the store decides.
+    /// Reads all keys from the store again, after a peer had other content for
+    /// the same revision.
     pub(crate) fn recheck_store(&mut self, now: Instant) {
         if let Stage::Watching { .. } = self.relay.stage {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
         }
     }
 
@@ -167,55 +169,57 @@
                 },
                 Answer::Head { revision, written },
             ) if check == call => self.on_head(now, watch, revision, written),
-            (Stage::Starting(own), Answer::Compacted) if own == call => self.range(now),
-            (Stage::Watching { watch, .. }, Answer::Compacted) if watch == call => self.range(now),
+            (Stage::Starting(own), Answer::Compacted) if own == call => self.start_range(now),
+            (Stage::Watching { watch, .. }, Answer::Compacted) if watch == call => {
+                self.start_range(now)
+            }
             (stage, Answer::Down) if stage.awaits(call) => self.on_store_down(now),
-            // An answer to a call that was given up.
+            // Answers to abandoned calls are ignored.
             _ => {}
         }
     }
 
-    pub(crate) fn on_relay_due(&mut self, now: Instant, turn: u64) {
-        if turn != self.relay.turn {
+    pub(crate) fn on_relay_due(&mut self, now: Instant, timer_generation: u64) {
+        if timer_generation != self.relay.timer_generation {
             return;
         }
         match self.relay.stage {
             Stage::Idle => {}
             Stage::Ranging(_) | Stage::Starting(_) => self.on_store_down(now),
             Stage::Watching { check: Some(_), .. } => self.on_store_down(now),
-            Stage::Watching { watch, check: None } => self.check(now, watch),
+            Stage::Watching { watch, check: None } => self.check_head(now, watch),
             Stage::Waiting => self.range_or_watch(now),
         }
     }
 
     fn range_or_watch(&mut self, now: Instant) {
         if self.relay.failures > 0 || self.mirror.is_empty() {
-            self.range(now);
+            self.start_range(now);
         } else {
             self.start_watch(now);
         }
     }
 
-    fn range(&mut self, now: Instant) {
-        self.relay.asked_at = self.mirror.revision();
+    fn start_range(&mut self, now: Instant) {
+        self.relay.asked_revision = self.mirror.revision();
         let call = self.ask_store(Request::Range);
         self.relay.stage = Stage::Ranging(call);
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn start_watch(&mut self, now: Instant) {
         if self.mirror.is_empty() {
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.watch_from(now, self.mirror.revision().number + 1);
     }
 
     fn watch_from(&mut self, now: Instant, from: u64) {
-        self.relay.asked_at = self.mirror.revision();
+        self.relay.asked_revision = self.mirror.revision();
         let call = self.ask_store(Request::Watch { from });
         self.relay.stage = Stage::Starting(call);
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn unwatch(&mut self) {
@@ -229,17 +233,17 @@
         }
     }
 
-    fn wait_for_store(&mut self, now: Instant, wait: Duration) {
-        self.relay.turn += 1;
+    fn set_store_timer(&mut self, now: Instant, wait: Duration) {
+        self.relay.timer_generation += 1;
         self.timer
-            .subscribe(now + wait, Due::Relay(self.relay.turn));
+            .subscribe(now + wait, Due::Relay(self.relay.timer_generation));
     }
 
-    fn check(&mut self, now: Instant, watch: Call) {
-        self.relay.asked_at = self.mirror.revision();
+    fn check_head(&mut self, now: Instant, watch: Call) {
+        self.relay.asked_revision = self.mirror.revision();
         let check = Some(self.ask_store(Request::Head));
         self.relay.stage = Stage::Watching { watch, check };
-        self.wait_for_store(now, CALL_WAIT);
+        self.set_store_timer(now, CALL_TIMEOUT);
     }
 
     fn on_range(&mut self, now: Instant, revision: u64, mut changes: Vec<Change>) {
@@ -258,8 +262,8 @@
             return;
         }
         self.on_store_back();
-        // The mirror may hold more by now, told by peers; then the watch below
-        // tells what it has already, which does no harm.
+        // Peers may have advanced the mirror further by now. The watch below
+        // then reports known changes, which are skipped.
         if to >= self.mirror.revision() {
             let result = self.replace(now, to, None, &changes);
             self.report(result);
@@ -267,7 +271,8 @@
         self.watch_from(now, revision + 1);
     }
 
-    /// The epoch that a head among `changes` tells, or else the one held.
+    /// Epoch in the head among `changes`, or else the mirrored epoch; never
+    /// less than the latter.
     fn epoch_in(&self, changes: &[Change]) -> u32 {
         let head = changes.iter().find(|change| &*change.key == keys::HEAD);
         let value = head.and_then(|change| change.value.as_ref());
@@ -276,17 +281,20 @@
         head.map_or(held, |head| head.epoch.max(held))
     }
 
-    /// Whether the store is older than what was held when it was asked.
+    /// Returns true if the store is older than the mirrored revision at the
+    /// time of the call.
     ///
-    /// A store restored from a backup answers as readily as before, with old
-    /// configuration and old primaries, and would have the fleet send writes to
-    /// primaries that were replaced. Only a raised epoch makes it believed.
+    /// A store restored from a backup answers like any other, with an old
+    /// catalogue and old primaries, and instances would send writes to
+    /// primaries that were replaced. The answers of such a store are accepted
+    /// only with a raised epoch.
     fn is_behind(&self, store: Revision) -> bool {
-        store < self.relay.asked_at
+        store < self.relay.asked_revision
     }
 
-    /// Whether a key is older in the store than here, though the store's own
-    /// revision has passed ours again since it was restored.
+    /// Returns true if a key is older in the store than in the mirror, although
+    /// the store's own revision has passed the mirrored one again since the
+    /// store was restored.
     fn is_rewritten(&self, to: Revision, changes: &[Change]) -> bool {
         if to.epoch > self.mirror.revision().epoch {
             return false;
@@ -294,24 +302,24 @@
         changes.iter().any(|change| {
             let held = self.mirror.find(&change.key);
             held.is_some_and(|(held, _)| {
-                held > change.revision && held <= self.relay.asked_at.number
+                held > change.revision && held <= self.relay.asked_revision.number
             })
         })
     }
 
     fn refuse_store(&mut self, now: Instant, store: Revision) {
-        let held = self.relay.asked_at;
+        let held = self.relay.asked_revision;
         self.notice(Notice::StoreBehind { store, held });
         self.unwatch();
         self.relay.failures = self.relay.failures.max(1);
         self.relay.stage = Stage::Waiting;
-        self.wait_for_store(now, CHECK_EVERY);
+        self.set_store_timer(now, CHECK_INTERVAL);
     }
 
     fn on_watching(&mut self, now: Instant, watch: Call, revision: u64) {
-        if self.looks_behind(revision) {
+        if self.is_number_behind(revision) {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.on_store_back();
@@ -319,16 +327,16 @@
         self.wait_for_check(now);
     }
 
-    /// Whether the store's bare revision is lower than ours was; a range then
-    /// tells the epoch.
-    fn looks_behind(&self, revision: u64) -> bool {
-        revision < self.relay.asked_at.number
+    /// Returns true if the store's revision, without an epoch, is lower than
+    /// the mirrored one was. A range then reads the epoch.
+    fn is_number_behind(&self, revision: u64) -> bool {
+        revision < self.relay.asked_revision.number
     }
 
     fn on_head(&mut self, now: Instant, watch: Call, revision: u64, written: Option<u64>) {
-        if self.looks_behind(revision) {
+        if self.is_number_behind(revision) {
             self.unwatch();
-            self.range(now);
+            self.start_range(now);
             return;
         }
         self.relay.stage = Stage::Watching { watch, check: None };
@@ -340,10 +348,11 @@
         self.wait_for_check(now);
     }
 
-    /// Checks are spread out, so that relays do not ask the store together.
+    /// Schedules the next check with jitter, so that relays do not call the
+    /// store at the same time.
     fn wait_for_check(&mut self, now: Instant) {
         let jitter = self.rng.random_range(0.8..1.2);
-        self.wait_for_store(now, CHECK_EVERY.mul_f64(jitter));
+        self.set_store_timer(now, CHECK_INTERVAL.mul_f64(jitter));
     }
 
     fn on_changes(&mut self, now: Instant, revision: u64, mut changes: Vec<Change>) {
@@ -353,8 +362,9 @@
             number: revision,
         };
         let from = self.mirror.revision();
-        // A watch tells every revision in order, so the first one past ours is
-        // the next; what peers told sooner is skipped.
+        // A watch reports every revision in order, so the first one above the
+        // mirrored revision is the next one. Revisions that peers sent earlier
+        // are skipped.
         if to <= from {
             return;
         }
@@ -378,7 +388,7 @@
         let jitter = self.rng.random_range(0.5..1.0);
         self.relay.failures = (self.relay.failures + 1).min(8);
         self.relay.stage = Stage::Waiting;
-        self.wait_for_store(now, backoff.min(BACKOFF_MAX).mul_f64(jitter));
+        self.set_store_timer(now, backoff.min(BACKOFF_MAX).mul_f64(jitter));
     }
 
     fn on_store_back(&mut self) {
--- a/crates/wire/src/previous.rs
+++ b/crates/wire/src/previous.rs
@@ -1,7 +1,9 @@
-//! Format 1, kept so that versions can be mixed while the fleet is upgraded.
+//! Format 1, supported so that instances of two versions can run together
+//! during an upgrade.
 //!
-//! Its revisions have no epoch and it has no evidence. Epochs are raised only
-//! after the whole fleet was upgraded, so a view with one is not written in it.
+//! Revisions in format 1 have no epoch, and there is no evidence. Operators
+//! raise the epoch only after all instances were upgraded, so a revision with
+//! an epoch is never written in format 1.
 
 use std::net::SocketAddr;
 
@@ -51,41 +53,42 @@
 }
 
 pub(crate) fn encode(message: &Message, buf: Vec<u8>) -> Result<Vec<u8>, Error> {
-    let old = lower(message)?;
+    let old = downgrade(message)?;
     postcard::to_extend(&old, buf).map_err(|_| Error::Malformed)
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Message, Error> {
-    frame::whole(bytes).map(raise)
+    frame::decode_all(bytes).map(upgrade)
 }
 
-fn lower(message: &Message) -> Result<OldMessage, Error> {
+fn downgrade(message: &Message) -> Result<OldMessage, Error> {
     Ok(match message.clone() {
         Message::Ping {
             probe,
             view,
             updates,
-        } => OldMessage::Ping(probe, lower_view(view)?, updates),
+        } => OldMessage::Ping(probe, downgrade_view(view)?, updates),
         Message::Ack {
             probe,
             view,
             updates,
-        } => OldMessage::Ack(probe, lower_view(view)?, updates),
+        } => OldMessage::Ack(probe, downgrade_view(view)?, updates),
         Message::Probe { probe, target } => OldMessage::Probe(probe, target),
         Message::Rumour {
             view,
             delta,
             updates,
         } => {
-            let delta = delta.map(lower_delta).transpose()?;
-            OldMessage::Rumour(lower_view(view)?, delta, updates)
+            let delta = delta.map(downgrade_delta).transpose()?;
+            OldMessage::Rumour(downgrade_view(view)?, delta, updates)
         }
         Message::Buckets(sums) => OldMessage::Buckets(sums),
         Message::Evidence(_) => return Err(Error::NotInFormat),
         Message::Pull(revision) => OldMessage::Pull(number(revision)?),
-        Message::Part(part) => OldMessage::Part(lower_part(part)?),
+        Message::Part(part) => OldMessage::Part(downgrade_part(part)?),
         Message::Busy => OldMessage::Busy,
-        // Without fingerprints, all members of the buckets are answered.
+        // Format 1 has no fingerprints, so the answer contains all members of
+        // the buckets.
         Message::Members { buckets, .. } => OldMessage::Members(buckets),
         Message::Table(records) => OldMessage::Table(records),
         Message::Forward {
@@ -101,21 +104,21 @@
     })
 }
 
-fn raise(old: OldMessage) -> Message {
+fn upgrade(old: OldMessage) -> Message {
     match old {
         OldMessage::Ping(probe, view, updates) => Message::Ping {
             probe,
-            view: raise_view(view),
+            view: upgrade_view(view),
             updates,
         },
         OldMessage::Ack(probe, view, updates) => Message::Ack {
             probe,
-            view: raise_view(view),
+            view: upgrade_view(view),
             updates,
         },
         OldMessage::Probe(probe, target) => Message::Probe { probe, target },
         OldMessage::Rumour(view, delta, updates) => Message::Rumour {
-            view: raise_view(view),
+            view: upgrade_view(view),
             delta: delta.map(|delta| Delta {
                 from: revision(delta.from),
                 changes: delta.changes,
@@ -162,7 +165,7 @@
     Revision { epoch: 0, number }
 }
 
-fn lower_view(view: View) -> Result<OldView, Error> {
+fn downgrade_view(view: View) -> Result<OldView, Error> {
     Ok(OldView {
         revision: number(view.revision)?,
         digest: view.digest,
@@ -171,7 +174,7 @@
     })
 }
 
-fn raise_view(view: OldView) -> View {
+fn upgrade_view(view: OldView) -> View {
     View {
         revision: revision(view.revision),
         digest: view.digest,
@@ -180,14 +183,14 @@
     }
 }
 
-fn lower_delta(delta: Delta) -> Result<OldDelta, Error> {
+fn downgrade_delta(delta: Delta) -> Result<OldDelta, Error> {
     Ok(OldDelta {
         from: number(delta.from)?,
         changes: delta.changes,
     })
 }
 
-fn lower_part(part: Part) -> Result<OldPart, Error> {
+fn downgrade_part(part: Part) -> Result<OldPart, Error> {
     Ok(OldPart {
         from: part.from.map(number).transpose()?,
         to: number(part.to)?,
--- a/crates/wire/tests/arbitrary.rs
+++ b/crates/wire/tests/arbitrary.rs
@@ -1,4 +1,5 @@
-//! Arbitrary bytes neither panic nor make the decoder allocate without bound.
+//! Arbitrary bytes neither cause a panic nor make the decoder allocate without
+//! bound.
 
 use std::{alloc::System, net::SocketAddr};
 
@@ -9,10 +10,11 @@
 #[global_allocator]
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
 
-/// What serde may set aside ahead of a list's elements, whatever its length says.
-const AHEAD_MAX: usize = 1024 * 1024;
-/// How much larger than its bytes a decoded element is at most.
-const GROWTH_MAX: usize = 256;
+/// Maximum bytes that serde preallocates for a list, whatever length the input
+/// claims.
+const PREALLOCATION_MAX: usize = 1024 * 1024;
+/// Maximum ratio of a decoded element's size to its encoded size.
+const EXPANSION_MAX: usize = 256;
 
 fn ring() -> Ring {
     Ring::parse("1:00112233445566778899aabbccddeeff").unwrap()
@@ -26,7 +28,7 @@
     Endpoint::open(Node([1; 8]), 1, address(), ring())
 }
 
-/// Seals bytes of the test's choice as a holder of the key could.
+/// Seals an arbitrary body with the valid key.
 fn sealed(format: Format, body: &[u8]) -> Vec<u8> {
     use hmac::{Hmac, Mac};
 
@@ -78,7 +80,7 @@
             body.insert(0, kind);
             let frame = sealed(format, &body);
             let before = HEAP.allocated();
-            let most = before + AHEAD_MAX + GROWTH_MAX * frame.len();
+            let most = before + PREALLOCATION_MAX + EXPANSION_MAX * frame.len();
             HEAP.set_limit(most).unwrap();
             let result = endpoint().receive(address(), &frame);
             HEAP.set_limit(usize::MAX).unwrap();
@@ -89,17 +91,18 @@
         })
         .unwrap();
 
-    // A list that claims four billion elements.
+    // A list whose length claims four billion elements.
     let mut body = vec![4];
     body.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0x0f]);
     let frame = sealed(Format::Newest, &body);
-    HEAP.set_limit(HEAP.allocated() + AHEAD_MAX + GROWTH_MAX * frame.len())
+    HEAP.set_limit(HEAP.allocated() + PREALLOCATION_MAX + EXPANSION_MAX * frame.len())
         .unwrap();
     let result = endpoint().receive(address(), &frame);
     HEAP.set_limit(usize::MAX).unwrap();
     assert_eq!(result, Err(Error::Malformed));
 
-    // The test's own seal is right, or all of the above would prove nothing.
+    // Checks that `sealed` makes valid tags; otherwise the cases above would
+    // not reach the decoder.
     let ping = Message::Ping {
         probe: 3,
         view: View::default(),
