--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -7,7 +7,7 @@
     Stream,
     serve::{End, Session, send},
 };
-use crate::job::{self, Ask, Part};
+use crate::job::{self, Command, Part};
 
 /// The message that says that a transaction was committed.
 const COMMITTED: &[u8] = b"C\0\0\0\x0bCOMMIT\0";
@@ -34,11 +34,11 @@
                 if show == Show::Caller {
                     send(io, &bytes).await?;
                 }
-                let taken = Ask::Taken {
+                let taken = Command::Taken {
                     caller: session.caller,
                     seq: session.seq,
                 };
-                session.shared.asks.send(taken).await;
+                session.shared.commands.send(taken).await;
             }
             Part::End(end) => return finish(session, io, *end, show).await,
         }
--- a/crates/daemon/src/callers/greet.rs
+++ b/crates/daemon/src/callers/greet.rs
@@ -26,7 +26,7 @@
 };
 use crate::{
     duty::Phase,
-    job::{Ask, Scope},
+    job::{Command, Scope},
     tls::Tls,
 };
 
@@ -350,7 +350,7 @@
             .map(|(id, entry)| (*id, entry.seq))
     };
     if let Some((caller, seq)) = seq {
-        shared.asks.send(Ask::Cancel { caller, seq }).await;
+        shared.commands.send(Command::Cancel { caller, seq }).await;
     }
 }
 
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -33,9 +33,9 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    board::{self, Asked},
     duty::{self, Phase, Watch},
-    job::{self, Ask, Caller, Part, Reply},
+    introspect::{self, Requests},
+    job::{self, Caller, Command, Part, Reply},
     meter::Meters,
     ring,
     tls::Tls,
@@ -60,7 +60,7 @@
     /// What session tokens are signed with.
     pub(crate) keys: Keys,
     /// To the upstreams' duty.
-    pub(crate) asks: ring::Sender<Ask>,
+    pub(crate) commands: ring::Sender<Command>,
     /// From the upstreams' duty.
     pub(crate) replies: ring::Receiver<Reply>,
     /// Changes of the catalogue.
@@ -70,7 +70,7 @@
     /// Told once callers find a catalogue in force.
     pub(crate) serving: Arc<AtomicBool>,
     /// What operators ask.
-    pub(crate) asked: Asked<board::Callers>,
+    pub(crate) inquiries: Requests<introspect::Callers>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
     /// How many callers may be connected at once.
@@ -96,7 +96,7 @@
 struct Shared {
     clock: Clock,
     keys: Keys,
-    asks: ring::Shared<Ask>,
+    commands: ring::Shared<Command>,
     catalog: RefCell<Arc<Snapshot>>,
     callers: RefCell<HashMap<Caller, Entry>>,
     made: RefCell<u64>,
@@ -115,7 +115,7 @@
     let shared = Rc::new(Shared {
         clock: conf.clock,
         keys: conf.keys,
-        asks: ring::Shared::new(conf.asks),
+        commands: ring::Shared::new(conf.commands),
         catalog: RefCell::default(),
         callers: RefCell::default(),
         made: RefCell::new(0),
@@ -128,16 +128,16 @@
         logins: Cell::new(0),
     });
     ntex::rt::spawn(deliver(Rc::clone(&shared), conf.replies));
-    ntex::rt::spawn(view::serve(Rc::clone(&shared), conf.asked));
+    ntex::rt::spawn(view::serve(Rc::clone(&shared), conf.inquiries));
     ntex::rt::spawn(follow(Rc::clone(&shared), conf.catalogs));
     let mut watch = conf.watch;
     tokio::select! {
         () = accept(&shared, conf.listener) => {}
-        () = duty::reached(&mut watch, Phase::Drain) => {}
+        () = duty::wait_for(&mut watch, Phase::Drain) => {}
     }
     tokio::select! {
         () = empty(&shared) => {}
-        () = duty::reached(&mut watch, Phase::Stop) => {}
+        () = duty::wait_for(&mut watch, Phase::Stop) => {}
     }
 }
 
@@ -191,7 +191,7 @@
     while let Some(snapshot) = catalogs.recv().await {
         *shared.catalog.borrow_mut() = Arc::clone(&snapshot);
         let serves = snapshot.head.is_some();
-        shared.asks.send(Ask::Catalog(snapshot)).await;
+        shared.commands.send(Command::Catalog(snapshot)).await;
         shared.serving.store(serves, Ordering::Release);
     }
 }
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -20,7 +20,7 @@
 };
 use crate::{
     duty::{self, Phase},
-    job::{Ask, Batch, Caller, Change, Part, Scope, Settings, Statement},
+    job::{Batch, Caller, Change, Command, Part, Scope, Settings, Statement},
     meter::Meter,
 };
 
@@ -307,7 +307,7 @@
         let _ = io.encode_slice(&buf);
         let _ = io.shutdown().await;
         self.shared.callers.borrow_mut().remove(&self.caller);
-        self.shared.asks.send(Ask::Leave(self.caller)).await;
+        self.shared.commands.send(Command::Leave(self.caller)).await;
     }
 
     async fn serve(&mut self, io: &Stream) -> Result<(), End> {
@@ -386,7 +386,7 @@
         let frame = tokio::select! {
             biased;
             frame = io.recv(&Codec) => frame,
-            () = duty::reached(&mut watch, phase) => return Err(End::Stopping),
+            () = duty::wait_for(&mut watch, phase) => return Err(End::Stopping),
         };
         match frame {
             Ok(Some(frame)) => {
--- a/crates/daemon/src/callers/serve/submit.rs
+++ b/crates/daemon/src/callers/serve/submit.rs
@@ -14,7 +14,7 @@
         batch::{Draft, Fault, Whole},
         local,
     },
-    job::{Ask, Batch, Closes, Job, Scope, Step, Tagged},
+    job::{Batch, Closes, Command, Job, Scope, Step, Tagged},
     ring::Full,
 };
 
@@ -95,7 +95,7 @@
     /// Refuses a request that never left the instance.
     pub(super) async fn not_run(&mut self, io: &Stream, cause: Cause) -> Result<(), End> {
         let outcome = Outcome::NotRun(cause);
-        self.meter.ended(outcome, Duration::ZERO);
+        self.meter.note_ended(outcome, Duration::ZERO);
         answer::not_run(self, io, outcome).await
     }
 
@@ -159,7 +159,7 @@
             deadline: began + self.scope.deadline,
             request: tagged,
         };
-        let result = match self.shared.asks.push(Ask::Run(Box::new(job))) {
+        let result = match self.shared.commands.push(Command::Run(Box::new(job))) {
             Ok(()) => answer::pass(self, io, show).await,
             Err(Full(_)) => {
                 metrics::counter!("dandelionlink_ring_full_total", "ring" => "asks").increment(1);
--- a/crates/daemon/src/callers/view.rs
+++ b/crates/daemon/src/callers/view.rs
@@ -14,7 +14,7 @@
 
 use super::Shared;
 use crate::{
-    board::{self, Asked, millis},
+    introspect::{self, Requests, millis},
     job::{Caller, Scope},
 };
 
@@ -94,7 +94,7 @@
 }
 
 /// Answers operators until the daemon stops.
-pub(super) async fn serve(shared: Rc<Shared>, mut asked: Asked<board::Callers>) {
+pub(super) async fn serve(shared: Rc<Shared>, mut asked: Requests<introspect::Callers>) {
     while let Some(answer) = asked.recv().await {
         let _ = answer.send(callers(&shared));
     }
@@ -102,7 +102,7 @@
 
 /// All callers counted, and those shown that have been at work the longest:
 /// first those that hold something, then the idle ones.
-fn callers(shared: &Shared) -> board::Callers {
+fn callers(shared: &Shared) -> introspect::Callers {
     let now = shared.clock.now();
     let callers = shared.callers.borrow();
     let mut faces: Vec<(Caller, &Face)> = callers.iter().map(|(id, it)| (*id, &*it.face)).collect();
@@ -117,7 +117,7 @@
     }
     faces.sort_by_key(|(_, face)| rank(face));
     let shown = faces.iter().map(|(id, face)| (*id, face.view(now)));
-    board::Callers {
+    introspect::Callers {
         total: callers.len() as u64,
         sessions: shown.collect(),
     }
--- a/crates/daemon/src/control/duty.rs
+++ b/crates/daemon/src/control/duty.rs
@@ -10,10 +10,10 @@
 
 use super::{Answer, Order, pace};
 use crate::{
-    board::{Asked, Lead},
     duty::{self, Phase, Watch},
-    peers::{Say, Word},
-    platform::{self, Told},
+    introspect::{Primary, Requests},
+    peers::{Command, Update},
+    platform::{self, RecordResponse},
     ring,
 };
 
@@ -31,15 +31,15 @@
     /// From the upstreams' duty.
     pub(crate) answers: ring::Receiver<Answer>,
     /// To the store's duty.
-    pub(crate) asks: ring::Sender<platform::Ask>,
+    pub(crate) store_requests: ring::Sender<platform::RecordRequest>,
     /// From the store's duty.
-    pub(crate) told: ring::Receiver<Told>,
+    pub(crate) store_responses: ring::Receiver<RecordResponse>,
     /// To the peers' duty.
-    pub(crate) says: ring::Sender<Say>,
+    pub(crate) peer_commands: ring::Sender<Command>,
     /// From the peers' duty.
-    pub(crate) words: ring::Receiver<Word>,
+    pub(crate) peer_updates: ring::Receiver<Update>,
     /// What operators ask.
-    pub(crate) asked: Asked<Vec<Lead>>,
+    pub(crate) inquiries: Requests<Vec<Primary>>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
     /// Where the attempts' numbers begin.
@@ -53,8 +53,8 @@
     zone: name::Zone,
     seed: u64,
     orders: ring::Sender<Order>,
-    asks: ring::Sender<platform::Ask>,
-    says: ring::Sender<Say>,
+    store_requests: ring::Sender<platform::RecordRequest>,
+    peer_commands: ring::Sender<Command>,
     members: BTreeMap<name::Instance, name::Zone>,
     groups: BTreeMap<name::Database, Slot>,
 }
@@ -75,19 +75,19 @@
         zone: conf.zone,
         seed: conf.seed,
         orders: conf.orders,
-        asks: conf.asks,
-        says: conf.says,
+        store_requests: conf.store_requests,
+        peer_commands: conf.peer_commands,
         members: BTreeMap::new(),
         groups: BTreeMap::new(),
     };
     loop {
         let pause = control.pause();
         tokio::select! {
-            () = duty::reached(&mut conf.watch, Phase::Stop) => return,
+            () = duty::wait_for(&mut conf.watch, Phase::Stop) => return,
             Some(answer) = conf.answers.recv() => control.answer(answer),
-            Some(told) = conf.told.recv() => control.told(told),
-            Some(word) = conf.words.recv() => control.word(word),
-            Some(answer) = conf.asked.recv() => drop(answer.send(control.leads())),
+            Some(response) = conf.store_responses.recv() => control.store_response(response),
+            Some(update) = conf.peer_updates.recv() => control.update(update),
+            Some(answer) = conf.inquiries.recv() => drop(answer.send(control.leads())),
             () = sleep(pause) => control.tick(),
         }
     }
@@ -95,11 +95,11 @@
 
 impl Control {
     /// What operators see of the databases.
-    fn leads(&self) -> Vec<Lead> {
+    fn leads(&self) -> Vec<Primary> {
         let lead = |(database, slot): (&name::Database, &Slot)| {
             let term = slot.group.term().unwrap_or_default();
             let lead = slot.group.primary().filter(|lead| lead.term == term);
-            Lead {
+            Primary {
                 database: database.clone(),
                 term,
                 upstream: lead.map(|it| it.upstream.clone()),
@@ -144,16 +144,16 @@
         );
     }
 
-    fn told(&mut self, told: Told) {
-        match told {
-            Told::Read {
+    fn store_response(&mut self, response: RecordResponse) {
+        match response {
+            RecordResponse::Read {
                 database,
                 call,
                 result,
             } => {
                 self.step(&database, Event::Read { call, result });
             }
-            Told::Swapped {
+            RecordResponse::Swapped {
                 database,
                 call,
                 result,
@@ -163,12 +163,12 @@
         }
     }
 
-    fn word(&mut self, word: Word) {
-        match word {
-            Word::Members(members) => self.set_members(members),
-            Word::Catalog(snapshot) => self.follow(&snapshot),
-            Word::Seen { database, entry } => self.step(&database, Event::Watched(entry)),
-            Word::Heard {
+    fn update(&mut self, update: Update) {
+        match update {
+            Update::Members(members) => self.set_members(members),
+            Update::Catalog(snapshot) => self.follow(&snapshot),
+            Update::Primary { database, entry } => self.step(&database, Event::Watched(entry)),
+            Update::Evidence {
                 from,
                 zone,
                 evidence,
@@ -256,20 +256,20 @@
                 upstream,
                 order,
             } => {
-                self.order(Order::Carry {
+                self.order(Order::Execute {
                     database,
                     call,
                     upstream,
                     order,
                 });
             }
-            Action::Read { call } => self.ask(platform::Ask::Read { database, call }),
+            Action::Read { call } => self.ask(platform::RecordRequest::Read { database, call }),
             Action::Swap {
                 call,
                 expected,
                 record,
             } => {
-                self.ask(platform::Ask::Swap {
+                self.ask(platform::RecordRequest::Swap {
                     database,
                     call,
                     expected,
@@ -277,7 +277,7 @@
                 });
             }
             Action::Announce(entry) => {
-                self.order(Order::Lead {
+                self.order(Order::SetPrimary {
                     database,
                     record: entry.record,
                 });
@@ -289,7 +289,11 @@
             }
             // Evidence may be lost, and is told again.
             Action::SendEvidence { to, evidence } => {
-                if self.says.push(Say::Tell { to, evidence }).is_err() {
+                if self
+                    .peer_commands
+                    .push(Command::SendEvidence { to, evidence })
+                    .is_err()
+                {
                     ring_full("says");
                 }
             }
@@ -304,8 +308,8 @@
         }
     }
 
-    fn ask(&mut self, ask: platform::Ask) {
-        if self.asks.push(ask).is_err() {
+    fn ask(&mut self, ask: platform::RecordRequest) {
+        if self.store_requests.push(ask).is_err() {
             ring_full("store");
         }
     }
@@ -336,7 +340,7 @@
             fork: lead.fork,
             attempt: 0,
         };
-        let order = Order::Lead {
+        let order = Order::SetPrimary {
             database: database.clone(),
             record,
         };
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -15,7 +15,7 @@
         upstream: name::Upstream,
     },
     /// Send an upstream an order.
-    Carry {
+    Execute {
         /// The database.
         database: name::Database,
         /// To answer with.
@@ -26,7 +26,7 @@
         order: failover::Order,
     },
     /// Somebody leads, as the store or an announcement has it.
-    Lead {
+    SetPrimary {
         /// The database.
         database: name::Database,
         /// Who, and in which term.
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -37,7 +37,7 @@
 /// The other duties would go on: the instance looks dead to others or serves
 /// nobody, takes callers all the same, and nobody starts it anew. So the daemon's
 /// process leaves.
-pub fn on_fault(act: fn(&'static str)) {
+pub fn on_panic(act: fn(&'static str)) {
     let _ = FAULT.set(act);
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Waits until the daemon is in `phase` or a later one.
-pub async fn reached(watch: &mut Watch, phase: Phase) {
+pub async fn wait_for(watch: &mut Watch, phase: Phase) {
     // An error means that the daemon's handle is gone, which is an end as well.
     let _ = watch.wait_for(|now| *now >= phase).await;
 }
--- a/crates/daemon/src/board.rs
+++ b/crates/daemon/src/introspect.rs
@@ -20,18 +20,18 @@
 
 /// Where one duty is asked for its part.
 #[derive(Debug)]
-pub(crate) struct Desk<T>(mpsc::Sender<oneshot::Sender<T>>);
+pub(crate) struct Requester<T>(mpsc::Sender<oneshot::Sender<T>>);
 
 /// The questions, as the duty takes them.
-pub(crate) type Asked<T> = mpsc::Receiver<oneshot::Sender<T>>;
+pub(crate) type Requests<T> = mpsc::Receiver<oneshot::Sender<T>>;
 
 /// Makes the two ends.
-pub(crate) fn desk<T>() -> (Desk<T>, Asked<T>) {
+pub(crate) fn channel<T>() -> (Requester<T>, Requests<T>) {
     let (ask, asked) = mpsc::channel(WAITING);
-    (Desk(ask), asked)
+    (Requester(ask), asked)
 }
 
-impl<T> Desk<T> {
+impl<T> Requester<T> {
     /// Asks for the part; `None` when the duty does not answer in time.
     pub(crate) async fn ask(&self) -> Option<T> {
         let (answer, answered) = oneshot::channel();
@@ -55,7 +55,7 @@
 
 /// What the control duty shows of one database.
 #[derive(Debug)]
-pub(crate) struct Lead {
+pub(crate) struct Primary {
     /// The database.
     pub(crate) database: name::Database,
     /// The latest term known.
@@ -97,7 +97,7 @@
 
 /// Where all duties are asked, and what is known without asking.
 #[derive(Debug)]
-pub(crate) struct Board {
+pub(crate) struct Introspection {
     /// This instance.
     pub(crate) instance: name::Instance,
     /// Its availability zone.
@@ -105,58 +105,58 @@
     /// Whether callers find a catalogue in force.
     pub(crate) serving: Arc<AtomicBool>,
     /// The peers' duty.
-    pub(crate) fleet: Desk<Fleet>,
+    pub(crate) fleet: Requester<Fleet>,
     /// The control duty.
-    pub(crate) leads: Desk<Vec<Lead>>,
+    pub(crate) primaries: Requester<Vec<Primary>>,
     /// The upstreams' duty.
-    pub(crate) groups: Desk<Groups>,
+    pub(crate) groups: Requester<Groups>,
     /// The callers' duty.
-    pub(crate) callers: Desk<Callers>,
+    pub(crate) callers: Requester<Callers>,
     /// The store's duty.
-    pub(crate) store: Desk<view::Store>,
+    pub(crate) store: Requester<view::Store>,
 }
 
 /// The other ends of a board, one for each duty.
 #[derive(Debug)]
-pub(crate) struct Ends {
+pub(crate) struct Receivers {
     /// Of the peers' duty.
-    pub(crate) fleet: Asked<Fleet>,
+    pub(crate) fleet: Requests<Fleet>,
     /// Of the control duty.
-    pub(crate) leads: Asked<Vec<Lead>>,
+    pub(crate) primaries: Requests<Vec<Primary>>,
     /// Of the upstreams' duty.
-    pub(crate) groups: Asked<Groups>,
+    pub(crate) groups: Requests<Groups>,
     /// Of the callers' duty.
-    pub(crate) callers: Asked<Callers>,
+    pub(crate) callers: Requests<Callers>,
     /// Of the store's duty.
-    pub(crate) store: Asked<view::Store>,
+    pub(crate) store: Requests<view::Store>,
 }
 
-impl Board {
+impl Introspection {
     /// Makes the board of an instance, and the duties' ends of it.
-    pub(crate) fn open(instance: &name::Instance, zone: &name::Zone) -> (Self, Ends) {
-        let (fleet, fleet_end) = desk();
-        let (leads, leads_end) = desk();
-        let (groups, groups_end) = desk();
-        let (callers, callers_end) = desk();
-        let (store, store_end) = desk();
-        let board = Self {
+    pub(crate) fn open(instance: &name::Instance, zone: &name::Zone) -> (Self, Receivers) {
+        let (fleet, fleet_end) = channel();
+        let (primaries, primaries_end) = channel();
+        let (groups, groups_end) = channel();
+        let (callers, callers_end) = channel();
+        let (store, store_end) = channel();
+        let introspection = Self {
             instance: instance.clone(),
             zone: zone.clone(),
             serving: Arc::default(),
             fleet,
-            leads,
+            primaries,
             groups,
             callers,
             store,
         };
-        let ends = Ends {
+        let receivers = Receivers {
             fleet: fleet_end,
-            leads: leads_end,
+            primaries: primaries_end,
             groups: groups_end,
             callers: callers_end,
             store: store_end,
         };
-        (board, ends)
+        (introspection, receivers)
     }
 }
 
--- a/crates/daemon/src/job.rs
+++ b/crates/daemon/src/job.rs
@@ -257,7 +257,7 @@
 
 /// What the callers' duty sends.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum Command {
     /// Run this.
     Run(Box<Job>),
     /// The caller is gone: end its transaction, if it has one.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -4,11 +4,11 @@
 //! decisions are in crates of their own (`route`, `session`, `failover`,
 //! `pool`); here they are wired to sockets and to the clock.
 
-mod board;
 mod callers;
 mod control;
 pub mod duty;
 mod forward;
+mod introspect;
 mod job;
 mod meter;
 mod ops;
@@ -26,9 +26,9 @@
     time::{Duration, SystemTime},
 };
 
-use board::Board;
 use clock::Clock;
 use duty::{Duty, Phase};
+use introspect::Introspection;
 use ring::ring;
 use tokio::sync::watch;
 
@@ -69,33 +69,33 @@
         let (peers, socket) = bind_both(settings.peers)?;
         let peers_address = peers::reachable(settings.peers, peers.local_addr()?);
 
-        let (asks_tx, asks) = ring(RING);
+        let (commands_tx, commands) = ring(RING);
         let (replies_tx, replies) = ring(RING);
         let (catalogs_tx, catalogs) = ring(CATALOGS);
         let (orders_tx, orders) = ring(RING);
         let (answers_tx, answers) = ring(RING);
-        let (store_asks_tx, store_asks) = ring(RING);
-        let (told_tx, told) = ring(RING);
-        let (says_tx, says) = ring(RING);
-        let (words_tx, words) = ring(RING);
-        let (calls_tx, calls) = ring(RING);
+        let (store_requests_tx, store_requests) = ring(RING);
+        let (store_responses_tx, store_responses) = ring(RING);
+        let (peer_commands_tx, peer_commands) = ring(RING);
+        let (peer_updates_tx, peer_updates) = ring(RING);
+        let (store_calls_tx, store_calls) = ring(RING);
         let (outs_tx, outs) = ring(RING);
         let (ins_tx, ins) = ring(RING);
-        let (fleet_answers_tx, fleet_answers) = ring(RING);
+        let (store_answers_tx, store_answers) = ring(RING);
 
         let meters = meter::Meters::default();
-        let (board, ends) = Board::open(&settings.instance, &settings.zone);
+        let (introspection, receivers) = Introspection::open(&settings.instance, &settings.zone);
 
         let callers_conf = callers::Conf {
             listener: callers,
             clock,
             keys: settings.session_keys.clone(),
-            asks: asks_tx,
+            commands: commands_tx,
             replies,
             catalogs,
             meters: meters.clone(),
-            serving: Arc::clone(&board.serving),
-            asked: ends.callers,
+            serving: Arc::clone(&introspection.serving),
+            inquiries: receivers.callers,
             watch: watch.clone(),
             limit: settings.callers,
             mock: settings.mock,
@@ -108,12 +108,12 @@
             login: settings.login.clone(),
             outs: outs_tx,
             ins,
-            asks,
+            commands,
             replies: replies_tx,
             orders,
             answers: answers_tx,
             meters,
-            asked: ends.groups,
+            inquiries: receivers.groups,
             watch: watch.clone(),
             seed: settings.seed,
         };
@@ -123,22 +123,22 @@
             zone: settings.zone.clone(),
             orders: orders_tx,
             answers,
-            asks: store_asks_tx,
-            told,
-            says: says_tx,
-            words,
-            asked: ends.leads,
+            store_requests: store_requests_tx,
+            store_responses,
+            peer_commands: peer_commands_tx,
+            peer_updates,
+            inquiries: receivers.primaries,
             watch: watch.clone(),
             seed: settings.seed,
         };
         let store_conf = platform::Conf {
             endpoint: settings.store,
             clock,
-            asks: store_asks,
-            told: told_tx,
-            calls,
-            answers: fleet_answers_tx,
-            asked: ends.store,
+            requests: store_requests,
+            responses: store_responses_tx,
+            calls: store_calls,
+            answers: store_answers_tx,
+            inquiries: receivers.store,
             watch: watch.clone(),
         };
         let peers_conf = peers::Conf {
@@ -147,19 +147,19 @@
             listener: peers,
             ring: settings.peer_keys.clone(),
             clock,
-            says,
-            words: words_tx,
+            commands: peer_commands,
+            updates: peer_updates_tx,
             catalogs: catalogs_tx,
             outs,
             ins: ins_tx,
-            asks: calls_tx,
-            answers: fleet_answers,
-            asked: ends.fleet,
+            store_calls: store_calls_tx,
+            store_answers,
+            inquiries: receivers.fleet,
             watch: watch.clone(),
         };
         let ops_conf = ops::Conf {
             listener: ops,
-            board,
+            introspection,
             watch,
         };
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -48,7 +48,7 @@
         })
         .apply();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    duty::on_fault(leave);
+    duty::on_panic(leave);
     let daemon = Daemon::spawn(settings)?;
     log::info!(
         duty = "daemon";
--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -99,7 +99,7 @@
     }
 
     /// A request ended after `took`.
-    pub(crate) fn ended(&self, outcome: Outcome, took: Duration) {
+    pub(crate) fn note_ended(&self, outcome: Outcome, took: Duration) {
         self.latency.record(took.as_secs_f64());
         let end = &self.ends[place(outcome)];
         end.get_or_init(|| self.end(outcome)).increment(1);
@@ -121,12 +121,12 @@
     }
 
     /// A request waited this long for a connection and got one.
-    pub(crate) fn queued(&self, waited: Duration) {
+    pub(crate) fn note_queued(&self, waited: Duration) {
         self.queue.record(waited.as_secs_f64());
     }
 
     /// A read was answered.
-    pub(crate) fn read(&self, server: Server) {
+    pub(crate) fn note_read(&self, server: Server) {
         match server {
             Server::Replica(lag) => {
                 self.replica_reads.increment(1);
@@ -139,12 +139,12 @@
     }
 
     /// An answer was not passed on, since it was too old for its reader.
-    pub(crate) fn discarded(&self) {
+    pub(crate) fn note_discarded(&self) {
         self.discarded.increment(1);
     }
 
     /// A request is tried once more.
-    pub(crate) fn retried(&self) {
+    pub(crate) fn note_retried(&self) {
         self.retries.increment(1);
     }
 
--- a/crates/daemon/src/ops/gauge.rs
+++ b/crates/daemon/src/ops/gauge.rs
@@ -6,7 +6,7 @@
 use view::{Breaker, Pool, Upstream};
 
 use crate::{
-    board::{Board, Group},
+    introspect::{Group, Introspection},
     meter::OTHER,
 };
 
@@ -75,8 +75,8 @@
 
 /// Asks the duties, and returns what is to be told of them. A duty that does
 /// not answer leaves its gauges as they were.
-pub(super) async fn ask(board: &Board) -> Vec<Group> {
-    let (groups, callers) = tokio::join!(board.groups.ask(), board.callers.ask());
+pub(super) async fn ask(introspection: &Introspection) -> Vec<Group> {
+    let (groups, callers) = tokio::join!(introspection.groups.ask(), introspection.callers.ask());
     if let Some(callers) = callers {
         gauge!("dandelionlink_callers").set(callers.total as f64);
     }
--- a/crates/daemon/src/ops/gauge/tests.rs
+++ b/crates/daemon/src/ops/gauge/tests.rs
@@ -2,7 +2,7 @@
 use view::{Link, Upstream};
 
 use super::{Gauges, UPSTREAMS};
-use crate::board::Group;
+use crate::introspect::Group;
 
 /// A group of the upstreams with these numbers.
 fn group(numbers: std::ops::Range<usize>) -> Group {
--- a/crates/daemon/src/ops/mod.rs
+++ b/crates/daemon/src/ops/mod.rs
@@ -17,8 +17,8 @@
 use serde::Serialize;
 
 use crate::{
-    board::Board,
     duty::{self, Phase, Watch},
+    introspect::Introspection,
 };
 
 use gauge::Gauges;
@@ -59,14 +59,14 @@
     /// Where operators connect.
     pub(crate) listener: TcpListener,
     /// Where the other duties are asked for what they know.
-    pub(crate) board: Board,
+    pub(crate) introspection: Introspection,
     /// The daemon's phase.
     pub(crate) watch: Watch,
 }
 
 /// What the pages share.
 struct Shared {
-    board: Board,
+    introspection: Introspection,
     gauges: Mutex<Gauges>,
     watch: Watch,
 }
@@ -76,7 +76,7 @@
 /// Runs the duty until the daemon stops.
 pub(crate) async fn run(conf: Conf) {
     let shared = Arc::new(Shared {
-        board: conf.board,
+        introspection: conf.introspection,
         gauges: Mutex::default(),
         watch: conf.watch.clone(),
     });
@@ -99,7 +99,7 @@
     let mut phase = conf.watch;
     tokio::select! {
         () = fold() => {}
-        () = duty::reached(&mut phase, Phase::Stop) => {}
+        () = duty::wait_for(&mut phase, Phase::Stop) => {}
     }
     drop(server.stop(false));
 }
@@ -121,7 +121,7 @@
     let Some(handle) = recorder() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    let groups = gauge::ask(&shared.board).await;
+    let groups = gauge::ask(&shared.introspection).await;
     let gauges = shared.gauges.lock();
     gauges.unwrap_or_else(PoisonError::into_inner).tell(&groups);
     HttpResponse::Ok()
@@ -142,7 +142,7 @@
     if *shared.watch.borrow() > Phase::Run {
         return HttpResponse::ServiceUnavailable().body("stopping\n");
     }
-    if !shared.board.serving.load(Ordering::Acquire) {
+    if !shared.introspection.serving.load(Ordering::Acquire) {
         return HttpResponse::ServiceUnavailable().body("no catalogue yet\n");
     }
     HttpResponse::Ok().body("ready\n")
@@ -150,15 +150,15 @@
 
 async fn status(shared: State) -> HttpResponse {
     let phase = *shared.watch.borrow();
-    HttpResponse::Ok().json(&page::status(&shared.board, phase).await)
+    HttpResponse::Ok().json(&page::status(&shared.introspection, phase).await)
 }
 
 async fn upstreams(shared: State) -> HttpResponse {
-    shown(page::upstreams(&shared.board).await.as_ref())
+    shown(page::upstreams(&shared.introspection).await.as_ref())
 }
 
 async fn sessions(shared: State) -> HttpResponse {
-    shown(page::sessions(&shared.board).await.as_ref())
+    shown(page::sessions(&shared.introspection).await.as_ref())
 }
 
 fn shown<T: Serialize>(view: Option<&T>) -> HttpResponse {
--- a/crates/daemon/src/ops/page.rs
+++ b/crates/daemon/src/ops/page.rs
@@ -5,17 +5,17 @@
 use view::{Doubt, Duty, Phase, Primary, Sessions, Status, Store, Upstreams};
 
 use crate::{
-    board::{Board, Fleet, Group, Groups, Lead, or_doubt},
     duty,
+    introspect::{self, Fleet, Group, Groups, Introspection, or_doubt},
 };
 
 /// What `/status` shows.
-pub(super) async fn status(board: &Board, phase: duty::Phase) -> Status {
+pub(super) async fn status(introspection: &Introspection, phase: duty::Phase) -> Status {
     let (fleet, leads, groups, store) = tokio::join!(
-        board.fleet.ask(),
-        board.leads.ask(),
-        board.groups.ask(),
-        board.store.ask(),
+        introspection.fleet.ask(),
+        introspection.primaries.ask(),
+        introspection.groups.ask(),
+        introspection.store.ask(),
     );
     let mut doubts = Vec::new();
     if phase > duty::Phase::Run {
@@ -40,8 +40,8 @@
     doubts.extend(primaries.iter().filter_map(leaderless));
     doubts.extend(groups.into_iter().flat_map(|it| it.doubts));
     Status {
-        instance: board.instance.clone(),
-        zone: board.zone.clone(),
+        instance: introspection.instance.clone(),
+        zone: introspection.zone.clone(),
         version: env!("CARGO_PKG_VERSION").to_owned(),
         revision: fleet.revision,
         applied_ms_ago: fleet.applied_ms_ago,
@@ -52,12 +52,12 @@
     }
 }
 
-fn primaries(leads: Vec<Lead>, groups: &[Group]) -> Vec<Primary> {
+fn primaries(leads: Vec<introspect::Primary>, groups: &[Group]) -> Vec<Primary> {
     let confirmed: BTreeMap<_, _> = groups
         .iter()
         .map(|it| (&it.database, it.confirmed_ms_ago))
         .collect();
-    let primary = |lead: Lead| {
+    let primary = |lead: introspect::Primary| {
         let confirmed = confirmed.get(&lead.database).copied().flatten();
         Primary {
             database: lead.database,
@@ -76,17 +76,17 @@
 }
 
 /// What `/upstreams` shows; `None` when the duty that knows does not answer.
-pub(super) async fn upstreams(board: &Board) -> Option<Upstreams> {
-    let Groups { groups, .. } = board.groups.ask().await?;
+pub(super) async fn upstreams(introspection: &Introspection) -> Option<Upstreams> {
+    let Groups { groups, .. } = introspection.groups.ask().await?;
     Some(Upstreams {
-        instance: board.instance.clone(),
+        instance: introspection.instance.clone(),
         upstreams: groups.into_iter().flat_map(|it| it.upstreams).collect(),
     })
 }
 
 /// What `/sessions` shows; `None` when the duty that knows does not answer.
-pub(super) async fn sessions(board: &Board) -> Option<Sessions> {
-    let (callers, groups) = tokio::join!(board.callers.ask(), board.groups.ask());
+pub(super) async fn sessions(introspection: &Introspection) -> Option<Sessions> {
+    let (callers, groups) = tokio::join!(introspection.callers.ask(), introspection.groups.ask());
     let callers = callers?;
     let queued: HashSet<_> = groups
         .map_or_else(Vec::new, |it| it.queued)
@@ -99,7 +99,7 @@
         session
     });
     Some(Sessions {
-        instance: board.instance.clone(),
+        instance: introspection.instance.clone(),
         total: callers.total,
         sessions: sessions.collect(),
     })
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -25,9 +25,9 @@
 use wire::{Endpoint, Message, Node, Ring};
 
 use crate::{
-    board::{self, Asked},
     duty::{self, Phase, Watch},
     forward::{In, Out},
+    introspect::{self, Requests},
     platform::{self, PRIMARIES},
     ring,
 };
@@ -39,9 +39,9 @@
 
 /// What the control duty asks of the peers' duty.
 #[derive(Debug)]
-pub(crate) enum Say {
+pub(crate) enum Command {
     /// Tell another candidate, without confirmation.
-    Tell {
+    SendEvidence {
         /// The candidate.
         to: name::Instance,
         /// What to tell.
@@ -51,20 +51,20 @@
 
 /// What the control duty is told.
 #[derive(Debug)]
-pub(crate) enum Word {
+pub(crate) enum Update {
     /// The instances that may be given work, with their zones.
     Members(BTreeMap<name::Instance, name::Zone>),
     /// The catalogue that is in force now.
     Catalog(Arc<Snapshot>),
     /// The store's record of a primary.
-    Seen {
+    Primary {
         /// The database.
         database: name::Database,
         /// The record.
         entry: Entry,
     },
     /// Another candidate told its evidence.
-    Heard {
+    Evidence {
         /// The teller.
         from: name::Instance,
         /// The teller's zone.
@@ -88,9 +88,9 @@
     /// The machine's clock.
     pub(crate) clock: Clock,
     /// From the control duty.
-    pub(crate) says: ring::Receiver<Say>,
+    pub(crate) commands: ring::Receiver<Command>,
     /// To the control duty.
-    pub(crate) words: ring::Sender<Word>,
+    pub(crate) updates: ring::Sender<Update>,
     /// To the callers' duty.
     pub(crate) catalogs: ring::Sender<Arc<Snapshot>>,
     /// From the upstreams' duty.
@@ -98,11 +98,11 @@
     /// To the upstreams' duty.
     pub(crate) ins: ring::Sender<In>,
     /// To the store's duty.
-    pub(crate) asks: ring::Sender<fleet::Store>,
+    pub(crate) store_calls: ring::Sender<fleet::Store>,
     /// From the store's duty.
-    pub(crate) answers: ring::Receiver<platform::FleetAnswer>,
+    pub(crate) store_answers: ring::Receiver<platform::FleetAnswer>,
     /// What operators ask.
-    pub(crate) asked: Asked<board::Fleet>,
+    pub(crate) inquiries: Requests<introspect::Fleet>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
 }
@@ -115,9 +115,9 @@
     socket: Rc<tokio::net::UdpSocket>,
     streams: stream::Streams,
     forwards: Forwards,
-    words: ring::Shared<Word>,
+    updates: ring::Shared<Update>,
     catalogs: ring::Shared<Arc<Snapshot>>,
-    asks: ring::Shared<fleet::Store>,
+    store_calls: ring::Shared<fleet::Store>,
     force: Force,
     wake: Option<Instant>,
     members: BTreeMap<name::Instance, name::Zone>,
@@ -150,9 +150,9 @@
         socket: Rc::new(socket),
         streams,
         forwards,
-        words: ring::Shared::new(conf.words),
+        updates: ring::Shared::new(conf.updates),
         catalogs: ring::Shared::new(conf.catalogs),
-        asks: ring::Shared::new(conf.asks),
+        store_calls: ring::Shared::new(conf.store_calls),
         force: Force::default(),
         wake: None,
         members: BTreeMap::new(),
@@ -168,20 +168,20 @@
         let pause = peers.pause();
         let socket = Rc::clone(&peers.socket);
         tokio::select! {
-            () = duty::reached(&mut conf.watch, Phase::Stop) => break,
-            () = duty::reached(&mut draining, Phase::Drain), if !leaving => {
+            () = duty::wait_for(&mut conf.watch, Phase::Stop) => break,
+            () = duty::wait_for(&mut draining, Phase::Drain), if !leaving => {
                 leaving = true;
                 peers.step(Event::Leave).await;
             }
             Ok((len, from)) = socket.recv_from(&mut buf) => peers.datagram(&buf[..len], from).await,
             Some(heard) = heard.recv() => peers.heard(heard).await,
-            Some(say) = conf.says.recv() => peers.say(say),
+            Some(command) = conf.commands.recv() => peers.command(command),
             Some(out) = conf.outs.recv() => peers.out(out).await,
-            Some(answer) = conf.answers.recv() => {
+            Some(answer) = conf.store_answers.recv() => {
                 let platform::FleetAnswer { call, answer } = answer;
                 peers.step(Event::Store { call, answer }).await;
             }
-            Some(answer) = conf.asked.recv() => drop(answer.send(peers.view())),
+            Some(answer) = conf.inquiries.recv() => drop(answer.send(peers.view())),
             () = sleep(pause) => peers.step(Event::Wake).await,
         }
     }
@@ -233,7 +233,7 @@
     /// A call that finds the ring full is left out: the fleet's part counts it
     /// as unanswered and makes it again.
     fn ask_store(&mut self, store: fleet::Store) {
-        if self.asks.push(store).is_err() {
+        if self.store_calls.push(store).is_err() {
             metrics::counter!("dandelionlink_ring_full_total", "ring" => "fleet").increment(1);
         }
     }
@@ -249,7 +249,9 @@
                 let snapshot = Arc::new(snapshot);
                 self.kept.applied(self.clock.now());
                 metrics::gauge!("dandelionlink_catalog_revision").set(snapshot.revision as f64);
-                self.words.send(Word::Catalog(Arc::clone(&snapshot))).await;
+                self.updates
+                    .send(Update::Catalog(Arc::clone(&snapshot)))
+                    .await;
                 self.catalogs.send(snapshot).await;
             }
             Err(error) => {
@@ -274,7 +276,7 @@
                 revision: change.revision,
                 record,
             };
-            self.words.send(Word::Seen { database, entry }).await;
+            self.updates.send(Update::Primary { database, entry }).await;
         }
     }
 
@@ -287,7 +289,7 @@
             metrics::gauge!("dandelionlink_members").set(members.len() as f64);
             self.members.clone_from(&members);
             self.forwards.ins.send(In::Members(members.clone())).await;
-            self.words.send(Word::Members(members)).await;
+            self.updates.send(Update::Members(members)).await;
         }
     }
 
@@ -312,9 +314,9 @@
         }
     }
 
-    fn say(&mut self, say: Say) {
-        match say {
-            Say::Tell { to, evidence } => {
+    fn command(&mut self, command: Command) {
+        match command {
+            Command::SendEvidence { to, evidence } => {
                 let node = Node::of(&to);
                 let address = self.fleet.table().find(node).map(|it| it.record.address);
                 if let Some(address) = address {
@@ -340,8 +342,8 @@
         };
         let (from, zone) = (member.record.name.clone(), member.record.zone.clone());
         let evidence = evidence::from_wire(evidence);
-        self.words
-            .send(Word::Heard {
+        self.updates
+            .send(Update::Evidence {
                 from,
                 zone,
                 evidence,
--- a/crates/daemon/src/peers/view.rs
+++ b/crates/daemon/src/peers/view.rs
@@ -9,7 +9,7 @@
 use wire::State;
 
 use super::Peers;
-use crate::board::{self, millis};
+use crate::introspect::{self, millis};
 
 /// What the duty keeps for operators only.
 #[derive(Debug, Default)]
@@ -46,10 +46,10 @@
 
 impl Peers {
     /// What operators see.
-    pub(super) fn view(&self) -> board::Fleet {
+    pub(super) fn view(&self) -> introspect::Fleet {
         let now = self.clock.now();
         let applied = self.kept.applied.unwrap_or(now);
-        board::Fleet {
+        introspect::Fleet {
             revision: revision(self.fleet.applied()),
             applied_ms_ago: millis(now.since(applied)),
             members: self.members_view(now),
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -17,8 +17,8 @@
 use wire::Change;
 
 use crate::{
-    board::Asked,
     duty::{self, Phase, Watch},
+    introspect::Requests,
     peers::{full_key, short_key},
     ring,
 };
@@ -33,7 +33,7 @@
 
 /// What the control duty asks of the store.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum RecordRequest {
     /// Read a database's record.
     Read {
         /// The database.
@@ -56,8 +56,8 @@
 
 /// What the control duty is told.
 #[derive(Debug)]
-pub(crate) enum Told {
-    /// To [`Ask::Read`].
+pub(crate) enum RecordResponse {
+    /// To [`RecordRequest::Read`].
     Read {
         /// The database.
         database: name::Database,
@@ -66,7 +66,7 @@
         /// The record.
         result: Result<Option<Entry>, StoreFault>,
     },
-    /// To [`Ask::Swap`].
+    /// To [`RecordRequest::Swap`].
     Swapped {
         /// The database.
         database: name::Database,
@@ -94,69 +94,73 @@
     /// The machine's clock.
     pub(crate) clock: Clock,
     /// From the control duty.
-    pub(crate) asks: ring::Receiver<Ask>,
+    pub(crate) requests: ring::Receiver<RecordRequest>,
     /// To the control duty.
-    pub(crate) told: ring::Sender<Told>,
+    pub(crate) responses: ring::Sender<RecordResponse>,
     /// From the peers' duty.
     pub(crate) calls: ring::Receiver<fleet::Store>,
     /// To the peers' duty.
     pub(crate) answers: ring::Sender<FleetAnswer>,
     /// What operators ask.
-    pub(crate) asked: Asked<view::Store>,
+    pub(crate) inquiries: Requests<view::Store>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
 }
 
 /// Runs the duty until the daemon stops.
 pub(crate) async fn run(conf: Conf) {
-    let told = ring::Shared::new(conf.told);
+    let responses = ring::Shared::new(conf.responses);
     let answers = Answers(ring::Shared::new(conf.answers));
     let Ok(gateway) = Gateway::open(conf.endpoint, TIMEOUT).await else {
         log::error!(duty = "store"; "the store's client could not be made");
         return;
     };
     let store = Client::open(gateway, conf.clock);
-    ntex::rt::spawn(take_asks(store.clone(), conf.asks, told));
-    ntex::rt::spawn(show(store.clone(), conf.asked));
+    ntex::rt::spawn(serve_records(store.clone(), conf.requests, responses));
+    ntex::rt::spawn(show(store.clone(), conf.inquiries));
     ntex::rt::spawn(take_calls(store, conf.calls, answers));
     let mut watch = conf.watch;
-    duty::reached(&mut watch, Phase::Stop).await;
+    duty::wait_for(&mut watch, Phase::Stop).await;
 }
 
-async fn show(store: Client, mut asked: Asked<view::Store>) {
+async fn show(store: Client, mut asked: Requests<view::Store>) {
     while let Some(answer) = asked.recv().await {
         let _ = answer.send(store.view());
     }
 }
 
-async fn take_asks(store: Client, mut asks: ring::Receiver<Ask>, told: ring::Shared<Told>) {
-    while let Some(ask) = asks.recv().await {
-        let (store, told) = (store.clone(), told.clone());
+async fn serve_records(
+    store: Client,
+    mut requests: ring::Receiver<RecordRequest>,
+    responses: ring::Shared<RecordResponse>,
+) {
+    while let Some(request) = requests.recv().await {
+        let (store, responses) = (store.clone(), responses.clone());
         ntex::rt::spawn(async move {
-            let answer = match ask {
-                Ask::Read { database, call } => {
+            let answer = match request {
+                RecordRequest::Read { database, call } => {
                     let result = read(&store, &database).await;
-                    Told::Read {
+                    RecordResponse::Read {
                         database,
                         call,
                         result,
                     }
                 }
-                Ask::Swap {
+                RecordRequest::Swap {
                     database,
                     call,
                     expected,
                     record,
                 } => {
                     let result = swap(&store, &database, expected, &record).await;
-                    Told::Swapped {
+                    RecordResponse::Swapped {
                         database,
                         call,
                         result,
                     }
                 }
             };
-            told.send(answer).await;
+            responses.send(answer).await;
         });
     }
 }
--- a/crates/daemon/src/platform/reach.rs
+++ b/crates/daemon/src/platform/reach.rs
@@ -9,7 +9,7 @@
 use clock::{Clock, Instant};
 use store::{Answer, Call, Edge, Fault, Gateway, Watch};
 
-use crate::board::millis;
+use crate::introspect::millis;
 
 /// After how long without a call the store counts as not asked.
 const IDLE: Duration = Duration::from_secs(10);
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -230,7 +230,7 @@
 /// Carries out what the control duty asks, and answers it.
 pub(super) async fn carry_out(core: Rc<Core>, order: Order) {
     match order {
-        Order::Lead { database, record } => {
+        Order::SetPrimary { database, record } => {
             if let Some(group) = core.group(&database) {
                 group.lead(core.now(), &record);
             }
@@ -255,7 +255,7 @@
                 })
                 .await;
         }
-        Order::Carry {
+        Order::Execute {
             database,
             call,
             upstream,
--- a/crates/daemon/src/upstreams/host.rs
+++ b/crates/daemon/src/upstreams/host.rs
@@ -187,7 +187,7 @@
     let asked = core.now();
     let line = member.lines.acquire(request).await?;
     let meter = core.meters.of(&run.scope.tenant, &run.scope.entry);
-    meter.queued(core.now().since(asked));
+    meter.note_queued(core.now().since(asked));
     if line.conn.is_closed() {
         discard(line);
         return Err(none);
--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -37,11 +37,11 @@
 use upstream::Login;
 
 use crate::{
-    board::{self, Asked},
     control::{Answer, Order},
     duty::{self, Phase, Watch},
     forward::{Conn, In, Out, Seq},
-    job::{Ask, Caller, Reply},
+    introspect::{self, Requests},
+    job::{Caller, Command, Reply},
     meter::Meters,
     ring,
 };
@@ -76,7 +76,7 @@
     /// From the peers' duty.
     pub(crate) ins: ring::Receiver<In>,
     /// From the callers' duty.
-    pub(crate) asks: ring::Receiver<Ask>,
+    pub(crate) commands: ring::Receiver<Command>,
     /// To the callers' duty.
     pub(crate) replies: ring::Sender<Reply>,
     /// From the control duty.
@@ -86,7 +86,7 @@
     /// Where requests are counted.
     pub(crate) meters: Meters,
     /// What operators ask.
-    pub(crate) asked: Asked<board::Groups>,
+    pub(crate) inquiries: Requests<introspect::Groups>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
     /// Where the random numbers begin.
@@ -193,18 +193,18 @@
         guests: RefCell::default(),
     });
     ntex::rt::spawn(take_ins(Rc::clone(&core), conf.ins));
-    ntex::rt::spawn(take_asks(Rc::clone(&core), conf.asks));
-    ntex::rt::spawn(view::serve(Rc::clone(&core), conf.asked));
+    ntex::rt::spawn(take_commands(Rc::clone(&core), conf.commands));
+    ntex::rt::spawn(view::serve(Rc::clone(&core), conf.inquiries));
     ntex::rt::spawn(take_orders(Rc::clone(&core), conf.orders));
     let mut watch = conf.watch;
-    duty::reached(&mut watch, Phase::Drain).await;
+    duty::wait_for(&mut watch, Phase::Drain).await;
     core.outs.send(Out::Leaving).await;
     // The callers' duty ends first and may ask on behalf of a caller until then.
-    duty::reached(&mut watch, Phase::Settle).await;
+    duty::wait_for(&mut watch, Phase::Settle).await;
     tokio::select! {
         () = drained(&core) => {}
         // What still runs is cut, and its end must not be told as "not run".
-        () = duty::reached(&mut watch, Phase::Stop) => return,
+        () = duty::wait_for(&mut watch, Phase::Stop) => return,
     }
     core.closed.set(true);
     core.outs.send(Out::Bye).await;
@@ -227,14 +227,14 @@
     }
 }
 
-async fn take_asks(core: Rc<Core>, mut asks: ring::Receiver<Ask>) {
-    while let Some(ask) = asks.recv().await {
+async fn take_commands(core: Rc<Core>, mut commands: ring::Receiver<Command>) {
+    while let Some(ask) = commands.recv().await {
         match ask {
-            Ask::Run(job) => drop(ntex::rt::spawn(run::serve(Rc::clone(&core), *job))),
-            Ask::Leave(caller) => run::leave(&core, caller),
-            Ask::Taken { caller, seq } => run::taken(&core, caller, seq),
-            Ask::Cancel { caller, seq } => run::cancel(&core, caller, seq),
-            Ask::Catalog(snapshot) => follow(&core, &snapshot),
+            Command::Run(job) => drop(ntex::rt::spawn(run::serve(Rc::clone(&core), *job))),
+            Command::Leave(caller) => run::leave(&core, caller),
+            Command::Taken { caller, seq } => run::taken(&core, caller, seq),
+            Command::Cancel { caller, seq } => run::cancel(&core, caller, seq),
+            Command::Catalog(snapshot) => follow(&core, &snapshot),
         }
     }
 }
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -52,7 +52,7 @@
 
 fn count(core: &Core, job: &Job, outcome: Outcome) {
     let now = core.now();
-    job.meter.ended(outcome, now.since(job.began));
+    job.meter.note_ended(outcome, now.since(job.began));
     if let Outcome::Unknown(cause) = outcome
         && job.meter.may_log(now)
     {
@@ -191,7 +191,7 @@
         match attempt(core, job, running, group, &way, &mut read).await {
             Try::Ended(end) => return end,
             Try::Again => {
-                job.meter.retried();
+                job.meter.note_retried();
                 tries += 1;
             }
             Try::Unsent(refusal) => {
@@ -228,7 +228,7 @@
     match ran {
         Ran::Heard(heard, held) if verdict != Verdict::Fresh => {
             held.settle(&heard);
-            job.meter.discarded();
+            job.meter.note_discarded();
             *read = read.discarded(way.target());
             Try::Again
         }
@@ -327,7 +327,7 @@
         Way::Replica(upstream) => Server::Replica(group.router.borrow().lag(upstream)),
         Way::Primary(_) | Way::Confirmed(..) => Server::Primary,
     };
-    job.meter.read(server);
+    job.meter.note_read(server);
 }
 
 /// What a session learns from an answered read.
--- a/crates/daemon/src/upstreams/site.rs
+++ b/crates/daemon/src/upstreams/site.rs
@@ -183,7 +183,7 @@
             Ok(line) => line,
             Err(refusal) => return Ran::Refused(refusal),
         };
-        job.meter.queued(core.now().since(asked));
+        job.meter.note_queued(core.now().since(asked));
         if line.conn.is_closed() {
             discard(line);
             return Ran::Refused(Refused {
--- a/crates/daemon/src/upstreams/view.rs
+++ b/crates/daemon/src/upstreams/view.rs
@@ -13,7 +13,7 @@
     group::{Group, Member},
     lines::Lines,
 };
-use crate::board::{self, Asked, millis};
+use crate::introspect::{self, Requests, millis};
 
 /// An upstream whose data is older serves none of the usual reads: the
 /// catalogues of the users allow two seconds.
@@ -60,25 +60,25 @@
 }
 
 /// Answers operators until the daemon stops.
-pub(super) async fn serve(core: Rc<Core>, mut asked: Asked<board::Groups>) {
+pub(super) async fn serve(core: Rc<Core>, mut asked: Requests<introspect::Groups>) {
     while let Some(answer) = asked.recv().await {
         let _ = answer.send(groups(&core));
     }
 }
 
-fn groups(core: &Core) -> board::Groups {
+fn groups(core: &Core) -> introspect::Groups {
     let now = core.now();
     let groups = core.groups.borrow();
     let running = core.running.borrow();
     let queued = running.iter().filter(|(_, it)| !it.sent.get());
-    board::Groups {
+    introspect::Groups {
         groups: groups.values().map(|it| it.view(now)).collect(),
         queued: queued.map(|(caller, _)| *caller).collect(),
     }
 }
 
 impl Group {
-    fn view(&self, now: Instant) -> board::Group {
+    fn view(&self, now: Instant) -> introspect::Group {
         let members = self.members.borrow();
         let mut doubts = Vec::new();
         let mut upstreams = Vec::new();
@@ -89,7 +89,7 @@
         }
         let confirmed = self.router.borrow().confirmed().map(|it| it.since);
         doubts.extend(self.unconfirmed(now, confirmed));
-        board::Group {
+        introspect::Group {
             database: self.name.clone(),
             confirmed_ms_ago: confirmed.map(|at| millis(now.since(at))),
             upstreams,
--- a/crates/daemon/tests/fault.rs
+++ b/crates/daemon/tests/fault.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use daemon::duty::{Duty, on_fault};
+use daemon::duty::{Duty, on_panic};
 
 /// The duties that were told to have ended.
 static ENDED: Mutex<Vec<&str>> = Mutex::new(Vec::new());
@@ -12,7 +12,7 @@
 /// others run on. Cause: nobody was told, and the process stayed.
 #[test]
 fn a_duty_that_ends_by_a_fault_is_told_of_and_one_that_is_done_is_not() {
-    on_fault(|name| ENDED.lock().unwrap().push(name));
+    on_panic(|name| ENDED.lock().unwrap().push(name));
     let done = Duty::spawn("done", || async {}).unwrap();
     let fault = Duty::spawn("fault", || async { panic!("on purpose") }).unwrap();
     done.join();
