--- a/crates/catalog/examples/size.rs
+++ b/crates/catalog/examples/size.rs
@@ -6,7 +6,7 @@
 use std::{env, error::Error, net::Ipv4Addr, time::Duration};
 
 use catalog::{
-    Catalog, Entry, Rank, Reading,
+    Catalog, Entry, PriorityLevel, ReadFreshness,
     head::Id,
     layout::{self, Pair, Snapshot},
     parts,
@@ -132,10 +132,10 @@
             let entry = Entry {
                 tenant: tenant.clone(),
                 database: database.clone(),
-                freshness: Reading::Age,
+                freshness: ReadFreshness::Age,
                 staleness_ms: Some(5_000),
                 idempotent: true,
-                priority: Rank::Low,
+                priority: PriorityLevel::Low,
                 connections: 16,
                 queue: 200,
                 deadline_ms: 2_000,
--- a/crates/catalog/src/apply.rs
+++ b/crates/catalog/src/apply.rs
@@ -27,7 +27,7 @@
 pub const MAX_READS: u32 = 4;
 
 /// The wait before the second attempt; it doubles with each further one.
-pub const FIRST_WAIT: Duration = Duration::from_millis(100);
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// What came back from the store.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// The transaction never left.
     NotSent,
     /// Whether the transaction took effect is not known.
-    Lost,
+    Unknown,
     /// What the store holds.
     Read(Box<Evidence>),
     /// The store could not be read.
@@ -114,7 +114,7 @@
 
 impl Apply {
     /// Starts with the plan; the first action sends it.
-    pub fn open(plan: Plan) -> (Self, Action) {
+    pub fn start(plan: Plan) -> (Self, Action) {
         let txn = plan.txn.clone();
         let apply = Self {
             plan,
@@ -143,7 +143,7 @@
             Event::Rejected if self.doubt == Doubt::Settled => Action::Done(Outcome::NotRun),
             Event::Rejected => self.read(Duration::ZERO),
             Event::NotSent => self.read(backoff(self.sends)),
-            Event::Lost => {
+            Event::Unknown => {
                 self.doubt = Doubt::Open;
                 self.read(backoff(self.sends))
             }
@@ -180,7 +180,7 @@
         }
         // The record that would tell is among those removed since.
         let number = now.head.as_ref().map_or(0, |head| head.number);
-        if number >= self.plan.head.number + history::KEPT {
+        if number >= self.plan.head.number + history::MAX_RECORDS {
             return Action::Done(Outcome::Unknown);
         }
         let conflict = Conflict {
@@ -211,5 +211,5 @@
 }
 
 fn backoff(attempts: u32) -> Duration {
-    FIRST_WAIT * 2u32.pow(attempts.saturating_sub(1).min(MAX_SENDS))
+    INITIAL_BACKOFF * 2u32.pow(attempts.saturating_sub(1).min(MAX_SENDS))
 }
--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -4,7 +4,7 @@
 
 use model::name;
 
-use crate::{Reading, scram};
+use crate::{ReadFreshness, scram};
 
 /// Something that the catalogue declares.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -97,7 +97,7 @@
 
 /// Why a catalogue is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum What {
+pub enum Problem {
     /// The text is not TOML.
     #[error("{0}")]
     Syntax(String),
@@ -143,7 +143,7 @@
     },
     /// A word is none of those allowed.
     #[error("{place} must be one of {}, not `{found}`", listed(allowed))]
-    Word {
+    Choice {
         /// The value.
         place: Place,
         /// The words allowed.
@@ -252,24 +252,24 @@
         /// The entry's staleness.
         place: Place,
         /// Its freshness.
-        freshness: Reading,
+        freshness: ReadFreshness,
     },
 }
 
 /// What a catalogue may do but its operator should know.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Doubt {
+pub enum Lint {
     /// One upstream alone: nothing takes over from it.
     #[error(
         "{item} has a single upstream: no replica serves reads and nothing can take over from it"
     )]
-    Alone {
+    SingleUpstream {
         /// The database.
         item: Item,
     },
     /// An even group bears no more failures than the odd one below it.
     #[error("{item} has {count} upstreams: it bears no more failures than with {}", count - 1)]
-    Even {
+    EvenUpstreams {
         /// The database.
         item: Item,
         /// Its upstreams.
@@ -297,18 +297,18 @@
     /// The column in characters, counted from 1.
     pub column: usize,
     /// The remark.
-    pub what: T,
+    pub kind: T,
 }
 
 /// Why a text is refused, and where.
-pub type Fault = Located<What>;
+pub type Fault = Located<Problem>;
 
 /// What is doubtful in a text that is accepted, and where.
-pub type Warning = Located<Doubt>;
+pub type Warning = Located<Lint>;
 
 impl<T: fmt::Display> fmt::Display for Located<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.what)
+        write!(f, "{}:{}: {}", self.line, self.column, self.kind)
     }
 }
 
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -9,11 +9,11 @@
 };
 
 /// How many records the store keeps; the next change removes the oldest.
-pub const KEPT: u64 = 1_000;
+pub const MAX_RECORDS: u64 = 1_000;
 
-/// The most bytes of a record that tell what changed. With [`KEPT`] it bounds
+/// The most bytes of a record that tell what changed. With [`MAX_RECORDS`] it bounds
 /// the history to 64 MB, however large the changes are.
-pub const MAX_CHANGES: usize = 64_000;
+pub const MAX_CHANGES_BYTES: usize = 64_000;
 
 /// A past change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     pub head: Head,
     /// The catalogue's revision that it was planned from.
     pub from: u64,
-    /// What it changed, up to [`MAX_CHANGES`] bytes of it.
+    /// What it changed, up to [`MAX_CHANGES_BYTES`] bytes of it.
     pub changes: Vec<Change>,
     /// How many changes were left out for want of room.
     pub omitted: usize,
@@ -31,7 +31,7 @@
 
 impl Record {
     pub(crate) fn new(head: Head, from: u64, changes: &[Change]) -> Self {
-        let mut room = MAX_CHANGES;
+        let mut room = MAX_CHANGES_BYTES;
         let mut kept = Vec::new();
         for change in changes {
             let len = serde_json::to_string(change).map_or(usize::MAX, |json| json.len());
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -18,7 +18,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 
-use crate::{Catalog, fault::What, head::Head, rules};
+use crate::{Catalog, fault::Problem, head::Head, rules};
 
 /// Below it are the head and all that is in force.
 pub const PREFIX: &str = "dandelionlink/catalog/";
@@ -153,11 +153,11 @@
     NoHead,
     /// The values are readable but break the catalogue's rules.
     #[error("the store's catalogue breaks the rules: {}", messages(.0))]
-    Rules(Vec<What>),
+    Rules(Vec<Problem>),
 }
 
-fn messages(faults: &[What]) -> String {
-    let lines: Vec<_> = faults.iter().map(What::to_string).collect();
+fn messages(faults: &[Problem]) -> String {
+    let lines: Vec<_> = faults.iter().map(Problem::to_string).collect();
     lines.join("; ")
 }
 
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -23,7 +23,7 @@
 use model::{Class, Freshness, Priority, Repeat, name};
 use serde::{Deserialize, Serialize};
 
-pub use fault::{Doubt, Fault, Item, Located, Place, Warning, What};
+pub use fault::{Fault, Item, Lint, Located, Place, Problem, Warning};
 pub use text::{Checked, Error};
 
 /// Everything the operators declare.
@@ -87,7 +87,7 @@
     /// The database its statements run on.
     pub database: name::Database,
     /// How fresh its reads are.
-    pub freshness: Reading,
+    pub freshness: ReadFreshness,
     /// The greatest age of a read in milliseconds, where freshness is `age`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub staleness_ms: Option<u32>,
@@ -96,7 +96,7 @@
     pub idempotent: bool,
     /// Who goes first under load.
     #[serde(default)]
-    pub priority: Rank,
+    pub priority: PriorityLevel,
     /// How many upstream connections it may hold at once, over the fleet.
     pub connections: u16,
     /// How many of its requests may wait at one instance.
@@ -108,7 +108,7 @@
 /// The catalogue's word for a read's freshness.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reading {
+pub enum ReadFreshness {
     /// Everything acknowledged before the read began.
     Current,
     /// Everything the session wrote or saw.
@@ -117,7 +117,7 @@
     Age,
 }
 
-impl fmt::Display for Reading {
+impl fmt::Display for ReadFreshness {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Current => "current",
@@ -130,7 +130,7 @@
 /// The catalogue's word for a priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Rank {
+pub enum PriorityLevel {
     /// Reservations, payments and urgent retrievals.
     High,
     /// Everything else.
@@ -144,9 +144,9 @@
     /// The entry's class, as the decisions read it.
     pub fn class(&self) -> Class {
         let freshness = match self.freshness {
-            Reading::Current => Freshness::Current,
-            Reading::ReadYourWrites => Freshness::Session,
-            Reading::Age => {
+            ReadFreshness::Current => Freshness::Current,
+            ReadFreshness::ReadYourWrites => Freshness::Session,
+            ReadFreshness::Age => {
                 Freshness::Age(Duration::from_millis(self.staleness_ms.unwrap_or(0).into()))
             }
         };
@@ -156,9 +156,9 @@
             Repeat::Once
         };
         let priority = match self.priority {
-            Rank::High => Priority::High,
-            Rank::Normal => Priority::Normal,
-            Rank::Low => Priority::Low,
+            PriorityLevel::High => Priority::High,
+            PriorityLevel::Normal => Priority::Normal,
+            PriorityLevel::Low => Priority::Low,
         };
         Class {
             freshness,
--- a/crates/catalog/src/parts.rs
+++ b/crates/catalog/src/parts.rs
@@ -11,9 +11,9 @@
 use serde::Serialize;
 
 use crate::{
-    Catalog, What,
+    Catalog, Problem,
     change::{self, Change, Edit, Subject},
-    history::MAX_CHANGES,
+    history::MAX_CHANGES_BYTES,
     layout::{self, Key},
     plan::{MAX_BYTES, MAX_OPS},
     rules,
@@ -24,7 +24,7 @@
 const OVERHEAD_OPS: usize = 3;
 
 /// Bytes of the head and the record: what changed, and twice the proposal.
-const OVERHEAD_BYTES: usize = MAX_CHANGES + 32_000;
+const OVERHEAD_BYTES: usize = MAX_CHANGES_BYTES + 32_000;
 
 /// Why a change can't be split.
 #[derive(Debug, thiserror::Error)]
@@ -35,7 +35,7 @@
         /// The last subject of the part.
         after: Subject,
         /// The first rule broken.
-        fault: Box<What>,
+        fault: Box<Problem>,
     },
     /// A value has no JSON form.
     #[error(transparent)]
--- a/crates/catalog/src/plan.rs
+++ b/crates/catalog/src/plan.rs
@@ -198,7 +198,7 @@
 
 /// The record that makes room for that of change `number`.
 fn outdated(number: u64) -> Option<Key> {
-    let oldest = number.checked_sub(history::KEPT)?;
+    let oldest = number.checked_sub(history::MAX_RECORDS)?;
     (oldest > 0).then_some(Key::History(oldest))
 }
 
--- a/crates/catalog/src/rules.rs
+++ b/crates/catalog/src/rules.rs
@@ -9,8 +9,8 @@
 use model::name;
 
 use crate::{
-    Catalog, Database, Entry, Reading,
-    fault::{Doubt, Item, Place, What},
+    Catalog, Database, Entry, ReadFreshness,
+    fault::{Item, Lint, Place, Problem},
     limit, scram,
 };
 
@@ -18,7 +18,7 @@
 const NEAREST: usize = 3;
 
 /// All breaches of the rules, each with the place to mend.
-pub(crate) fn faults(catalog: &Catalog) -> Vec<(Place, What)> {
+pub(crate) fn faults(catalog: &Catalog) -> Vec<(Place, Problem)> {
     let mut faults = Vec::new();
     for (name, tenant) in &catalog.tenants {
         for (user, verifier) in &tenant.users {
@@ -41,34 +41,34 @@
     !text.is_empty() && text.len() <= name::MAX_LEN && !text.chars().any(char::is_control)
 }
 
-fn user_fault(item: Item, user: &str, verifier: &str) -> Option<(Place, What)> {
+fn user_fault(item: Item, user: &str, verifier: &str) -> Option<(Place, Problem)> {
     let place = Place::whole(item.clone());
     if !is_identifier(user) {
-        let what = What::Identifier {
+        let what = Problem::Identifier {
             place: place.clone(),
         };
         return Some((place, what));
     }
     let why = scram::Verifier::parse(verifier).err()?;
-    Some((place, What::Verifier { item, why }))
+    Some((place, Problem::Verifier { item, why }))
 }
 
 fn database_faults(
     name: &name::Database,
     database: &Database,
     seen: &mut BTreeMap<SocketAddr, Item>,
-    faults: &mut Vec<(Place, What)>,
+    faults: &mut Vec<(Place, Problem)>,
 ) {
     let group = Item::Database(name.clone());
     if !is_identifier(&database.dbname) {
         let place = Place::field(group.clone(), "dbname");
-        let what = What::Identifier {
+        let what = Problem::Identifier {
             place: place.clone(),
         };
         faults.push((place, what));
     }
     if database.upstreams.is_empty() {
-        let what = What::NoUpstream {
+        let what = Problem::NoUpstream {
             item: group.clone(),
         };
         faults.push((Place::whole(group), what));
@@ -78,14 +78,14 @@
         let address = upstream.address;
         let place = Place::field(item.clone(), "address");
         if !is_reachable(address) {
-            let what = What::Address {
+            let what = Problem::Address {
                 place: place.clone(),
                 found: address.to_string(),
             };
             faults.push((place.clone(), what));
         }
         if let Some(other) = seen.get(&address) {
-            let what = What::DuplicateAddress {
+            let what = Problem::DuplicateAddress {
                 place: place.clone(),
                 address,
                 other: other.clone(),
@@ -100,7 +100,7 @@
         faults.extend(range_fault(&item, "connections", connections, bounds));
         if upstream.slots > upstream.connections {
             let place = Place::field(item, "slots");
-            let what = What::Slots {
+            let what = Problem::Slots {
                 place: place.clone(),
                 slots: upstream.slots,
                 connections: upstream.connections,
@@ -115,12 +115,12 @@
     field: &'static str,
     found: u32,
     bounds: RangeInclusive<u32>,
-) -> Option<(Place, What)> {
+) -> Option<(Place, Problem)> {
     if bounds.contains(&found) {
         return None;
     }
     let place = Place::field(item.clone(), field);
-    let what = What::Range {
+    let what = Problem::Range {
         place: place.clone(),
         min: *bounds.start(),
         max: *bounds.end(),
@@ -139,7 +139,7 @@
     catalog: &Catalog,
     name: &name::Entry,
     entry: &Entry,
-    faults: &mut Vec<(Place, What)>,
+    faults: &mut Vec<(Place, Problem)>,
 ) {
     let item = Item::Entry(name.clone());
     entry_ranges(&item, entry, faults);
@@ -155,7 +155,7 @@
             let offered = offered(database);
             if u32::from(entry.connections) > offered && offered > 0 {
                 let place = Place::field(item.clone(), "connections");
-                let what = What::Connections {
+                let what = Problem::Connections {
                     place: place.clone(),
                     asked: entry.connections,
                     database: entry.database.clone(),
@@ -171,23 +171,24 @@
         }
     }
     match (entry.freshness, entry.staleness_ms) {
-        (Reading::Age, None) => {
+        (ReadFreshness::Age, None) => {
             let place = Place::field(item.clone(), "freshness");
-            faults.push((place, What::StalenessMissing { item }));
+            faults.push((place, Problem::StalenessMissing { item }));
         }
-        (Reading::Current | Reading::ReadYourWrites, Some(_)) => {
+        (ReadFreshness::Current | ReadFreshness::ReadYourWrites, Some(_)) => {
             let place = Place::field(item, "staleness_ms");
-            let what = What::StalenessUnused {
+            let what = Problem::StalenessUnused {
                 place: place.clone(),
                 freshness: entry.freshness,
             };
             faults.push((place, what));
         }
-        (Reading::Age, Some(_)) | (Reading::Current | Reading::ReadYourWrites, None) => {}
+        (ReadFreshness::Age, Some(_))
+        | (ReadFreshness::Current | ReadFreshness::ReadYourWrites, None) => {}
     }
 }
 
-fn entry_ranges(item: &Item, entry: &Entry, faults: &mut Vec<(Place, What)>) {
+fn entry_ranges(item: &Item, entry: &Entry, faults: &mut Vec<(Place, Problem)>) {
     let connections = entry.connections.into();
     let bounds = limit::CONNECTIONS;
     faults.extend(range_fault(item, "connections", connections, bounds));
@@ -213,11 +214,11 @@
     place: Place,
     name: &str,
     declared: impl Iterator<Item = impl ToString>,
-) -> (Place, What) {
+) -> (Place, Problem) {
     let mut nearest: Vec<_> = declared.map(|declared| declared.to_string()).collect();
     nearest.sort_by_cached_key(|declared| strsim::damerau_levenshtein(declared, name));
     nearest.truncate(NEAREST);
-    let what = What::Dangling {
+    let what = Problem::Dangling {
         place: place.clone(),
         name: name.to_owned(),
         nearest,
@@ -226,24 +227,24 @@
 }
 
 /// What an operator should know of a catalogue that keeps the rules.
-pub(crate) fn doubts(catalog: &Catalog) -> Vec<(Place, Doubt)> {
+pub(crate) fn doubts(catalog: &Catalog) -> Vec<(Place, Lint)> {
     let mut doubts = Vec::new();
     for (name, database) in &catalog.databases {
         let item = Item::Database(name.clone());
         let count = database.upstreams.len();
         if count == 1 {
-            let doubt = Doubt::Alone { item: item.clone() };
+            let doubt = Lint::SingleUpstream { item: item.clone() };
             doubts.push((Place::whole(item.clone()), doubt));
         }
         if count > 0 && count.is_multiple_of(2) {
-            let doubt = Doubt::Even {
+            let doubt = Lint::EvenUpstreams {
                 item: item.clone(),
                 count,
             };
             doubts.push((Place::whole(item.clone()), doubt));
         }
         if count > 0 && database.upstreams.values().all(|u| u.leaving) {
-            let doubt = Doubt::AllLeaving { item: item.clone() };
+            let doubt = Lint::AllLeaving { item: item.clone() };
             doubts.push((Place::whole(item), doubt));
         }
     }
@@ -251,7 +252,7 @@
     for (name, tenant) in &catalog.tenants {
         if owners.contains(name) && tenant.users.is_empty() {
             let item = Item::Tenant(name.clone());
-            doubts.push((Place::whole(item.clone()), Doubt::NoUser { item }));
+            doubts.push((Place::whole(item.clone()), Lint::NoUser { item }));
         }
     }
     doubts
--- a/crates/catalog/src/scram.rs
+++ b/crates/catalog/src/scram.rs
@@ -30,7 +30,7 @@
 pub enum Error {
     /// The parts are not there, or in another order.
     #[error("a verifier is written SCRAM-SHA-256$iterations:salt$stored:server")]
-    Form,
+    Format,
     /// The iteration count is not a number in [`ITERATIONS`].
     #[error("a verifier has from {} to {} iterations", ITERATIONS.start(), ITERATIONS.end())]
     Iterations,
@@ -60,10 +60,10 @@
         let (Some(SCHEME), Some(first), Some(second), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(Error::Form);
+            return Err(Error::Format);
         };
-        let (iterations, salt) = first.split_once(':').ok_or(Error::Form)?;
-        let (stored, server) = second.split_once(':').ok_or(Error::Form)?;
+        let (iterations, salt) = first.split_once(':').ok_or(Error::Format)?;
+        let (stored, server) = second.split_once(':').ok_or(Error::Format)?;
 
         let iterations = iterations.parse().map_err(|_| Error::Iterations)?;
         if !ITERATIONS.contains(&iterations) {
--- a/crates/catalog/src/text.rs
+++ b/crates/catalog/src/text.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Catalog,
-    fault::{Fault, Warning, What},
+    fault::{Fault, Problem, Warning},
     rules,
 };
 
@@ -67,7 +67,7 @@
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
             let message = error.message().to_owned();
-            draft.fault(offset, What::Syntax(message));
+            draft.fault(offset, Problem::Syntax(message));
         }
         // After an error of syntax the recovered tables lack what stood
         // there, so a further check would tell of faults that are none.
--- a/crates/catalog/src/text/draft.rs
+++ b/crates/catalog/src/text/draft.rs
@@ -6,8 +6,8 @@
 use toml::de::DeTable;
 
 use crate::{
-    Catalog, Database, Entry, Rank, Reading, Tenant, Upstream,
-    fault::{Item, Kind, Located, Place, What},
+    Catalog, Database, Entry, PriorityLevel, ReadFreshness, Tenant, Upstream,
+    fault::{Item, Kind, Located, Place, Problem},
     limit,
 };
 
@@ -30,13 +30,21 @@
 ];
 
 const FRESHNESS: &[&str] = &["current", "read-your-writes", "age"];
-const FRESHNESS_VALUES: [Reading; 3] = [Reading::Current, Reading::ReadYourWrites, Reading::Age];
+const FRESHNESS_VALUES: [ReadFreshness; 3] = [
+    ReadFreshness::Current,
+    ReadFreshness::ReadYourWrites,
+    ReadFreshness::Age,
+];
 const PRIORITY: &[&str] = &["high", "normal", "low"];
-const PRIORITY_VALUES: [Rank; 3] = [Rank::High, Rank::Normal, Rank::Low];
+const PRIORITY_VALUES: [PriorityLevel; 3] = [
+    PriorityLevel::High,
+    PriorityLevel::Normal,
+    PriorityLevel::Low,
+];
 
 pub(super) struct Draft<'t> {
     text: &'t str,
-    faults: Vec<(usize, What)>,
+    faults: Vec<(usize, Problem)>,
     /// Byte offsets of the values read.
     places: BTreeMap<Place, usize>,
     /// Tenants and databases named in the text, also those that are faulty.
@@ -53,7 +61,7 @@
         }
     }
 
-    pub(super) fn fault(&mut self, offset: usize, what: What) {
+    pub(super) fn fault(&mut self, offset: usize, what: Problem) {
         self.faults.push((offset, what));
     }
 
@@ -69,8 +77,8 @@
     ///
     /// A tenant or database whose own table is faulty is missing from the
     /// catalogue that the rules see; names that lead to it do not dangle.
-    pub(super) fn rule(&mut self, place: &Place, what: What) {
-        if let What::Dangling { place, name, .. } = &what {
+    pub(super) fn rule(&mut self, place: &Place, what: Problem) {
+        if let Problem::Dangling { place, name, .. } = &what {
             let kind = place.field.unwrap_or_default();
             if self.declared.contains(&declared_key(kind, name)) {
                 return;
@@ -145,7 +153,7 @@
             Err(why) => {
                 let found = text.to_owned();
                 let role = key;
-                self.fault(offset, What::Name { role, found, why });
+                self.fault(offset, Problem::Name { role, found, why });
                 None
             }
         }
@@ -240,7 +248,7 @@
         let leaving = section.flag(self, "leaving");
         let address = address?;
         let Ok(parsed) = address.parse() else {
-            let what = What::Address {
+            let what = Problem::Address {
                 place: section.place("address"),
                 found: address.to_owned(),
             };
@@ -269,7 +277,7 @@
         let idempotent = section.flag(self, "idempotent");
         let priority = section.has("priority").then(|| {
             let word = section.word(self, "priority", PRIORITY);
-            word.map_or(Rank::default(), |at| PRIORITY_VALUES[at])
+            word.map_or(PriorityLevel::default(), |at| PRIORITY_VALUES[at])
         });
         let connections = section.number(self, "connections", limit::CONNECTIONS);
         let queue = section.number(self, "queue", limit::QUEUE);
@@ -296,14 +304,14 @@
     remarks.sort_by_key(|&(offset, _)| offset);
     let newlines = text.match_indices('\n').map(|(at, _)| at + 1);
     let starts: Vec<_> = std::iter::once(0).chain(newlines).collect();
-    let at = |(offset, what)| {
+    let at = |(offset, kind)| {
         let line = starts.partition_point(|&start| start <= offset);
         let start = starts[line - 1];
         // An offset past the end or within a character is not expected of the
         // parser; the column is then that of the line's start.
         let before = text.get(start..offset).unwrap_or_default();
         let column = before.chars().count() + 1;
-        Located { line, column, what }
+        Located { line, column, kind }
     };
     remarks.into_iter().map(at).collect()
 }
--- a/crates/catalog/src/text/section.rs
+++ b/crates/catalog/src/text/section.rs
@@ -7,7 +7,7 @@
     de::{DeTable, DeValue},
 };
 
-use crate::fault::{Item, Kind, Place, What};
+use crate::fault::{Item, Kind, Place, Problem};
 
 use super::draft::Draft;
 
@@ -26,7 +26,7 @@
             if known.contains(&key.get_ref().as_ref()) {
                 continue;
             }
-            let what = What::UnknownKey {
+            let what = Problem::UnknownKey {
                 item: self.item.clone(),
                 key: key.get_ref().to_string(),
                 known,
@@ -56,7 +56,7 @@
         let value = self.optional(draft, key);
         if value.is_none() {
             let item = self.item.clone();
-            draft.fault(self.offset, What::Missing { item, key });
+            draft.fault(self.offset, Problem::Missing { item, key });
         }
         value
     }
@@ -80,7 +80,7 @@
         match make(text) {
             Ok(name) => Some(name),
             Err(why) => {
-                let what = What::Name {
+                let what = Problem::Name {
                     role: key,
                     found: text.to_owned(),
                     why,
@@ -101,7 +101,7 @@
         let text = self.string(draft, key)?;
         let found = allowed.iter().position(|&word| word == text);
         if found.is_none() {
-            let what = What::Word {
+            let what = Problem::Choice {
                 place: self.place(key),
                 allowed,
                 found: text.to_owned(),
@@ -146,7 +146,7 @@
         if let Some(number) = parsed.and_then(|number| T::try_from(number).ok()) {
             return Some(number);
         }
-        let what = What::Range {
+        let what = Problem::Range {
             place: self.place(key),
             min: *bounds.start(),
             max: *bounds.end(),
@@ -197,7 +197,7 @@
         value: &Spanned<DeValue<'_>>,
         expected: Kind,
     ) {
-        let what = What::Kind {
+        let what = Problem::Kind {
             place: self.place(key),
             expected,
             found: value.get_ref().type_str(),
--- a/crates/catalog/tests/apply.rs
+++ b/crates/catalog/tests/apply.rs
@@ -44,11 +44,11 @@
 
 fn send(store: &mut Store, txn: &plan::Txn, fate: Option<&Fate>) -> Event {
     if fate == Some(&Fate::RequestLost) {
-        return Event::Lost;
+        return Event::Unknown;
     }
     let revision = store.run(txn);
     if fate == Some(&Fate::AnswerLost) {
-        return Event::Lost;
+        return Event::Unknown;
     }
     revision.map_or(Event::Refused, Event::Committed)
 }
@@ -73,7 +73,7 @@
 
 fn open(store: &Store, connections: u16, change: u128) -> (Apply, Action) {
     let plan = plan::plan(&store.snapshot(), &small(connections), proposal(change)).unwrap();
-    Apply::open(plan)
+    Apply::start(plan)
 }
 
 /// Symptom: an operator's change is silently undone by a colleague's.
@@ -151,7 +151,7 @@
     let Action::Send(_, delayed) = action else {
         panic!("a change starts with a send");
     };
-    let Action::Read(_, number) = apply.step(Event::Lost) else {
+    let Action::Read(_, number) = apply.step(Event::Unknown) else {
         panic!("a lost answer is followed by a read");
     };
     let Action::Send(_, again) = apply.step(Event::Read(evidence(&store, number))) else {
@@ -172,7 +172,7 @@
 fn a_store_that_stays_silent_ends_as_unknown() {
     let store = store();
     let (mut apply, _) = open(&store, 9, 2);
-    let mut action = apply.step(Event::Lost);
+    let mut action = apply.step(Event::Unknown);
     let mut reads = 0;
     while let Action::Read(..) = action {
         reads += 1;
@@ -223,7 +223,7 @@
 fn a_rejection_does_not_settle_an_earlier_doubt() {
     let store = store();
     let (mut apply, _) = open(&store, 9, 2);
-    apply.step(Event::Lost);
+    apply.step(Event::Unknown);
     let action = apply.step(Event::Read(evidence(&store, 2)));
     assert!(matches!(action, Action::Send(..)), "{action:?}");
     let mut action = apply.step(Event::Rejected);
@@ -245,7 +245,7 @@
     let mut store = store();
     let apply = open(&store, 9, 2);
     let outcome = run(&mut store, apply, &[Fate::AnswerLost], |store| {
-        for n in 0..catalog::history::KEPT {
+        for n in 0..catalog::history::MAX_RECORDS {
             let connections = 10 + (n % 2) as u16;
             let plan = plan::plan(&store.snapshot(), &small(connections), proposal(100));
             store.run(&plan.unwrap().txn).unwrap();
--- a/crates/catalog/tests/layout.rs
+++ b/crates/catalog/tests/layout.rs
@@ -257,7 +257,7 @@
 #[test]
 fn history_is_bounded_in_number_and_size() {
     let mut store = Store::default();
-    let changes = history::KEPT + 5;
+    let changes = history::MAX_RECORDS + 5;
     for number in 1..=changes {
         let connections = 8 + (number % 2) as u16;
         let plan = plan::plan(
@@ -268,7 +268,7 @@
         store.run(&plan.unwrap().txn).unwrap();
     }
     let records = store.pairs(layout::HISTORY);
-    assert_eq!(records.len() as u64, history::KEPT);
+    assert_eq!(records.len() as u64, history::MAX_RECORDS);
     let oldest = Record::decode(&records[0]).unwrap();
     assert_eq!(oldest.head.number, 6);
     assert_eq!(
@@ -282,7 +282,7 @@
     users.extend((0..2_000).map(|n| (format!("user-{n}"), verifier.clone())));
     let plan = plan::plan(&store.snapshot(), &wide, proposal(1)).unwrap();
     let record = plan.txn.puts.last().unwrap();
-    assert!(record.value.len() < history::MAX_CHANGES + 1_000);
+    assert!(record.value.len() < history::MAX_CHANGES_BYTES + 1_000);
     let pair = Pair {
         key: record.key.clone(),
         value: record.value.clone(),
--- a/crates/catalog/tests/parts.rs
+++ b/crates/catalog/tests/parts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use catalog::{
-    Catalog, What,
+    Catalog, Problem,
     layout::Snapshot,
     parts::{self, Error},
     plan::{self, MAX_BYTES, MAX_OPS},
@@ -95,7 +95,7 @@
     }
     match parts::split(&from, &to) {
         Err(Error::Rules { fault, .. }) => {
-            assert!(matches!(*fault, What::Connections { .. }), "{fault}");
+            assert!(matches!(*fault, Problem::Connections { .. }), "{fault}");
         }
         other => panic!("{:?}", other.map(|parts| parts.len())),
     }
--- a/crates/catalog/tests/text.rs
+++ b/crates/catalog/tests/text.rs
@@ -1,8 +1,8 @@
 //! The text form: what is accepted, and what is refused and where.
 
 use catalog::{
-    Catalog, Doubt, Fault, Reading, What,
-    history::{KEPT, MAX_CHANGES},
+    Catalog, Fault, Lint, Problem, ReadFreshness,
+    history::{MAX_CHANGES_BYTES, MAX_RECORDS},
     layout::MAX_VALUE,
     limit,
     plan::{MAX_BYTES, MAX_OPS},
@@ -213,7 +213,7 @@
         let faults = faults(old, new);
         let told = faults
             .iter()
-            .any(|fault| fault.line == line && fault.what.to_string().contains(message));
+            .any(|fault| fault.line == line && fault.kind.to_string().contains(message));
         assert!(told, "{old:?} -> {new:?}: {faults:#?}");
     }
 }
@@ -230,7 +230,7 @@
         let faults = faults(old, new);
         let told = faults.iter().any(|fault| {
             fault.line == line
-                && matches!(&fault.what, What::UnknownKey { known, .. } if !known.is_empty())
+                && matches!(&fault.kind, Problem::UnknownKey { known, .. } if !known.is_empty())
         });
         assert!(told, "{old:?} -> {new:?}: {faults:#?}");
     }
@@ -284,16 +284,16 @@
     let told: Vec<_> = checked
         .warnings
         .iter()
-        .map(|warning| (warning.line, &warning.what))
+        .map(|warning| (warning.line, &warning.kind))
         .collect();
-    assert!(matches!(told[0], (1, Doubt::NoUser { .. })), "{told:?}");
-    assert!(matches!(told[1], (36, Doubt::Alone { .. })), "{told:?}");
+    assert!(matches!(told[0], (1, Lint::NoUser { .. })), "{told:?}");
     assert!(
-        matches!(told[2], (36, Doubt::AllLeaving { .. })),
+        matches!(told[1], (36, Lint::SingleUpstream { .. })),
         "{told:?}"
     );
+    assert!(matches!(told[2], (36, Lint::AllLeaving { .. })), "{told:?}");
     assert!(
-        matches!(told[3], (39, Doubt::Even { count: 2, .. })),
+        matches!(told[3], (39, Lint::EvenUpstreams { count: 2, .. })),
         "{told:?}"
     );
     assert_eq!(told.len(), 4);
@@ -332,7 +332,7 @@
     }
     let catalog = Catalog::parse(stalgenoot).unwrap();
     let entry = |name| &catalog.entries[name];
-    assert_eq!(entry("calendar").freshness, Reading::Age);
+    assert_eq!(entry("calendar").freshness, ReadFreshness::Age);
     assert!(!entry("payment").idempotent);
     assert!(!entry("slot-reservation").idempotent);
 }
@@ -355,8 +355,8 @@
     ] {
         let known = faults(old, new)
             .into_iter()
-            .find_map(|fault| match fault.what {
-                What::UnknownKey { known, .. } => Some(known),
+            .find_map(|fault| match fault.kind {
+                Problem::UnknownKey { known, .. } => Some(known),
                 _ => None,
             });
         keys.extend(known.unwrap());
@@ -378,7 +378,13 @@
             .filter(|line| line.starts_with(&format!("| `{key}`")));
         assert!(rows.all(|row| row.contains(&bounds)), "{key}: {bounds}");
     }
-    for number in [MAX_VALUE, MAX_OPS, MAX_BYTES, MAX_CHANGES, KEPT as usize] {
+    for number in [
+        MAX_VALUE,
+        MAX_OPS,
+        MAX_BYTES,
+        MAX_CHANGES_BYTES,
+        MAX_RECORDS as usize,
+    ] {
         assert!(reference.contains(&format!(" {number} ")), "{number}");
     }
 }
--- a/crates/chart/src/error.rs
+++ b/crates/chart/src/error.rs
@@ -31,7 +31,7 @@
     Undeclared(String),
     /// A state is declared twice.
     #[error("state {0:?} is declared twice")]
-    Twice(String),
+    Duplicate(String),
     /// No initial state is named.
     #[error("the chart names no initial state")]
     NoInitial,
@@ -40,7 +40,7 @@
     Unreachable(String),
     /// This transition and an earlier one could fire on the same event.
     #[error("clashes with the transition at line {earlier}: both could fire")]
-    Clash {
+    Ambiguous {
         /// The line of the earlier transition.
         earlier: usize,
     },
--- a/crates/chart/src/text.rs
+++ b/crates/chart/src/text.rs
@@ -109,7 +109,7 @@
     for name in names {
         let state = place.word(name, Kind::State)?;
         if states.insert(state, name).is_some() {
-            return Err(place.error(name, Fault::Twice(name.get_ref().clone())));
+            return Err(place.error(name, Fault::Duplicate(name.get_ref().clone())));
         }
     }
     Ok(states)
@@ -137,7 +137,7 @@
         let there = chart.transitions.entry((from, event)).or_default();
         let earlier = lines.entry((from, event)).or_default();
         if let Some(at) = there.iter().position(|t| !apart(&t.guards, &guards)) {
-            let fault = Fault::Clash {
+            let fault = Fault::Ambiguous {
                 earlier: earlier[at],
             };
             return Err(place.error(&line.on, fault));
--- a/crates/chart/tests/read.rs
+++ b/crates/chart/tests/read.rs
@@ -97,7 +97,7 @@
 #[test]
 fn two_transitions_that_could_both_fire_clash() {
     let text = GOOD.replace("\"!powered\"", "\"whole\"");
-    assert_eq!(fault(&text), (11, Fault::Clash { earlier: 5 }));
+    assert_eq!(fault(&text), (11, Fault::Ambiguous { earlier: 5 }));
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let text = GOOD.replace("\"off\", \"on\"", "\"off\"");
     assert_eq!(fault(&text), (8, Fault::Undeclared("on".into())));
     let text = GOOD.replace("\"off\", \"on\"", "\"off\", \"on\", \"on\"");
-    assert_eq!(fault(&text), (2, Fault::Twice("on".into())));
+    assert_eq!(fault(&text), (2, Fault::Duplicate("on".into())));
     let text = GOOD.replace("to = \"on\"", "to = \"off\"");
     assert_eq!(fault(&text), (2, Fault::Unreachable("on".into())));
 }
--- a/crates/check/src/once.rs
+++ b/crates/check/src/at_most_once.rs
@@ -11,13 +11,13 @@
 /// A run whose place a later term's log leaves out has no effect, and does not
 /// count.
 #[derive(Debug, Default)]
-pub struct Once {
+pub struct AtMostOnce {
     asked: HashMap<Request, (Operation, name::Database)>,
     ran: HashMap<Operation, Position>,
     terms: HashMap<name::Database, Vec<(Term, Lsn)>>,
 }
 
-impl Once {
+impl AtMostOnce {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
--- a/crates/check/src/whole.rs
+++ b/crates/check/src/delivery.rs
@@ -8,7 +8,7 @@
 
 /// Checks that each answer is whole, its own request's, and given once.
 #[derive(Debug, Default)]
-pub struct Whole {
+pub struct Delivery {
     asked: HashMap<Request, Asked>,
 }
 
@@ -18,7 +18,7 @@
     answered: u32,
 }
 
-impl Whole {
+impl Delivery {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
@@ -64,10 +64,10 @@
             let of = answer.of;
             return Some(Violation::WrongAnswer { request, of });
         }
-        (answer.rows != answer.whole).then_some(Violation::Partial {
+        (answer.rows != answer.total).then_some(Violation::Partial {
             request,
             rows: answer.rows,
-            whole: answer.whole,
+            whole: answer.total,
         })
     }
 }
--- a/crates/check/src/lost.rs
+++ b/crates/check/src/durability.rs
@@ -11,14 +11,14 @@
 /// A repeat that found its operation run before, and is answered as done,
 /// acknowledges the first run. A read acknowledges nothing.
 #[derive(Debug, Default)]
-pub struct Lost {
+pub struct Durability {
     asked: HashMap<Request, Operation>,
     written: HashMap<Request, Position>,
     acknowledged: BTreeMap<Operation, Position>,
 }
 
-impl Lost {
-    /// Takes one event; what is missing is told at [`Event::Settled`].
+impl Durability {
+    /// Takes one event; what is missing is told at [`Event::LogComplete`].
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
             Event::Asked {
@@ -28,7 +28,7 @@
             }
             Event::Ran {
                 request,
-                effect: Effect::Write { at } | Effect::Found { at },
+                effect: Effect::Write { at } | Effect::AlreadyRun { at },
                 ..
             } => {
                 self.written.insert(*request, *at);
@@ -36,10 +36,10 @@
             Event::Answered {
                 request, answer, ..
             } => self.answered(*request, answer.outcome),
-            Event::Kept { operation } => {
+            Event::Persisted { operation } => {
                 self.acknowledged.remove(operation);
             }
-            Event::Settled => return self.settled(),
+            Event::LogComplete => return self.settled(),
             _ => {}
         }
         Vec::new()
--- a/crates/check/src/event.rs
+++ b/crates/check/src/event.rs
@@ -87,12 +87,12 @@
         fork: Lsn,
     },
     /// A write is in the primary's log at the end of the history.
-    Kept {
+    Persisted {
         /// What it was about.
         operation: Operation,
     },
     /// Every write that is kept has been told.
-    Settled,
+    LogComplete,
     /// The platform's list shows an upstream as leaving.
     Leaving {
         /// The upstream.
@@ -169,7 +169,7 @@
         at: Position,
     },
     /// It found that its operation had been run before, and did nothing.
-    Found {
+    AlreadyRun {
         /// Where the first run had left the log.
         at: Position,
     },
@@ -185,7 +185,7 @@
     /// How many rows reached the caller.
     pub rows: u32,
     /// How many rows the upstream sent.
-    pub whole: u32,
+    pub total: u32,
 }
 
 impl Answer {
@@ -195,17 +195,17 @@
             outcome: Outcome::Done,
             of: Some(request),
             rows: 1,
-            whole: 1,
+            total: 1,
         }
     }
 
     /// An answer that says only how the request ended.
-    pub fn bare(outcome: Outcome) -> Self {
+    pub fn without_rows(outcome: Outcome) -> Self {
         Self {
             outcome,
             of: None,
             rows: 0,
-            whole: 0,
+            total: 0,
         }
     }
 }
--- a/crates/check/src/replaced.rs
+++ b/crates/check/src/fencing.rs
@@ -12,7 +12,7 @@
 /// A write that a majority confirmed before the change of primary is part of
 /// the new primary's log, and its answer may still be on its way then.
 #[derive(Debug, Default)]
-pub struct Replaced {
+pub struct Fencing {
     terms: HashMap<name::Database, Vec<(Term, Lsn)>>,
     asked: HashMap<Request, (name::Database, Option<Write>)>,
 }
@@ -23,7 +23,7 @@
     led: Term,
 }
 
-impl Replaced {
+impl Fencing {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -5,36 +5,36 @@
 //! the [`Violation`]s. Events say what truly happened, as the stand-ins know
 //! it, so a checker never trusts what the logic under test believes.
 
+mod at_most_once;
+mod delivery;
+mod durability;
 mod event;
-mod fresh;
+mod fencing;
 mod leaving;
 mod limit;
-mod lost;
 mod not_run;
-mod once;
-mod replaced;
+mod pinning;
 mod revision;
 mod session;
-mod stop;
+mod shutdown;
+mod staleness;
 mod suite;
-mod transaction;
 mod violation;
-mod whole;
 
+pub use at_most_once::AtMostOnce;
+pub use delivery::Delivery;
+pub use durability::Durability;
 pub use event::{
     Answer, Connection, Effect, Event, Holder, Operation, Request, Session, Transaction,
 };
-pub use fresh::Fresh;
+pub use fencing::Fencing;
 pub use leaving::{GRACE, Leaving};
 pub use limit::Limit;
-pub use lost::Lost;
 pub use not_run::NotRun;
-pub use once::Once;
-pub use replaced::Replaced;
+pub use pinning::Pinning;
 pub use revision::Revision;
 pub use session::ReadYourWrites;
-pub use stop::Stop;
+pub use shutdown::Shutdown;
+pub use staleness::Staleness;
 pub use suite::Suite;
-pub use transaction::Unmixed;
 pub use violation::Violation;
-pub use whole::Whole;
--- a/crates/check/src/transaction.rs
+++ b/crates/check/src/pinning.rs
@@ -6,12 +6,12 @@
 
 /// Checks that an open transaction has its connection to itself, and keeps it.
 #[derive(Debug, Default)]
-pub struct Unmixed {
+pub struct Pinning {
     open: HashMap<Connection, Transaction>,
     places: HashMap<Transaction, Connection>,
 }
 
-impl Unmixed {
+impl Pinning {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
--- a/crates/check/src/session.rs
+++ b/crates/check/src/session.rs
@@ -105,7 +105,7 @@
         let token = self.tokens.entry(asked.session).or_default();
         let seen = match asked.effect? {
             Effect::Read { seen, .. } => seen,
-            Effect::Write { at } | Effect::Found { at } => {
+            Effect::Write { at } | Effect::AlreadyRun { at } => {
                 token.written.term = token.written.term.max(at.term);
                 token.written.lsn = token.written.lsn.max(at.lsn);
                 return None;
--- a/crates/check/src/stop.rs
+++ b/crates/check/src/shutdown.rs
@@ -10,13 +10,13 @@
 ///
 /// What arrives after the stop began may be refused.
 #[derive(Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     stopping: HashSet<name::Instance>,
     running: HashMap<name::Instance, BTreeSet<Request>>,
     places: HashMap<Request, name::Instance>,
 }
 
-impl Stop {
+impl Shutdown {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
--- a/crates/check/src/fresh.rs
+++ b/crates/check/src/staleness.rs
@@ -8,7 +8,7 @@
 
 /// Checks current reads against all acknowledged writes, and aged ones by age.
 #[derive(Debug, Default)]
-pub struct Fresh {
+pub struct Staleness {
     acknowledged: HashMap<name::Database, Position>,
     asked: HashMap<Request, Asked>,
 }
@@ -21,7 +21,7 @@
     effect: Option<Effect>,
 }
 
-impl Fresh {
+impl Staleness {
     /// Takes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
@@ -62,7 +62,7 @@
 
     fn answered(&mut self, request: Request, asked: Asked) -> Option<Violation> {
         match (asked.effect?, asked.freshness) {
-            (Effect::Write { at } | Effect::Found { at }, _) => {
+            (Effect::Write { at } | Effect::AlreadyRun { at }, _) => {
                 let acknowledged = self.acknowledged.entry(asked.database).or_default();
                 *acknowledged = (*acknowledged).max(at);
                 None
--- a/crates/check/src/suite.rs
+++ b/crates/check/src/suite.rs
@@ -3,8 +3,8 @@
 use clock::Instant;
 
 use crate::{
-    Event, Fresh, Leaving, Limit, Lost, NotRun, Once, ReadYourWrites, Replaced, Revision, Stop,
-    Unmixed, Violation, Whole,
+    AtMostOnce, Delivery, Durability, Event, Fencing, Leaving, Limit, NotRun, Pinning,
+    ReadYourWrites, Revision, Shutdown, Staleness, Violation,
 };
 
 /// Every checker, fed with one history.
@@ -28,16 +28,16 @@
 #[derive(Debug, Default)]
 pub struct Suite {
     read_your_writes: ReadYourWrites,
-    fresh: Fresh,
-    replaced: Replaced,
-    unmixed: Unmixed,
-    whole: Whole,
+    staleness: Staleness,
+    fencing: Fencing,
+    pinning: Pinning,
+    delivery: Delivery,
     not_run: NotRun,
-    once: Once,
+    at_most_once: AtMostOnce,
     leaving: Leaving,
-    stop: Stop,
+    shutdown: Shutdown,
     revision: Revision,
-    lost: Lost,
+    durability: Durability,
     limit: Limit,
     violations: Vec<Violation>,
     events: u64,
@@ -49,16 +49,16 @@
         self.events += 1;
         let found = &mut self.violations;
         found.extend(self.read_your_writes.observe(event));
-        found.extend(self.fresh.observe(event));
-        found.extend(self.replaced.observe(event));
-        found.extend(self.unmixed.observe(event));
-        found.extend(self.whole.observe(event));
+        found.extend(self.staleness.observe(event));
+        found.extend(self.fencing.observe(event));
+        found.extend(self.pinning.observe(event));
+        found.extend(self.delivery.observe(event));
         found.extend(self.not_run.observe(event));
-        found.extend(self.once.observe(event));
+        found.extend(self.at_most_once.observe(event));
         found.extend(self.leaving.observe(at, event));
-        found.extend(self.stop.observe(event));
+        found.extend(self.shutdown.observe(event));
         found.extend(self.revision.observe(event));
-        found.extend(self.lost.observe(event));
+        found.extend(self.durability.observe(event));
         found.extend(self.limit.observe(event));
     }
 
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -239,7 +239,7 @@
         let outcome = if confirmed >= needed {
             Answer::done(Request(1))
         } else {
-            Answer::bare(Outcome::Unknown(Cause::Replaced))
+            Answer::without_rows(Outcome::Unknown(Cause::Replaced))
         };
         vec![
             asked(1, 1, 7, Freshness::Current),
@@ -263,7 +263,7 @@
 fn replaced_while_running() {
     let logic = |variant| {
         let outcome = match variant {
-            Sound => Answer::bare(Outcome::Unknown(Cause::Replaced)),
+            Sound => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -334,7 +334,11 @@
         vec![
             asked(1, 1, 7, Freshness::Session),
             asked(2, 2, 8, Freshness::Session),
-            answered(1, 7, Answer::bare(Outcome::Unknown(Cause::Deadline))),
+            answered(
+                1,
+                7,
+                Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
+            ),
             answered(2, 8, taken),
         ]
     };
@@ -362,10 +366,10 @@
 fn partial_answer() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::bare(Outcome::Unknown(Cause::ConnectionLost)),
+            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer {
                 rows: 3,
-                whole: 9,
+                total: 9,
                 ..Answer::done(Request(1))
             },
         };
@@ -382,7 +386,11 @@
     let logic = |variant| {
         let mut history = vec![
             asked(1, 1, 7, Freshness::Session),
-            answered(1, 7, Answer::bare(Outcome::Unknown(Cause::Deadline))),
+            answered(
+                1,
+                7,
+                Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
+            ),
         ];
         if variant == Broken {
             history.push(done(1, 7));
@@ -404,7 +412,7 @@
         };
         vec![
             asked(1, 1, 7, Freshness::Current),
-            answered(1, 7, Answer::bare(outcome)),
+            answered(1, 7, Answer::without_rows(outcome)),
             ran(1, write(1, 10)),
         ]
     };
@@ -417,7 +425,7 @@
 fn ran_twice() {
     let logic = |variant| {
         let second = match variant {
-            Sound => Effect::Found {
+            Sound => Effect::AlreadyRun {
                 at: Position::new(1, 10),
             },
             Broken => write(1, 20),
@@ -425,7 +433,11 @@
         vec![
             asked(1, 5, 7, Freshness::Current),
             ran(1, write(1, 10)),
-            answered(1, 7, Answer::bare(Outcome::Unknown(Cause::ConnectionLost))),
+            answered(
+                1,
+                7,
+                Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+            ),
             asked(2, 5, 7, Freshness::Current),
             ran(2, second),
             done(2, 7),
@@ -441,7 +453,11 @@
     let history = [
         asked(1, 5, 7, Freshness::Current),
         ran(1, write(1, 20)),
-        answered(1, 7, Answer::bare(Outcome::Unknown(Cause::ConnectionLost))),
+        answered(
+            1,
+            7,
+            Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+        ),
         Event::Promoted {
             database: database(),
             term: Term(2),
@@ -525,7 +541,7 @@
     let logic = |variant| {
         let instance = instance("a1");
         let stopping = Event::Stopping { instance };
-        let refusal = Answer::bare(Outcome::NotRun(Cause::Stopping));
+        let refusal = Answer::without_rows(Outcome::NotRun(Cause::Stopping));
         let ask = asked(1, 1, 7, Freshness::Session);
         let begin = match variant {
             Sound => vec![stopping, ask],
@@ -586,7 +602,7 @@
 fn acknowledged_write_lost() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::bare(Outcome::Unknown(Cause::ConnectionLost)),
+            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -598,7 +614,7 @@
                 term: Term(2),
                 fork: Lsn(10),
             },
-            Event::Settled,
+            Event::LogComplete,
         ]
     };
     assert_tells(logic, |v| matches!(v, Violation::Lost { .. }));
@@ -611,20 +627,24 @@
         let begin = [
             asked(1, 5, 7, Freshness::Current),
             ran(1, write(1, 20)),
-            answered(1, 7, Answer::bare(Outcome::Unknown(Cause::Deadline))),
+            answered(
+                1,
+                7,
+                Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
+            ),
             asked(2, 5, 7, Freshness::Current),
             ran(
                 2,
-                Effect::Found {
+                Effect::AlreadyRun {
                     at: Position::new(1, 20),
                 },
             ),
             done(2, 7),
         ];
-        [&begin, kept, &[Event::Settled]].concat()
+        [&begin, kept, &[Event::LogComplete]].concat()
     };
     let operation = Operation(5);
-    assert_eq!(observe(&history(&[Event::Kept { operation }])), []);
+    assert_eq!(observe(&history(&[Event::Persisted { operation }])), []);
     let found = observe(&history(&[]));
     assert!(matches!(found[..], [Violation::Lost { .. }]), "{found:?}");
 }
@@ -636,11 +656,15 @@
     let history = [
         asked(1, 5, 7, Freshness::Session),
         ran(1, write(1, 20)),
-        answered(1, 7, Answer::bare(Outcome::Unknown(Cause::Deadline))),
+        answered(
+            1,
+            7,
+            Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
+        ),
         asked(2, 5, 7, Freshness::Session),
         ran(2, read(2, 30, Duration::ZERO)),
         done(2, 7),
-        Event::Settled,
+        Event::LogComplete,
     ];
     assert_eq!(observe(&history), []);
 }
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -74,7 +74,7 @@
     let remark = |located: &Located<T>| Remark {
         line: located.line,
         column: located.column,
-        message: located.what.to_string(),
+        message: located.kind.to_string(),
     };
     located.iter().map(remark).collect()
 }
--- a/crates/cli/src/sender.rs
+++ b/crates/cli/src/sender.rs
@@ -24,7 +24,7 @@
 pub(crate) async fn send(store: &mut Store, plan: Plan) -> Result<Sent, Error> {
     let change = plan.head.change;
     let mut fault = None;
-    let (mut apply, mut action) = Apply::open(plan);
+    let (mut apply, mut action) = Apply::start(plan);
     let outcome = loop {
         let event = match action {
             Action::Send(wait, txn) => {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -108,7 +108,7 @@
         match gateway.call(&call(txn)).await {
             Ok(Answer::Swapped { revision }) => (Event::Committed(revision), None),
             Ok(Answer::Conflict { .. }) => (Event::Refused, None),
-            Ok(_) => (Event::Lost, None),
+            Ok(_) => (Event::Unknown, None),
             Err(fault) => (event(&fault), Some(fault)),
         }
     }
@@ -118,7 +118,7 @@
 fn event(fault: &Fault) -> Event {
     match fault {
         Fault::Unreachable { .. } => Event::NotSent,
-        fault if fault.may_have_run() => Event::Lost,
+        fault if fault.may_have_run() => Event::Unknown,
         _ => Event::Rejected,
     }
 }
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -324,7 +324,7 @@
         };
         let Some(upstream) = upstream else {
             let outcome = Outcome::NotRun(Cause::NoUpstream);
-            return self.answer(request, Answer::bare(outcome), Duration::ZERO);
+            return self.answer(request, Answer::without_rows(outcome), Duration::ZERO);
         };
         let entry = self.open[&request].kind.entry();
         let mine = (0..self.seats.len()).filter(|&s| self.seats[s].upstream == upstream);
@@ -417,14 +417,14 @@
                 retry_after,
             } => {
                 let outcome = Outcome::NotRun(cause);
-                self.reply(seat, ticket, Answer::bare(outcome), retry_after);
+                self.reply(seat, ticket, Answer::without_rows(outcome), retry_after);
             }
             Action::Cancel(handle) => {
                 self.seats[seat].running.remove(&handle);
             }
             Action::Abort(ticket, cause) => {
                 let outcome = Outcome::Unknown(cause);
-                self.reply(seat, ticket, Answer::bare(outcome), Duration::ZERO);
+                self.reply(seat, ticket, Answer::without_rows(outcome), Duration::ZERO);
             }
         }
     }
--- a/crates/policy/src/reads/serve.rs
+++ b/crates/policy/src/reads/serve.rs
@@ -251,7 +251,7 @@
         self.tell(&Event::Answered {
             request,
             session: check::Session(open.caller as u64),
-            answer: Answer::bare(outcome),
+            answer: Answer::without_rows(outcome),
         });
     }
 
--- a/crates/policy/src/world.rs
+++ b/crates/policy/src/world.rs
@@ -289,9 +289,9 @@
         };
         let kept: Vec<_> = leader.log().iter().filter_map(|e| e.operation).collect();
         for operation in kept {
-            self.tell(Event::Kept { operation });
+            self.tell(Event::Persisted { operation });
         }
-        self.tell(Event::Settled);
+        self.tell(Event::LogComplete);
     }
 
     /// The upstream that leads by its own word, in the highest term.
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -451,7 +451,7 @@
         let token = session.and_then(Session::position);
         let answer = match outcome {
             Outcome::Done => Answer::done(request),
-            _ => Answer::bare(outcome),
+            _ => Answer::without_rows(outcome),
         };
         let term = match work.stage {
             Stage::Landing(position) => Some(position.term),
@@ -474,7 +474,7 @@
     /// A caller's connection broke with its instance.
     pub(super) fn hang_up(&mut self, request: Request) {
         let outcome = Outcome::Unknown(Cause::ConnectionLost);
-        self.give(request, Answer::bare(outcome), None, End::default());
+        self.give(request, Answer::without_rows(outcome), None, End::default());
     }
 }
 
--- a/crates/policy/src/world/upstream.rs
+++ b/crates/policy/src/world/upstream.rs
@@ -247,7 +247,7 @@
                 Reply::Ran(at, self.servers[server].report())
             }
             Ok(Written::Found(at)) => {
-                self.ran(server, request, Effect::Found { at });
+                self.ran(server, request, Effect::AlreadyRun { at });
                 Reply::Ran(
                     self.servers[server].position(),
                     self.servers[server].report(),
