--- a/crates/pg/src/codec.rs
+++ b/crates/pg/src/codec.rs
@@ -115,15 +115,15 @@
     if length < 4 {
         return Err(Error::Short { tag, length });
     }
-    let whole = length as usize + 1;
-    if whole > most {
+    let total = length as usize + 1;
+    if total > most {
         return Err(Error::Oversized { tag, length, most });
     }
-    if src.len() < whole {
+    if src.len() < total {
         return Ok(None);
     }
     Ok(Some(Frame {
-        bytes: src.split_to(whole),
+        bytes: src.split_to(total),
     }))
 }
 
--- a/crates/pg/src/front.rs
+++ b/crates/pg/src/front.rs
@@ -56,34 +56,34 @@
     if buf.len() < length as usize {
         return Ok(None);
     }
-    let mut whole = buf.split_to(length as usize);
+    let mut packet = buf.split_to(length as usize);
     let malformed = |what| Error::Malformed { tag: ' ', what };
-    if SslRequest::is_ssl_request_packet(&whole) {
+    if SslRequest::is_ssl_request_packet(&packet) {
         return Ok(Some(Startup::Tls));
     }
-    if GssEncRequest::is_gss_enc_request_packet(&whole) {
+    if GssEncRequest::is_gss_enc_request_packet(&packet) {
         return Ok(Some(Startup::Gss));
     }
     let context = DecodeContext::default();
-    if CancelRequest::is_cancel_request_packet(&whole) {
-        if whole.len() < 16 {
+    if CancelRequest::is_cancel_request_packet(&packet) {
+        if packet.len() < 16 {
             return Err(malformed("a cancel request without a key"));
         }
-        let cancel = CancelRequest::decode(&mut whole, &context).ok().flatten();
+        let cancel = CancelRequest::decode(&mut packet, &context).ok().flatten();
         return cancel
             .map(|it| Some(Startup::Cancel(it)))
             .ok_or(malformed("a cancel request"));
     }
-    let (major, minor) = (whole.get(4..6), whole.get(6..8));
+    let (major, minor) = (packet.get(4..6), packet.get(6..8));
     let number = |it: Option<&[u8]>| it.map_or(0, |mut it| it.get_u16());
     if number(major) != 3 {
         let (major, minor) = (number(major), number(minor));
         return Ok(Some(Startup::Version { major, minor }));
     }
-    if whole.len() == 8 || whole.last() != Some(&0) {
+    if packet.len() == 8 || packet.last() != Some(&0) {
         return Err(malformed("the parameters don't end"));
     }
-    let session = startup::Startup::decode(&mut whole, &context)
+    let session = startup::Startup::decode(&mut packet, &context)
         .ok()
         .flatten();
     session
@@ -172,12 +172,12 @@
 /// The library's decoder takes the counts in a message at their word and
 /// panics when the body is shorter, which would end the whole thread of
 /// callers. Each body is therefore walked first.
-struct Walk<'a> {
+struct Cursor<'a> {
     tag: char,
     rest: &'a [u8],
 }
 
-impl<'a> Walk<'a> {
+impl<'a> Cursor<'a> {
     fn fail<T>(&self, what: &'static str) -> Result<T, Error> {
         Err(Error::Malformed {
             tag: self.tag,
@@ -223,56 +223,56 @@
 }
 
 fn check_parse(body: &[u8]) -> Result<(), Error> {
-    let mut walk = Walk {
+    let mut cursor = Cursor {
         tag: 'P',
         rest: body,
     };
-    walk.text()?;
-    walk.text()?;
-    let types = walk.count()?;
-    walk.skip(types * 4)?;
-    walk.end()
+    cursor.text()?;
+    cursor.text()?;
+    let types = cursor.count()?;
+    cursor.skip(types * 4)?;
+    cursor.end()
 }
 
 fn check_bind(body: &[u8]) -> Result<(), Error> {
-    let mut walk = Walk {
+    let mut cursor = Cursor {
         tag: 'B',
         rest: body,
     };
-    walk.text()?;
-    walk.text()?;
-    let formats = walk.count()?;
-    walk.skip(formats * 2)?;
-    for _ in 0..walk.count()? {
-        if walk.rest.len() < 4 {
-            return walk.fail("a parameter's length is missing");
+    cursor.text()?;
+    cursor.text()?;
+    let formats = cursor.count()?;
+    cursor.skip(formats * 2)?;
+    for _ in 0..cursor.count()? {
+        if cursor.rest.len() < 4 {
+            return cursor.fail("a parameter's length is missing");
         }
-        let length = walk.rest.get_i32();
+        let length = cursor.rest.get_i32();
         if length >= 0 {
-            walk.skip(length as usize)?;
+            cursor.skip(length as usize)?;
         }
     }
-    let results = walk.count()?;
-    walk.skip(results * 2)?;
-    walk.end()
+    let results = cursor.count()?;
+    cursor.skip(results * 2)?;
+    cursor.end()
 }
 
 fn check_target(tag: char, body: &[u8]) -> Result<(), Error> {
-    let mut walk = Walk { tag, rest: body };
+    let mut cursor = Cursor { tag, rest: body };
     if !matches!(body.first(), Some(b'S' | b'P')) {
-        return walk.fail("neither a statement nor a portal");
+        return cursor.fail("neither a statement nor a portal");
     }
-    walk.skip(1)?;
-    walk.text()?;
-    walk.end()
+    cursor.skip(1)?;
+    cursor.text()?;
+    cursor.end()
 }
 
 fn check_execute(body: &[u8]) -> Result<(), Error> {
-    let mut walk = Walk {
+    let mut cursor = Cursor {
         tag: 'E',
         rest: body,
     };
-    walk.text()?;
-    walk.skip(4)?;
-    walk.end()
+    cursor.text()?;
+    cursor.skip(4)?;
+    cursor.end()
 }
--- a/crates/pg/tests/decode.rs
+++ b/crates/pg/tests/decode.rs
@@ -84,8 +84,8 @@
     }
 }
 
-fn check(frame: &Frame, most: usize) {
-    assert!(frame.bytes().len() <= most);
+fn check(frame: &Frame, max: usize) {
+    assert!(frame.bytes().len() <= max);
     if let Ok(front) = pg::decode(frame) {
         assert!(size(&front) <= frame.bytes().len());
     }
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_is_valid_is_taken() {
+fn valid_messages_are_accepted() {
     for message in valid() {
         let mut src = BytesMut::copy_from_slice(&message);
         let frame = Codec.decode(&mut src).unwrap().expect("a whole message");
--- a/crates/request/src/cancel.rs
+++ b/crates/request/src/cancel.rs
@@ -50,15 +50,15 @@
 #[derive(Debug, Default)]
 pub struct Table {
     running: HashMap<Key, Handle>,
-    under_way: HashMap<Generation, u32>,
-    held_back: HashMap<Generation, (Key, Handle)>,
+    pending_cancels: HashMap<Generation, u32>,
+    unsent: HashMap<Generation, (Key, Handle)>,
 }
 
 impl Table {
     /// The caller's statement is to be sent.
     pub fn start(&mut self, key: Key, handle: Handle) -> Gate {
-        if self.under_way.contains_key(&handle.generation) {
-            self.held_back.insert(handle.generation, (key, handle));
+        if self.pending_cancels.contains_key(&handle.generation) {
+            self.unsent.insert(handle.generation, (key, handle));
             return Gate::Closed;
         }
         self.running.insert(key, handle);
@@ -76,28 +76,28 @@
     /// connection.
     pub fn cancel(&mut self, key: Key) -> Option<Handle> {
         let handle = self.running.get(&key).copied()?;
-        *self.under_way.entry(handle.generation).or_insert(0) += 1;
+        *self.pending_cancels.entry(handle.generation).or_insert(0) += 1;
         Some(handle)
     }
 
     /// Takes out the caller's statement if it is held back: it was cancelled
     /// before it was sent, so it did not run.
     pub fn cancel_unsent(&mut self, key: Key) -> Option<Handle> {
-        let mut held_back = self.held_back.iter();
-        let (&generation, _) = held_back.find(|(_, (of, _))| *of == key)?;
-        self.held_back.remove(&generation).map(|(_, handle)| handle)
+        let mut unsent = self.unsent.iter();
+        let (&generation, _) = unsent.find(|(_, (of, _))| *of == key)?;
+        self.unsent.remove(&generation).map(|(_, handle)| handle)
     }
 
     /// The server closed the connection that carried a cancel, or that could
     /// not be opened. The statement that may be sent now, if one waits.
     pub fn answered(&mut self, generation: Generation) -> Option<(Key, Handle)> {
-        let count = self.under_way.get_mut(&generation)?;
+        let count = self.pending_cancels.get_mut(&generation)?;
         *count -= 1;
         if *count > 0 {
             return None;
         }
-        self.under_way.remove(&generation);
-        let (key, handle) = self.held_back.remove(&generation)?;
+        self.pending_cancels.remove(&generation);
+        let (key, handle) = self.unsent.remove(&generation)?;
         self.running.insert(key, handle);
         Some((key, handle))
     }
@@ -105,13 +105,13 @@
     /// Whether a connection may be given to another request: a cancel under
     /// way would hit that one.
     pub fn is_reusable(&self, generation: Generation) -> bool {
-        !self.under_way.contains_key(&generation)
+        !self.pending_cancels.contains_key(&generation)
     }
 
     /// The connection is gone, with what was held back for it.
     pub fn lost(&mut self, generation: Generation) {
-        self.under_way.remove(&generation);
-        self.held_back.remove(&generation);
+        self.pending_cancels.remove(&generation);
+        self.unsent.remove(&generation);
         self.running.retain(|_, it| it.generation != generation);
     }
 }
--- a/crates/request/src/request.rs
+++ b/crates/request/src/request.rs
@@ -83,7 +83,7 @@
     target: Target,
     deadline: Instant,
     /// Why an earlier attempt may have run, if one may.
-    doubt: Option<Cause>,
+    may_have_run: Option<Cause>,
 }
 
 impl Request {
@@ -95,7 +95,7 @@
             repeat,
             target,
             deadline,
-            doubt: None,
+            may_have_run: None,
         }
     }
 
@@ -128,9 +128,11 @@
                 self.answered(now, budget, answer)
             }
             (State::Sent(sent), Event::Lost(handle)) if sent == handle => {
-                self.uncertain(now, budget, Cause::ConnectionLost)
+                self.outcome_unknown(now, budget, Cause::ConnectionLost)
+            }
+            (State::Confirming(_), Event::Replaced) => {
+                self.outcome_unknown(now, budget, Cause::Replaced)
             }
-            (State::Confirming(_), Event::Replaced) => self.uncertain(now, budget, Cause::Replaced),
             (State::Confirming(wanted), Event::Confirmed(held)) if held.covers(wanted) => {
                 self.end(Outcome::Done, None)
             }
@@ -172,8 +174,8 @@
     }
 
     /// Its bytes may have left and nothing proves what became of them.
-    fn uncertain(&mut self, now: Instant, budget: &mut Budget, cause: Cause) -> Vec<Action> {
-        self.doubt = Some(cause);
+    fn outcome_unknown(&mut self, now: Instant, budget: &mut Budget, cause: Cause) -> Vec<Action> {
+        self.may_have_run = Some(cause);
         match self.repeat {
             // Sent again it could run twice.
             Repeat::Once => self.end(Outcome::Unknown(cause), None),
@@ -203,7 +205,7 @@
         self.state = State::Ended;
         // The last attempt did not run, but an earlier one may have: told "not
         // run", the caller would send again what is already in the database.
-        let outcome = match (outcome, self.doubt) {
+        let outcome = match (outcome, self.may_have_run) {
             (Outcome::NotRun(_), Some(cause)) => Outcome::Unknown(cause),
             _ => outcome,
         };
--- a/crates/request/tests/cancel.rs
+++ b/crates/request/tests/cancel.rs
@@ -77,7 +77,7 @@
 
 /// Runs one order: the statement that the cancel hit, and whether the second
 /// was sent in the end.
-fn play(variant: Variant, order: &[Step]) -> (Option<u64>, bool) {
+fn simulate(variant: Variant, order: &[Step]) -> (Option<u64>, bool) {
     let mut table = Table::default();
     table.start(KEY, statement(1));
     let mut running = Some(1);
@@ -118,24 +118,26 @@
 fn cancel_never_hits_the_next_statement_of_its_transaction() {
     let orders = orders(&CANCEL, &STATEMENTS);
     assert_eq!(orders.len(), 10);
-    let meant = |order: &[Step]| {
+    let is_intended = |order: &[Step]| {
         let at = |step| order.iter().position(|it| *it == step);
         at(Step::Next) < at(Step::Cancel)
     };
     for order in &orders {
-        let (hit, sent) = play(Variant::Real, order);
+        let (hit, sent) = simulate(Variant::Real, order);
         assert!(sent, "{order:?}: the second was never sent");
         // After the second was sent, the caller's cancel means that one.
-        assert!(hit != Some(2) || meant(order), "{order:?}");
+        assert!(hit != Some(2) || is_intended(order), "{order:?}");
     }
-    let wrong = |order: &&Vec<Step>| play(Variant::NoBarrier, order).0 == Some(2) && !meant(order);
+    let wrong = |order: &&Vec<Step>| {
+        simulate(Variant::NoBarrier, order).0 == Some(2) && !is_intended(order)
+    };
     assert!(orders.iter().filter(wrong).count() > 0);
 }
 
 /// Symptom: the cancel hits the caller that gets the connection next. Cause:
 /// the connection went back to the pool with a cancel under way.
 #[test]
-fn connection_is_not_quiet_until_each_cancel_is_answered() {
+fn connection_is_not_reusable_until_each_cancel_is_answered() {
     let mut table = Table::default();
     table.start(KEY, statement(1));
     table.cancel(KEY);
@@ -151,7 +153,7 @@
 /// Symptom: a caller cancels and its statement runs all the same. Events: the
 /// statement waits for the answer to an earlier cancel.
 #[test]
-fn statement_held_back_can_be_cancelled_unsent() {
+fn unsent_statement_can_be_cancelled() {
     let mut table = Table::default();
     table.start(KEY, statement(1));
     table.cancel(KEY);
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -27,25 +27,25 @@
 /// One instance that runs a statement with an id.
 #[derive(Debug)]
 struct Instance {
-    me: usize,
+    number: usize,
     once: Once,
     digest: u64,
     /// What it waits to send.
     next: Option<Action>,
-    mine: Option<(String, String)>,
+    own_row: Option<(String, String)>,
     ran: u32,
     end: Option<End>,
 }
 
 impl Instance {
-    fn new(me: usize, scope: Scope, id: Id, digest: u64) -> Self {
+    fn new(number: usize, scope: Scope, id: Id, digest: u64) -> Self {
         let mut once = Once::new(scope, id, Digest(digest));
         Self {
-            me,
+            number,
             next: once.step(Event::Start),
             once,
             digest,
-            mine: None,
+            own_row: None,
             ran: 0,
             end: None,
         }
@@ -59,15 +59,15 @@
         let event = match &action {
             Action::Begin(sql) | Action::Insert(sql) => {
                 let (id, tag) = inserted(sql);
-                if database.open.get(&id).is_some_and(|it| *it != self.me) {
+                if database.open.get(&id).is_some_and(|it| *it != self.number) {
                     return;
                 }
                 match (database.rows.contains_key(&id), sql.contains("DO NOTHING")) {
                     (true, true) => Event::Inserted(0),
                     (true, false) => Event::Repeated,
                     (false, _) => {
-                        database.open.insert(id.clone(), self.me);
-                        self.mine = Some((id, tag));
+                        database.open.insert(id.clone(), self.number);
+                        self.own_row = Some((id, tag));
                         Event::Inserted(1)
                     }
                 }
@@ -77,7 +77,7 @@
                 Event::Ran("INSERT 0 1".to_owned())
             }
             Action::Commit(sql) | Action::Record(sql) => {
-                self.mine = Some(recorded(sql));
+                self.own_row = Some(recorded(sql));
                 self.close(database, Close::Commit);
                 Event::Recorded
             }
@@ -98,12 +98,12 @@
         self.next = self.once.step(event);
     }
 
-    fn close(&mut self, database: &mut Database, how: Close) {
-        let Some((id, tag)) = self.mine.take() else {
+    fn close(&mut self, database: &mut Database, kind: Close) {
+        let Some((id, tag)) = self.own_row.take() else {
             return;
         };
         database.open.remove(&id);
-        if how == Close::Commit {
+        if kind == Close::Commit {
             database.rows.insert(id, tag);
             *database.runs.entry(self.digest).or_insert(0) += self.ran;
         }
@@ -111,7 +111,7 @@
     }
 
     /// The instance dies: the server rolls its transaction back.
-    fn die(&mut self, database: &mut Database) {
+    fn crash(&mut self, database: &mut Database) {
         self.close(database, Close::Rollback);
         self.next = None;
     }
@@ -182,7 +182,7 @@
     one.send(&mut database);
     one.send(&mut database);
     two.send(&mut database);
-    one.die(&mut database);
+    one.crash(&mut database);
     assert_eq!(finish(&mut two, &mut database), ran());
     assert_eq!(database.runs[&9], 1);
 }
@@ -234,7 +234,7 @@
 /// Symptom: an old repeat books a second time. Events: its row is cleaned away
 /// between the insert and the look. Cause: "not there" was taken for "new".
 #[test]
-fn id_that_was_cleaned_meanwhile_is_refused() {
+fn id_deleted_during_the_lookup_is_refused() {
     let mut once = Once::new(Scope::Alone, id(1), Digest(9));
     once.step(Event::Start);
     once.step(Event::Repeated);
@@ -284,12 +284,12 @@
     ) {
         let mut database = Database::default();
         let mut all: Vec<_> = (0..3)
-            .map(|me| Instance::new(me, Scope::Alone, id(1), 9))
+            .map(|number| Instance::new(number, Scope::Alone, id(1), 9))
             .collect();
-        for (who, what) in steps {
-            match what {
-                0 => all[who].die(&mut database),
-                _ => all[who].send(&mut database),
+        for (index, choice) in steps {
+            match choice {
+                0 => all[index].crash(&mut database),
+                _ => all[index].send(&mut database),
             }
         }
         let runs = database.runs.get(&9).copied().unwrap_or(0);
--- a/crates/request/tests/outcome.rs
+++ b/crates/request/tests/outcome.rs
@@ -42,7 +42,7 @@
 /// Symptom: a caller gets another's rows. Events: the answer to a statement
 /// given up earlier arrives. Cause: it was matched by connection alone.
 #[test]
-fn crossed_answer_finds_no_taker() {
+fn answer_to_another_statement_is_ignored() {
     let mut budget = Budget::default();
     let mut request = sent(Repeat::Once, Target::Any, &mut budget);
     let crossed = Event::Answered(handle(2), Answer::Read);
@@ -63,7 +63,7 @@
 /// Symptom: a booking is confirmed and then lost. Events: the primary is
 /// replaced between commit and majority. Cause: the commit was acknowledged.
 #[test]
-fn replaced_primary_acknowledges_nothing() {
+fn write_is_unknown_when_the_primary_is_replaced() {
     let mut budget = Budget::default();
     let mut request = sent(Repeat::Once, Target::Primary, &mut budget);
     let wrote = Event::Answered(handle(1), Answer::Wrote(Position::new(1, 10)));
@@ -92,7 +92,7 @@
 /// request loses its connection, is retried, and its retry is refused. Cause:
 /// only the last attempt was looked at.
 #[test]
-fn refused_retry_of_a_doubtful_attempt_is_unknown() {
+fn refused_retry_after_a_lost_attempt_is_unknown() {
     let mut budget = Budget::default();
     let mut request = sent(Repeat::Idempotent, Target::Any, &mut budget);
     let again = request.step(Instant::ZERO, &mut budget, Event::Lost(handle(1)));
--- a/crates/request/tests/retry.rs
+++ b/crates/request/tests/retry.rs
@@ -12,24 +12,28 @@
 
 /// How an attempt ends.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum Ending {
     Answered,
     Lost,
     Unsent,
     Deadlock,
 }
 
-fn event(fate: Fate, handle: Handle) -> Event {
-    match fate {
-        Fate::Answered => Event::Answered(handle, Answer::Read),
-        Fate::Lost => Event::Lost(handle),
-        Fate::Unsent => Event::Unsent(handle),
-        Fate::Deadlock => Event::Answered(handle, Answer::Rejected(*b"40P01")),
+fn event(ending: Ending, handle: Handle) -> Event {
+    match ending {
+        Ending::Answered => Event::Answered(handle, Answer::Read),
+        Ending::Lost => Event::Lost(handle),
+        Ending::Unsent => Event::Unsent(handle),
+        Ending::Deadlock => Event::Answered(handle, Answer::Rejected(*b"40P01")),
     }
 }
 
 /// Runs one request to its end: how often it was sent, and the end.
-fn sends(budget: &mut Budget, repeat: Repeat, fates: &mut dyn FnMut() -> Fate) -> (u32, Outcome) {
+fn sends(
+    budget: &mut Budget,
+    repeat: Repeat,
+    endings: &mut dyn FnMut() -> Ending,
+) -> (u32, Outcome) {
     let now = Instant::ZERO;
     let mut request = Request::new(repeat, Target::Any, Instant::from_millis(1_000));
     let mut sends = 0;
@@ -40,7 +44,7 @@
             Some(Action::Send(handle)) => {
                 sends += 1;
                 assert!(sends <= 1 + MAX_SAVED, "one request is sent for ever");
-                event(fates(), handle)
+                event(endings(), handle)
             }
             Some(Action::End(outcome, _)) => return (sends, outcome),
             other => panic!("the request hangs at {other:?}"),
@@ -58,7 +62,7 @@
 
 /// The most sends that `first` requests may come to: (1 + ratio) of them, and
 /// what was saved up before.
-fn most(first: u32) -> u32 {
+fn max_sends(first: u32) -> u32 {
     first + first * EARNED / 1_000 + MAX_SAVED
 }
 
@@ -67,21 +71,21 @@
 /// sent again. Cause: retries had no budget.
 #[test]
 fn retry_storm_stays_within_the_budget() {
-    for fate in [Fate::Lost, Fate::Unsent, Fate::Deadlock] {
+    for ending in [Ending::Lost, Ending::Unsent, Ending::Deadlock] {
         let mut budget = Budget::default();
-        let run = |_| sends(&mut budget, Repeat::Idempotent, &mut || fate).0;
+        let run = |_| sends(&mut budget, Repeat::Idempotent, &mut || ending).0;
         let total: u32 = (0..1_000).map(run).sum();
-        assert!(total <= most(1_000), "{fate:?}: {total}");
-        assert!(total > 1_000, "{fate:?}: no retry at all");
+        assert!(total <= max_sends(1_000), "{ending:?}: {total}");
+        assert!(total > 1_000, "{ending:?}: no retry at all");
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn ending() -> impl Strategy<Value = Ending> {
     prop_oneof![
-        Just(Fate::Answered),
-        Just(Fate::Lost),
-        Just(Fate::Unsent),
-        Just(Fate::Deadlock)
+        Just(Ending::Answered),
+        Just(Ending::Lost),
+        Just(Ending::Unsent),
+        Just(Ending::Deadlock)
     ]
 }
 
@@ -95,24 +99,24 @@
     /// Whatever fails: sends stay within the budget, what may run once is not
     /// sent after its bytes may have left, and "not run" is never said then.
     #[test]
-    fn sends_are_bounded_and_ends_are_true(
-        fates in prop::collection::vec((any::<bool>(), fate()), 1..200),
+    fn sends_are_bounded_and_outcomes_are_correct(
+        endings in prop::collection::vec((any::<bool>(), ending()), 1..200),
     ) {
         let mut budget = Budget::default();
-        let mut queue = fates.iter().map(|(_, fate)| *fate);
+        let mut queue = endings.iter().map(|(_, ending)| *ending);
         let (mut first, mut total) = (0, 0);
-        for (once, _) in &fates {
+        for (once, _) in &endings {
             let repeat = if *once { Repeat::Once } else { Repeat::Idempotent };
             let mut lost = 0;
             let mut next = || {
-                let fate = queue.next().unwrap_or(Fate::Answered);
-                lost += u32::from(matches!(fate, Fate::Lost));
-                fate
+                let ending = queue.next().unwrap_or(Ending::Answered);
+                lost += u32::from(matches!(ending, Ending::Lost));
+                ending
             };
             let (sends, outcome) = sends(&mut budget, repeat, &mut next);
             first += 1;
             total += sends;
-            prop_assert!(total <= most(first), "{total} sends of {first}");
+            prop_assert!(total <= max_sends(first), "{total} sends of {first}");
             if *once && lost > 0 {
                 prop_assert_eq!(outcome, Outcome::Unknown(Cause::ConnectionLost));
                 prop_assert_eq!(lost, 1);
--- a/crates/route/examples/share/main.rs
+++ b/crates/route/examples/share/main.rs
@@ -14,5 +14,5 @@
     report::probes(seed);
     report::replica_waits(seed);
     report::callers(seed);
-    report::rumour(seed);
+    report::unverified(seed);
 }
--- a/crates/route/examples/share/report.rs
+++ b/crates/route/examples/share/report.rs
@@ -5,7 +5,7 @@
 use route::Policy;
 
 use crate::{
-    setup::{Discovery, Judge, Knowledge, Setup, Tally},
+    setup::{Discovery, Knowledge, Setup, Tally, Verification},
     trace::Lag,
     world::run,
 };
@@ -27,7 +27,7 @@
     Policy::Oracle,
 ];
 
-fn line(label: &str, tally: &Tally) {
+fn print_line(label: &str, tally: &Tally) {
     println!(
         "{label:<34} {:>8.4} {:>8.4} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>8.1} {:>8.1}",
         tally.share(),
@@ -43,7 +43,7 @@
     );
 }
 
-fn head(title: &str) {
+fn print_head(title: &str) {
     println!("\n{title}");
     println!(
         "{:<34} {:>8} {:>8} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>8} {:>8}",
@@ -63,7 +63,7 @@
 
 /// Each policy on each pair of traces.
 pub(crate) fn policies(seed: u64) {
-    head("replica share by policy and lag of the two replicas");
+    print_head("replica share by policy and lag of the two replicas");
     for (label, lags) in TRACES {
         for policy in POLICIES {
             let tally = run(&Setup {
@@ -72,7 +72,7 @@
                 lags,
                 ..Setup::default()
             });
-            line(&format!("{label}: {policy:?}"), &tally);
+            print_line(&format!("{label}: {policy:?}"), &tally);
         }
         let knowledge = Knowledge::Sessions;
         let policy = Policy::Oracle;
@@ -83,13 +83,13 @@
             knowledge,
             ..Setup::default()
         });
-        line(&format!("{label}: Oracle of sessions"), &tally);
+        print_line(&format!("{label}: Oracle of sessions"), &tally);
     }
 }
 
 /// How often upstreams are asked without cause.
 pub(crate) fn probes(seed: u64) {
-    head("period of the background probes");
+    print_head("period of the background probes");
     for millis in [50, 100, 250, 500, 1_000] {
         let probe = Duration::from_millis(millis);
         let tally = run(&Setup {
@@ -97,13 +97,13 @@
             probe,
             ..Setup::default()
         });
-        line(&format!("steady, stalls: every {millis} ms"), &tally);
+        print_line(&format!("steady, stalls: every {millis} ms"), &tally);
     }
 }
 
 /// How long a read may wait for a replica.
 pub(crate) fn replica_waits(seed: u64) {
-    head("patience: waiting against going to the primary");
+    print_head("patience: waiting against going to the primary");
     for (label, lags) in TRACES {
         for millis in [0, 10, 30, 100, 300] {
             let max_replica_wait = Duration::from_millis(millis);
@@ -113,14 +113,14 @@
                 max_replica_wait,
                 ..Setup::default()
             });
-            line(&format!("{label}: {millis} ms"), &tally);
+            print_line(&format!("{label}: {millis} ms"), &tally);
         }
     }
 }
 
 /// Callers that present nothing: shared rounds against reads on the primary.
 pub(crate) fn callers(seed: u64) {
-    head("callers that present nothing");
+    print_head("callers that present nothing");
     for fresh in [0, 50, 100] {
         for discovery in [Discovery::Shared, Discovery::Primary] {
             let tally = run(&Setup {
@@ -129,21 +129,21 @@
                 discovery,
                 ..Setup::default()
             });
-            line(&format!("{fresh} of 100 fresh: {discovery:?}"), &tally);
+            print_line(&format!("{fresh} of 100 fresh: {discovery:?}"), &tally);
         }
     }
 }
 
 /// What routing on reports alone would serve.
-pub(crate) fn rumour(seed: u64) {
-    head("answers not judged (a broken variant)");
+pub(crate) fn unverified(seed: u64) {
+    print_head("answers not judged (a broken variant)");
     for (label, lags) in TRACES {
         let tally = run(&Setup {
             seed,
             lags,
-            judge: Judge::Rumour,
+            verification: Verification::Disabled,
             ..Setup::default()
         });
-        line(label, &tally);
+        print_line(label, &tally);
     }
 }
--- a/crates/route/examples/share/setup.rs
+++ b/crates/route/examples/share/setup.rs
@@ -17,11 +17,11 @@
 
 /// Whether answers are judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Judge {
+pub(crate) enum Verification {
     /// Each is, by the position asked ahead of it.
-    Every,
+    Enabled,
     /// None is: routing rests on what was reported earlier.
-    Rumour,
+    Disabled,
 }
 
 /// What the oracle knows.
@@ -50,7 +50,7 @@
     pub(crate) max_replica_wait: Duration,
     pub(crate) spill_margin: Duration,
     pub(crate) discovery: Discovery,
-    pub(crate) judge: Judge,
+    pub(crate) verification: Verification,
     pub(crate) knowledge: Knowledge,
 }
 
@@ -68,7 +68,7 @@
             max_replica_wait: Conf::default().max_replica_wait,
             spill_margin: Conf::default().spill_margin,
             discovery: Discovery::Shared,
-            judge: Judge::Every,
+            verification: Verification::Enabled,
             knowledge: Knowledge::Positions,
         }
     }
--- a/crates/route/examples/share/world.rs
+++ b/crates/route/examples/share/world.rs
@@ -16,19 +16,19 @@
 use session::{Confirmed, Floor, Round, Session, Start};
 
 use crate::{
-    setup::{Discovery, Judge, Knowledge, Setup, Tally},
+    setup::{Discovery, Knowledge, Setup, Tally, Verification},
     trace::Trace,
 };
 
 const UPSTREAMS: usize = 3;
 const INSTANCES: usize = 4;
-const NEAR: Duration = Duration::from_micros(150);
-const FAR: Duration = Duration::from_micros(1_500);
-const CALLER: Duration = Duration::from_millis(3);
-const AGE: Duration = Duration::from_secs(2);
+const ZONE_DELAY: Duration = Duration::from_micros(150);
+const CROSS_ZONE_DELAY: Duration = Duration::from_micros(1_500);
+const CALLER_DELAY: Duration = Duration::from_millis(3);
+const MAX_AGE: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(1);
-const WRITE: Duration = Duration::from_millis(3);
-const STABLE: usize = 400;
+const WRITE_TIME: Duration = Duration::from_millis(3);
+const STABLE_SESSIONS: usize = 400;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
@@ -42,7 +42,7 @@
     session: u64,
     kind: Kind,
     read: Read,
-    truth: Lsn,
+    last_write: Lsn,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -66,13 +66,13 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Shown {
+struct Snapshot {
     report: Report,
     upto: Position,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Happening {
+enum Occurrence {
     Calendar,
     Write,
     Probe(usize),
@@ -94,11 +94,11 @@
     Finish {
         upstream: usize,
         work: Work,
-        shown: Shown,
+        shown: Snapshot,
     },
     Answer {
         work: Work,
-        shown: Shown,
+        shown: Snapshot,
     },
     Acknowledge {
         session: u64,
@@ -109,7 +109,7 @@
         session: u64,
         instance: usize,
     },
-    Awake(u64),
+    WaitOver(u64),
     Committed {
         session: u64,
         instance: usize,
@@ -136,8 +136,8 @@
     rng: ChaCha8Rng,
     now: Instant,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
-    made: u64,
+    occurrences: BTreeMap<u64, Occurrence>,
+    id_counter: u64,
     commits: Vec<Instant>,
     traces: Vec<Trace>,
     servers: Vec<Server>,
@@ -153,15 +153,15 @@
 /// Runs a setup to its end.
 pub(crate) fn run(setup: &Setup) -> Tally {
     let mut world = World::new(setup);
-    world.at(Duration::from_millis(500), Happening::Calendar);
-    world.at(Duration::from_millis(500), Happening::Write);
+    world.schedule(Duration::from_millis(500), Occurrence::Calendar);
+    world.schedule(Duration::from_millis(500), Occurrence::Write);
     for instance in 0..INSTANCES {
-        world.at(
+        world.schedule(
             Duration::from_millis(1 + instance as u64),
-            Happening::Probe(instance),
+            Occurrence::Probe(instance),
         );
     }
-    world.go();
+    world.run();
     world.tally
 }
 
@@ -208,8 +208,8 @@
             rng,
             now: Instant::ZERO,
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            made: 0,
+            occurrences: BTreeMap::new(),
+            id_counter: 0,
             commits: Vec::new(),
             traces,
             servers: (0..UPSTREAMS).map(|_| Server::default()).collect(),
@@ -223,47 +223,48 @@
         }
     }
 
-    fn at(&mut self, delay: Duration, happening: Happening) {
-        self.made += 1;
-        self.queue.push(Reverse((self.now + delay, self.made)));
-        self.happenings.insert(self.made, happening);
+    fn schedule(&mut self, delay: Duration, occurrence: Occurrence) {
+        self.id_counter += 1;
+        self.queue
+            .push(Reverse((self.now + delay, self.id_counter)));
+        self.occurrences.insert(self.id_counter, occurrence);
     }
 
-    fn go(&mut self) {
+    fn run(&mut self) {
         let end = Instant::ZERO + self.setup.length;
         while let Some(Reverse((at, id))) = self.queue.pop() {
             if at > end {
                 return;
             }
             self.now = at;
-            let happening = self.happenings.remove(&id).expect("each is queued once");
-            self.happen(happening);
+            let occurrence = self.occurrences.remove(&id).expect("each is queued once");
+            self.dispatch(occurrence);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Calendar => self.calendar(),
-            Happening::Write => self.write(),
-            Happening::Probe(instance) => {
+    fn dispatch(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Calendar => self.calendar(),
+            Occurrence::Write => self.write(),
+            Occurrence::Probe(instance) => {
                 self.probe(instance);
-                self.at(self.setup.probe, Happening::Probe(instance));
+                self.schedule(self.setup.probe, Occurrence::Probe(instance));
             }
-            Happening::ProbeAt {
+            Occurrence::ProbeAt {
                 instance,
                 upstream,
                 sent,
             } => {
                 let report = self.shown(upstream).report;
-                let back = Happening::ProbeBack {
+                let back = Occurrence::ProbeBack {
                     instance,
                     upstream,
                     sent,
                     report,
                 };
-                self.at(way(instance, upstream), back);
+                self.schedule(one_way_delay(instance, upstream), back);
             }
-            Happening::ProbeBack {
+            Occurrence::ProbeBack {
                 instance,
                 upstream,
                 sent,
@@ -271,60 +272,63 @@
             } => {
                 self.report(instance, upstream, sent, report);
             }
-            Happening::Arrive { upstream, work } => {
+            Occurrence::Arrive { upstream, work } => {
                 self.servers[upstream].queue.push_back(work);
                 self.serve(upstream);
             }
-            Happening::Finish {
+            Occurrence::Finish {
                 upstream,
                 work,
                 shown,
             } => self.finish(upstream, work, shown),
-            Happening::Answer { work, shown } => self.answer(work, shown),
-            Happening::Acknowledge {
+            Occurrence::Answer { work, shown } => self.answer(work, shown),
+            Occurrence::Acknowledge {
                 session,
                 instance,
                 lsn,
             } => {
                 self.acknowledge(session, instance, lsn);
             }
-            Happening::Own { session, instance } => self.own(session, instance),
-            Happening::Committed {
+            Occurrence::Own { session, instance } => self.own(session, instance),
+            Occurrence::Committed {
                 session,
                 instance,
                 lsn,
             } => {
                 self.committed(session, instance, lsn);
             }
-            Happening::Awake(request) => self.awake(request),
+            Occurrence::WaitOver(request) => self.wait_over(request),
         }
     }
 
-    fn gap(&mut self, rate: u32) -> Duration {
+    fn interval(&mut self, rate: u32) -> Duration {
         let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
         Duration::from_secs_f64(-uniform.ln() / f64::from(rate))
     }
 
     fn calendar(&mut self) {
-        let gap = self.gap(self.setup.calendar);
-        self.at(gap, Happening::Calendar);
+        let interval = self.interval(self.setup.calendar);
+        self.schedule(interval, Occurrence::Calendar);
         let instance = self.rng.random_range(0..INSTANCES);
         let fresh = self.rng.random_range(0..100) < self.setup.fresh;
         let session = if fresh {
-            self.made + STABLE as u64
+            self.id_counter + STABLE_SESSIONS as u64
         } else {
-            self.rng.random_range(0..STABLE as u64 / 4) * 4 + instance as u64
+            self.rng.random_range(0..STABLE_SESSIONS as u64 / 4) * 4 + instance as u64
         };
         self.request(session, instance, Kind::Calendar);
     }
 
     fn write(&mut self) {
-        let gap = self.gap(self.setup.writes);
-        self.at(gap, Happening::Write);
+        let interval = self.interval(self.setup.writes);
+        self.schedule(interval, Occurrence::Write);
         let instance = self.rng.random_range(0..INSTANCES);
-        let session = self.made + STABLE as u64;
+        let session = self.id_counter + STABLE_SESSIONS as u64;
         let work = Work::Write { session, instance };
-        self.at(way(instance, 0), Happening::Arrive { upstream: 0, work });
+        self.schedule(
+            one_way_delay(instance, 0),
+            Occurrence::Arrive { upstream: 0, work },
+        );
     }
 
     /// A user reads what it wrote: here, elsewhere with its token, or
@@ -352,23 +356,23 @@
             .entry(session)
             .or_insert_with(|| Session::open(now));
         let freshness = match kind {
-            Kind::Calendar => Freshness::Age(AGE),
+            Kind::Calendar => Freshness::Age(MAX_AGE),
             Kind::Own => Freshness::Session,
         };
         let mut read = Read::new(now, now + DEADLINE)
             .floor(state.floor())
             .freshness(freshness);
         read.seen = state.seen();
-        let truth = self.written.get(&session).copied().unwrap_or_default();
+        let last_write = self.written.get(&session).copied().unwrap_or_default();
         let request = Request {
             instance,
             session,
             kind,
             read,
-            truth,
+            last_write,
         };
-        let id = self.made;
-        self.made += 1;
+        let id = self.id_counter;
+        self.id_counter += 1;
         self.requests.insert(id, request);
         self.choose(id);
     }
@@ -401,7 +405,7 @@
             Choice::Wait { upstream, until } => {
                 let to = self.index(&upstream);
                 self.instances[at].pending.insert(id, (to, until));
-                self.at(until.since(self.now), Happening::Awake(id));
+                self.schedule(until.since(self.now), Occurrence::WaitOver(id));
             }
             Choice::Hold { .. } | Choice::Refuse(_) => {
                 self.requests.remove(&id);
@@ -412,7 +416,7 @@
 
     /// A wait is over; where proof is wanted the replica is asked first, and
     /// its answer wakes the read.
-    fn awake(&mut self, id: u64) {
+    fn wait_over(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -434,12 +438,12 @@
             .pending
             .insert(id, (upstream, Instant::ZERO));
         self.tally.probes += 1;
-        let probe = Happening::ProbeAt {
+        let probe = Occurrence::ProbeAt {
             instance,
             upstream,
             sent: self.now,
         };
-        self.at(way(instance, upstream), probe);
+        self.schedule(one_way_delay(instance, upstream), probe);
     }
 
     fn index(&self, upstream: &name::Upstream) -> usize {
@@ -465,12 +469,12 @@
         }
         let bound = match request.kind {
             // The answer's way back counts too.
-            Kind::Calendar => Some(AGE - Duration::from_millis(10)),
+            Kind::Calendar => Some(MAX_AGE - Duration::from_millis(10)),
             Kind::Own => None,
         };
         let moment = self.oracle_moment(request);
         let exact = |replica: usize| {
-            let arrival = self.now + way(request.instance, replica + 1);
+            let arrival = self.now + one_way_delay(request.instance, replica + 1);
             let ready = self.traces[replica].ready(arrival, moment, bound);
             Exact {
                 upstream: self.names[replica + 1].clone(),
@@ -491,7 +495,7 @@
                 .map_or(Instant::ZERO, |at| self.commits[at]);
         }
         let shown = self.last_shown.get(&request.session).copied();
-        let floor = request.truth.max(shown.unwrap_or_default());
+        let floor = request.last_write.max(shown.unwrap_or_default());
         match floor.0 {
             0 => Instant::ZERO,
             lsn => self.commits[(lsn / 100 - 1) as usize],
@@ -509,12 +513,12 @@
     fn probe(&mut self, instance: usize) {
         for upstream in 0..UPSTREAMS {
             self.tally.probes += 1;
-            let probe = Happening::ProbeAt {
+            let probe = Occurrence::ProbeAt {
                 instance,
                 upstream,
                 sent: self.now,
             };
-            self.at(way(instance, upstream), probe);
+            self.schedule(one_way_delay(instance, upstream), probe);
         }
     }
 
@@ -524,25 +528,25 @@
             sent,
             report,
         };
-        let place = &mut self.instances[instance];
-        let round = place.router.step(self.now, event);
-        let told = place.pending.extract_if(.., |_, on| on.0 == upstream);
-        let told: Vec<_> = told.map(|(id, _)| id).collect();
+        let local = &mut self.instances[instance];
+        let round = local.router.step(self.now, event);
+        let waiting = local.pending.extract_if(.., |_, on| on.0 == upstream);
+        let waiting: Vec<_> = waiting.map(|(id, _)| id).collect();
         if let Some(round) = round {
             self.confirmed(instance, round);
         }
-        for id in told {
+        for id in waiting {
             self.choose(id);
         }
     }
 
     fn confirmed(&mut self, instance: usize, round: Confirmed) {
-        let place = &mut self.instances[instance];
-        if round.since < place.round_began {
+        let local = &mut self.instances[instance];
+        if round.since < local.round_began {
             return;
         }
-        let start = place.round.end(self.now);
-        let waiting = std::mem::take(&mut place.waiting);
+        let start = local.round.end(self.now);
+        let waiting = std::mem::take(&mut local.waiting);
         self.start(instance, start);
         for id in waiting {
             self.choose(id);
@@ -558,7 +562,10 @@
             confirm,
         };
         let instance = self.requests[&id].instance;
-        self.at(way(instance, to), Happening::Arrive { upstream: to, work });
+        self.schedule(
+            one_way_delay(instance, to),
+            Occurrence::Arrive { upstream: to, work },
+        );
     }
 
     fn serve(&mut self, upstream: usize) {
@@ -569,13 +576,13 @@
             self.servers[upstream].running += 1;
             let took = match work {
                 Work::Read { .. } => Duration::from_micros(self.rng.random_range(1_000..3_000)),
-                Work::Write { .. } => WRITE,
+                Work::Write { .. } => WRITE_TIME,
             };
             let shown = self.shown(upstream);
             self.position_answer(upstream, work, shown.report);
-            self.at(
+            self.schedule(
                 took,
-                Happening::Finish {
+                Occurrence::Finish {
                     upstream,
                     work,
                     shown,
@@ -591,11 +598,11 @@
             Work::Read { request, .. } => self.requests[&request].instance,
             Work::Write { instance, .. } => instance,
         };
-        let way = way(instance, upstream);
-        let sent = self.now - way;
-        self.at(
-            way,
-            Happening::ProbeBack {
+        let delay = one_way_delay(instance, upstream);
+        let sent = self.now - delay;
+        self.schedule(
+            delay,
+            Occurrence::ProbeBack {
                 instance,
                 upstream,
                 sent,
@@ -604,22 +611,25 @@
         );
     }
 
-    fn finish(&mut self, upstream: usize, work: Work, mut shown: Shown) {
+    fn finish(&mut self, upstream: usize, work: Work, mut shown: Snapshot) {
         self.servers[upstream].running -= 1;
         shown.upto = self.shown(upstream).upto;
         match work {
             Work::Read { request, .. } => {
                 let instance = self.requests[&request].instance;
-                self.at(way(instance, upstream), Happening::Answer { work, shown });
+                self.schedule(
+                    one_way_delay(instance, upstream),
+                    Occurrence::Answer { work, shown },
+                );
             }
             Work::Write { session, instance } => {
                 self.commits.push(self.now);
                 let lsn = Lsn(self.commits.len() as u64 * 100);
                 let report = self.shown(upstream).report;
                 self.position_answer(upstream, work, report);
-                self.at(
-                    way(instance, 0),
-                    Happening::Committed {
+                self.schedule(
+                    one_way_delay(instance, 0),
+                    Occurrence::Committed {
                         session,
                         instance,
                         lsn,
@@ -634,20 +644,20 @@
     /// answer to a position query tells; the log gets there about as fast.
     fn committed(&mut self, session: u64, instance: usize, lsn: Lsn) {
         for upstream in 1..UPSTREAMS {
-            let probe = Happening::ProbeAt {
+            let probe = Occurrence::ProbeAt {
                 instance,
                 upstream,
                 sent: self.now,
             };
-            self.at(way(instance, upstream), probe);
+            self.schedule(one_way_delay(instance, upstream), probe);
         }
         let nearest = (1..UPSTREAMS)
-            .map(|u| way(instance, u))
+            .map(|u| one_way_delay(instance, u))
             .min()
             .unwrap_or_default();
-        self.at(
+        self.schedule(
             nearest * 2,
-            Happening::Acknowledge {
+            Occurrence::Acknowledge {
                 session,
                 instance,
                 lsn,
@@ -661,11 +671,11 @@
         state.step(self.now, session::Event::Acknowledged(position));
         self.sessions.insert(session, state);
         self.written.insert(session, lsn);
-        self.at(CALLER * 2, Happening::Own { session, instance });
+        self.schedule(CALLER_DELAY * 2, Occurrence::Own { session, instance });
     }
 
     /// What a statement that starts now at the upstream sees.
-    fn shown(&self, upstream: usize) -> Shown {
+    fn shown(&self, upstream: usize) -> Snapshot {
         let moment = match upstream {
             0 => self.now,
             replica => self.traces[replica - 1].shown(self.now),
@@ -682,13 +692,13 @@
             received: position,
             replayed: lsn,
         };
-        Shown {
+        Snapshot {
             report,
             upto: position,
         }
     }
 
-    fn answer(&mut self, work: Work, shown: Shown) {
+    fn answer(&mut self, work: Work, shown: Snapshot) {
         let Work::Read {
             request: id,
             target,
@@ -700,8 +710,9 @@
         };
         let request = self.requests[&id].clone();
         let instance = request.instance;
-        let judged = self.setup.policy == Policy::Routed && self.setup.judge == Judge::Every;
-        if judged && confirm == Confirm::Plain {
+        let is_verified =
+            self.setup.policy == Policy::Routed && self.setup.verification == Verification::Enabled;
+        if is_verified && confirm == Confirm::Plain {
             let router = &self.instances[instance].router;
             if router.verify(self.now, &shown.report, &request.read, target) != Verdict::Fresh {
                 self.tally.discarded += 1;
@@ -713,12 +724,12 @@
         self.requests.remove(&id);
         self.check(&request, shown);
         self.count(&request, target);
-        self.settle(&request, shown, sent, confirm);
+        self.update_session(&request, shown, sent, confirm);
     }
 
-    fn check(&mut self, request: &Request, shown: Shown) {
-        let old = request.kind == Kind::Calendar && self.now.since(self.as_of(shown)) > AGE;
-        if old || shown.report.replayed < request.truth {
+    fn check(&mut self, request: &Request, shown: Snapshot) {
+        let old = request.kind == Kind::Calendar && self.now.since(self.as_of(shown)) > MAX_AGE;
+        if old || shown.report.replayed < request.last_write {
             self.tally.stale += 1;
         }
         let last = self.last_shown.entry(request.session).or_default();
@@ -731,7 +742,7 @@
 
     /// The moment before the first commit that was not shown: until then the
     /// data was the newest there was.
-    fn as_of(&self, shown: Shown) -> Instant {
+    fn as_of(&self, shown: Snapshot) -> Instant {
         let next = (shown.report.replayed.0 / 100) as usize;
         self.commits.get(next).copied().unwrap_or(self.now)
     }
@@ -751,7 +762,13 @@
         self.tally.latency.push(self.now.since(request.read.began));
     }
 
-    fn settle(&mut self, request: &Request, shown: Shown, sent: Instant, confirm: Confirm) {
+    fn update_session(
+        &mut self,
+        request: &Request,
+        shown: Snapshot,
+        sent: Instant,
+        confirm: Confirm,
+    ) {
         let router = &self.instances[request.instance].router;
         let confirmed = router.confirmed();
         let floor = match request.read.floor {
@@ -775,7 +792,7 @@
             },
         };
         session.step(self.now, event);
-        if request.session >= STABLE as u64 {
+        if request.session >= STABLE_SESSIONS as u64 {
             self.sessions.remove(&request.session);
             self.last_shown.remove(&request.session);
             self.written.remove(&request.session);
@@ -783,6 +800,10 @@
     }
 }
 
-fn way(instance: usize, upstream: usize) -> Duration {
-    if instance == upstream { NEAR } else { FAR }
+fn one_way_delay(instance: usize, upstream: usize) -> Duration {
+    if instance == upstream {
+        ZONE_DELAY
+    } else {
+        CROSS_ZONE_DELAY
+    }
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -15,7 +15,7 @@
 
 /// What a replica must show.
 #[derive(Debug, Clone, Copy)]
-struct Need {
+struct Requirement {
     position: Position,
     /// When the primary had reached that position, at the latest.
     reached: Instant,
@@ -53,36 +53,36 @@
             return Choice::Refuse(Cause::NoUpstream);
         }
         if self.known_writes.contains(now, read.fingerprint) {
-            return self.to_primary(read);
+            return self.choose_primary(read);
         }
-        let read = self.settled(read);
+        let read = self.with_floor(read);
         let Floor::Known(floor) = read.floor else {
-            return self.unsettled(&read);
+            return self.choose_without_floor(&read);
         };
-        let need = self.need(now, &read, floor);
-        if self.needs_round(now, &need) {
+        let requirement = self.requirement(now, &read, floor);
+        if self.needs_round(now, &requirement) {
             return Choice::AwaitRound;
         }
-        let candidates = self.candidates(now, &read, &need);
-        if let Some(candidate) = pick(&candidates, rng)
-            && !self.spills(candidate.cost)
+        let candidates = self.candidates(now, &read, &requirement);
+        if let Some(candidate) = pick_cheaper(&candidates, rng)
+            && !self.prefers_primary(candidate.cost)
         {
             let node = &self.nodes[candidate.node];
             return Choice::Replica(node.member.upstream.clone());
         }
         if candidates.is_empty()
-            && let Some(choice) = self.wait(now, &read, &need, self.conf.max_replica_wait)
+            && let Some(choice) = self.wait(now, &read, &requirement, self.conf.max_replica_wait)
         {
             return choice;
         }
-        self.fall_back(now, &read, &need)
+        self.fall_back(now, &read, &requirement)
     }
 
     /// The read with its floor, where a round since it began tells it.
     ///
     /// A current read is one whose floor is everything acknowledged before it
     /// began, so a round that began later serves it as it serves a session.
-    pub(crate) fn settled(&self, read: &Read) -> Read {
+    pub(crate) fn with_floor(&self, read: &Read) -> Read {
         let since = match (read.freshness, read.floor) {
             (Freshness::Current, _) => read.began,
             (_, Floor::Unknown { since }) => since,
@@ -98,13 +98,13 @@
         read.floor(floor)
     }
 
-    fn need(&self, now: Instant, read: &Read, floor: Position) -> Need {
+    fn requirement(&self, now: Instant, read: &Read, floor: Position) -> Requirement {
         let position = demand(floor, read.seen, Target::Replica);
         let bound = match read.freshness {
             Freshness::Age(bound) => Some(bound),
             Freshness::Session | Freshness::Current => None,
         };
-        Need {
+        Requirement {
             position,
             reached: self.history.reached(position).unwrap_or(now),
             bound,
@@ -113,17 +113,17 @@
 
     /// Whether the newest round is too old to prove any answer's age, and a new
     /// one would not be.
-    fn needs_round(&self, now: Instant, need: &Need) -> bool {
-        let (Some(bound), Some(newest)) = (need.bound, self.confirmed()) else {
+    fn needs_round(&self, now: Instant, requirement: &Requirement) -> bool {
+        let (Some(bound), Some(newest)) = (requirement.bound, self.confirmed()) else {
             return false;
         };
-        let replicas = self.nodes.iter().filter(|node| self.replica(node));
+        let replicas = self.nodes.iter().filter(|node| self.is_replica(node));
         let Some(cost) = replicas.map(Node::cost).min() else {
             return false;
         };
-        let leads = self.leader().is_some_and(Node::usable);
-        let proves = |since: Instant| (now + cost).since(since) <= bound;
-        leads && !proves(newest.since) && cost + self.round_trip() <= bound
+        let has_primary = self.primary_node().is_some_and(Node::is_usable);
+        let is_within = |since: Instant| (now + cost).since(since) <= bound;
+        has_primary && !is_within(newest.since) && cost + self.round_trip() <= bound
     }
 
     /// How long a round takes.
@@ -131,23 +131,35 @@
         self.nodes.iter().map(Node::rtt).max().unwrap_or_default()
     }
 
-    fn replica(&self, node: &Node) -> bool {
+    fn is_replica(&self, node: &Node) -> bool {
         let replica = node.answer.is_some_and(|a| a.report.role == Role::Replica);
-        replica && node.usable() && !self.diverged(node)
+        replica && node.is_usable() && !self.has_diverged(node)
     }
 
-    fn candidates(&mut self, now: Instant, read: &Read, need: &Need) -> Vec<Candidate> {
+    fn candidates(
+        &mut self,
+        now: Instant,
+        read: &Read,
+        requirement: &Requirement,
+    ) -> Vec<Candidate> {
         let newest = self.confirmed().map(|round| round.since);
         let mut found = Vec::new();
         for at in 0..self.nodes.len() {
-            if !self.replica(&self.nodes[at]) || !reaches(&self.nodes[at], now, read, need) {
+            if !self.is_replica(&self.nodes[at])
+                || !has_reached(&self.nodes[at], now, read, requirement)
+            {
                 continue;
             }
-            let hold = self.conf.exclusion;
+            let exclusion = self.conf.exclusion;
             let node = &mut self.nodes[at];
             let cost = node.cost();
-            let side = match need.bound {
-                Some(bound) => node.side(now, bound, age(node, now, read.trust, newest), hold),
+            let side = match requirement.bound {
+                Some(bound) => node.update_side(
+                    now,
+                    bound,
+                    provable_age(node, now, read.trust, newest),
+                    exclusion,
+                ),
                 None => Side::Inside,
             };
             if side == Side::Inside && now + cost <= read.deadline {
@@ -158,18 +170,24 @@
     }
 
     /// Whether the primary would answer so much earlier that it takes the read.
-    pub(crate) fn spills(&self, cost: Duration) -> bool {
-        let primary = self.leader().filter(|node| node.usable());
+    pub(crate) fn prefers_primary(&self, cost: Duration) -> bool {
+        let primary = self.primary_node().filter(|node| node.is_usable());
         primary.is_some_and(|node| cost > node.cost() + self.conf.spill_margin)
     }
 
     /// Waits for the replica that is expected to serve first, if that is
-    /// within `patience` of the read's beginning and within its deadline.
-    fn wait(&self, now: Instant, read: &Read, need: &Need, patience: Duration) -> Option<Choice> {
-        let end = (read.began + patience).min(read.deadline);
-        let waiting = self.nodes.iter().filter(|node| self.replica(node));
+    /// within `max_wait` of the read's beginning and within its deadline.
+    fn wait(
+        &self,
+        now: Instant,
+        read: &Read,
+        requirement: &Requirement,
+        max_wait: Duration,
+    ) -> Option<Choice> {
+        let end = (read.began + max_wait).min(read.deadline);
+        let waiting = self.nodes.iter().filter(|node| self.is_replica(node));
         let waits = waiting.filter_map(|node| {
-            let wait = time_to_serve(node, now, need)?;
+            let wait = time_to_serve(node, now, requirement)?;
             Some((wait.max(MIN_WAIT), node))
         });
         let (wait, node) = waits.min_by_key(|(wait, node)| *wait + node.cost())?;
@@ -180,8 +198,8 @@
     }
 
     /// No replica serves in time: the primary, or else whatever may come.
-    fn fall_back(&self, now: Instant, read: &Read, need: &Need) -> Choice {
-        if let Some(node) = self.leader().filter(|node| node.usable()) {
+    fn fall_back(&self, now: Instant, read: &Read, requirement: &Requirement) -> Choice {
+        if let Some(node) = self.primary_node().filter(|node| node.is_usable()) {
             let upstream = node.member.upstream.clone();
             return match read.trust {
                 Trust::Expected | Trust::Proved => Choice::Primary(upstream),
@@ -189,30 +207,30 @@
             };
         }
         let left = read.deadline.since(now);
-        if let Some(choice) = self.wait(now, read, need, left) {
+        if let Some(choice) = self.wait(now, read, requirement, left) {
             return choice;
         }
-        self.hold(read)
+        self.hold_read(read)
     }
 
-    fn to_primary(&self, read: &Read) -> Choice {
-        match self.leader().filter(|node| node.usable()) {
+    fn choose_primary(&self, read: &Read) -> Choice {
+        match self.primary_node().filter(|node| node.is_usable()) {
             Some(node) => Choice::Primary(node.member.upstream.clone()),
-            None => self.hold(read),
+            None => self.hold_read(read),
         }
     }
 
     /// Where a read goes whose floor no round has told yet.
-    fn unsettled(&self, read: &Read) -> Choice {
-        let Some(primary) = self.leader().filter(|node| node.usable()) else {
-            return self.hold(read);
+    fn choose_without_floor(&self, read: &Read) -> Choice {
+        let Some(primary) = self.primary_node().filter(|node| node.is_usable()) else {
+            return self.hold_read(read);
         };
         if read.freshness != Freshness::Current {
             return Choice::AwaitRound;
         }
         // The confirmation travels beside the read, so the primary answers
         // first unless its queue is longer than a round and a replica's.
-        let replicas = self.nodes.iter().filter(|node| self.replica(node));
+        let replicas = self.nodes.iter().filter(|node| self.is_replica(node));
         let replica = replicas.map(Node::cost).min();
         if replica.is_some_and(|cost| self.round_trip() + cost < primary.cost()) {
             return Choice::AwaitRound;
@@ -222,7 +240,7 @@
 
     /// Nobody is known to lead: an instance that has just started, or a change
     /// of primary under way. Either is over soon.
-    fn hold(&self, read: &Read) -> Choice {
+    fn hold_read(&self, read: &Read) -> Choice {
         Choice::Hold {
             until: read.deadline,
         }
@@ -233,20 +251,28 @@
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// Whether the node has reached the position, or should have by now.
-fn reaches(node: &Node, now: Instant, read: &Read, need: &Need) -> bool {
-    if node.position().is_some_and(|p| p.covers(need.position)) {
+fn has_reached(node: &Node, now: Instant, read: &Read, requirement: &Requirement) -> bool {
+    if node
+        .position()
+        .is_some_and(|p| p.covers(requirement.position))
+    {
         return true;
     }
     let same_term = node
         .position()
-        .is_some_and(|p| p.term >= need.position.term);
+        .is_some_and(|p| p.term >= requirement.position.term);
     let expected = node.expected_as_of(now);
-    read.trust == Trust::Expected && same_term && expected >= Some(need.reached)
+    read.trust == Trust::Expected && same_term && expected >= Some(requirement.reached)
 }
 
 /// How old the node's answer will be provably when it arrives, which rests on
 /// a round however fresh the node should be.
-fn age(node: &Node, now: Instant, trust: Trust, newest: Option<Instant>) -> Option<Duration> {
+fn provable_age(
+    node: &Node,
+    now: Instant,
+    trust: Trust,
+    newest: Option<Instant>,
+) -> Option<Duration> {
     let shown = match trust {
         Trust::Expected => node.expected_as_of(now)?.min(newest?),
         Trust::Proved | Trust::Confirmed => node.as_of()?,
@@ -255,23 +281,23 @@
 }
 
 /// How long until a statement sent to the node should be fresh enough.
-fn time_to_serve(node: &Node, now: Instant, need: &Need) -> Option<Duration> {
+fn time_to_serve(node: &Node, now: Instant, requirement: &Requirement) -> Option<Duration> {
     let to_floor = match node.position() {
-        Some(position) if position.covers(need.position) => Duration::ZERO,
-        Some(position) if position.term < need.position.term => return None,
-        _ => node.wait(now, need.reached)?,
+        Some(position) if position.covers(requirement.position) => Duration::ZERO,
+        Some(position) if position.term < requirement.position.term => return None,
+        _ => node.wait(now, requirement.reached)?,
     };
-    let Some(bound) = need.bound else {
+    let Some(bound) = requirement.bound else {
         return Some(to_floor);
     };
     let oldest = now + node.cost() - bound;
-    let to_bound = node.wait(now, oldest)?.max(node.held(now, bound));
+    let to_bound = node.wait(now, oldest)?.max(node.exclusion_left(now, bound));
     Some(to_floor.max(to_bound))
 }
 
 /// The cheaper of two that are drawn: taking the cheapest of all would send
 /// every instance to the same replica until the next report.
-fn pick(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Candidate> {
+fn pick_cheaper(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Candidate> {
     let (&first, rest) = candidates.split_first()?;
     if rest.is_empty() {
         return Some(first);
--- a/crates/route/src/history.rs
+++ b/crates/route/src/history.rs
@@ -6,11 +6,11 @@
 use model::Position;
 use session::Confirmed;
 
-const RECENT: usize = 64;
-const FAR: usize = 256;
+const MAX_RECENT: usize = 64;
+const MAX_OLDER: usize = 256;
 const RECENT_SPACING: Duration = Duration::from_millis(5);
 
-/// Confirmed rounds: dense for the last moments, sparse back to a span.
+/// Confirmed rounds: dense for the last moments, sparse back to a max_age.
 ///
 /// An upstream that replayed the position of a round is no older than the
 /// round's `since`, which is when this instance *sent* the questions. The error
@@ -20,18 +20,18 @@
 pub struct History {
     newest: Option<Confirmed>,
     recent: VecDeque<Confirmed>,
-    far: VecDeque<Confirmed>,
-    far_spacing: Duration,
+    older: VecDeque<Confirmed>,
+    older_spacing: Duration,
 }
 
 impl History {
-    /// Keeps rounds for at least `span`, the greatest age that any entry allows.
-    pub fn new(span: Duration) -> Self {
+    /// Keeps rounds for at least `max_age`, the greatest age that any entry allows.
+    pub fn new(max_age: Duration) -> Self {
         Self {
             newest: None,
             recent: VecDeque::new(),
-            far: VecDeque::new(),
-            far_spacing: (span * 2 / FAR as u32).max(RECENT_SPACING),
+            older: VecDeque::new(),
+            older_spacing: (max_age * 2 / MAX_OLDER as u32).max(RECENT_SPACING),
         }
     }
 
@@ -44,21 +44,21 @@
             return;
         }
         if let Some(newest) = self.newest.replace(round)
-            && spaced(&self.recent, newest, RECENT_SPACING)
+            && is_spaced(&self.recent, newest, RECENT_SPACING)
         {
             self.recent.push_back(newest);
         }
-        if self.recent.len() <= RECENT {
+        if self.recent.len() <= MAX_RECENT {
             return;
         }
         let Some(oldest) = self.recent.pop_front() else {
             return;
         };
-        if spaced(&self.far, oldest, self.far_spacing) {
-            self.far.push_back(oldest);
+        if is_spaced(&self.older, oldest, self.older_spacing) {
+            self.older.push_back(oldest);
         }
-        if self.far.len() > FAR {
-            self.far.pop_front();
+        if self.older.len() > MAX_OLDER {
+            self.older.pop_front();
         }
     }
 
@@ -70,20 +70,20 @@
     /// The moment before which everything acknowledged is held at `position`.
     pub fn as_of(&self, position: Position) -> Option<Instant> {
         let held = |round: &Confirmed| position.covers(round.position);
-        self.backward().find(held).map(|round| round.since)
+        self.newest_first().find(held).map(|round| round.since)
     }
 
     /// The first round that began at `since` or later: the lowest floor that
     /// is valid for a session that began then.
     pub fn first_since(&self, since: Instant) -> Option<Confirmed> {
-        self.backward()
+        self.newest_first()
             .take_while(|round| round.since >= since)
             .last()
     }
 
     /// The first round that a log at `position` has not reached.
     pub fn missed(&self, position: Position) -> Option<Instant> {
-        self.backward()
+        self.newest_first()
             .take_while(|round| !position.covers(round.position))
             .last()
             .map(|round| round.since)
@@ -91,19 +91,19 @@
 
     /// When the primary is known to have reached `position`, at the latest.
     pub fn reached(&self, position: Position) -> Option<Instant> {
-        self.backward()
+        self.newest_first()
             .take_while(|round| round.position.covers(position))
             .last()
             .map(|round| round.since)
     }
 
-    fn backward(&self) -> impl Iterator<Item = Confirmed> {
-        let kept = self.recent.iter().rev().chain(self.far.iter().rev());
-        self.newest.into_iter().chain(kept.copied())
+    fn newest_first(&self) -> impl Iterator<Item = Confirmed> {
+        let rest = self.recent.iter().rev().chain(self.older.iter().rev());
+        self.newest.into_iter().chain(rest.copied())
     }
 }
 
-fn spaced(ring: &VecDeque<Confirmed>, round: Confirmed, spacing: Duration) -> bool {
+fn is_spaced(ring: &VecDeque<Confirmed>, round: Confirmed, spacing: Duration) -> bool {
     ring.back()
         .is_none_or(|last| round.since.since(last.since) >= spacing)
 }
--- a/crates/route/src/known_writes.rs
+++ b/crates/route/src/known_writes.rs
@@ -19,7 +19,7 @@
 pub struct KnownWrites {
     capacity: usize,
     ttl: Duration,
-    until: HashMap<u64, Instant>,
+    expires_at: HashMap<u64, Instant>,
     order: VecDeque<u64>,
 }
 
@@ -40,29 +40,29 @@
         Self {
             capacity,
             ttl,
-            until: HashMap::new(),
+            expires_at: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
     /// Remembers a statement that a replica refused with [`READ_ONLY`].
     pub fn insert(&mut self, now: Instant, fingerprint: u64) {
-        let known = self.until.insert(fingerprint, now + self.ttl);
-        if known.is_some() {
+        let previous = self.expires_at.insert(fingerprint, now + self.ttl);
+        if previous.is_some() {
             return;
         }
         self.order.push_back(fingerprint);
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.until.remove(&oldest);
+            self.expires_at.remove(&oldest);
         }
     }
 
     /// Whether the statement is known to write.
     pub fn contains(&self, now: Instant, fingerprint: u64) -> bool {
-        self.until
+        self.expires_at
             .get(&fingerprint)
-            .is_some_and(|&until| now < until)
+            .is_some_and(|&expires_at| now < expires_at)
     }
 }
--- a/crates/route/src/lex.rs
+++ b/crates/route/src/lex.rs
@@ -17,7 +17,7 @@
     /// Any other character.
     Symbol(char),
     /// A quote or comment that does not end.
-    Open,
+    Unterminated,
 }
 
 /// The pieces of a text, in order; white space and line comments are left out.
@@ -42,15 +42,15 @@
         head
     }
 
-    fn open(&mut self) -> Piece<'a> {
+    fn unterminated(&mut self) -> Piece<'a> {
         self.rest = "";
-        Piece::Open
+        Piece::Unterminated
     }
 
     fn literal(&mut self, end: Option<usize>) -> Piece<'a> {
         match end {
             Some(end) => Piece::Literal(self.take(end)),
-            None => self.open(),
+            None => self.unterminated(),
         }
     }
 
@@ -60,7 +60,7 @@
                 let text = self.take(end);
                 Piece::Comment(&text[2..end - 2])
             }
-            None => self.open(),
+            None => self.unterminated(),
         }
     }
 
--- a/crates/route/src/node.rs
+++ b/crates/route/src/node.rs
@@ -8,15 +8,15 @@
 use crate::{
     Answer, History,
     confirm::position,
-    trend::{Sight, Trend},
+    trend::{Observation, Trend},
 };
 
-/// How many different age bounds an upstream's standing is kept for.
+/// How many different age bounds an upstream's bound_state is kept for.
 const MAX_BOUNDS: usize = 16;
 /// The longest that an upstream is held out for leaving too often.
-const MAX_HOLD: Duration = Duration::from_secs(2);
-/// An upstream that stayed inside for this many times its hold is forgiven.
-const FORGIVE: u32 = 8;
+const MAX_EXCLUSION: Duration = Duration::from_secs(2);
+/// An upstream that stayed inside for this many times its exclusion is forgiven.
+const RESET_FACTOR: u32 = 8;
 const RTT_WEIGHT: f64 = 0.2;
 const SERVICE_WEIGHT: f64 = 0.1;
 
@@ -66,10 +66,10 @@
 /// report, and its reads would swing to the primary and back. One that leaves
 /// is held out for a while, twice as long each time it leaves again soon.
 #[derive(Debug, Clone, Copy)]
-struct Standing {
+struct BoundState {
     side: Side,
     since: Instant,
-    hold: Duration,
+    exclusion: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,59 +85,59 @@
     pub(crate) load: Load,
     pub(crate) answer: Option<Answer>,
     as_of: Option<Instant>,
-    sight: Option<Sight>,
+    observation: Option<Observation>,
     trend: Trend,
     rtt: Duration,
-    service: Duration,
-    standings: BTreeMap<Duration, Standing>,
+    service_time: Duration,
+    bound_states: BTreeMap<Duration, BoundState>,
 }
 
 impl Node {
-    pub(crate) fn new(member: Member, rtt: Duration, service: Duration) -> Self {
+    pub(crate) fn new(member: Member, rtt: Duration, service_time: Duration) -> Self {
         Self {
             member,
             breaker: Breaker::Closed,
             load: Load::default(),
             answer: None,
             as_of: None,
-            sight: None,
+            observation: None,
             trend: Trend::new(),
             rtt,
-            service,
-            standings: BTreeMap::new(),
+            service_time,
+            bound_states: BTreeMap::new(),
         }
     }
 
     /// Takes in a change of the catalogue, which may change the age bounds too.
-    pub(crate) fn enter(&mut self, member: Member) {
+    pub(crate) fn set_member(&mut self, member: Member) {
         self.member = member;
-        self.standings.clear();
+        self.bound_states.clear();
     }
 
     /// Takes in an answer; one sent before the last known is only measured.
-    pub(crate) fn answer(&mut self, now: Instant, answer: Answer, history: &History) {
-        self.measure(now.since(answer.sent));
+    pub(crate) fn record_answer(&mut self, now: Instant, answer: Answer, history: &History) {
+        self.update_rtt(now.since(answer.sent));
         if self.answer.is_some_and(|last| last.sent > answer.sent) {
             return;
         }
         self.answer = Some(answer);
         self.as_of = history.as_of(answer.position());
         if let (Some(as_of), Some(newest)) = (self.as_of, history.newest()) {
-            self.trend.step(newest.since, as_of);
+            self.trend.update_pace(newest.since, as_of);
         }
         let position = answer.position();
-        self.sight = history.reached(position).map(|reached| Sight {
+        self.observation = history.reached(position).map(|reached| Observation {
             sent: answer.sent,
             reached,
             missed: history.missed(position),
         });
-        if let Some(sight) = self.sight {
-            self.trend.see(sight);
+        if let Some(observation) = self.observation {
+            self.trend.update_delay(observation);
         }
     }
 
     /// A round was confirmed: whoever had reached it is that much younger.
-    pub(crate) fn confirmed(&mut self, round: session::Confirmed) {
+    pub(crate) fn note_round(&mut self, round: session::Confirmed) {
         if self.position().is_some_and(|p| p.covers(round.position)) {
             self.as_of = Some(round.since);
         }
@@ -145,7 +145,7 @@
 
     /// A way that got shorter is believed at once, one that got longer slowly:
     /// a single late answer is a queue's doing, not the distance's.
-    fn measure(&mut self, rtt: Duration) {
+    fn update_rtt(&mut self, rtt: Duration) {
         if rtt < self.rtt {
             self.rtt = rtt;
             return;
@@ -154,17 +154,17 @@
     }
 
     /// A statement ran on it for `took`, its queue and way left out.
-    pub(crate) fn served(&mut self, took: Duration) {
-        let mean = self.service.as_secs_f64();
+    pub(crate) fn note_service_time(&mut self, took: Duration) {
+        let mean = self.service_time.as_secs_f64();
         let moved = mean + SERVICE_WEIGHT * (took.as_secs_f64() - mean);
-        self.service = Duration::from_secs_f64(moved);
+        self.service_time = Duration::from_secs_f64(moved);
     }
 
     pub(crate) fn rtt(&self) -> Duration {
         self.rtt
     }
 
-    pub(crate) fn usable(&self) -> bool {
+    pub(crate) fn is_usable(&self) -> bool {
         self.member.state == State::Serving && self.breaker == Breaker::Closed
     }
 
@@ -177,7 +177,7 @@
         let slots = u32::from(self.member.slots.max(1));
         let before = self.load.in_flight + self.load.queued;
         let rounds = f64::from((before + 1).max(slots)) / f64::from(slots);
-        self.rtt + self.service.mul_f64(rounds)
+        self.rtt + self.service_time.mul_f64(rounds)
     }
 
     /// The moment whose data it showed when it last reported.
@@ -188,63 +188,66 @@
     /// The moment whose data it should show to a statement that is sent now.
     pub(crate) fn expected_as_of(&self, now: Instant) -> Option<Instant> {
         let as_of = self.as_of?;
-        if self.sight.is_some_and(|sight| self.trend.usual(sight)) {
+        if self
+            .observation
+            .is_some_and(|observation| self.trend.is_usual(observation))
+        {
             return Some(as_of.max(now - self.trend.delay()));
         }
         let known = self.answer?.sent.max(as_of);
-        Some(as_of + self.trend.ahead(now.since(known)))
+        Some(as_of + self.trend.expected_progress(now.since(known)))
     }
 
     /// How long until it should show what the primary had reached at `target`.
     pub(crate) fn wait(&self, now: Instant, target: Instant) -> Option<Duration> {
         let shown = self.expected_as_of(now)?;
-        self.trend.wait(target.since(shown))
+        self.trend.time_to_cover(target.since(shown))
     }
 
     /// Notes and tells on which side of `bound` it stands when it is `age` old.
-    pub(crate) fn side(
+    pub(crate) fn update_side(
         &mut self,
         now: Instant,
         bound: Duration,
         age: Option<Duration>,
-        hold: Duration,
+        exclusion: Duration,
     ) -> Side {
         let within = age.is_some_and(|age| age <= bound);
-        if !self.standings.contains_key(&bound) && self.standings.len() >= MAX_BOUNDS {
+        if !self.bound_states.contains_key(&bound) && self.bound_states.len() >= MAX_BOUNDS {
             return if within { Side::Inside } else { Side::Outside };
         }
-        let standing = self.standings.entry(bound).or_insert(Standing {
+        let bound_state = self.bound_states.entry(bound).or_insert(BoundState {
             side: Side::Inside,
             since: now,
-            hold: Duration::ZERO,
+            exclusion: Duration::ZERO,
         });
-        standing.step(now, within, hold);
-        standing.side
+        bound_state.step(now, within, exclusion);
+        bound_state.side
     }
 
     /// How long it is still held out of `bound`.
-    pub(crate) fn held(&self, now: Instant, bound: Duration) -> Duration {
-        let standing = self.standings.get(&bound);
-        let outside = standing.filter(|standing| standing.side == Side::Outside);
-        outside.map_or(Duration::ZERO, |s| (s.since + s.hold).since(now))
+    pub(crate) fn exclusion_left(&self, now: Instant, bound: Duration) -> Duration {
+        let bound_state = self.bound_states.get(&bound);
+        let outside = bound_state.filter(|bound_state| bound_state.side == Side::Outside);
+        outside.map_or(Duration::ZERO, |s| (s.since + s.exclusion).since(now))
     }
 }
 
-impl Standing {
-    fn step(&mut self, now: Instant, within: bool, hold: Duration) {
+impl BoundState {
+    fn step(&mut self, now: Instant, within: bool, exclusion: Duration) {
         let stayed = now.since(self.since);
         match self.side {
             Side::Inside if !within => {
-                let often = stayed < self.hold * FORGIVE;
-                self.hold = if often {
-                    (self.hold * 2).min(MAX_HOLD)
+                let is_repeated = stayed < self.exclusion * RESET_FACTOR;
+                self.exclusion = if is_repeated {
+                    (self.exclusion * 2).min(MAX_EXCLUSION)
                 } else {
-                    hold
+                    exclusion
                 };
                 self.side = Side::Outside;
                 self.since = now;
             }
-            Side::Outside if within && stayed >= self.hold => {
+            Side::Outside if within && stayed >= self.exclusion => {
                 self.side = Side::Inside;
                 self.since = now;
             }
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -60,21 +60,21 @@
         return primary(router);
     };
     let floor = demand(floor, read.seen, Target::Replica);
-    let young = |as_of: Instant| match read.freshness {
+    let is_young = |as_of: Instant| match read.freshness {
         Freshness::Age(bound) => now.since(as_of) <= bound,
         Freshness::Session => true,
         Freshness::Current => false,
     };
-    let sure = |node: &&crate::node::Node| {
+    let is_candidate = |node: &&crate::node::Node| {
         let replica = node.answer.is_some_and(|a| a.report.role == Role::Replica);
         let covers = node.position().is_some_and(|p| p.covers(floor));
-        replica && covers && node.as_of().is_some_and(young)
+        replica && covers && node.as_of().is_some_and(is_young)
     };
-    let good: Vec<_> = router.nodes.iter().filter(sure).collect();
-    if good.is_empty() {
+    let candidates: Vec<_> = router.nodes.iter().filter(is_candidate).collect();
+    if candidates.is_empty() {
         return primary(router);
     }
-    let drawn = good[rng.random_range(0..good.len())];
+    let drawn = candidates[rng.random_range(0..candidates.len())];
     Choice::Replica(drawn.member.upstream.clone())
 }
 
@@ -82,7 +82,7 @@
 /// and by the same rule of spilling as the product's router.
 fn oracle(now: Instant, router: &Router, read: &Read, exact: &[Exact]) -> Choice {
     let end = (read.began + router.conf.max_replica_wait).min(read.deadline);
-    let served = exact.iter().filter_map(|known| {
+    let options = exact.iter().filter_map(|known| {
         let node = router
             .nodes
             .iter()
@@ -90,7 +90,7 @@
         let start = known.ready?.max(now + node.rtt() / 2) - node.rtt() / 2;
         Some((start + node.cost(), start, node))
     });
-    let Some((finish, start, node)) = served.min_by_key(|&(finish, ..)| finish) else {
+    let Some((finish, start, node)) = options.min_by_key(|&(finish, ..)| finish) else {
         return primary(router);
     };
     if start > now && finish <= end {
@@ -99,7 +99,7 @@
             until: start,
         };
     }
-    if start > now || router.spills(node.cost()) {
+    if start > now || router.prefers_primary(node.cost()) {
         return primary(router);
     }
     Choice::Replica(node.member.upstream.clone())
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -112,17 +112,21 @@
     /// floors of the sessions that wait for one.
     pub fn step(&mut self, now: Instant, event: Event<'_>) -> Option<Confirmed> {
         match event {
-            Event::Group(members) => self.group(members),
+            Event::Group(members) => self.set_members(members),
             Event::Report {
                 upstream,
                 sent,
                 report,
-            } => return self.report(now, upstream, Answer { sent, report }),
-            Event::Record(record) => self.record(record),
-            Event::State(upstream, state) => self.with(upstream, |n| n.member.state = state),
-            Event::Breaker(upstream, breaker) => self.with(upstream, |n| n.breaker = breaker),
-            Event::Load(upstream, load) => self.with(upstream, |n| n.load = load),
-            Event::Served(upstream, took) => self.with(upstream, |n| n.served(took)),
+            } => return self.apply_report(now, upstream, Answer { sent, report }),
+            Event::Record(record) => self.apply_record(record),
+            Event::State(upstream, state) => self.update_node(upstream, |n| n.member.state = state),
+            Event::Breaker(upstream, breaker) => {
+                self.update_node(upstream, |n| n.breaker = breaker)
+            }
+            Event::Load(upstream, load) => self.update_node(upstream, |n| n.load = load),
+            Event::Served(upstream, took) => {
+                self.update_node(upstream, |n| n.note_service_time(took))
+            }
             Event::Wrote { fingerprint } => self.known_writes.insert(now, fingerprint),
         }
         None
@@ -141,7 +145,7 @@
 
     /// The upstream that leads, as far as is known here.
     pub fn primary(&self) -> Option<&name::Upstream> {
-        self.leader().map(|node| &node.member.upstream)
+        self.primary_node().map(|node| &node.member.upstream)
     }
 
     /// The newest status that the upstream gave, if it ever gave one.
@@ -169,11 +173,11 @@
     ///
     /// Hand that report to [`Router::step`] first: it may be news.
     pub fn verify(&self, now: Instant, report: &Report, read: &Read, target: Target) -> Verdict {
-        let read = self.settled(read);
+        let read = self.with_floor(read);
         verify::verify_age(now, &self.history, report, &read, target)
     }
 
-    fn with(&mut self, upstream: &name::Upstream, change: impl FnOnce(&mut Node)) {
+    fn update_node(&mut self, upstream: &name::Upstream, change: impl FnOnce(&mut Node)) {
         let node = self
             .nodes
             .iter_mut()
@@ -183,7 +187,7 @@
         }
     }
 
-    fn group(&mut self, members: Vec<Member>) {
+    fn set_members(&mut self, members: Vec<Member>) {
         let mut old = std::mem::take(&mut self.nodes);
         for member in members {
             let known = old
@@ -192,11 +196,11 @@
             let node = match known {
                 Some(at) if old[at].member.zone == member.zone => {
                     let mut node = old.swap_remove(at);
-                    node.enter(member);
+                    node.set_member(member);
                     node
                 }
                 _ => {
-                    let rtt = self.distance(&member.zone);
+                    let rtt = self.default_rtt(&member.zone);
                     Node::new(member, rtt, self.conf.service)
                 }
             };
@@ -204,21 +208,21 @@
         }
     }
 
-    fn distance(&self, zone: &name::Zone) -> Duration {
+    fn default_rtt(&self, zone: &name::Zone) -> Duration {
         if *zone == self.zone {
             return self.conf.zone_rtt;
         }
         self.conf.cross_zone_rtt
     }
 
-    fn record(&mut self, record: &Record) {
+    fn apply_record(&mut self, record: &Record) {
         let known = self.record.as_ref().map(|known| known.term);
         if known.is_none_or(|term| term <= record.term) {
             self.record = Some(record.clone());
         }
     }
 
-    fn report(
+    fn apply_report(
         &mut self,
         now: Instant,
         upstream: &name::Upstream,
@@ -227,11 +231,11 @@
         let history = &self.history;
         let nodes = &mut self.nodes;
         let node = nodes.iter_mut().find(|n| n.member.upstream == *upstream)?;
-        node.answer(now, answer, history);
-        self.confirm()
+        node.record_answer(now, answer, history);
+        self.confirm_round()
     }
 
-    fn confirm(&mut self) -> Option<Confirmed> {
+    fn confirm_round(&mut self) -> Option<Confirmed> {
         let answers: Vec<_> = self.nodes.iter().filter_map(|node| node.answer).collect();
         let round = confirm::newest_round(self.nodes.len(), &answers)?;
         let newest = self.history.newest();
@@ -240,34 +244,38 @@
         }
         self.history.push(round);
         for node in &mut self.nodes {
-            node.confirmed(round);
+            node.note_round(round);
         }
         Some(round)
     }
 
-    /// The node that leads: the one that says so in the highest term, unless
+    /// The node that leads: the one that claims so in the highest term, unless
     /// the record tells of a later term.
-    pub(crate) fn leader(&self) -> Option<&Node> {
-        let says = |node: &&Node| {
+    pub(crate) fn primary_node(&self) -> Option<&Node> {
+        let claims = |node: &&Node| {
             let primary = node.answer.map(|answer| answer.report.role);
             primary == Some(Role::Primary)
         };
         let term = |node: &Node| node.position().map(|position| position.term);
-        let said = self.nodes.iter().filter(says).max_by_key(|node| term(node));
+        let claimant = self
+            .nodes
+            .iter()
+            .filter(claims)
+            .max_by_key(|node| term(node));
         let recorded = self.record.as_ref();
-        let later = |record: &&Record| said.is_none_or(|node| term(node) < Some(record.term));
+        let later = |record: &&Record| claimant.is_none_or(|node| term(node) < Some(record.term));
         match recorded.filter(later) {
             Some(record) => {
                 let leader = record.leader()?;
                 self.nodes.iter().find(|n| n.member.upstream == *leader)
             }
-            None => said,
+            None => claimant,
         }
     }
 
     /// Whether the node's log is known to have left the lineage: it is of an
     /// earlier term and went on past the place where the next one forked off.
-    pub(crate) fn diverged(&self, node: &Node) -> bool {
+    pub(crate) fn has_diverged(&self, node: &Node) -> bool {
         let (Some(record), Some(position)) = (&self.record, node.position()) else {
             return false;
         };
--- a/crates/route/src/statement.rs
+++ b/crates/route/src/statement.rs
@@ -80,7 +80,7 @@
 pub fn classify(sql: &str) -> Kind<'_> {
     let mut found = Kind::Empty;
     for statement in split(sql) {
-        let kind = single(statement);
+        let kind = classify_one(statement);
         found = match (found, kind) {
             (Kind::Empty, kind) => kind,
             (found, Kind::Empty) => found,
@@ -119,11 +119,11 @@
     xxh3_64(sql.as_bytes())
 }
 
-fn is(word: &str, any: &[&str]) -> bool {
+fn is_one_of(word: &str, any: &[&str]) -> bool {
     any.iter().any(|other| word.eq_ignore_ascii_case(other))
 }
 
-fn single(sql: &str) -> Kind<'_> {
+fn classify_one(sql: &str) -> Kind<'_> {
     let pieces = Lexer::new(sql).filter(|piece| !matches!(piece, Piece::Comment(_)));
     let mut pieces = pieces.skip_while(|&piece| piece == Piece::Symbol('('));
     let first = match pieces.next() {
@@ -132,35 +132,39 @@
         Some(_) => return Kind::Other,
     };
     match first.to_ascii_lowercase().as_str() {
-        "select" | "table" | "values" => reading(pieces, &[]),
-        "with" => reading(pieces, &MODIFYING),
+        "select" | "table" | "values" => classify_read(pieces, &[]),
+        "with" => classify_read(pieces, &MODIFYING),
         "insert" | "update" | "delete" | "merge" | "truncate" | "create" | "alter" | "drop" => {
             Kind::Write
         }
-        "begin" | "start" => Kind::Begin(access(pieces)),
-        "commit" | "end" => ending(pieces, Kind::Commit),
-        "rollback" | "abort" => ending(pieces, Kind::Rollback),
-        "set" => setting(sql, pieces),
-        "show" => showing(sql, pieces),
+        "begin" | "start" => Kind::Begin(transaction_access(pieces)),
+        "commit" | "end" => classify_end(pieces, Kind::Commit),
+        "rollback" | "abort" => classify_end(pieces, Kind::Rollback),
+        "set" => classify_set(sql, pieces),
+        "show" => classify_show(sql, pieces),
         "copy" => Kind::Copy,
         _ => Kind::Other,
     }
 }
 
 /// A statement that starts as a read does, unless a later word says otherwise.
-fn reading<'a>(pieces: impl Iterator<Item = Piece<'a>>, modifying: &[&str]) -> Kind<'a> {
+fn classify_read<'a>(pieces: impl Iterator<Item = Piece<'a>>, modifying: &[&str]) -> Kind<'a> {
     let mut last = "";
     for piece in pieces {
         let word = match piece {
             Piece::Word(word) => word,
-            Piece::Open => return Kind::Other,
+            Piece::Unterminated => return Kind::Other,
             _ => {
                 last = "";
                 continue;
             }
         };
-        let locks = is(last, &["for"]) && is(word, &LOCKING);
-        if locks || is(word, &["into"]) || is(word, modifying) || writes(word) {
+        let locks = is_one_of(last, &["for"]) && is_one_of(word, &LOCKING);
+        if locks
+            || is_one_of(word, &["into"])
+            || is_one_of(word, modifying)
+            || is_writing_function(word)
+        {
             return Kind::Write;
         }
         last = word;
@@ -168,25 +172,25 @@
     Kind::Read
 }
 
-fn writes(word: &str) -> bool {
+fn is_writing_function(word: &str) -> bool {
     let starts = |prefix: &&str| {
         let head = word.as_bytes().get(..prefix.len());
         head.is_some_and(|head| head.eq_ignore_ascii_case(prefix.as_bytes()))
     };
-    is(word, &WRITING_FUNCTIONS) || WRITING_PREFIXES.iter().any(starts)
+    is_one_of(word, &WRITING_FUNCTIONS) || WRITING_PREFIXES.iter().any(starts)
 }
 
-fn access<'a>(pieces: impl Iterator<Item = Piece<'a>>) -> Access {
+fn transaction_access<'a>(pieces: impl Iterator<Item = Piece<'a>>) -> Access {
     let mut last = "";
     let mut found = Access::ReadWrite;
     for piece in pieces {
         let Piece::Word(word) = piece else {
             continue;
         };
-        if is(last, &["read"]) && is(word, &["only"]) {
+        if is_one_of(last, &["read"]) && is_one_of(word, &["only"]) {
             found = Access::ReadOnly;
         }
-        if is(last, &["read"]) && is(word, &["write"]) {
+        if is_one_of(last, &["read"]) && is_one_of(word, &["write"]) {
             found = Access::ReadWrite;
         }
         last = word;
@@ -195,29 +199,31 @@
 }
 
 /// `COMMIT PREPARED` writes, and `ROLLBACK TO` leaves the transaction open.
-fn ending<'a>(mut pieces: impl Iterator<Item = Piece<'a>>, kind: Kind<'a>) -> Kind<'a> {
+fn classify_end<'a>(mut pieces: impl Iterator<Item = Piece<'a>>, kind: Kind<'a>) -> Kind<'a> {
     let special = pieces.find_map(|piece| match piece {
-        Piece::Word(word) if is(word, &["prepared"]) => Some(Kind::Write),
-        Piece::Word(word) if is(word, &["to", "chain"]) => Some(Kind::Other),
+        Piece::Word(word) if is_one_of(word, &["prepared"]) => Some(Kind::Write),
+        Piece::Word(word) if is_one_of(word, &["to", "chain"]) => Some(Kind::Other),
         _ => None,
     });
     special.unwrap_or(kind)
 }
 
-fn setting<'a>(sql: &'a str, mut pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
+fn classify_set<'a>(sql: &'a str, mut pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
     let mut name = pieces.next();
-    if matches!(name, Some(Piece::Word(word)) if is(word, &["session"])) {
+    if matches!(name, Some(Piece::Word(word)) if is_one_of(word, &["session"])) {
         name = pieces.next();
     }
     let start = match name {
-        Some(Piece::Word(word)) if !is(word, &["local", "transaction", "constraints", "role"]) => {
+        Some(Piece::Word(word))
+            if !is_one_of(word, &["local", "transaction", "constraints", "role"]) =>
+        {
             offset(sql, word)
         }
         Some(Piece::Literal(name)) if name.starts_with('"') => offset(sql, name),
         _ => return Kind::Other,
     };
     let assign = pieces.find_map(|piece| match piece {
-        Piece::Word(word) if is(word, &["to"]) => Some((offset(sql, word), 2)),
+        Piece::Word(word) if is_one_of(word, &["to"]) => Some((offset(sql, word), 2)),
         Piece::Symbol('=') => Some((sql[start..].find('=')? + start, 1)),
         _ => None,
     });
@@ -260,7 +266,7 @@
 }
 
 /// A name may have two parts, such as `dandelionlink.token`.
-fn showing<'a>(sql: &'a str, pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
+fn classify_show<'a>(sql: &'a str, pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
     let mut span: Option<(usize, usize)> = None;
     for piece in pieces {
         let (at, len) = match piece {
--- a/crates/route/src/tag.rs
+++ b/crates/route/src/tag.rs
@@ -28,16 +28,16 @@
     }
     for piece in Lexer::new(sql) {
         if let Piece::Comment(text) = piece {
-            read(text, &mut tags);
+            read_tags(text, &mut tags);
         }
     }
     tags
 }
 
-fn read(comment: &str, tags: &mut Tags) {
+fn read_tags(comment: &str, tags: &mut Tags) {
     let mut rest = comment;
     while let Some((key, tail)) = rest.split_once("='") {
-        let Some(end) = close(tail) else {
+        let Some(end) = quote_end(tail) else {
             return;
         };
         let value = decode(&tail[..end]);
@@ -51,7 +51,7 @@
 }
 
 /// The place of the quote that ends a value.
-fn close(text: &str) -> Option<usize> {
+fn quote_end(text: &str) -> Option<usize> {
     let mut escaped = false;
     for (at, c) in text.char_indices() {
         match c {
@@ -70,7 +70,7 @@
     let mut rest = text.bytes();
     while let Some(b) = rest.next() {
         bytes.push(match b {
-            b'%' => hex(rest.next()?)? << 4 | hex(rest.next()?)?,
+            b'%' => hex_digit(rest.next()?)? << 4 | hex_digit(rest.next()?)?,
             b'\\' => rest.next()?,
             _ => b,
         });
@@ -78,7 +78,7 @@
     String::from_utf8(bytes).ok()
 }
 
-fn hex(digit: u8) -> Option<u8> {
+fn hex_digit(digit: u8) -> Option<u8> {
     let value = char::from(digit).to_digit(16)?;
     u8::try_from(value).ok()
 }
--- a/crates/route/tests/group/mod.rs
+++ b/crates/route/tests/group/mod.rs
@@ -48,31 +48,38 @@
         };
         let members = (0..3).map(member).collect();
         group.router.step(Instant::ZERO, Event::Group(members));
-        for then in (now.saturating_sub(1_000)..=now).step_by(10) {
-            group.all(then, 1, then);
+        for earlier in (now.saturating_sub(1_000)..=now).step_by(10) {
+            group.report_all(earlier, 1, earlier);
         }
         group
     }
 
-    pub(crate) fn all(&mut self, now: u64, term: u64, lsn: u64) {
-        self.primary(now, term, lsn);
-        self.replica("u1", now, term, lsn);
-        self.replica("u2", now, term, lsn);
+    pub(crate) fn report_all(&mut self, now: u64, term: u64, lsn: u64) {
+        self.report_primary(now, term, lsn);
+        self.report_replica("u1", now, term, lsn);
+        self.report_replica("u2", now, term, lsn);
     }
 
-    pub(crate) fn primary(&mut self, now: u64, term: u64, lsn: u64) {
-        self.primary_sent(now, now + 3, term, lsn);
+    pub(crate) fn report_primary(&mut self, now: u64, term: u64, lsn: u64) {
+        self.report_primary_sent(now, now + 3, term, lsn);
     }
 
-    pub(crate) fn primary_sent(&mut self, sent: u64, now: u64, term: u64, lsn: u64) {
+    pub(crate) fn report_primary_sent(&mut self, sent: u64, now: u64, term: u64, lsn: u64) {
         self.answer("u0", sent, now, report(Role::Primary, term, lsn));
     }
 
-    pub(crate) fn replica(&mut self, name: &str, now: u64, term: u64, lsn: u64) {
-        self.replica_sent(name, now, now + 3, term, lsn);
+    pub(crate) fn report_replica(&mut self, name: &str, now: u64, term: u64, lsn: u64) {
+        self.report_replica_sent(name, now, now + 3, term, lsn);
     }
 
-    pub(crate) fn replica_sent(&mut self, name: &str, sent: u64, now: u64, term: u64, lsn: u64) {
+    pub(crate) fn report_replica_sent(
+        &mut self,
+        name: &str,
+        sent: u64,
+        now: u64,
+        term: u64,
+        lsn: u64,
+    ) {
         self.answer(name, sent, now, report(Role::Replica, term, lsn));
     }
 
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -36,9 +36,9 @@
     let mut group = Group::steady(1_000);
     for tick in 0..100 {
         let now = 1_000 + tick * 10;
-        group.primary(now, 1, 1_000 + tick * 100);
-        group.replica("u1", now, 1, 1_000);
-        group.replica("u2", now, 1, 1_000);
+        group.report_primary(now, 1, 1_000 + tick * 100);
+        group.report_replica("u1", now, 1, 1_000);
+        group.report_replica("u2", now, 1, 1_000);
     }
     let read = read(1_995, known(1, 10_800));
     assert_eq!(
@@ -56,15 +56,15 @@
 /// wrote at an instance that has since died. Cause: without a token no
 /// position is known, and whatever peers tell may be from before the write.
 #[test]
-fn a_caller_with_nothing_waits_for_a_round_sent_after_it_came() {
+fn a_session_without_a_token_waits_for_a_round_sent_after_it_began() {
     let mut group = Group::steady(1_000);
     let read = read(1_001, Floor::Unknown { since: at(1_001) });
     assert_eq!(group.choose(1_001, &read), Choice::AwaitRound);
-    group.primary_sent(1_000, 1_003, 1, 1_000);
-    group.replica_sent("u1", 1_000, 1_003, 1, 1_000);
+    group.report_primary_sent(1_000, 1_003, 1, 1_000);
+    group.report_replica_sent("u1", 1_000, 1_003, 1, 1_000);
     assert_eq!(group.choose(1_003, &read), Choice::AwaitRound);
-    group.primary_sent(1_001, 1_004, 1, 1_000);
-    group.replica_sent("u1", 1_001, 1_004, 1, 1_000);
+    group.report_primary_sent(1_001, 1_004, 1, 1_000);
+    group.report_replica_sent("u1", 1_001, 1_004, 1, 1_000);
     assert!(matches!(group.choose(1_004, &read), Choice::Replica(_)));
 }
 
@@ -76,7 +76,7 @@
     let mut group = Group::steady(1_000);
     let before = group.router.confirmed().unwrap();
     for now in (1_010..4_000).step_by(10) {
-        group.primary(now, 1, 2_000);
+        group.report_primary(now, 1, 2_000);
     }
     assert_eq!(group.router.confirmed(), Some(before));
     let calendar = read(3_990, known(1, 900)).freshness(Freshness::Age(Duration::from_secs(2)));
@@ -105,7 +105,7 @@
         };
         group.answer(name, 1_010, 1_010, fenced);
     }
-    group.primary(1_010, 1, 1_100);
+    group.report_primary(1_010, 1, 1_100);
     assert_eq!(group.router.confirmed(), Some(before));
 }
 
@@ -114,7 +114,7 @@
 /// carries term 2 but lags behind the fork. Cause: a higher term alone was
 /// taken for a higher place.
 #[test]
-fn after_a_change_of_primary_both_term_and_place_count() {
+fn after_a_change_of_primary_both_term_and_log_position_count() {
     let mut group = Group::steady(1_000);
     group
         .router
@@ -138,7 +138,7 @@
 /// Events: the old primary ran on past the fork; it comes back as a replica
 /// that still has its own tail. Cause: its high place looked fresh.
 #[test]
-fn a_log_that_left_the_lineage_gets_no_reads() {
+fn a_diverged_replica_gets_no_reads() {
     let mut group = Group::steady(1_000);
     group
         .router
@@ -173,10 +173,10 @@
         .verify(at(1_004), &rewound, &read, Target::Replica);
     assert_eq!(verdict, Verdict::Behind);
     // The broken variant judges by the report known when it chose.
-    let rumour = group::report(Role::Replica, 1, 1_000);
+    let earlier = group::report(Role::Replica, 1, 1_000);
     let broken = group
         .router
-        .verify(at(1_004), &rumour, &read, Target::Replica);
+        .verify(at(1_004), &earlier, &read, Target::Replica);
     assert_eq!(broken, Verdict::Fresh);
 }
 
@@ -184,9 +184,9 @@
 /// discarded; the same replica is expected to have caught up, again wrongly.
 /// Cause: the same guess was trusted twice.
 #[test]
-fn after_a_discarded_answer_only_proof_counts() {
+fn after_a_discarded_answer_only_proved_positions_count() {
     let mut group = Group::steady(1_000);
-    group.primary(1_010, 1, 1_100);
+    group.report_primary(1_010, 1, 1_100);
     let read = read(1_030, known(1, 1_050));
     assert!(matches!(group.choose(1_030, &read), Choice::Replica(_)));
     let again = read.discarded(Target::Replica);
@@ -219,7 +219,7 @@
         .router
         .step(at(1_001), Event::Load(&group::upstream("u0"), load));
     assert_eq!(group.choose(1_001, &current), Choice::AwaitRound);
-    group.all(1_004, 1, 1_000);
+    group.report_all(1_004, 1, 1_000);
     assert!(matches!(group.choose(1_007, &current), Choice::Replica(_)));
 }
 
@@ -298,9 +298,9 @@
 fn a_stalled_replica_is_not_waited_for() {
     let mut group = Group::steady(1_000);
     for now in (1_010..2_000).step_by(10) {
-        group.primary(now, 1, now);
-        group.replica("u1", now, 1, 1_000);
-        group.replica("u2", now, 1, 1_000);
+        group.report_primary(now, 1, now);
+        group.report_replica("u1", now, 1, 1_000);
+        group.report_replica("u2", now, 1, 1_000);
     }
     let read = read(2_000, known(1, 1_985));
     assert_eq!(
@@ -313,10 +313,10 @@
 /// second. Events: a replica's age swings about its bound. Cause: it came back
 /// in as soon as it was within the bound again, as the variant without hold does.
 #[test]
-fn a_replica_at_the_edge_does_not_flap() {
-    let undamped = changes_at_the_edge(Duration::ZERO);
+fn a_replica_at_its_age_bound_does_not_flap() {
+    let undamped = changes_at_the_bound(Duration::ZERO);
     assert!(undamped.len() > 80);
-    let damped = changes_at_the_edge(Duration::from_millis(50));
+    let damped = changes_at_the_bound(Duration::from_millis(50));
     assert!(damped.len() <= 14, "{damped:?}");
     // The hold doubles, so that the changes die out: in the last half of the
     // time it comes in once more at most.
@@ -325,7 +325,7 @@
 }
 
 /// The reads, of 400, at which the replica came in or went out.
-fn changes_at_the_edge(exclusion: Duration) -> Vec<u64> {
+fn changes_at_the_bound(exclusion: Duration) -> Vec<u64> {
     let bound = Duration::from_millis(200);
     let conf = Conf {
         exclusion,
@@ -341,11 +341,11 @@
     let mut last = None;
     for tick in 0..400 {
         let now = 1_010 + tick * 10;
-        group.primary(now, 1, now);
+        group.report_primary(now, 1, now);
         // Its lag swings between 180 and 220 ms every 40 ms.
         let lag = if tick % 8 < 4 { 180 } else { 220 };
-        group.replica("u1", now, 1, now - lag);
-        group.replica("u2", now, 1, now);
+        group.report_replica("u1", now, 1, now - lag);
+        group.report_replica("u2", now, 1, now);
         let calendar = read(now, known(1, 10)).freshness(Freshness::Age(bound));
         let replica = matches!(group.choose(now, &calendar), Choice::Replica(_));
         if last.is_some_and(|last| last != replica) {
@@ -362,8 +362,8 @@
 #[test]
 fn age_counts_from_when_the_question_was_sent() {
     let mut group = Group::steady(1_000);
-    group.primary_sent(1_010, 1_500, 1, 1_200);
-    group.replica_sent("u1", 1_010, 1_500, 1, 1_200);
+    group.report_primary_sent(1_010, 1_500, 1, 1_200);
+    group.report_replica_sent("u1", 1_010, 1_500, 1, 1_200);
     let calendar = read(1_500, known(1, 10)).freshness(Freshness::Age(Duration::from_millis(400)));
     let report = group::report(Role::Replica, 1, 1_200);
     let verify = |now| {
--- a/crates/route/tests/share.rs
+++ b/crates/route/tests/share.rs
@@ -13,22 +13,22 @@
 use std::time::Duration;
 
 use route::Policy;
-use setup::{Judge, Setup, Tally};
+use setup::{Setup, Tally, Verification};
 use trace::Lag;
 use world::run;
 
-fn tally(policy: Policy, lags: [Lag; 2], judge: Judge) -> Tally {
+fn tally(policy: Policy, lags: [Lag; 2], verification: Verification) -> Tally {
     run(&Setup {
         policy,
         lags,
-        judge,
+        verification,
         length: Duration::from_secs(12),
         ..Setup::default()
     })
 }
 
 #[test]
-fn calendar_reads_reach_the_oracles_share_without_a_stale_answer() {
+fn calendar_reads_reach_the_share_of_the_oracle_without_a_stale_answer() {
     let traces = [
         [Lag::Steady, Lag::Steady],
         [Lag::Steady, Lag::Stalls],
@@ -36,8 +36,8 @@
         [Lag::Sawtooth, Lag::Far],
     ];
     for lags in traces {
-        let routed = tally(Policy::Routed, lags, Judge::Every);
-        let oracle = tally(Policy::Oracle, lags, Judge::Every);
+        let routed = tally(Policy::Routed, lags, Verification::Enabled);
+        let oracle = tally(Policy::Oracle, lags, Verification::Enabled);
         assert!(routed.calendar > 1_000);
         assert_eq!((routed.stale, routed.backward), (0, 0), "{lags:?}");
         let share = routed.share() / oracle.share();
@@ -48,7 +48,11 @@
 /// Symptom: sessions miss their own writes. Cause: the broken variant gives
 /// answers out on what replicas were expected to have reached.
 #[test]
-fn routing_without_judging_answers_serves_stale_ones() {
-    let broken = tally(Policy::Routed, [Lag::Sawtooth, Lag::Far], Judge::Rumour);
+fn routing_without_verification_serves_stale_answers() {
+    let broken = tally(
+        Policy::Routed,
+        [Lag::Sawtooth, Lag::Far],
+        Verification::Disabled,
+    );
     assert!(broken.stale > 0);
 }
--- a/crates/route/tests/statement.rs
+++ b/crates/route/tests/statement.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn everything_else() {
+fn other_kinds() {
     let cases = [
         ("", Kind::Empty),
         (" ; -- nothing\n;", Kind::Empty),
@@ -135,7 +135,7 @@
 /// Symptom: one client's odd text takes the daemon down. Cause it guards
 /// against: slicing a text between the bytes of a character.
 #[test]
-fn no_text_panics_and_splitting_loses_nothing() {
+fn arbitrary_text_does_not_panic_and_is_split_without_loss() {
     let piece = prop_oneof![
         ".{0,12}",
         "[-/*'\"$;eE\\\\ü \n=a1.]{0,24}",
--- a/crates/session/src/floor.rs
+++ b/crates/session/src/floor.rs
@@ -123,9 +123,9 @@
             // An acknowledged write stands behind every earlier write of the
             // session, wherever that ran, so it settles an unknown floor too.
             Event::Presented(position) | Event::Acknowledged(position) => self.raise(now, position),
-            Event::Read { upto, confirmed } => self.read(now, upto, confirmed),
-            Event::ReadConfirmed(round) => self.replace(now, round),
-            Event::Round(round) => self.discover(now, round),
+            Event::Read { upto, confirmed } => self.apply_read(now, upto, confirmed),
+            Event::ReadConfirmed(round) => self.apply_confirmed_read(now, round),
+            Event::Round(round) => self.apply_round(now, round),
         }
     }
 
@@ -137,7 +137,7 @@
         self.changed = now;
     }
 
-    fn read(&mut self, now: Instant, upto: Position, confirmed: Option<Confirmed>) {
+    fn apply_read(&mut self, now: Instant, upto: Position, confirmed: Option<Confirmed>) {
         let seen = self.seen.map_or(upto, |seen| join(seen, upto));
         self.changed = now;
         let acknowledged = confirmed.is_some_and(|round| round.position.term == seen.term);
@@ -154,7 +154,7 @@
     /// session was told, so it takes the floor's place. Where `join` would
     /// leave a floor that a database restored from a backup never reaches,
     /// this lets the session come back to the replicas.
-    fn replace(&mut self, now: Instant, round: Confirmed) {
+    fn apply_confirmed_read(&mut self, now: Instant, round: Confirmed) {
         if round.since < self.changed {
             self.raise(now, round.position);
             return;
@@ -164,7 +164,7 @@
         self.changed = now;
     }
 
-    fn discover(&mut self, now: Instant, round: Confirmed) {
+    fn apply_round(&mut self, now: Instant, round: Confirmed) {
         let Floor::Unknown { since } = self.floor else {
             return;
         };
--- a/crates/session/src/round.rs
+++ b/crates/session/src/round.rs
@@ -21,8 +21,8 @@
 #[derive(Debug, Clone)]
 pub struct Round {
     timeout: Duration,
-    flying: Option<Instant>,
-    wanted: Option<Instant>,
+    started: Option<Instant>,
+    requested: Option<Instant>,
 }
 
 impl Round {
@@ -30,8 +30,8 @@
     pub fn new(timeout: Duration) -> Self {
         Self {
             timeout,
-            flying: None,
-            wanted: None,
+            started: None,
+            requested: None,
         }
     }
 
@@ -50,27 +50,30 @@
     /// assert_eq!(round.end(at(4)), Start::Later);
     /// ```
     pub fn request(&mut self, now: Instant, since: Instant) -> Start {
-        let Some(began) = self.flying.filter(|&began| now.since(began) < self.timeout) else {
+        let Some(began) = self
+            .started
+            .filter(|&began| now.since(began) < self.timeout)
+        else {
             return self.start(now);
         };
         if since > began {
-            self.wanted = Some(since);
+            self.requested = Some(since);
         }
         Start::Later
     }
 
-    /// A round ended, confirmed or not; starts the next one if it is wanted.
+    /// A round ended, confirmed or not; starts the next one if it is requested.
     pub fn end(&mut self, now: Instant) -> Start {
-        self.flying = None;
-        match self.wanted {
+        self.started = None;
+        match self.requested {
             Some(_) => self.start(now),
             None => Start::Later,
         }
     }
 
     fn start(&mut self, now: Instant) -> Start {
-        self.flying = Some(now);
-        self.wanted = None;
+        self.started = Some(now);
+        self.requested = None;
         Start::Now
     }
 }
--- a/crates/session/tests/floor.rs
+++ b/crates/session/tests/floor.rs
@@ -26,7 +26,7 @@
 /// round that had begun *before* it came ends, showing the position before the
 /// write. Cause: the round proves nothing about later acknowledgements.
 #[test]
-fn a_round_from_before_the_session_settles_nothing() {
+fn a_round_from_before_the_session_leaves_the_floor_unknown() {
     let mut session = Session::open(at(10));
     session.step(at(11), Event::Round(round(9, 1, 50)));
     assert_eq!(session.floor(), Floor::Unknown { since: at(10) });
@@ -57,7 +57,7 @@
 /// reads on a replica that is ahead of what the round confirmed, then on one
 /// that is behind. Cause: what was read was not remembered until acknowledged.
 #[test]
-fn what_was_read_binds_later_reads_and_becomes_the_floor_once_acknowledged() {
+fn a_position_read_binds_later_reads_and_becomes_the_floor_once_acknowledged() {
     let mut session = Session::open(at(0));
     session.step(at(1), Event::Acknowledged(Position::new(1, 40)));
     let read = |confirmed| Event::Read {
@@ -77,7 +77,7 @@
 /// unacknowledged writes; the new term's log forks before them. Cause: what
 /// was seen went into the floor without being acknowledged.
 #[test]
-fn what_a_failover_may_lose_enters_no_token() {
+fn an_unacknowledged_position_enters_no_token() {
     let mut session = Session::open(at(0));
     session.step(at(1), Event::Acknowledged(Position::new(1, 40)));
     let read = Event::Read {
@@ -142,7 +142,7 @@
 /// Symptom: sessions wait for ever. Events: the round's questions are lost.
 /// Cause: the round under way was believed to end by itself.
 #[test]
-fn a_lost_round_is_given_up() {
+fn a_lost_round_times_out() {
     let mut round = Round::new(Duration::from_millis(50));
     assert_eq!(round.request(at(0), at(0)), Start::Now);
     assert_eq!(round.request(at(49), at(49)), Start::Later);
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -88,7 +88,7 @@
 /// that signs with the new key and one that still signs with the old. Cause:
 /// without the accepting step some instance meets a key it does not hold.
 #[test]
-fn a_key_is_changed_without_a_stop() {
+fn a_key_is_rotated_without_refused_tokens() {
     let rollouts = [
         Keys::new(key(1)),
         Keys::new(key(1)).accept(key(2)),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn no_text_panics_or_passes() {
+fn arbitrary_text_is_refused_without_a_panic() {
     let keys = Keys::new(key(1));
     let arena = database("arena");
     runner()
--- a/crates/upstream/tests/bad.rs
+++ b/crates/upstream/tests/bad.rs
@@ -15,8 +15,8 @@
 }
 
 /// Puts the nonce that the proxy gave in place of `NONCE`.
-fn with_nonce(part: &[u8], heard: &[u8]) -> Vec<u8> {
-    let text = String::from_utf8_lossy(heard);
+fn with_nonce(part: &[u8], received: &[u8]) -> Vec<u8> {
+    let text = String::from_utf8_lossy(received);
     let challenge = String::from_utf8(part.get(5..).unwrap_or_default().to_vec());
     match (challenge, text.split_once("r=")) {
         (Ok(challenge), Some((_, nonce))) if challenge.contains("NONCE") => {
@@ -35,9 +35,9 @@
         let (mut stream, _) = listener.accept().unwrap();
         let mut buf = [0; 4_096];
         for part in script {
-            let heard = stream.read(&mut buf).unwrap_or(0);
-            let part = with_nonce(&part, &buf[..heard]);
-            if heard == 0 || stream.write_all(&part).is_err() {
+            let received = stream.read(&mut buf).unwrap_or(0);
+            let part = with_nonce(&part, &buf[..received]);
+            if received == 0 || stream.write_all(&part).is_err() {
                 return;
             }
         }
