--- a/crates/pg/src/codec.rs
+++ b/crates/pg/src/codec.rs
@@ -1,82 +1,82 @@
-//! Splitting a stream into frames: a tag, a length and a body.
+//! Splits a byte stream into protocol messages: a tag, a length and a body.
 
 use ntex::{
     codec::{Decoder, Encoder},
     util::{BufMut, Bytes, BytesMut},
 };
 
-/// The largest frame taken from a caller or an upstream, in bytes.
+/// Largest message that is accepted from a caller or an upstream, in bytes.
 ///
-/// A larger one would let a single connection claim memory without bound.
+/// Without a limit, a single connection could claim memory without bound.
 pub const MAX_FRAME: usize = 16 << 20;
 
-/// The largest message taken from a caller that is logging in, in bytes.
+/// Largest message that is accepted from a caller during login, in bytes.
 pub const MAX_LOGIN: usize = 4 << 10;
 
-/// The tag and the length field.
+/// Size of the tag and the length field, in bytes.
 const HEADER: usize = 5;
 
-/// Why bytes are not a message of the protocol.
+/// Reasons why bytes are not a valid message of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The length field is smaller than the field itself.
-    #[error("a message of type {tag:?} says that it has {length} bytes")]
+    #[error("message of type {tag:?}: length field {length} is too small")]
     Short {
-        /// The message's type.
+        /// Type of the message.
         tag: char,
-        /// What its length field says.
+        /// Value of the length field.
         length: u32,
     },
-    /// The message is larger than it may be.
-    #[error("a message of type {tag:?} has {length} bytes, the most is {most}")]
+    /// The message exceeds the size limit.
+    #[error("message of type {tag:?} has {length} bytes, the limit is {most}")]
     Oversized {
-        /// The message's type.
+        /// Type of the message.
         tag: char,
-        /// What its length field says.
+        /// Value of the length field.
         length: u32,
-        /// The most bytes that are taken.
+        /// Largest size that is accepted, in bytes.
         most: usize,
     },
-    /// The contents don't fit the message's type.
-    #[error("a message of type {tag:?} is malformed: {what}")]
+    /// The body does not have the layout of the message's type.
+    #[error("message of type {tag:?} is malformed: {what}")]
     Malformed {
-        /// The message's type.
+        /// Type of the message.
         tag: char,
-        /// Which part is wrong.
+        /// Description of the fault.
         what: &'static str,
     },
-    /// The type is not one that this side may receive.
-    #[error("a message of type {0:?} is not expected here")]
+    /// A message of this type must not be sent to this side.
+    #[error("unexpected message of type {0:?}")]
     Unexpected(char),
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// The connection failed.
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// One message: its tag, length field and body as they came.
+/// One message with its tag, length field and body as received.
 #[derive(Debug, Clone)]
 pub struct Frame {
     bytes: Bytes,
 }
 
 impl Frame {
-    /// The message's type.
+    /// Type of the message.
     pub fn tag(&self) -> u8 {
         self.bytes[0]
     }
 
-    /// What follows the length field.
+    /// The bytes behind the length field.
     pub fn body(&self) -> &[u8] {
         &self.bytes[HEADER..]
     }
 
-    /// The whole message as it stands on the wire.
+    /// The whole message as sent on the wire.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-/// Splits a stream into [`Frame`]s and writes ready-made bytes.
+/// Splits a stream into [`Frame`]s and writes messages that are already encoded.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Codec;
 
@@ -89,10 +89,10 @@
     }
 }
 
-/// Splits the messages of a login, which are short.
+/// Splits the messages of a login, which are limited to [`MAX_LOGIN`].
 ///
-/// A peer that has not proved who it is could otherwise make the proxy wait
-/// for, and hold, [`MAX_FRAME`] bytes on each of its connections.
+/// With the limit of [`Codec`], an unauthenticated caller could make the proxy
+/// buffer [`MAX_FRAME`] bytes on each of its connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoginCodec;
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Takes a message of at most `most` bytes off `src`, if it is all there.
+/// Removes a message of at most `most` bytes from `src` if `src` holds all of it.
 fn split(src: &mut BytesMut, most: usize) -> Result<Option<Frame>, Error> {
     if src.len() < HEADER {
         return Ok(None);
--- a/crates/pg/src/front.rs
+++ b/crates/pg/src/front.rs
@@ -1,4 +1,4 @@
-//! Messages from callers that the proxy has to understand.
+//! Decodes the messages from callers that the proxy interprets.
 
 use bytes::{Buf, BytesMut};
 use pgwire::messages::{
@@ -10,34 +10,35 @@
 
 use crate::{Error, Frame};
 
-/// The largest first message of a connection, in bytes, as PostgreSQL has it.
+/// Largest first message of a connection, in bytes; PostgreSQL has the same limit.
 pub const MAX_STARTUP: usize = 10_000;
 
 /// The first message of a connection, which has no tag.
 #[derive(Debug)]
 pub enum Startup {
-    /// The caller asks whether TLS is spoken here.
+    /// The caller asks for TLS.
     Tls,
-    /// The caller asks whether GSSAPI encryption is spoken here.
+    /// The caller asks for GSSAPI encryption.
     Gss,
     /// The caller asks to cancel another connection's statement.
     Cancel(CancelRequest),
-    /// The caller begins a session.
+    /// The caller starts a session.
     Session(startup::Startup),
-    /// The caller speaks another protocol.
+    /// The caller uses another version of the protocol.
     Version {
-        /// Its major version.
+        /// Major version.
         major: u16,
-        /// Its minor version.
+        /// Minor version.
         minor: u16,
     },
 }
 
-/// Takes the first message off `buf`; `None` when it is not all there yet.
+/// Removes the first message of a connection from `buf`; returns `None` if `buf`
+/// does not hold all of it yet.
 ///
 /// # Errors
 ///
-/// [`Error`] when the bytes can't begin a connection.
+/// Returns an [`Error`] if the bytes are not a valid first message.
 pub fn decode_startup(buf: &mut BytesMut) -> Result<Option<Startup>, Error> {
     if buf.len() < 8 {
         return Ok(None);
@@ -81,7 +82,7 @@
         return Ok(Some(Startup::Version { major, minor }));
     }
     if packet.len() == 8 || packet.last() != Some(&0) {
-        return Err(malformed("the parameters don't end"));
+        return Err(malformed("the parameters are not terminated"));
     }
     let session = startup::Startup::decode(&mut packet, &context)
         .ok()
@@ -91,36 +92,36 @@
         .ok_or(malformed("the parameters"))
 }
 
-/// A message of a running session.
+/// A message from a caller within a session.
 #[derive(Debug)]
 pub enum Frontend {
-    /// Simple query.
+    /// Runs a simple query.
     Query(String),
-    /// Names a statement.
+    /// Prepares a statement.
     Parse(Parse),
-    /// Gives a statement its parameters.
+    /// Binds parameters to a statement, which gives a portal.
     Bind(Bind),
-    /// Asks for a statement's or portal's shape.
+    /// Asks for the parameters and result columns of a statement or portal.
     Describe(Describe),
     /// Runs a portal.
     Execute(Execute),
-    /// Forgets a statement or a portal.
+    /// Closes a statement or a portal.
     Close(Close),
-    /// Asks for all answers so far.
+    /// Asks for all pending answers.
     Flush,
-    /// Ends a batch.
+    /// Ends a batch of the extended protocol.
     Sync,
     /// Ends the session.
     Terminate,
-    /// Part of a COPY, which is not served.
+    /// Carries data of a `COPY`, which is not supported.
     Copy,
 }
 
-/// Reads a message of a running session.
+/// Decodes a message of a session.
 ///
 /// # Errors
 ///
-/// [`Error`] when the type is unknown or the contents don't fit it.
+/// Returns an [`Error`] if the type is unknown or the body is malformed.
 pub fn decode(frame: &Frame) -> Result<Frontend, Error> {
     let tag = char::from(frame.tag());
     match tag {
@@ -141,7 +142,7 @@
     let mut buf = BytesMut::from(frame.bytes());
     let malformed = Error::Malformed {
         tag,
-        what: "its contents",
+        what: "the body can't be decoded",
     };
     match PgWireFrontendMessage::decode(&mut buf, &context) {
         Ok(Some(PgWireFrontendMessage::Parse(it))) => Ok(Frontend::Parse(it)),
@@ -157,21 +158,21 @@
     let body = frame.body();
     let text = body.strip_suffix(&[0]).ok_or(Error::Malformed {
         tag: 'Q',
-        what: "no end",
+        what: "no terminating zero",
     })?;
     let text = std::str::from_utf8(text);
     let text = text.map_err(|_| Error::Malformed {
         tag: 'Q',
-        what: "not UTF-8",
+        what: "the text is not UTF-8",
     })?;
     Ok(Frontend::Query(text.to_owned()))
 }
 
-/// A view of a body that is walked without trusting the lengths in it.
+/// Reads a body and checks each length and count in it against the bytes left.
 ///
-/// The library's decoder takes the counts in a message at their word and
-/// panics when the body is shorter, which would end the whole thread of
-/// callers. Each body is therefore walked first.
+/// The decoder of `pgwire` trusts the counts in a message and panics if the
+/// body is shorter, which would end the thread that serves all callers. Each
+/// body is therefore checked here first.
 struct Cursor<'a> {
     tag: char,
     rest: &'a [u8],
@@ -187,19 +188,19 @@
 
     fn text(&mut self) -> Result<&'a str, Error> {
         let Some(end) = self.rest.iter().position(|&byte| byte == 0) else {
-            return self.fail("a text without an end");
+            return self.fail("a text is not terminated");
         };
         let (text, rest) = self.rest.split_at(end);
         self.rest = &rest[1..];
         std::str::from_utf8(text).map_err(|_| Error::Malformed {
             tag: self.tag,
-            what: "a text that is not UTF-8",
+            what: "a text is not UTF-8",
         })
     }
 
     fn skip(&mut self, count: usize) -> Result<(), Error> {
         if self.rest.len() < count {
-            return self.fail("shorter than its counts say");
+            return self.fail("the body is shorter than its counts");
         }
         self.rest = &self.rest[count..];
         Ok(())
@@ -210,14 +211,14 @@
             return self.fail("a count is missing");
         }
         let count = self.rest.get_i16();
-        usize::try_from(count).or_else(|_| self.fail("a negative count"))
+        usize::try_from(count).or_else(|_| self.fail("a count is negative"))
     }
 
     fn end(&self) -> Result<(), Error> {
         if self.rest.is_empty() {
             Ok(())
         } else {
-            self.fail("bytes after its end")
+            self.fail("bytes follow the end")
         }
     }
 }
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,7 +1,7 @@
-//! Frames of the PostgreSQL protocol, version 3.
+//! Messages of the PostgreSQL protocol, version 3.
 //!
-//! The proxy relays most messages without looking inside. This crate splits a
-//! stream into [`Frame`]s and leaves the contents to the `pgwire` library.
+//! The proxy relays most messages without decoding them. This crate splits a
+//! stream into [`Frame`]s and decodes or encodes bodies with the `pgwire` library.
 
 mod codec;
 mod front;
--- a/crates/pg/src/reply.rs
+++ b/crates/pg/src/reply.rs
@@ -1,4 +1,4 @@
-//! Messages to callers, written by the `pgwire` library.
+//! Encodes messages to callers with the `pgwire` library.
 
 use bytes::BytesMut;
 use pgwire::messages::{
@@ -7,23 +7,24 @@
     startup::ParameterStatus,
 };
 
-/// A growing run of messages to a caller.
+/// A buffer of encoded messages to a caller.
 pub type Reply = BytesMut;
 
-/// Appends `message` to `buf`.
 fn put(buf: &mut Reply, message: &impl Message) {
-    // Encoding fails only for messages above the library's size limits, which
-    // the short messages written here don't reach.
+    // Encoding fails only above the size limits of `pgwire`, which these short
+    // messages don't reach.
     let _ = message.encode(buf);
 }
 
-/// Appends an error with its SQLSTATE, a text, and a hint if there is one.
+/// Appends an error with an SQLSTATE, a text and an optional hint.
+///
+/// Its severity is `FATAL` for an SQLSTATE that ends the connection.
 pub fn error(buf: &mut Reply, state: &str, text: &str, hint: Option<&str>) {
     let ends = state == "57P01" || state.starts_with("08");
     put_error(buf, if ends { "FATAL" } else { "ERROR" }, state, text, hint);
 }
 
-/// Appends an error that ends the connection.
+/// Appends an error of severity `FATAL`, which ends the connection.
 pub fn fatal(buf: &mut Reply, state: &str, text: &str) {
     put_error(buf, "FATAL", state, text, None);
 }
@@ -39,7 +40,7 @@
     put(buf, &ErrorResponse::new(fields));
 }
 
-/// Appends the news that the session's `name` is now `value`.
+/// Appends a parameter status: the session parameter `name` has the value `value`.
 pub fn parameter(buf: &mut Reply, name: &str, value: &str) {
     put(
         buf,
@@ -47,7 +48,7 @@
     );
 }
 
-/// Appends the end of a batch, with the transaction's state: `I`, `T` or `E`.
+/// Appends `ReadyForQuery` with the state of the transaction: `I`, `T` or `E`.
 pub fn ready(buf: &mut Reply, state: u8) {
     let status = match state {
         b'T' => TransactionStatus::Transaction,
@@ -57,7 +58,7 @@
     put(buf, &ReadyForQuery::new(status));
 }
 
-/// The SQLSTATE in the body of an error message, if it has one.
+/// Returns the SQLSTATE in the body of an error message, if present.
 pub fn error_state(body: &[u8]) -> Option<&str> {
     body.split(|&byte| byte == 0)
         .find_map(|field| match field.split_first() {
--- a/crates/pg/tests/decode.rs
+++ b/crates/pg/tests/decode.rs
@@ -1,5 +1,7 @@
-//! Arbitrary and mutated bytes at each decoder: an error or a message that is
-//! no larger than its bytes, and never a panic.
+//! Feeds arbitrary and mutated bytes to each decoder.
+//!
+//! Guards against a panic, and against a decoded message that is larger than its
+//! bytes, as a length or a count that is trusted without a check would give.
 
 use ntex::{codec::Decoder, util::BytesMut};
 use pg::{Codec, Error, Frame, Frontend, LoginCodec, MAX_FRAME, MAX_LOGIN, MAX_STARTUP};
@@ -14,7 +16,7 @@
     }
 }
 
-/// Valid messages of each type that a caller may send.
+/// Returns a valid message of each type that a caller may send.
 fn valid() -> Vec<Vec<u8>> {
     let message = |tag: u8, body: &[u8]| {
         let length = (body.len() as u32 + 4).to_be_bytes();
@@ -43,7 +45,8 @@
     [&length[..], body].concat()
 }
 
-/// A valid message with a few bytes changed, and perhaps cut or longer.
+/// Generates valid messages with up to three bytes changed, which may also be
+/// truncated or extended.
 fn mutated(valid: Vec<Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let changes = proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4);
     let tail = proptest::collection::vec(any::<u8>(), 0..8);
@@ -71,7 +74,7 @@
     ]
 }
 
-/// How much a message holds, of bytes and of items.
+/// Returns the size of a decoded message: its bytes and 4 for each of its items.
 fn size(front: &Frontend) -> usize {
     match front {
         Frontend::Query(sql) => sql.len(),
@@ -131,7 +134,7 @@
         }
         if let Ok(Some(pg::Startup::Session(startup))) = result {
             let sizes = startup.parameters.iter().map(|(key, value)| key.len() + value.len());
-            // Bytes that are no UTF-8 are replaced, by three at most for one.
+            // A byte that is not UTF-8 is replaced by at most three bytes.
             prop_assert!(sizes.sum::<usize>() <= 3 * MAX_STARTUP);
         }
     }
