--- a/crates/upstream/src/conn.rs
+++ b/crates/upstream/src/conn.rs
@@ -12,30 +12,31 @@
 
 use crate::Error;
 
-/// The most iterations that an upstream may ask for in a login. Each takes
-/// time on the thread that serves all upstreams, which a broken upstream could
-/// else stop for minutes.
+/// Largest SCRAM iteration count that is accepted from an upstream.
+///
+/// The iterations run on the thread that serves all upstreams, which a faulty
+/// upstream could otherwise block for minutes.
 const MAX_ITERATIONS: u32 = 1_000_000;
 
-/// How the proxy logs in to an upstream.
+/// Credentials with which the proxy logs in to an upstream.
 #[derive(Debug, Clone)]
 pub struct Login {
-    /// The user.
+    /// Name of the user.
     pub user: String,
-    /// The user's password, if the upstream asks for one.
+    /// Password of the user, if the upstream needs one.
     pub password: Option<String>,
 }
 
-/// What a cancel request names a connection by.
+/// Identifies a connection in a cancel request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Key {
-    /// The server process.
+    /// Id of the server process.
     pub pid: i32,
-    /// The secret that the server gave with it.
+    /// Secret that the server issued for the process.
     pub secret: i32,
 }
 
-/// A connection on which the login is done.
+/// A connection that has logged in.
 #[derive(Debug)]
 pub struct Conn {
     io: Io,
@@ -47,7 +48,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] when nothing was sent; otherwise why the login failed.
+    /// Returns [`Error::Connect`] if no connection was made, so that nothing was
+    /// sent, and another [`Error`] if the login failed.
     pub async fn open(address: SocketAddr, login: &Login, dbname: &str) -> Result<Self, Error> {
         let io = ntex::rt::tcp_connect(address, SharedCfg::default());
         let io = io.await.map_err(Error::Connect)?;
@@ -68,21 +70,22 @@
         Ok(conn)
     }
 
-    /// What a cancel request names this connection by.
+    /// Returns the key that identifies this connection in a cancel request.
     pub fn key(&self) -> &Key {
         &self.key
     }
 
-    /// Whether the upstream has closed the connection.
+    /// Returns true if the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.io.is_closed()
     }
 
-    /// Sends bytes that are whole messages.
+    /// Sends encoded messages.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] when the connection is gone; some bytes may have left.
+    /// Returns [`Error::Closed`] if the connection is closed; some bytes may have
+    /// been sent.
     pub fn send(&self, bytes: &[u8]) -> Result<(), Error> {
         self.io.encode_slice(bytes).map_err(|_| Error::Closed)?;
         self.io.send_buf().map_err(|_| Error::Closed)
@@ -92,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] when the connection is gone or does not speak the protocol.
+    /// Returns an [`Error`] if the connection is closed or sends an invalid message.
     pub async fn recv(&self) -> Result<Frame, Error> {
         match self.io.recv(&Codec).await {
             Ok(Some(frame)) => Ok(frame),
@@ -102,12 +105,14 @@
         }
     }
 
-    /// Runs statements one by one by simple query and returns the rows of the
-    /// last that had any; stops at the first that is refused.
+    /// Runs statements one by one with simple queries and stops at the first one
+    /// that is refused.
+    ///
+    /// Returns the rows of the last statement that had any.
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] when the upstream refuses one of the statements.
+    /// Returns [`Error::Refused`] if the upstream refuses one of the statements.
     pub async fn run(&self, statements: &[String]) -> Result<Vec<Frame>, Error> {
         let mut rows = Vec::new();
         for statement in statements {
@@ -119,18 +124,18 @@
         Ok(rows)
     }
 
-    /// Runs a statement by simple query and returns how many rows it touched.
+    /// Runs a statement with a simple query and returns its number of affected rows.
     ///
     /// # Errors
     ///
-    /// As [`Conn::run`].
+    /// Returns the same errors as [`Conn::run`].
     pub async fn execute(&self, statement: &str) -> Result<u64, Error> {
         let (_, tag) = self.query(statement).await?;
         let count = tag.rsplit(' ').next().and_then(|it| it.parse().ok());
         Ok(count.unwrap_or(0))
     }
 
-    /// The rows that a statement brings, and its command tag.
+    /// Runs a statement and returns its rows and its command tag.
     async fn query(&self, statement: &str) -> Result<(Vec<Frame>, String), Error> {
         let mut buf = BytesMut::new();
         frontend::query(statement, &mut buf).map_err(pg::Error::Io)?;
@@ -204,7 +209,7 @@
     }
 }
 
-/// The iteration count in a challenge of SCRAM.
+/// Returns the iteration count in a SCRAM challenge.
 fn iterations(challenge: &[u8]) -> Option<u32> {
     let text = std::str::from_utf8(challenge).ok()?;
     let count = text.split(',').find_map(|it| it.strip_prefix("i="))?;
@@ -225,11 +230,12 @@
     })
 }
 
-/// Asks the upstream at `address` to cancel what the connection `key` runs.
+/// Asks the upstream at `address` to cancel the statement that runs on the
+/// connection with `key`.
 ///
 /// # Errors
 ///
-/// [`Error::Connect`] when the upstream can't be reached.
+/// Returns [`Error::Connect`] if the upstream can't be reached.
 pub async fn cancel(address: SocketAddr, key: &Key) -> Result<(), Error> {
     let io = ntex::rt::tcp_connect(address, SharedCfg::default());
     let io = io.await.map_err(Error::Connect)?;
@@ -237,7 +243,7 @@
     frontend::cancel_request(key.pid, key.secret, &mut buf);
     io.encode_slice(&buf).map_err(|_| Error::Closed)?;
     io.flush(true).await.map_err(|_| Error::Closed)?;
-    // The server answers by closing, after it has acted on the request.
+    // The server closes this connection after it has acted on the request.
     let _ = io.recv(&Codec).await;
     Ok(())
 }
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -1,38 +1,39 @@
-//! What goes wrong between the proxy and an upstream.
+//! Errors of connections between the proxy and an upstream.
 
-/// Why a connection to an upstream failed.
+/// Reasons why a connection to an upstream, or an operation on one, failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Nothing listens there, or the network is cut: nothing was sent.
+    /// No connection could be made, so nothing was sent.
     #[error("the upstream can't be reached: {0}")]
     Connect(std::io::Error),
-    /// The connection broke, or sent what is not the protocol.
+    /// The connection failed, or the upstream sent an invalid message.
     #[error(transparent)]
     Protocol(#[from] pg::Error),
     /// The upstream closed the connection.
     #[error("the upstream closed the connection")]
     Closed,
-    /// The upstream asks for a way to log in that the proxy does not have.
-    #[error("the upstream asks for login method {0}, which is not served")]
+    /// The upstream asks for a login method that the proxy does not support, or its
+    /// messages of the method are invalid.
+    #[error("login method {0} of the upstream is not supported or failed")]
     Login(i32),
-    /// The upstream refused with an SQLSTATE.
-    #[error("the upstream refused with {state}: {message}")]
+    /// The upstream answered with an error.
+    #[error("the upstream answered with error {state}: {message}")]
     Refused {
-        /// The SQLSTATE.
+        /// SQLSTATE of the error.
         state: String,
-        /// The upstream's own words.
+        /// Message of the error.
         message: String,
     },
-    /// The answer to a status probe is not one.
-    #[error("the upstream's status is malformed: {0}")]
+    /// The answer to a status query, or the cancel key in a login, is malformed.
+    #[error("malformed answer of the upstream: {0}")]
     Status(&'static str),
-    /// No answer came in time.
+    /// No answer arrived before the time-out.
     #[error("the upstream did not answer in time")]
     Timeout,
 }
 
 impl Error {
-    /// Reads an error message's body.
+    /// Decodes the body of an error message.
     pub(crate) fn refused(body: &[u8]) -> Self {
         let field = |wanted: u8| {
             body.split(|&byte| byte == 0)
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! A connection to an upstream, its status and the orders it takes.
+//! Connections to an upstream, its status and the orders that change its role.
 
 mod conn;
 mod error;
--- a/crates/upstream/src/order.rs
+++ b/crates/upstream/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to an upstream, as statements that it takes.
+//! Orders to an upstream, written as SQL statements.
 
 use std::net::SocketAddr;
 
@@ -6,38 +6,38 @@
 
 use crate::PROBE;
 
-/// The SQLSTATE with which an upstream refuses an order of a lower term; the
-/// message names the term that stands, as in `the term is 7 already`.
+/// SQLSTATE with which an upstream refuses an order of a lower term; the message
+/// names its current term, as in `the term is 7 already`.
 pub const TERM_REFUSED: &str = "DL010";
 
-/// What an upstream is ordered to do.
+/// An order to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
-    /// Take no part in any term below this one, and say how far you are.
+    /// Refuse every term below this one, and report the position of the log.
     Fence {
-        /// The claimed term.
+        /// Term that was claimed.
         term: Term,
     },
-    /// Lead in this term.
+    /// Become the primary of this term.
     Promote {
-        /// The claimed term.
+        /// Term that was claimed.
         term: Term,
     },
     /// Replicate from the primary of this term.
     Follow {
-        /// The term.
+        /// Term to follow.
         term: Term,
-        /// Where the term's primary listens.
+        /// Address of the term's primary.
         primary: SocketAddr,
     },
 }
 
 impl Order {
-    /// The statements that carry the order out; the last brings the status.
+    /// Returns the statements that carry out the order; the last one is [`PROBE`].
     ///
-    /// Each order begins by raising the upstream's term. The group refuses to
-    /// lower it, so an order of a promoter that was overtaken fails at its
-    /// first statement and the others are not sent.
+    /// The first statement sets the upstream's term, which the upstream refuses to
+    /// lower. An order of a takeover that was overtaken by a later one therefore
+    /// fails at its first statement, and the others are not sent.
     pub fn statements(&self) -> Vec<String> {
         let set = |name: &str, value: &str| format!("ALTER SYSTEM SET {name} = '{value}'");
         let term = |term: &Term| set("dandelionlink.term", &term.to_string());
--- a/crates/upstream/src/status.rs
+++ b/crates/upstream/src/status.rs
@@ -1,16 +1,16 @@
-//! What an upstream tells of itself, in one statement and one row.
+//! The status query of an upstream and the row that answers it.
 
 use model::{Lsn, Position, Report, Role, Term};
 use pg::Frame;
 
 use crate::Error;
 
-/// The statement whose one row [`parse_report`] reads.
+/// Status query, whose only row [`parse_report`] reads.
 ///
-/// All of it comes in one answer, so that the position is never that of
-/// another term than the one reported with it. `dandelionlink.term` is the
-/// highest term that the upstream was ordered to, `dandelionlink.log_term` the
-/// term of the log it writes or receives.
+/// A single statement returns all columns, so that the position and the term
+/// belong together. `dandelionlink.term` is the highest term of any order that
+/// the upstream accepted, `dandelionlink.log_term` the term of the log that the
+/// upstream writes or receives.
 pub const PROBE: &str = "SELECT pg_is_in_recovery(), \
     coalesce(nullif(current_setting('dandelionlink.term', true), ''), '0'), \
     coalesce(nullif(current_setting('dandelionlink.log_term', true), ''), '0'), \
@@ -19,11 +19,11 @@
     CASE WHEN pg_is_in_recovery() \
     THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_flush_lsn() END";
 
-/// Reads the row that [`PROBE`] brings.
+/// Decodes the row that answers [`PROBE`].
 ///
 /// # Errors
 ///
-/// [`Error::Status`] when the row is not of that form.
+/// Returns [`Error::Status`] if the row is malformed.
 pub fn parse_report(row: &Frame) -> Result<Report, Error> {
     let [role, fenced, term, received, replayed] = columns(row.body())?;
     let role = match role {
@@ -55,7 +55,7 @@
     text.parse().map_err(|_| Error::Status("a log position"))
 }
 
-/// The five columns of the row, in text form.
+/// Returns the five columns of the row as text.
 fn columns(body: &[u8]) -> Result<[&str; 5], Error> {
     let mut found = [""; 5];
     let (count, mut rest) = body
--- a/crates/upstream/tests/bad.rs
+++ b/crates/upstream/tests/bad.rs
@@ -1,4 +1,7 @@
-//! What a broken upstream may send: it ends its connection with a typed error.
+//! Invalid messages of an upstream must give an error.
+//!
+//! Guards against a panic, a hang or a login that succeeds when a faulty
+//! upstream sends truncated, oversized or unexpected messages.
 
 use std::{
     io::{Read, Write},
@@ -14,7 +17,7 @@
     [&[tag], &length[..], body].concat()
 }
 
-/// Puts the nonce that the proxy gave in place of `NONCE`.
+/// Replaces `NONCE` in `part` by the nonce that the proxy sent in `received`.
 fn with_nonce(part: &[u8], received: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(received);
     let challenge = String::from_utf8(part.get(5..).unwrap_or_default().to_vec());
@@ -26,8 +29,8 @@
     }
 }
 
-/// Logs in at an upstream that sends `script`, each part after a message of
-/// the proxy's, and then closes.
+/// Logs in to an upstream that sends one part of `script` after each message from
+/// the proxy, and then closes the connection.
 fn log_in(script: Vec<Vec<u8>>) -> Result<(), Error> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -41,7 +44,7 @@
                 return;
             }
         }
-        // The proxy closes, or is told that this end is done.
+        // Signals the end of the stream, then waits until the proxy closes.
         let _ = stream.shutdown(std::net::Shutdown::Write);
         while stream.read(&mut buf).unwrap_or(0) > 0 {}
     });
@@ -70,7 +73,7 @@
         vec![challenge("r=x,s=AAAA,i=4096")],
         vec![message(b'R', b"\0\0\0\x0cv=x")],
         vec![sasl.clone(), challenge("nonsense")],
-        // Without a bound on the iterations this one takes half an hour.
+        // Without a limit on the iterations, this case takes half an hour.
         vec![sasl.clone(), challenge("r=NONCEx,s=AAAA,i=4294967295")],
         vec![sasl.clone(), challenge("r=NONCEx,s=AAAA")],
         vec![sasl, challenge("r=other,s=AAAA,i=4096")],
@@ -94,7 +97,7 @@
     }
 }
 
-/// A row with the columns of a status, some of them broken.
+/// Generates rows of a status query, some with malformed columns or lengths.
 fn row() -> impl Strategy<Value = Vec<u8>> {
     let column = prop_oneof![
         Just("t".to_owned()),
