--- a/crates/session/src/floor.rs
+++ b/crates/session/src/floor.rs
@@ -1,58 +1,58 @@
-//! What a session's reads must show at least.
+//! The floor of a session: the position that its reads must have reached.
 
 use clock::Instant;
 use model::Position;
 
-/// The primary's position, proved by a majority of the group.
+/// A position of the primary that a majority of the group has confirmed.
 ///
-/// The primary was asked for `position` no earlier than `since`, and a majority
-/// answered, to questions sent no earlier than `since`, that it was not fenced
-/// to a later term. A later term acknowledges nothing before a majority is
-/// fenced to it, and the two majorities share an upstream. So everything that
-/// anybody acknowledged before `since` is held at `position`.
+/// The primary was asked for `position` no earlier than `since`. A majority of the
+/// upstreams answered queries sent no earlier than `since` without being fenced to
+/// a later term. A later term acknowledges nothing before a majority is fenced to
+/// it, and any two majorities share an upstream. Every write acknowledged before
+/// `since`, by any instance, is therefore included at `position`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Confirmed {
-    /// Everything acknowledged before this moment is held.
+    /// Time before which every acknowledged write is included.
     pub since: Instant,
-    /// Where it is held.
+    /// Position that includes these writes.
     pub position: Position,
 }
 
 /// The position that a session's reads must have reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Floor {
-    /// Anything acknowledged before `since` may be the session's own.
+    /// Any write acknowledged before `since` may be one of this session.
     Unknown {
-        /// When the session came to this instance.
+        /// Time at which the session arrived at this instance.
         since: Instant,
     },
-    /// Everything of the session's is held here.
+    /// Position that includes everything the session has written.
     Known(Position),
 }
 
-/// What changes a session's floor.
+/// An event that changes a session's floor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The caller presented a token that proved genuine.
+    /// The caller presented a valid token.
     Presented(Position),
-    /// A write of the session was acknowledged here.
+    /// This instance acknowledged a write of the session.
     Acknowledged(Position),
-    /// A read was answered. `upto` is the upstream's position asked *behind*
-    /// the read, the most it can have shown; `confirmed` is the newest round.
+    /// A read was answered.
     Read {
-        /// The most that the read can have shown.
+        /// Position of the upstream queried *behind* the read: the read can't have
+        /// shown anything later.
         upto: Position,
-        /// The newest confirmed round that the router knows.
+        /// Newest confirmed round that the router knows.
         confirmed: Option<Confirmed>,
     },
-    /// A read was answered by the primary, whose term a majority confirmed by
-    /// questions sent after the read had begun.
+    /// The primary answered a read, and a majority confirmed its term in answers
+    /// to queries sent after the read had begun.
     ReadConfirmed(Confirmed),
-    /// A round ended; it counts if it began after an unknown session did.
+    /// A round ended. A round that began before the session gives no floor.
     Round(Confirmed),
 }
 
-/// What one session has written and read in one database.
+/// Floor of one session in one database.
 #[derive(Debug, Clone)]
 pub struct Session {
     floor: Floor,
@@ -60,7 +60,7 @@
     changed: Instant,
 }
 
-/// The least position that covers everything `a` and `b` cover.
+/// Returns the lowest position that covers both `a` and `b`.
 ///
 /// ```
 /// use model::Position;
@@ -75,8 +75,8 @@
 }
 
 impl Session {
-    /// Opens the session of a caller who presents no position: one that is
-    /// new, roamed with only a name, or roamed with nothing.
+    /// Opens a session without a known position: a new one, or one that comes from
+    /// another instance without a token.
     ///
     /// ```
     /// use clock::Instant;
@@ -95,21 +95,22 @@
         }
     }
 
-    /// The position that reads must have reached.
+    /// Returns the position that reads must have reached.
     pub fn floor(&self) -> Floor {
         self.floor
     }
 
-    /// What was read but is not known to be acknowledged.
+    /// Returns the highest position that was read but is not known to be
+    /// acknowledged.
     ///
-    /// Reads that go to a replica must have reached it too, or the session
-    /// would see another session's write come and go. A change of primary may
-    /// lose it, so it is no part of the floor, and no token carries it.
+    /// A replica must have reached this position too, or a write of another
+    /// session could appear and disappear again. A change of primary may lose such
+    /// a write, so the position is neither part of the floor nor of a token.
     pub fn seen(&self) -> Option<Position> {
         self.seen
     }
 
-    /// The position for the caller's token, once it is known.
+    /// Returns the position for the caller's token, if the floor is known.
     pub fn position(&self) -> Option<Position> {
         match self.floor {
             Floor::Known(position) => Some(position),
@@ -117,11 +118,11 @@
         }
     }
 
-    /// Takes in what happened to the session.
+    /// Applies an event to the floor.
     pub fn step(&mut self, now: Instant, event: Event) {
         match event {
-            // An acknowledged write stands behind every earlier write of the
-            // session, wherever that ran, so it settles an unknown floor too.
+            // An acknowledged write comes after every earlier write of the session
+            // on any instance, so it makes an unknown floor known.
             Event::Presented(position) | Event::Acknowledged(position) => self.raise(now, position),
             Event::Read { upto, confirmed } => self.apply_read(now, upto, confirmed),
             Event::ReadConfirmed(round) => self.apply_confirmed_read(now, round),
@@ -150,10 +151,11 @@
         self.seen = Some(seen);
     }
 
-    /// A round that began after the session's last event holds everything the
-    /// session was told, so it takes the floor's place. Where `join` would
-    /// leave a floor that a database restored from a backup never reaches,
-    /// this lets the session come back to the replicas.
+    /// Replaces the floor by a round that began after the session's last event.
+    ///
+    /// Such a round includes everything that the session was told. With `join`,
+    /// the floor could stay at a position that a database restored from a backup
+    /// never reaches, and the session could not read from replicas again.
     fn apply_confirmed_read(&mut self, now: Instant, round: Confirmed) {
         if round.since < self.changed {
             self.raise(now, round.position);
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,8 +1,8 @@
-//! A caller's floor of positions, and the tokens that carry it between instances.
+//! Floors of sessions, and the tokens that carry a floor between instances.
 //!
-//! A session may read from any upstream whose log has reached its floor. The
-//! floor rests on acknowledged positions and on rounds that a majority of the
-//! group confirmed, never on what other instances tell.
+//! A session may read from any upstream whose log has reached the session's floor.
+//! A floor is derived from acknowledged positions and from rounds that a majority
+//! of the group confirmed, never from reports of other instances.
 
 mod floor;
 mod round;
--- a/crates/session/src/round.rs
+++ b/crates/session/src/round.rs
@@ -1,23 +1,23 @@
-//! One confirmation round for all the sessions that wait for one.
+//! Shares one confirmation round between all sessions that wait for one.
 //!
-//! Asking a majority for every session that presents nothing would cost each
-//! one a read on the primary. A round that began after a session did is valid
-//! for it whoever asked, so one round serves all who came before it began.
+//! A round for each session without a token would cost a query on the primary per
+//! session. A round is valid for every session that began before the round did, so
+//! one round serves them all.
 
 use std::time::Duration;
 
 use clock::Instant;
 
-/// Whether to ask the whole group for its positions now.
+/// Tells if the caller has to start a confirmation round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// Send the position query to every upstream of the group.
     Now,
-    /// A round that will do is under way, or will start when it ends.
+    /// A valid round is running, or will start when the running one ends.
     Later,
 }
 
-/// Lets at most one confirmation round of a database be under way.
+/// Limits the confirmation rounds of a database to one at a time.
 #[derive(Debug, Clone)]
 pub struct Round {
     timeout: Duration,
@@ -26,7 +26,8 @@
 }
 
 impl Round {
-    /// Makes the rounds of a database; one without an end in `timeout` is given up.
+    /// Creates the state for the rounds of a database. A round that has not ended
+    /// after `timeout` is considered lost.
     pub fn new(timeout: Duration) -> Self {
         Self {
             timeout,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A session that began at `since` waits for a round.
+    /// Requests a round for a session that began at `since`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -45,7 +46,7 @@
     /// let mut round = Round::new(Duration::from_millis(50));
     /// let at = Instant::from_millis;
     /// assert_eq!(round.request(at(1), at(1)), Start::Now);
-    /// // This session began before the round did, so the round serves it too.
+    /// // This session began before the round did, so the round is valid for it.
     /// assert_eq!(round.request(at(2), at(0)), Start::Later);
     /// assert_eq!(round.end(at(4)), Start::Later);
     /// ```
@@ -62,7 +63,7 @@
         Start::Later
     }
 
-    /// A round ended, confirmed or not; starts the next one if it is requested.
+    /// Ends a round, confirmed or not; starts the next one if one was requested.
     pub fn end(&mut self, now: Instant) -> Start {
         self.started = None;
         match self.requested {
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -1,4 +1,4 @@
-//! Tokens: a session's floor as opaque, versioned and authenticated text.
+//! Session tokens: a floor as opaque, versioned and authenticated text.
 //!
 //! Layout before base64url: version (1 byte), key id (1), xxh3 of the
 //! database's name (8), term (8), log position (8), and the first 16 bytes of
@@ -13,7 +13,7 @@
 use sha2::Sha256;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most bytes that a token's text has.
+/// Largest size of a token's text, in bytes.
 pub const MAX_TEXT: usize = 64;
 
 const VERSION: u8 = 1;
@@ -22,51 +22,53 @@
 const TOKEN: usize = BODY + TAG;
 const MIN_SECRET: usize = 32;
 
-/// Keeps a tag made for another purpose under the same secret from passing here.
+/// Prefix of the signed bytes, so that a tag made for another purpose with the same
+/// secret is not valid here.
 const CONTEXT: &[u8] = b"dandelionlink session token";
 
-/// Why a text is not a token, or a secret not a key.
+/// Reasons why a text is not a valid token, or a secret not a valid key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is not base64url without padding.
     #[error("the session token is not base64url")]
     Encoding,
-    /// The text is truncated or too long.
-    #[error("the session token has a wrong length of {0} bytes")]
+    /// The length does not fit the format.
+    #[error("the session token has an invalid length of {0} bytes")]
     Length(usize),
-    /// A format that this build does not read.
-    #[error("the session token has version {0}, which is not known here")]
+    /// The version of the format is not supported.
+    #[error("version {0} of the session token is not supported")]
     Version(u8),
-    /// It was signed with a key that is not, or no longer, held here.
-    #[error("the session token was signed with key {0}, which is not held here")]
+    /// The token was signed with a key that this instance does not have, or no
+    /// longer has.
+    #[error("the session token was signed with the unknown key {0}")]
     Key(u8),
-    /// The signature does not fit: the token is corrupt or forged.
-    #[error("the session token's signature does not fit")]
+    /// The signature is invalid: the token is corrupt or forged.
+    #[error("the signature of the session token is invalid")]
     Signature,
     /// The token belongs to another database.
     #[error("the session token belongs to another database")]
     Database,
-    /// The secret is too short to sign with.
-    #[error("a session key has at least {MIN_SECRET} bytes, this one has {0}")]
+    /// The secret is too short.
+    #[error("a session key needs at least {MIN_SECRET} bytes, got {0}")]
     Secret(usize),
 }
 
-/// The hash under which a token names its database.
+/// Returns the hash that identifies a database in a token.
 pub fn database_hash(database: &name::Database) -> u64 {
     xxh3_64(database.as_str().as_bytes())
 }
 
-/// A session's floor in one database, as a caller carries it along.
+/// The floor of a session in one database, as a token carries it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Token {
-    /// The database, as [`database_hash`] names it.
+    /// The database, as its [`database_hash`].
     pub database: u64,
-    /// Everything acknowledged up to here is visible to the session's reads.
+    /// Position that the session's reads must have reached.
     pub position: Position,
 }
 
 impl Token {
-    /// Makes the token of `database` at `position`.
+    /// Creates a token for `database` at `position`.
     pub fn new(database: &name::Database, position: Position) -> Self {
         Self {
             database: database_hash(database),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Signs the token with the current key and writes it as text.
+    /// Signs the token with the current key and encodes it as text.
     ///
     /// ```
     /// use model::{Position, name};
@@ -100,12 +102,12 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a token's text and proves that one of `keys` signed it for `database`.
+    /// Decodes a token and verifies that one of `keys` signed it for `database`.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells what is wrong. A caller whose token failed may still be
-    /// served with an unknown floor, which is safe and only costs a round.
+    /// Returns an [`Error`] if the token is invalid. Its caller may still be served
+    /// with an unknown floor, which is safe and costs a confirmation round.
     pub fn decode(text: &str, keys: &Keys, database: &name::Database) -> Result<Self, Error> {
         if text.len() > MAX_TEXT {
             return Err(Error::Length(text.len()));
@@ -138,7 +140,7 @@
     bytes.iter().fold(0, |n, &b| n << 8 | u64::from(b))
 }
 
-/// A secret that signs tokens, and the id that tokens name it by.
+/// A secret that signs tokens, and its id in tokens.
 #[derive(Clone)]
 pub struct Key {
     id: u8,
@@ -146,11 +148,11 @@
 }
 
 impl Key {
-    /// Makes a key of a secret of at least 32 bytes.
+    /// Creates a key from a secret of at least 32 bytes.
     ///
     /// # Errors
     ///
-    /// [`Error::Secret`] when the secret is shorter.
+    /// Returns [`Error::Secret`] if the secret is shorter.
     pub fn new(id: u8, secret: &[u8]) -> Result<Self, Error> {
         if secret.len() < MIN_SECRET {
             return Err(Error::Secret(secret.len()));
@@ -164,7 +166,7 @@
     }
 }
 
-/// Shows the id only, so that no log ever holds the secret.
+/// Formats the id only, to keep the secret out of logs.
 impl fmt::Debug for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Key")
@@ -173,10 +175,10 @@
     }
 }
 
-/// The key that signs, and a second one that is accepted beside it.
+/// The key that signs tokens, and an optional second one that is also accepted.
 ///
-/// A key is changed without a stop in three rollouts: the new key is accepted
-/// everywhere, then signs everywhere, then the old one is dropped.
+/// Three rollouts rotate a key without refused tokens: all instances accept the new
+/// key, then all sign with it, then all drop the old one.
 #[derive(Debug, Clone)]
 pub struct Keys {
     current: Key,
@@ -184,7 +186,7 @@
 }
 
 impl Keys {
-    /// Signs with `current` and accepts no other.
+    /// Creates keys that sign with `current` and accept no other key.
     pub fn new(current: Key) -> Self {
         Self {
             current,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Accepts `other` as well: the previous key, or the next one.
+    /// Also accepts `other`, which is the previous or the next key.
     pub fn accept(mut self, other: Key) -> Self {
         self.other = Some(other);
         self
--- a/crates/session/tests/floor.rs
+++ b/crates/session/tests/floor.rs
@@ -1,4 +1,4 @@
-//! Floors: what a session's reads must show, however it came here.
+//! Tests of floors and of confirmation rounds.
 
 use std::time::Duration;
 
@@ -21,10 +21,9 @@
     Floor::Known(Position::new(term, lsn))
 }
 
-/// Symptom: a groom who booked does not see the booking. Events: the write is
-/// acknowledged by another instance, the caller comes here with nothing; a
-/// round that had begun *before* it came ends, showing the position before the
-/// write. Cause: the round proves nothing about later acknowledgements.
+/// Guards against a session that misses its own write. Another instance has
+/// acknowledged the write, the caller arrives without a token, and a round that
+/// began *before* its arrival ends with a position before the write.
 #[test]
 fn a_round_from_before_the_session_leaves_the_floor_unknown() {
     let mut session = Session::open(at(10));
@@ -42,9 +41,9 @@
     assert_eq!(session.floor(), known(1, 40));
 }
 
-/// Symptom: a read after a change of primary misses a write from before it.
-/// Events: write at (2, 80), primary changes to term 3, a token of term 3
-/// joins. Cause: a higher term alone does not prove the place in the log.
+/// Guards against a read that misses a write from before a change of primary. The
+/// write is at (2, 80) and a token of term 3 names a lower position: a higher term
+/// alone does not imply a higher position in the log.
 #[test]
 fn a_floor_keeps_the_highest_of_each_part() {
     let mut session = Session::open(at(0));
@@ -53,9 +52,9 @@
     assert_eq!(session.floor(), known(3, 80));
 }
 
-/// Symptom: a session sees another's booking and then no longer. Events: it
-/// reads on a replica that is ahead of what the round confirmed, then on one
-/// that is behind. Cause: what was read was not remembered until acknowledged.
+/// Guards against a write of another session that appears and disappears again. A
+/// session reads from a replica that is ahead of the newest confirmed round, then
+/// from one that is behind it.
 #[test]
 fn a_position_read_binds_later_reads_and_becomes_the_floor_once_acknowledged() {
     let mut session = Session::open(at(0));
@@ -72,10 +71,9 @@
     assert_eq!(session.seen(), None);
 }
 
-/// Symptom: after a failover a token names a position that never existed in
-/// the new term. Events: a read on a replica shows the old primary's last,
-/// unacknowledged writes; the new term's log forks before them. Cause: what
-/// was seen went into the floor without being acknowledged.
+/// Guards against a token that names a position which the new term never had. A
+/// read from a replica shows the last, unacknowledged writes of the old primary,
+/// and the log of the new term forks before these writes.
 #[test]
 fn an_unacknowledged_position_enters_no_token() {
     let mut session = Session::open(at(0));
@@ -91,9 +89,8 @@
     assert_eq!(session.seen(), None);
 }
 
-/// Symptom: a session never reads from a replica again. Events: the database
-/// is restored from a backup to a lower place; the caller keeps its token.
-/// Cause: a floor that only rises is never reached.
+/// Guards against a session that never reads from a replica again. The database is
+/// restored from a backup at a lower position while the caller keeps its token.
 #[test]
 fn a_confirmed_primary_replaces_a_floor_that_no_log_reaches() {
     let mut session = Session::open(at(0));
@@ -102,9 +99,9 @@
     assert_eq!(session.floor(), known(2, 100));
 }
 
-/// Symptom: a write just acknowledged is not seen. Events: a confirmed read is
-/// under way when the same session's write is acknowledged; the read's older
-/// position arrives last. Cause: it replaced the newer floor.
+/// Guards against a session that misses a write just acknowledged. A confirmed read
+/// of the session is in flight during the write, and its older position arrives
+/// last.
 #[test]
 fn a_round_older_than_the_last_write_does_not_lower_the_floor() {
     let mut session = Session::open(at(0));
@@ -125,8 +122,8 @@
     assert_eq!(session.seen(), Some(Position::new(1, 30)));
 }
 
-/// Symptom: a burst of roaming callers asks the primary once each. Cause: each
-/// session started its own round.
+/// Guards against a query on the primary for each of many sessions that arrive at
+/// once without a token.
 #[test]
 fn a_thousand_sessions_share_two_rounds() {
     let mut round = Round::new(Duration::from_millis(50));
@@ -139,8 +136,8 @@
     assert_eq!(round.end(at(7)), Start::Later);
 }
 
-/// Symptom: sessions wait for ever. Events: the round's questions are lost.
-/// Cause: the round under way was believed to end by itself.
+/// Guards against sessions that wait forever after the queries of a round were
+/// lost.
 #[test]
 fn a_lost_round_times_out() {
     let mut round = Round::new(Duration::from_millis(50));
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -1,4 +1,4 @@
-//! Tokens: what passes, and what is refused with which error.
+//! Tests of session tokens: valid ones, and the error for each kind of invalid one.
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
 use model::{Position, name};
@@ -42,9 +42,8 @@
         .unwrap();
 }
 
-/// Symptom: a caller reads another's future, or its own past. Events: bytes of
-/// the token change on the way, or the caller makes one up. Cause it guards
-/// against: a position that nobody signed.
+/// Guards against a floor that no instance has signed. Bits of the token change on
+/// the way, or the caller forges one.
 #[test]
 fn any_changed_bit_is_refused() {
     let keys = Keys::new(key(1)).accept(key(2));
@@ -83,10 +82,9 @@
     assert_eq!(Key::new(1, &[1; 31]).unwrap_err(), Error::Secret(31));
 }
 
-/// Symptom: sessions are refused while a key is changed. Events: instances
-/// take the new key at different times; a caller roams between an instance
-/// that signs with the new key and one that still signs with the old. Cause:
-/// without the accepting step some instance meets a key it does not hold.
+/// Guards against refused tokens during a key rotation. Instances get the new key
+/// at different times, and a caller moves between one that signs with the new key
+/// and one that still signs with the old key.
 #[test]
 fn a_key_is_rotated_without_refused_tokens() {
     let rollouts = [
