--- a/crates/request/src/cancel.rs
+++ b/crates/request/src/cancel.rs
@@ -1,38 +1,37 @@
-//! Which statement a caller's cancel key means right now.
+//! Maps a caller's cancel key to the statement that runs for the caller.
 //!
-//! A cancel reaches the upstream on a connection of its own and hits whatever
-//! its target runs by then. On the way it can be overtaken by the end of its
-//! statement and by the next statement, which it would end in its stead. So
-//! nothing is sent on a connection while a cancel for it is under way: the
-//! server closes the cancel's own connection once it has passed the cancel on,
-//! and that is its answer.
+//! A cancel request is sent on a connection of its own and cancels the statement
+//! that its target connection runs when the request arrives. If the statement has
+//! ended by then and the next one has started, the wrong statement is cancelled.
+//! No statement is therefore sent on a connection with a pending cancel. The server
+//! answers a cancel request by closing its connection after the cancel was signalled.
 
 use std::collections::HashMap;
 
 use pool::{Handle, conn::Generation};
 
-/// The key a caller got at connect: process number and secret.
+/// The cancel key of a caller, issued when the caller connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The process number.
+    /// Process number.
     pub process: i32,
-    /// The secret.
+    /// Secret.
     pub secret: i32,
 }
 
-/// Whether a statement may be sent.
+/// Tells when a statement may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// Now.
+    /// The statement may be sent now.
     Open,
-    /// When [`Table::answered`] names it.
+    /// The statement may be sent when [`Table::answered`] returns it.
     Closed,
 }
 
-/// The statements in flight of all callers, and the cancels under way.
+/// The running statements of all callers, and the pending cancels.
 ///
-/// A cancel that comes after its statement ended finds nothing. Were the key
-/// bound to a connection instead, it would hit whoever uses that one next.
+/// Keys map to statements and not to connections, so that a cancel that arrives
+/// after the end of its statement has no effect on the next user of the connection.
 ///
 /// ```
 /// use pool::{Handle, conn::Generation};
@@ -55,7 +54,7 @@
 }
 
 impl Table {
-    /// The caller's statement is to be sent.
+    /// Notes that the caller's statement is ready to be sent.
     pub fn start(&mut self, key: Key, handle: Handle) -> Gate {
         if self.pending_cancels.contains_key(&handle.generation) {
             self.unsent.insert(handle.generation, (key, handle));
@@ -65,31 +64,35 @@
         Gate::Open
     }
 
-    /// The statement ended; an older one's end changes nothing.
+    /// Notes the end of a statement; the end of an older one has no effect.
     pub fn end(&mut self, key: Key, handle: Handle) {
         if self.running.get(&key) == Some(&handle) {
             self.running.remove(&key);
         }
     }
 
-    /// The statement to cancel; [`Table::answered`] must follow for its
-    /// connection.
+    /// Returns the statement to cancel, if one runs.
+    ///
+    /// [`Table::answered`] must be called for its connection once the cancel
+    /// request is answered.
     pub fn cancel(&mut self, key: Key) -> Option<Handle> {
         let handle = self.running.get(&key).copied()?;
         *self.pending_cancels.entry(handle.generation).or_insert(0) += 1;
         Some(handle)
     }
 
-    /// Takes out the caller's statement if it is held back: it was cancelled
-    /// before it was sent, so it did not run.
+    /// Removes and returns the caller's statement if a pending cancel has kept the
+    /// statement from being sent. Such a statement has not run.
     pub fn cancel_unsent(&mut self, key: Key) -> Option<Handle> {
         let mut unsent = self.unsent.iter();
         let (&generation, _) = unsent.find(|(_, (of, _))| *of == key)?;
         self.unsent.remove(&generation).map(|(_, handle)| handle)
     }
 
-    /// The server closed the connection that carried a cancel, or that could
-    /// not be opened. The statement that may be sent now, if one waits.
+    /// Notes that the connection of a cancel request was closed by the server, or
+    /// could not be opened.
+    ///
+    /// Returns the statement that may be sent now, if one waits.
     pub fn answered(&mut self, generation: Generation) -> Option<(Key, Handle)> {
         let count = self.pending_cancels.get_mut(&generation)?;
         *count -= 1;
@@ -102,13 +105,13 @@
         Some((key, handle))
     }
 
-    /// Whether a connection may be given to another request: a cancel under
-    /// way would hit that one.
+    /// Returns true if no cancel is pending for the connection, so that another
+    /// request may use the connection without being cancelled.
     pub fn is_reusable(&self, generation: Generation) -> bool {
         !self.pending_cancels.contains_key(&generation)
     }
 
-    /// The connection is gone, with what was held back for it.
+    /// Removes a lost connection, its pending cancels and its unsent statement.
     pub fn lost(&mut self, generation: Generation) {
         self.pending_cancels.remove(&generation);
         self.unsent.remove(&generation);
--- a/crates/request/src/ledger.rs
+++ b/crates/request/src/ledger.rs
@@ -1,64 +1,66 @@
-//! The ledger of request ids, written in the transaction of the request.
+//! The ledger of request ids, a table written in the transaction of the request.
 //!
-//! A row is an id and a tag: a fingerprint of the statement, a space, and the
-//! command tag of its first run. [`crate::Once`] sends these statements in
-//! turn.
+//! A row has an id and a tag: the fingerprint of the statement, a space, and the
+//! command tag of its first run. [`crate::Once`] decides the order of the
+//! statements that this module writes.
 
 use std::time::Duration;
 
-/// How long ids are kept; a repeat of an older one is refused.
+/// Time for which an id is accepted; a repeat of an older one is refused.
 pub const RETENTION: Duration = Duration::from_secs(7 * 24 * 3_600);
-/// How far ahead of this instance's clock an id's time may be.
+/// Largest accepted lead of an id's time over this instance's clock.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
-/// How much longer than [`RETENTION`] rows stay.
+/// Time beyond [`RETENTION`] for which rows are kept.
 ///
-/// An instance takes an id that is nearly too old, and inserts it when its
-/// request has got a connection; another one's clock may run ahead. Were the
-/// row deleted by then, the request would run a second time.
+/// An instance may accept an id that has nearly expired and insert its row only
+/// when the request gets a connection, while the clock of a cleaning instance runs
+/// ahead. If the row of the first run were deleted by then, the request would run
+/// twice.
 pub const RETENTION_MARGIN: Duration = Duration::from_secs(24 * 3_600);
-/// The most rows that one cleaning deletes, so that it holds no lock for long.
+/// Largest number of rows that one cleaning deletes, to keep its locks short.
 pub const CLEAN_ROWS: u64 = 1_000;
-/// The time between two cleanings of a database.
+/// Time between two cleanings of a database.
 pub const CLEAN_INTERVAL: Duration = Duration::from_secs(600);
-/// The time to the next cleaning when one found more than it could delete.
+/// Time until the next cleaning after one that reached [`CLEAN_ROWS`].
 pub const CLEAN_PAUSE: Duration = Duration::from_secs(5);
-/// The constraint whose violation means that the id is there.
+/// Constraint that an insert violates if the ledger has the id.
 pub const CONSTRAINT: &str = "dandelionlink_request_pkey";
-/// What creates the ledger in a database.
+/// Statement that creates the ledger in a database.
 pub const TABLE: &str = "CREATE TABLE IF NOT EXISTS dandelionlink_request (\
     id uuid CONSTRAINT dandelionlink_request_pkey PRIMARY KEY, \
     tag text NOT NULL)";
 
-/// Why an id is refused.
+/// Reasons why a request id is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It carries no time, so nobody could tell whether it was forgotten.
+    /// The id has no time, so an id that was deleted can't be told from a new one.
     #[error("a request id must be a UUID of version 7")]
     Version,
-    /// The ledger may have forgotten it: run now, it could run twice.
+    /// The ledger may have deleted the id, so that its request could run twice.
     #[error("the request id is older than the ledger keeps ids")]
     Expired,
-    /// It would outlive the ledger's cleaning.
-    #[error("the request id is from the future")]
+    /// The time of the id is too far in the future, so cleaning would keep the id
+    /// longer than others.
+    #[error("the time of the request id is in the future")]
     Future,
-    /// Another statement ran under it.
+    /// The id was used with another statement.
     #[error("the request id was used for another statement")]
     Reused,
-    /// The ledger's row was not written by this program.
-    #[error("the ledger's row of the request id can't be read")]
+    /// The row in the ledger has another format.
+    #[error("the ledger row of the request id is malformed")]
     Unreadable,
 }
 
-/// A request id: a UUID of version 7, which begins with its time.
+/// A request id: a UUID of version 7, which starts with a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Id(u128);
 
 impl Id {
-    /// Checks an id against the time since the Unix epoch.
+    /// Checks an id; `now` is the time since the Unix epoch.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells why the id can't promise a single run.
+    /// Returns an [`Error`] if the id can't guarantee that its request runs once.
     pub fn new(id: u128, now: Duration) -> Result<Self, Error> {
         if id >> 76 & 0xf != 7 {
             return Err(Error::Version);
@@ -78,12 +80,14 @@
     }
 }
 
-/// The fingerprint of a statement with its parameters.
+/// The fingerprint of a statement and its parameters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Digest(pub u64);
 
-/// Records the id; run first in the transaction of its own. A repeat that runs
-/// at the same time waits here until the first has committed or rolled back.
+/// Returns the statement that inserts the id, run first in the transaction.
+///
+/// A concurrent repeat waits at this statement until the first run has committed
+/// or rolled back.
 ///
 /// ```
 /// use std::time::Duration;
@@ -105,15 +109,15 @@
     )
 }
 
-/// Records the id in the caller's open transaction, before the statement.
+/// Returns the statement that inserts the id in the caller's open transaction.
 ///
-/// It inserts no row if the id is there: an error would end the transaction
-/// that the caller wants to go on with.
+/// The statement inserts no row if the ledger has the id: an error would abort the
+/// caller's transaction.
 pub fn insert_within(id: Id, digest: Digest) -> String {
     insert(id, digest) + " ON CONFLICT (id) DO NOTHING"
 }
 
-/// Records the statement's command tag; run last before `COMMIT`.
+/// Returns the statement that records the command tag, run last before `COMMIT`.
 pub fn record(id: Id, digest: Digest, tag: &str) -> String {
     let tag = tag.replace('\'', "''");
     format!(
@@ -123,7 +127,7 @@
     )
 }
 
-/// Finds the first outcome: a row with its tag, or none.
+/// Returns the query for the tag of the first run.
 pub fn find(id: Id) -> String {
     format!(
         "SELECT tag FROM dandelionlink_request WHERE id = '{}'",
@@ -131,11 +135,11 @@
     )
 }
 
-/// Deletes up to [`CLEAN_ROWS`] rows that no instance takes ids of any more,
-/// at a time since the Unix epoch.
+/// Returns the statement that deletes up to [`CLEAN_ROWS`] rows whose ids every
+/// instance refuses; `now` is the time since the Unix epoch.
 ///
-/// Any instance may run it, several at once too. Ids begin with their time, so
-/// the oldest are the first of the primary key.
+/// Any instance may run the statement, also several at once. Ids start with their
+/// time, so the oldest ids come first in the primary key.
 pub fn clean(now: Duration) -> String {
     let bound = now.saturating_sub(RETENTION + RETENTION_MARGIN).as_millis() << 80;
     format!(
@@ -145,7 +149,7 @@
     )
 }
 
-/// When to clean again after a cleaning that deleted so many rows.
+/// Returns the time until the next cleaning after one that deleted `deleted` rows.
 ///
 /// ```
 /// use request::ledger::{CLEAN_INTERVAL, CLEAN_PAUSE, CLEAN_ROWS, next_cleaning};
@@ -161,18 +165,18 @@
     }
 }
 
-/// Whether a server's error says that the id is there already.
+/// Returns true if an error of the server means that the ledger has the id.
 pub fn is_repeat(sqlstate: &str, constraint: &str) -> bool {
     sqlstate == "23505" && constraint == CONSTRAINT
 }
 
-/// Reads the tag that [`find`] asked for: the command tag of the first run, or
-/// `None` if there is no row.
+/// Returns the command tag of the first run from the answer to [`find`], or `None`
+/// if there is no row.
 ///
 /// # Errors
 ///
-/// [`Error::Reused`] if the first run was another statement's, and
-/// [`Error::Unreadable`] if the row is not the ledger's.
+/// Returns [`Error::Reused`] if the first run was of another statement, and
+/// [`Error::Unreadable`] if the tag is malformed.
 pub fn parse_tag(digest: Digest, tag: Option<&str>) -> Result<Option<&str>, Error> {
     let Some(tag) = tag else {
         return Ok(None);
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,4 +1,4 @@
-//! The life of one request: outcomes, retries, request ids and cancels.
+//! Processing of one request: outcomes, retries, request ids and cancels.
 
 pub mod cancel;
 pub mod ledger;
--- a/crates/request/src/once.rs
+++ b/crates/request/src/once.rs
@@ -1,69 +1,70 @@
-//! A statement with a request id: it runs once, its repeats find its outcome.
+//! Runs a statement with a request id once; its repeats get the first outcome.
 
 use crate::ledger::{self, Digest, Error, Id};
 
-/// Whose transaction the statement runs in.
+/// The transaction that the statement runs in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// One of its own.
+    /// A transaction for this statement alone.
     Alone,
-    /// The caller's, which goes on after it.
+    /// The caller's open transaction, which continues after the statement.
     Within,
 }
 
-/// What the upstream answered.
+/// An answer of the upstream, or the start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Send the first statement.
+    /// The first statement may be sent.
     Start,
-    /// The ledger took the id, or with 0 rows had it already.
+    /// The insert of the id ended with this number of rows; 0 means that the ledger
+    /// has the id.
     Inserted(u64),
-    /// The ledger refused the id because it has it.
+    /// The insert violated the unique key: the ledger has the id.
     Repeated,
     /// The statement ran, with this command tag.
     Ran(String),
-    /// The command tag is recorded, and committed with the statement if the
-    /// transaction is its own.
+    /// The command tag is recorded; with [`Scope::Alone`], the transaction is also
+    /// committed.
     Recorded,
     /// The transaction is rolled back.
     RolledBack,
-    /// The ledger's tag for the id was read.
+    /// The query for the id returned this tag, or no row.
     Found(Option<String>),
-    /// The server refused the statement, or anything around it.
+    /// The server refused the statement, or one that goes with it.
     Rejected([u8; 5]),
 }
 
-/// What to send next.
+/// The next statement to send, or the end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// `BEGIN`, then this.
+    /// Send `BEGIN`, then this statement.
     Begin(String),
-    /// This, in the caller's transaction.
+    /// Send this insert in the caller's transaction.
     Insert(String),
-    /// The caller's statement.
+    /// Send the caller's statement.
     Run,
-    /// This, then `COMMIT`.
+    /// Send this statement, then `COMMIT`.
     Commit(String),
-    /// This, in the caller's transaction.
+    /// Send this update in the caller's transaction.
     Record(String),
-    /// `ROLLBACK`.
+    /// Send `ROLLBACK`.
     Rollback,
-    /// This query.
+    /// Send this query.
     Find(String),
-    /// Nothing more.
+    /// Send nothing more.
     End(End),
 }
 
-/// How it ended.
+/// The outcome of a statement with a request id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// It ran now, with this command tag.
+    /// The statement ran now, with this command tag.
     Ran(String),
-    /// It had run before, with this command tag.
+    /// The statement had run before, with this command tag.
     Repeat(String),
-    /// The id can't promise a single run: the statement did not run.
+    /// The id was refused, and the statement did not run.
     Refused(Error),
-    /// The server's own error, with everything rolled back.
+    /// The server refused with this SQLSTATE; nothing has taken effect.
     Rejected([u8; 5]),
 }
 
@@ -73,18 +74,19 @@
     Inserting,
     Running,
     Recording(String),
-    /// Rolling back, to look for the first run or to pass an error on.
+    /// Rolling back before the query for the first run, or before the error in the
+    /// field is returned.
     RollingBack(Option<[u8; 5]>),
     Finding,
     Ended,
 }
 
-/// The order of the statements around one that carries a request id.
+/// The state machine of a statement with a request id.
 ///
-/// The row goes in before the statement and commits with it. So of two repeats
-/// at once the second waits at the unique key until the first has ended, and
-/// runs only if that one was rolled back. Lost connections are not its matter:
-/// the caller repeats, and the repeat finds out.
+/// The ledger's row is inserted before the statement runs and is committed with the
+/// statement. Of two concurrent runs, the second waits at the unique key until the
+/// first has ended, and runs only if the first was rolled back. A lost connection
+/// needs no handling here: the caller repeats the statement and gets the outcome.
 ///
 /// ```
 /// use std::time::Duration;
@@ -109,7 +111,7 @@
 }
 
 impl Once {
-    /// A statement with an id and the statement's fingerprint.
+    /// Creates the state machine for a statement with this id and fingerprint.
     pub fn new(scope: Scope, id: Id, digest: Digest) -> Self {
         Self {
             state: State::New,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Decides what to send next; `None` for an answer that nothing waits for.
+    /// Returns what to send next, or `None` for an unexpected answer.
     pub fn step(&mut self, event: Event) -> Option<Action> {
         let state = std::mem::replace(&mut self.state, State::Ended);
         match (state, event) {
@@ -129,7 +131,7 @@
                 self.state = State::Running;
                 Some(Action::Run)
             }
-            // A repeat: this transaction is aborted, the first run's stands.
+            // The violation has aborted this transaction; the first run has committed.
             (State::Inserting, Event::Repeated) => self.roll_back(None),
             (State::Running, Event::Ran(tag)) => self.record(tag),
             (State::Recording(tag), Event::Recorded) => self.end(End::Ran(tag)),
@@ -172,14 +174,15 @@
     fn found(&mut self, tag: Option<&str>) -> Option<Action> {
         self.end(match ledger::parse_tag(self.digest, tag) {
             Ok(Some(first)) => End::Repeat(first.to_owned()),
-            // It was there a moment ago: only the cleaning deletes ids. Run
-            // now, the statement would run twice.
+            // The insert found the row and the cleaning has deleted it since. The
+            // statement would run twice if it ran now.
             Ok(None) => End::Refused(Error::Expired),
             Err(error) => End::Refused(error),
         })
     }
 
-    /// The caller's transaction is the caller's to roll back.
+    /// Rolls back a transaction of this statement alone; the caller has to roll back
+    /// its own transaction.
     fn rejected(&mut self, state: [u8; 5]) -> Option<Action> {
         match self.scope {
             Scope::Alone => self.roll_back(Some(state)),
--- a/crates/request/src/request.rs
+++ b/crates/request/src/request.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its single outcome.
+//! The state machine of a request, from its arrival to its only outcome.
 
 use std::time::Duration;
 
@@ -6,63 +6,65 @@
 use model::{Cause, Outcome, Position, Repeat};
 use pool::{Budget, Handle};
 
-/// Where a request may run.
+/// The upstreams that a request may run on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Any upstream that the router finds fit.
+    /// Any upstream that the router chooses.
     Any,
     /// The primary only.
     Primary,
 }
 
-/// What an upstream answered, read to its end.
+/// A complete answer of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It ran and left no log that must be confirmed.
+    /// The statement ran and wrote no log that must be confirmed.
     Read,
-    /// It ran and its effects are in the log up to there.
+    /// The statement ran, and the log up to this position includes its effects.
     Wrote(Position),
-    /// The server refused it with this SQLSTATE and rolled it back.
+    /// The server refused the statement with this SQLSTATE and rolled it back.
     Rejected([u8; 5]),
 }
 
-/// What happens to a request.
+/// An event of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It arrived.
+    /// The request arrived.
     Start,
-    /// A pool gives it a connection.
+    /// A pool assigned a connection.
     Admitted(Handle),
-    /// A pool will not run it.
+    /// A pool refused the request; a retry makes sense after the time given.
     Refused(Cause, Duration),
-    /// Nothing of what [`Action::Send`] asked for left this process.
+    /// None of the bytes of [`Action::Send`] were sent.
     Unsent(Handle),
-    /// The whole answer to the statement was read.
+    /// The complete answer to the statement was read.
     Answered(Handle, Answer),
-    /// The connection broke.
+    /// The connection failed.
     Lost(Handle),
-    /// A majority holds the position under its term.
+    /// A majority has the log up to this position.
     Confirmed(Position),
     /// The primary was replaced, so the position can't be confirmed.
     Replaced,
-    /// This instance stops, and its time for running requests is over.
+    /// This instance stops, and its time for draining requests is over.
     Stopping,
-    /// The deadline came.
+    /// The deadline of the request has passed.
     Deadline,
 }
 
-/// What the request wants done.
+/// An action that the request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Find an upstream and submit to its pool.
+    /// Choose an upstream and submit the request to its pool.
     Acquire(Target),
-    /// Write the statement; from here on its bytes may have left.
+    /// Send the statement; from now on its bytes may have reached the upstream.
     Send(Handle),
-    /// Wait until a majority holds this position.
+    /// Wait until a majority has the log up to this position.
     Confirm(Position),
-    /// Leave the pool: it cancels what runs and discards the connection.
+    /// Withdraw the request from the pool, which cancels its running statement and
+    /// discards the connection.
     Withdraw,
-    /// Give the caller this end, and when to come back if it was refused.
+    /// Return this outcome to the caller, with the time until a retry if the request
+    /// was refused.
     End(Outcome, Option<Duration>),
 }
 
@@ -75,20 +77,22 @@
     Ended,
 }
 
-/// The state machine of one request in a transaction of its own.
+/// The state machine of a request that runs in a transaction of its own.
 #[derive(Debug)]
 pub struct Request {
     state: State,
     repeat: Repeat,
     target: Target,
     deadline: Instant,
-    /// Why an earlier attempt may have run, if one may.
+    /// Why the result of an earlier attempt is unknown, if there was such an attempt.
     may_have_run: Option<Cause>,
 }
 
 impl Request {
-    /// A request that must end by `deadline`. One that carries a request id
-    /// is [`Repeat::Idempotent`]: its repeat finds the first outcome.
+    /// Creates a request that must end by `deadline`.
+    ///
+    /// A request with a request id is [`Repeat::Idempotent`], since its repeat gets
+    /// the first outcome.
     pub fn new(repeat: Repeat, target: Target, deadline: Instant) -> Self {
         Self {
             state: State::New,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Decides what to do about `event`; retries come out of `budget`.
+    /// Applies an event and returns the actions to take; `budget` limits the retries.
     pub fn step(&mut self, now: Instant, budget: &mut Budget, event: Event) -> Vec<Action> {
         match (self.state, event) {
             (State::New, Event::Start) => {
@@ -144,7 +148,7 @@
             (State::Confirming(_), Event::Deadline) => {
                 self.end(Outcome::Unknown(Cause::Deadline), None)
             }
-            // A late or crossed answer, or one that came after the end.
+            // A late answer, one for another statement, or one after the end.
             _ => Vec::new(),
         }
     }
@@ -156,28 +160,27 @@
                 self.state = State::Confirming(position);
                 vec![Action::Confirm(position)]
             }
-            // The replica proved that it writes: it has not run.
+            // A replica refused a statement that writes, so the statement has not run.
             Answer::Rejected(state) if &state == b"25006" && self.target == Target::Any => {
                 self.target = Target::Primary;
                 self.acquire()
             }
-            // Serialization failure and deadlock are rolled back by the server.
+            // The server has rolled back a serialization failure or a deadlock.
             Answer::Rejected(state) if matches!(&state, b"40001" | b"40P01") => {
                 self.retry(now, budget, Outcome::Done)
             }
-            // The server's own error is the caller's whole answer. So is a
-            // cancel (57014) here: by the server's statement timeout or the
-            // caller. The deadline's own cancel goes out with the request's
-            // end, and its answer comes after that.
+            // Any other error is the answer to the caller. A cancel (57014) comes
+            // from the server's statement time-out or from the caller here: the
+            // cancel at the deadline is sent when the request has already ended.
             Answer::Rejected(_) => self.end(Outcome::Done, None),
         }
     }
 
-    /// Its bytes may have left and nothing proves what became of them.
+    /// Handles a statement that may or may not have run.
     fn outcome_unknown(&mut self, now: Instant, budget: &mut Budget, cause: Cause) -> Vec<Action> {
         self.may_have_run = Some(cause);
         match self.repeat {
-            // Sent again it could run twice.
+            // The statement could run twice if it were sent again.
             Repeat::Once => self.end(Outcome::Unknown(cause), None),
             Repeat::Idempotent => self.retry(now, budget, Outcome::Unknown(cause)),
         }
@@ -203,8 +206,8 @@
 
     fn end(&mut self, outcome: Outcome, after: Option<Duration>) -> Vec<Action> {
         self.state = State::Ended;
-        // The last attempt did not run, but an earlier one may have: told "not
-        // run", the caller would send again what is already in the database.
+        // The last attempt did not run, but an earlier one may have. On `NotRun`,
+        // the caller would send a statement again that may have taken effect.
         let outcome = match (outcome, self.may_have_run) {
             (Outcome::NotRun(_), Some(cause)) => Outcome::Unknown(cause),
             _ => outcome,
--- a/crates/request/tests/cancel.rs
+++ b/crates/request/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! Stories of cancels that come late.
+//! Tests of cancels that arrive late or in another order than sent.
 
 use pool::{Handle, conn::Generation};
 use request::cancel::{Gate, Key, Table};
@@ -19,8 +19,8 @@
     }
 }
 
-/// Symptom: a caller's cancel kills another statement. Events: the cancel
-/// comes when its statement has ended and the next one runs.
+/// Guards against a cancel that ends another caller's statement. The cancel arrives
+/// when its own statement has ended and the next one runs on the connection.
 #[test]
 fn late_cancel_hits_nothing() {
     let mut table = Table::default();
@@ -33,25 +33,25 @@
     assert_eq!(table.cancel(OTHER), Some(statement(2)));
 }
 
-/// What the transaction's two statements and the cancel of the first do.
+/// The events of a transaction's two statements and of the cancel of the first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// The caller cancels; the proxy sends the cancel.
+    /// The caller cancels, and the proxy sends the cancel request.
     Cancel,
-    /// The server passes it on to whatever runs.
+    /// The server cancels the statement that runs at this time.
     Signal,
-    /// The server closes the cancel's connection.
+    /// The server closes the connection of the cancel request.
     Answer,
     /// The first statement ends.
     End,
-    /// The caller sends the second.
+    /// The caller sends the second statement.
     Next,
 }
 
 const CANCEL: [Step; 3] = [Step::Cancel, Step::Signal, Step::Answer];
 const STATEMENTS: [Step; 2] = [Step::End, Step::Next];
 
-/// All orders of the two chains.
+/// Returns all interleavings of the two sequences.
 fn orders(cancel: &[Step], statements: &[Step]) -> Vec<Vec<Step>> {
     if cancel.is_empty() || statements.is_empty() {
         return vec![[cancel, statements].concat()];
@@ -71,12 +71,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
     Real,
-    /// The next statement is sent whatever is under way.
+    /// The next statement is sent although a cancel is pending.
     NoBarrier,
 }
 
-/// Runs one order: the statement that the cancel hit, and whether the second
-/// was sent in the end.
+/// Runs one order. Returns the statement that was cancelled, and true if the second
+/// statement was sent.
 fn simulate(variant: Variant, order: &[Step]) -> (Option<u64>, bool) {
     let mut table = Table::default();
     table.start(KEY, statement(1));
@@ -110,10 +110,9 @@
     (hit, sent)
 }
 
-/// Symptom: the second statement of a transaction fails as cancelled, though
-/// the caller cancelled the first. Events: the first ends by itself while its
-/// cancel is on the way, the second is sent, the cancel arrives. Cause: a
-/// cancel names a connection, not a statement.
+/// Guards against a cancel of the first statement that ends the second one. The
+/// first statement ends while its cancel is in flight, the second is sent, and the
+/// cancel arrives: a cancel names a connection, not a statement.
 #[test]
 fn cancel_never_hits_the_next_statement_of_its_transaction() {
     let orders = orders(&CANCEL, &STATEMENTS);
@@ -125,7 +124,7 @@
     for order in &orders {
         let (hit, sent) = simulate(Variant::Real, order);
         assert!(sent, "{order:?}: the second was never sent");
-        // After the second was sent, the caller's cancel means that one.
+        // A cancel that follows the second statement is meant for the second.
         assert!(hit != Some(2) || is_intended(order), "{order:?}");
     }
     let wrong = |order: &&Vec<Step>| {
@@ -134,8 +133,8 @@
     assert!(orders.iter().filter(wrong).count() > 0);
 }
 
-/// Symptom: the cancel hits the caller that gets the connection next. Cause:
-/// the connection went back to the pool with a cancel under way.
+/// Guards against a cancel that ends a statement of the next caller on the
+/// connection, because the connection was reused with a cancel pending.
 #[test]
 fn connection_is_not_reusable_until_each_cancel_is_answered() {
     let mut table = Table::default();
@@ -150,8 +149,8 @@
     assert!(table.is_reusable(Generation(1)));
 }
 
-/// Symptom: a caller cancels and its statement runs all the same. Events: the
-/// statement waits for the answer to an earlier cancel.
+/// Guards against a statement that runs although the caller has cancelled it while
+/// it waited for the answer to an earlier cancel.
 #[test]
 fn unsent_statement_can_be_cancelled() {
     let mut table = Table::default();
@@ -164,8 +163,8 @@
     assert_eq!(table.answered(Generation(1)), None);
 }
 
-/// Symptom: a statement waits for ever. Events: the connection breaks while a
-/// cancel for it is under way.
+/// Guards against a statement that waits forever, because its connection failed
+/// while a cancel was pending.
 #[test]
 fn broken_connection_forgets_its_cancels() {
     let mut table = Table::default();
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Stories of request ids, against a model of the unique key.
+//! Tests of request ids against a model of the ledger's unique key.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,11 +15,11 @@
     Id::new(NOW.as_millis() << 80 | 7 << 76 | random, NOW).unwrap()
 }
 
-/// A database: the ledger's rows and what the statements did.
+/// A database: the ledger's rows and the effects of statements.
 #[derive(Debug, Default)]
 struct Database {
     rows: BTreeMap<String, String>,
-    /// Ids inserted by open transactions, with the transaction.
+    /// Ids inserted by open transactions, with the instance of the transaction.
     open: BTreeMap<String, usize>,
     runs: BTreeMap<u64, u32>,
 }
@@ -30,7 +30,7 @@
     number: usize,
     once: Once,
     digest: u64,
-    /// What it waits to send.
+    /// The next action of the instance.
     next: Option<Action>,
     own_row: Option<(String, String)>,
     ran: u32,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends the next statement; nothing happens while it waits at the key.
+    /// Sends the next statement; does nothing while the insert waits at the key.
     fn send(&mut self, database: &mut Database) {
         let Some(action) = self.next.clone() else {
             return;
@@ -110,7 +110,7 @@
         self.ran = 0;
     }
 
-    /// The instance dies: the server rolls its transaction back.
+    /// Crashes the instance, so that the server rolls its transaction back.
     fn crash(&mut self, database: &mut Database) {
         self.close(database, Close::Rollback);
         self.next = None;
@@ -155,9 +155,8 @@
     End::Repeat("INSERT 0 1".to_owned())
 }
 
-/// Symptom: a payment is billed twice. Events: the same id comes to two
-/// instances at once, the second while the first one's transaction is open.
-/// Cause: the second looked for the id and found nothing yet.
+/// Guards against a statement that runs twice. Two instances get the same id, the
+/// second while the transaction of the first is open, so a query finds no row yet.
 #[test]
 fn second_of_two_at_once_waits_and_finds_the_first() {
     let mut database = Database::default();
@@ -172,8 +171,8 @@
     assert_eq!(database.runs[&9], 1);
 }
 
-/// Symptom: a payment is lost. Events: the first instance dies in its
-/// transaction, the caller repeats. Cause: the id outlived what it stood for.
+/// Guards against a lost write: the first instance crashes in its transaction, the
+/// caller repeats, and the id is taken for used although its statement was undone.
 #[test]
 fn repeat_runs_when_the_first_was_rolled_back() {
     let mut database = Database::default();
@@ -187,8 +186,8 @@
     assert_eq!(database.runs[&9], 1);
 }
 
-/// Symptom: a caller is told of a booking that was not its own. Events: an id
-/// is used again for another statement. Cause: only the id was compared.
+/// Guards against an outcome of another statement being returned, because an id is
+/// used again for another statement and only the ids are compared.
 #[test]
 fn id_of_another_statement_is_refused() {
     let mut database = Database::default();
@@ -200,8 +199,8 @@
     assert_eq!(database.runs.get(&8), None);
 }
 
-/// Symptom: a transaction that repeats one of its statements is aborted.
-/// Cause: the unique key's violation ended it.
+/// Guards against a transaction that is aborted by a violation of the unique key
+/// when it repeats one of its statements.
 #[test]
 fn repeat_within_a_transaction_leaves_it_open() {
     let mut database = Database::default();
@@ -218,8 +217,8 @@
     assert_eq!(end, Some(Action::End(End::Rejected(*b"23514"))));
 }
 
-/// Symptom: an id is taken for used though its statement failed. Cause: the
-/// row was kept when the statement was refused.
+/// Guards against an id that counts as used although its statement was refused,
+/// because the row was kept.
 #[test]
 fn refused_statement_leaves_no_id() {
     let mut once = Once::new(Scope::Alone, id(1), Digest(9));
@@ -231,8 +230,8 @@
     assert_eq!(end, Some(Action::End(End::Rejected(*b"23514"))));
 }
 
-/// Symptom: an old repeat books a second time. Events: its row is cleaned away
-/// between the insert and the look. Cause: "not there" was taken for "new".
+/// Guards against a statement that runs twice. The cleaning deletes the row between
+/// the insert and the query, and a missing row is taken for a new id.
 #[test]
 fn id_deleted_during_the_lookup_is_refused() {
     let mut once = Once::new(Scope::Alone, id(1), Digest(9));
@@ -243,8 +242,8 @@
     assert_eq!(end, Some(Action::End(End::Refused(Error::Expired))));
 }
 
-/// Symptom: as above. Events: an instance whose clock runs ahead cleans what
-/// another one's still takes. Cause: rows went as soon as ids were refused.
+/// Guards against a statement that runs twice. An instance whose clock runs ahead
+/// deletes a row whose id another instance still accepts.
 #[test]
 fn cleaning_deletes_only_what_every_instance_refuses() {
     let ahead = NOW + Duration::from_secs(3_600);
@@ -257,7 +256,7 @@
     assert!(ledger::clean(ahead).contains("LIMIT 1000"));
 }
 
-/// A row that this program did not write is an error, never an outcome.
+/// Guards against a row of another format that is returned as an outcome.
 #[test]
 fn foreign_row_is_unreadable() {
     let digest = Digest(9);
@@ -275,9 +274,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three instances with the same id in any order, each of which may die
-    /// at any step: the statement takes effect at most once, and each that
-    /// ended told the truth.
+    /// Guards against a statement that takes effect twice, or a false outcome. Three
+    /// instances run the same id in any order, and each may crash at any step.
     #[test]
     fn at_most_one_run_in_any_order(
         steps in prop::collection::vec((0_usize..3, 0_u8..12), 1..60),
--- a/crates/request/tests/outcome.rs
+++ b/crates/request/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Stories of requests whose end is in doubt.
+//! Tests of the outcomes that a request reports after faults.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     request
 }
 
-/// Symptom: a payment is billed twice. Events: its bytes leave, the commit's
-/// answer is lost with the connection. Cause: it was sent again.
+/// Guards against a statement that runs twice: the answer to its commit is lost with
+/// the connection, and the statement is sent again.
 #[test]
 fn lost_commit_answer_is_unknown_and_never_sent_twice() {
     let mut budget = Budget::default();
@@ -39,8 +39,8 @@
     assert!(late.is_empty());
 }
 
-/// Symptom: a caller gets another's rows. Events: the answer to a statement
-/// given up earlier arrives. Cause: it was matched by connection alone.
+/// Guards against rows of another statement: the answer to a statement that was
+/// given up earlier arrives on the same connection.
 #[test]
 fn answer_to_another_statement_is_ignored() {
     let mut budget = Budget::default();
@@ -49,8 +49,8 @@
     assert!(request.step(Instant::ZERO, &mut budget, crossed).is_empty());
 }
 
-/// Symptom: a write fails though the primary is well. Events: a replica
-/// refuses it as read-only. Cause: a proved rejection was not sent on.
+/// Guards against a write that fails although the primary is available, because a
+/// replica refused it as read-only.
 #[test]
 fn read_that_writes_goes_to_the_primary() {
     let mut budget = Budget::default();
@@ -60,8 +60,8 @@
     assert_eq!(actions, [Action::Acquire(Target::Primary)]);
 }
 
-/// Symptom: a booking is confirmed and then lost. Events: the primary is
-/// replaced between commit and majority. Cause: the commit was acknowledged.
+/// Guards against a lost write that was acknowledged: the primary is replaced after
+/// the commit and before a majority has the position.
 #[test]
 fn write_is_unknown_when_the_primary_is_replaced() {
     let mut budget = Budget::default();
@@ -74,8 +74,8 @@
     assert_eq!(end, [Action::End(Outcome::Unknown(Cause::Replaced), None)]);
 }
 
-/// Symptom: an old repeat books a second time. Events: the ledger forgot its
-/// id. Cause: ids without a time can't be told from new ones.
+/// Guards against a statement that runs twice, because its id was deleted from the
+/// ledger or has no time to tell that by.
 #[test]
 fn forgotten_id_is_refused() {
     use request::ledger::{Error, Id, RETENTION};
@@ -88,9 +88,8 @@
     assert_eq!(Id::new(4 << 76, made), Err(Error::Version));
 }
 
-/// Symptom: "not run" is told of a request that ran. Events: an idempotent
-/// request loses its connection, is retried, and its retry is refused. Cause:
-/// only the last attempt was looked at.
+/// Guards against `NotRun` for a request that may have run: an idempotent request
+/// loses its connection, and its retry is refused.
 #[test]
 fn refused_retry_after_a_lost_attempt_is_unknown() {
     let mut budget = Budget::default();
@@ -103,9 +102,8 @@
     assert_eq!(end, [Action::End(unknown, Some(Duration::from_millis(5)))]);
 }
 
-/// Symptom: a caller whose statement hit the server's own timeout is told that
-/// the proxy's deadline passed, and sends it again at once. Cause: every 57014
-/// was taken for the proxy's cancel.
+/// Guards against a 57014 of the server's own statement time-out being reported as
+/// the proxy's deadline, upon which the caller sends the statement again at once.
 #[test]
 fn statement_timeout_is_the_servers_own_error() {
     let mut budget = Budget::default();
@@ -115,8 +113,8 @@
     assert_eq!(end, [Action::End(Outcome::Done, None)]);
 }
 
-/// Symptom: a caller waits past its deadline for the answer to a cancel, or
-/// gets two ends. Events: the deadline comes while a statement runs.
+/// Guards against a caller that waits for the answer to a cancel beyond its deadline
+/// or gets two outcomes, when the deadline passes while a statement runs.
 #[test]
 fn deadline_ends_a_running_request_at_once() {
     let mut budget = Budget::default();
--- a/crates/request/tests/retry.rs
+++ b/crates/request/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Stories of retries that feed an overload.
+//! Tests that retries can't amplify an overload.
 
 use clock::Instant;
 use model::{Cause, Outcome, Repeat};
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use request::{Action, Answer, Event, Request, Target};
 
-/// How an attempt ends.
+/// The end of one attempt.
 #[derive(Debug, Clone, Copy)]
 enum Ending {
     Answered,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Runs one request to its end: how often it was sent, and the end.
+/// Runs one request to its end and returns the number of sends and the outcome.
 fn sends(
     budget: &mut Budget,
     repeat: Repeat,
@@ -43,7 +43,7 @@
             Some(Action::Acquire(_)) => Event::Admitted(handle(sends)),
             Some(Action::Send(handle)) => {
                 sends += 1;
-                assert!(sends <= 1 + MAX_SAVED, "one request is sent for ever");
+                assert!(sends <= 1 + MAX_SAVED, "one request is sent forever");
                 event(endings(), handle)
             }
             Some(Action::End(outcome, _)) => return (sends, outcome),
@@ -60,15 +60,15 @@
     }
 }
 
-/// The most sends that `first` requests may come to: (1 + ratio) of them, and
-/// what was saved up before.
+/// Returns the largest number of sends for `first` requests: one each, the retries
+/// that they earn, and the retries saved up before.
 fn max_sends(first: u32) -> u32 {
     first + first * EARNED / 1_000 + MAX_SAVED
 }
 
-/// Symptom: an upstream at its capacity gets eight times its load, and stays
-/// down when the cause has passed. Events: every statement fails and each is
-/// sent again. Cause: retries had no budget.
+/// Guards against retries that multiply the load: without a budget, an upstream at
+/// its capacity gets eight times its load when every statement fails, and stays
+/// overloaded after the cause has passed.
 #[test]
 fn retry_storm_stays_within_the_budget() {
     for ending in [Ending::Lost, Ending::Unsent, Ending::Deadlock] {
@@ -96,8 +96,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever fails: sends stay within the budget, what may run once is not
-    /// sent after its bytes may have left, and "not run" is never said then.
+    /// Guards, for any sequence of faults, against more sends than the budget allows,
+    /// a second send of a statement that must run once, and `NotRun` for a statement
+    /// that may have run.
     #[test]
     fn sends_are_bounded_and_outcomes_are_correct(
         endings in prop::collection::vec((any::<bool>(), ending()), 1..200),
