--- a/crates/route/examples/share/main.rs
+++ b/crates/route/examples/share/main.rs
@@ -1,4 +1,5 @@
-//! Replica share at Stalgenoot's sizes, in virtual time.
+//! Simulates the share of reads that replicas serve, in virtual time, for the sizes of
+//! the user Stalgenoot.
 //!
 //! `cargo run --release -p route --example share -- [seed]`
 
--- a/crates/route/examples/share/report.rs
+++ b/crates/route/examples/share/report.rs
@@ -1,4 +1,4 @@
-//! The tables that the bench prints.
+//! Runs the simulations and prints their results as tables.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     world::run,
 };
 
-/// Pairs of lag traces for the two replicas.
+/// Lag traces of the two replicas, with their labels.
 pub(crate) const TRACES: [(&str, [Lag; 2]); 6] = [
     ("steady, steady", [Lag::Steady, Lag::Steady]),
     ("steady, stalls", [Lag::Steady, Lag::Stalls]),
@@ -61,7 +61,7 @@
     );
 }
 
-/// Each policy on each pair of traces.
+/// Compares the policies on each pair of traces.
 pub(crate) fn policies(seed: u64) {
     print_head("replica share by policy and lag of the two replicas");
     for (label, lags) in TRACES {
@@ -87,7 +87,7 @@
     }
 }
 
-/// How often upstreams are asked without cause.
+/// Varies the interval of the background probes.
 pub(crate) fn probes(seed: u64) {
     print_head("period of the background probes");
     for millis in [50, 100, 250, 500, 1_000] {
@@ -101,9 +101,9 @@
     }
 }
 
-/// How long a read may wait for a replica.
+/// Varies the longest wait of a read for a replica.
 pub(crate) fn replica_waits(seed: u64) {
-    print_head("patience: waiting against going to the primary");
+    print_head("longest wait for a replica before going to the primary");
     for (label, lags) in TRACES {
         for millis in [0, 10, 30, 100, 300] {
             let max_replica_wait = Duration::from_millis(millis);
@@ -118,9 +118,9 @@
     }
 }
 
-/// Callers that present nothing: shared rounds against reads on the primary.
+/// Compares shared rounds with reads on the primary, for sessions without a token.
 pub(crate) fn callers(seed: u64) {
-    print_head("callers that present nothing");
+    print_head("share of sessions without a token");
     for fresh in [0, 50, 100] {
         for discovery in [Discovery::Shared, Discovery::Primary] {
             let tally = run(&Setup {
@@ -134,9 +134,9 @@
     }
 }
 
-/// What routing on reports alone would serve.
+/// Counts stale answers of routing without verification.
 pub(crate) fn unverified(seed: u64) {
-    print_head("answers not judged (a broken variant)");
+    print_head("without verification of answers");
     for (label, lags) in TRACES {
         let tally = run(&Setup {
             seed,
--- a/crates/route/examples/share/setup.rs
+++ b/crates/route/examples/share/setup.rs
@@ -1,4 +1,4 @@
-//! What a run is given and what it counted.
+//! Settings and results of a simulation.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use crate::trace::Lag;
 
-/// How floors of sessions that present nothing are found.
+/// Method to find the floor of a session without a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Discovery {
-    /// One round for all who wait.
+    /// One round for all sessions that wait.
     Shared,
-    /// A confirmed read on the primary for each.
+    /// A confirmed read on the primary for each session.
     Primary,
 }
 
-/// Whether answers are judged.
+/// Tells if answers are verified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verification {
-    /// Each is, by the position asked ahead of it.
+    /// Every answer is verified by the position queried ahead of the read.
     Enabled,
-    /// None is: routing rests on what was reported earlier.
+    /// No answer is verified, so that routing relies on earlier reports.
     Disabled,
 }
 
-/// What the oracle knows.
+/// Knowledge of the oracle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Knowledge {
-    /// Every upstream's position, now and later.
+    /// All present and future positions of the upstreams.
     Positions,
-    /// Also what a session that presents nothing wrote elsewhere.
+    /// Also the writes on other instances of a session without a token.
     Sessions,
 }
 
-/// One run.
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct Setup {
     pub(crate) seed: u64,
@@ -44,7 +44,7 @@
     pub(crate) calendar: u32,
     /// Writes per second, each followed by a read of the same user.
     pub(crate) writes: u32,
-    /// Of 100 calendar reads, how many come on a connection just made.
+    /// Percentage of calendar reads on a new connection.
     pub(crate) fresh: u32,
     pub(crate) probe: Duration,
     pub(crate) max_replica_wait: Duration,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a run counted.
+/// Results of a simulation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tally {
     pub(crate) calendar: u64,
@@ -91,17 +91,17 @@
 }
 
 impl Tally {
-    /// The share of calendar reads that replicas served.
+    /// Returns the share of calendar reads that replicas served.
     pub(crate) fn share(&self) -> f64 {
         self.calendar_replica as f64 / self.calendar.max(1) as f64
     }
 
-    /// The share of reads after a user's own write that replicas served.
+    /// Returns the share of reads after a user's own write that replicas served.
     pub(crate) fn own_share(&self) -> f64 {
         self.own_replica as f64 / self.own.max(1) as f64
     }
 
-    /// The latency that `percent` of 100 reads stay within.
+    /// Returns the latency that `percent` % of the reads don't exceed.
     pub(crate) fn quantile(&self, percent: usize) -> Duration {
         let mut sorted = self.latency.clone();
         sorted.sort_unstable();
--- a/crates/route/examples/share/trace.rs
+++ b/crates/route/examples/share/trace.rs
@@ -1,4 +1,4 @@
-//! How far behind a replica is over time.
+//! Generates the lag of a replica over time.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 pub(crate) enum Lag {
     /// About 5 ms, with jitter.
     Steady,
-    /// Steady, but now and then stalled for seconds, then catching up.
+    /// Like [`Lag::Steady`], with occasional stalls of seconds, then catching up.
     Stalls,
-    /// Swings between 1.5 s and 2.5 s, around calendar's bound.
+    /// Varies between 1.5 s and 2.5 s, around the age bound of calendar reads.
     Edge,
-    /// Always 30 s behind or worse.
+    /// At least 30 s at all times.
     Far,
-    /// Falls behind by 20 ms in each second, then catches up at once.
+    /// Grows by 20 ms in each second, then falls back at once.
     Sawtooth,
 }
 
-/// For each millisecond, the moment whose data the replica shows.
+/// The time whose data the replica shows, for each millisecond.
 #[derive(Debug, Clone)]
 pub(crate) struct Trace {
     shown: Vec<Instant>,
@@ -64,14 +64,14 @@
         Self { shown }
     }
 
-    /// The moment whose data a statement that runs at `now` sees.
+    /// Returns the time whose data a statement that runs at `now` sees.
     pub(crate) fn shown(&self, now: Instant) -> Instant {
         let at = usize::try_from(now.as_micros() / 1_000).unwrap_or(usize::MAX);
         self.shown[at.min(self.shown.len() - 1)]
     }
 
-    /// The first moment at or after `from` at which `moment`'s data is shown
-    /// or what is shown is at most `bound` old.
+    /// Returns the first time at or after `from` at which the data of `moment` is shown
+    /// and the data shown is at most `bound` old.
     pub(crate) fn ready(
         &self,
         from: Instant,
--- a/crates/route/examples/share/world.rs
+++ b/crates/route/examples/share/world.rs
@@ -1,4 +1,5 @@
-//! One database of Stalgenoot's: three upstreams, four zones, virtual time.
+//! A simulated database with three upstreams and four instances in virtual time, each
+//! instance in a zone of its own.
 
 use std::{
     cmp::Reverse,
@@ -150,7 +151,7 @@
     tally: Tally,
 }
 
-/// Runs a setup to its end.
+/// Runs a simulation to its end and returns its results.
 pub(crate) fn run(setup: &Setup) -> Tally {
     let mut world = World::new(setup);
     world.schedule(Duration::from_millis(500), Occurrence::Calendar);
@@ -331,8 +332,8 @@
         );
     }
 
-    /// A user reads what it wrote: here, elsewhere with its token, or
-    /// elsewhere with nothing.
+    /// Lets a session read its own write: on the same instance, or on another one with or
+    /// without its token.
     fn own(&mut self, session: u64, instance: usize) {
         let draw = self.rng.random_range(0..100);
         if draw < 40 {
@@ -414,8 +415,8 @@
         }
     }
 
-    /// A wait is over; where proof is wanted the replica is asked first, and
-    /// its answer wakes the read.
+    /// Ends a wait. If a reported position is needed, queries the replica first, whose
+    /// answer then resumes the read.
     fn wait_over(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -425,7 +426,7 @@
         let Some(&(upstream, until)) = self.instances[instance].pending.get(&id) else {
             return;
         };
-        // A report woke it before, and it waits for another moment now.
+        // A report has resumed the read before, which now waits for another time.
         if until != self.now {
             return;
         }
@@ -433,7 +434,7 @@
             self.instances[instance].pending.remove(&id);
             return self.choose(id);
         }
-        // One question for each wait: several wakings may fall on one moment.
+        // Only one query for each wait: several waits may end at the same time.
         self.instances[instance]
             .pending
             .insert(id, (upstream, Instant::ZERO));
@@ -468,7 +469,7 @@
             return Vec::new();
         }
         let bound = match request.kind {
-            // The answer's way back counts too.
+            // The delay of the answer counts too.
             Kind::Calendar => Some(MAX_AGE - Duration::from_millis(10)),
             Kind::Own => None,
         };
@@ -484,7 +485,7 @@
         (0..self.traces.len()).map(exact).collect()
     }
 
-    /// When the primary had all that the request's session must see.
+    /// Returns the time at which the primary had everything that the request must see.
     fn oracle_moment(&self, request: &Request) -> Instant {
         let read = &request.read;
         if let (Floor::Unknown { since }, Knowledge::Positions) = (read.floor, self.setup.knowledge)
@@ -591,8 +592,8 @@
         }
     }
 
-    /// The position query goes ahead of the statement and is answered at once;
-    /// the pool sends both when a slot is free.
+    /// Answers the position query, which the pool sends ahead of the statement when a
+    /// slot is free and which is answered at once.
     fn position_answer(&mut self, upstream: usize, work: Work, report: Report) {
         let instance = match work {
             Work::Read { request, .. } => self.requests[&request].instance,
@@ -640,8 +641,8 @@
         self.serve(upstream);
     }
 
-    /// The write is acknowledged once a replica is seen to hold it, which its
-    /// answer to a position query tells; the log gets there about as fast.
+    /// Acknowledges a write after the round trip to the nearest replica, whose answer to a
+    /// position query confirms the write; the log arrives there about as fast.
     fn committed(&mut self, session: u64, instance: usize, lsn: Lsn) {
         for upstream in 1..UPSTREAMS {
             let probe = Occurrence::ProbeAt {
@@ -674,7 +675,7 @@
         self.schedule(CALLER_DELAY * 2, Occurrence::Own { session, instance });
     }
 
-    /// What a statement that starts now at the upstream sees.
+    /// Returns the data that a statement that starts now at the upstream sees.
     fn shown(&self, upstream: usize) -> Snapshot {
         let moment = match upstream {
             0 => self.now,
@@ -733,15 +734,15 @@
             self.tally.stale += 1;
         }
         let last = self.last_shown.entry(request.session).or_default();
-        // Reads of a session that overlap have no order to keep.
+        // Overlapping reads of a session have no defined order.
         if shown.report.replayed < *last && request.read.seen.is_some_and(|s| s.lsn >= *last) {
             self.tally.backward += 1;
         }
         *last = (*last).max(shown.report.replayed);
     }
 
-    /// The moment before the first commit that was not shown: until then the
-    /// data was the newest there was.
+    /// Returns the time of the first commit that was not shown: the data shown was the
+    /// newest until then.
     fn as_of(&self, shown: Snapshot) -> Instant {
         let next = (shown.report.replayed.0 / 100) as usize;
         self.commits.get(next).copied().unwrap_or(self.now)
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,4 +1,4 @@
-//! The choice itself: replica, wait, primary, round, or refusal.
+//! Chooses for a read: a replica, a wait, the primary, a round, or a refusal.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
     verify::demand,
 };
 
-/// What a replica must show.
+/// The state that a replica must have reached to serve a read.
 #[derive(Debug, Clone, Copy)]
 struct Requirement {
     position: Position,
-    /// When the primary had reached that position, at the latest.
+    /// Time by which the primary is known to have reached the position.
     reached: Instant,
     bound: Option<Duration>,
 }
 
-/// A replica that could serve.
+/// A replica that can serve the read.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     node: usize,
@@ -30,7 +30,7 @@
 }
 
 impl Router {
-    /// Chooses where a read goes now.
+    /// Chooses an upstream for a read, or what to do until one can be chosen.
     ///
     /// ```
     /// use clock::Instant;
@@ -78,10 +78,11 @@
         self.fall_back(now, &read, &requirement)
     }
 
-    /// The read with its floor, where a round since it began tells it.
+    /// Returns the read with its floor, if a round that began after the read did, or
+    /// after its session did, gives one.
     ///
-    /// A current read is one whose floor is everything acknowledged before it
-    /// began, so a round that began later serves it as it serves a session.
+    /// The floor of a current read is everything acknowledged before the read
+    /// began, so a round that began later is valid for it as for a session.
     pub(crate) fn with_floor(&self, read: &Read) -> Read {
         let since = match (read.freshness, read.floor) {
             (Freshness::Current, _) => read.began,
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Whether the newest round is too old to prove any answer's age, and a new
-    /// one would not be.
+    /// Returns true if the newest round is too old to prove the age of any answer and
+    /// a new round would prove one.
     fn needs_round(&self, now: Instant, requirement: &Requirement) -> bool {
         let (Some(bound), Some(newest)) = (requirement.bound, self.confirmed()) else {
             return false;
@@ -126,7 +127,7 @@
         has_primary && !is_within(newest.since) && cost + self.round_trip() <= bound
     }
 
-    /// How long a round takes.
+    /// Expected duration of a confirmation round.
     fn round_trip(&self) -> Duration {
         self.nodes.iter().map(Node::rtt).max().unwrap_or_default()
     }
@@ -169,14 +170,15 @@
         found
     }
 
-    /// Whether the primary would answer so much earlier that it takes the read.
+    /// Returns true if the primary is expected to answer so much earlier than a
+    /// replica of this cost that the read goes to the primary.
     pub(crate) fn prefers_primary(&self, cost: Duration) -> bool {
         let primary = self.primary_node().filter(|node| node.is_usable());
         primary.is_some_and(|node| cost > node.cost() + self.conf.spill_margin)
     }
 
-    /// Waits for the replica that is expected to serve first, if that is
-    /// within `max_wait` of the read's beginning and within its deadline.
+    /// Waits for the replica that is expected to serve first, if its answer is due
+    /// within `max_wait` after the read began and before the read's deadline.
     fn wait(
         &self,
         now: Instant,
@@ -197,7 +199,8 @@
         })
     }
 
-    /// No replica serves in time: the primary, or else whatever may come.
+    /// Chooses the primary, or a wait until the deadline, if no replica can serve in
+    /// time.
     fn fall_back(&self, now: Instant, read: &Read, requirement: &Requirement) -> Choice {
         if let Some(node) = self.primary_node().filter(|node| node.is_usable()) {
             let upstream = node.member.upstream.clone();
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Where a read goes whose floor no round has told yet.
+    /// Chooses for a read whose floor is not known yet.
     fn choose_without_floor(&self, read: &Read) -> Choice {
         let Some(primary) = self.primary_node().filter(|node| node.is_usable()) else {
             return self.hold_read(read);
@@ -228,8 +231,8 @@
         if read.freshness != Freshness::Current {
             return Choice::AwaitRound;
         }
-        // The confirmation travels beside the read, so the primary answers
-        // first unless its queue is longer than a round and a replica's.
+        // The confirmation runs in parallel to the read, so the primary answers
+        // first unless its queue takes longer than a round and a replica.
         let replicas = self.nodes.iter().filter(|node| self.is_replica(node));
         let replica = replicas.map(Node::cost).min();
         if replica.is_some_and(|cost| self.round_trip() + cost < primary.cost()) {
@@ -238,8 +241,8 @@
         Choice::Confirmed(primary.member.upstream.clone())
     }
 
-    /// Nobody is known to lead: an instance that has just started, or a change
-    /// of primary under way. Either is over soon.
+    /// Holds the read while no primary is known, which is short: after the start of
+    /// this instance and during a change of primary.
     fn hold_read(&self, read: &Read) -> Choice {
         Choice::Hold {
             until: read.deadline,
@@ -247,10 +250,11 @@
     }
 }
 
-/// Shorter waits cost more in events than they save.
+/// Shortest wait; the events of shorter ones cost more than they save.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Whether the node has reached the position, or should have by now.
+/// Returns true if the node has reached the required position or, with
+/// [`Trust::Expected`], should have reached it by now.
 fn has_reached(node: &Node, now: Instant, read: &Read, requirement: &Requirement) -> bool {
     if node
         .position()
@@ -265,8 +269,8 @@
     read.trust == Trust::Expected && same_term && expected >= Some(requirement.reached)
 }
 
-/// How old the node's answer will be provably when it arrives, which rests on
-/// a round however fresh the node should be.
+/// Returns the age that can be proved for the node's answer at its arrival. The
+/// proof needs a round, however fresh the node is expected to be.
 fn provable_age(
     node: &Node,
     now: Instant,
@@ -280,7 +284,7 @@
     Some((now + node.cost()).since(shown))
 }
 
-/// How long until a statement sent to the node should be fresh enough.
+/// Returns the expected time until a statement sent to the node is fresh enough.
 fn time_to_serve(node: &Node, now: Instant, requirement: &Requirement) -> Option<Duration> {
     let to_floor = match node.position() {
         Some(position) if position.covers(requirement.position) => Duration::ZERO,
@@ -295,8 +299,8 @@
     Some(to_floor.max(to_bound))
 }
 
-/// The cheaper of two that are drawn: taking the cheapest of all would send
-/// every instance to the same replica until the next report.
+/// Returns the cheaper of two random candidates. The cheapest of all would get the
+/// reads of every instance until the next report.
 fn pick_cheaper(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Candidate> {
     let (&first, rest) = candidates.split_first()?;
     if rest.is_empty() {
--- a/crates/route/src/confirm.rs
+++ b/crates/route/src/confirm.rs
@@ -1,26 +1,27 @@
-//! Proof by a majority that an upstream still leads.
+//! Confirmation by a majority that an upstream is still the primary.
 
 use clock::Instant;
 use model::{Position, Report, Role};
 use session::Confirmed;
 
-/// An upstream's answer and the moment at which the question was sent.
+/// The status of an upstream and the time at which it was queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// When this instance sent the question.
+    /// Time at which this instance sent the query.
     pub sent: Instant,
-    /// What the upstream answered.
+    /// Status that the upstream returned.
     pub report: Report,
 }
 
 impl Answer {
-    /// What the upstream's reads see, in the lineage it follows.
+    /// Returns the position that reads on the upstream see.
     pub fn position(&self) -> Position {
         position(&self.report)
     }
 }
 
-/// What an upstream's reads see, in the lineage it follows.
+/// Returns the position that reads on an upstream see: the replayed position in the
+/// term of its log.
 pub fn position(report: &Report) -> Position {
     Position {
         term: report.received.term,
@@ -28,13 +29,13 @@
     }
 }
 
-/// The newest round that a group's latest answers prove, if they prove one.
+/// Returns the newest round that the latest answers of a group confirm, if any.
 ///
-/// `members` is how many upstreams the group has, those that are silent
-/// included. What would go wrong with the primary's own word: one that is cut
-/// off with callers beside it goes on believing that it leads, its position
-/// stands for data that others have long overwritten, and replicas that follow
-/// it look fresh. A majority that was not fenced yet proves the contrary.
+/// `members` is the number of upstreams in the group, including silent ones. The
+/// primary's own answer is not enough: a primary that is cut off from the others
+/// still reports itself as primary after another one was promoted, and its replicas
+/// look fresh although newer data exists. A majority that is not fenced to a later
+/// term rules this out.
 ///
 /// ```
 /// use clock::Instant;
--- a/crates/route/src/history.rs
+++ b/crates/route/src/history.rs
@@ -1,4 +1,4 @@
-//! Where the primary stood, and when that was proved.
+//! Past positions of the primary and the times of their confirmation.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,12 +10,12 @@
 const MAX_OLDER: usize = 256;
 const RECENT_SPACING: Duration = Duration::from_millis(5);
 
-/// Confirmed rounds: dense for the last moments, sparse back to a max_age.
+/// Confirmed rounds: closely spaced recent ones, and older ones at larger intervals.
 ///
-/// An upstream that replayed the position of a round is no older than the
-/// round's `since`, which is when this instance *sent* the questions. The error
-/// of the observation therefore always makes data look older than it is, and
-/// no other machine's clock comes into it.
+/// Data of an upstream that has replayed the position of a round is no older than
+/// the round's `since`, the time at which this instance *sent* the queries. The
+/// error of this measurement can only make data look older than it is, and no clock
+/// of another machine is involved.
 #[derive(Debug, Clone)]
 pub struct History {
     newest: Option<Confirmed>,
@@ -25,7 +25,8 @@
 }
 
 impl History {
-    /// Keeps rounds for at least `max_age`, the greatest age that any entry allows.
+    /// Creates a history that keeps rounds for at least `max_age`, the largest age that
+    /// any entry allows.
     pub fn new(max_age: Duration) -> Self {
         Self {
             newest: None,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes in a round; one that is not newer than the newest is left out.
+    /// Adds a round; ignores one that is not newer than the newest.
     pub fn push(&mut self, round: Confirmed) {
         if self
             .newest
@@ -62,26 +63,27 @@
         }
     }
 
-    /// The newest round.
+    /// Returns the newest round.
     pub fn newest(&self) -> Option<Confirmed> {
         self.newest
     }
 
-    /// The moment before which everything acknowledged is held at `position`.
+    /// Returns the time before which every acknowledged write is included at
+    /// `position`.
     pub fn as_of(&self, position: Position) -> Option<Instant> {
         let held = |round: &Confirmed| position.covers(round.position);
         self.newest_first().find(held).map(|round| round.since)
     }
 
-    /// The first round that began at `since` or later: the lowest floor that
-    /// is valid for a session that began then.
+    /// Returns the first round that began at `since` or later, which gives the lowest
+    /// valid floor of a session that began then.
     pub fn first_since(&self, since: Instant) -> Option<Confirmed> {
         self.newest_first()
             .take_while(|round| round.since >= since)
             .last()
     }
 
-    /// The first round that a log at `position` has not reached.
+    /// Returns the time of the first round that a log at `position` has not reached.
     pub fn missed(&self, position: Position) -> Option<Instant> {
         self.newest_first()
             .take_while(|round| !position.covers(round.position))
@@ -89,7 +91,7 @@
             .map(|round| round.since)
     }
 
-    /// When the primary is known to have reached `position`, at the latest.
+    /// Returns the time by which the primary is known to have reached `position`.
     pub fn reached(&self, position: Position) -> Option<Instant> {
         self.newest_first()
             .take_while(|round| round.position.covers(position))
--- a/crates/route/src/known_writes.rs
+++ b/crates/route/src/known_writes.rs
@@ -1,4 +1,4 @@
-//! Statements that looked like reads and proved to write.
+//! Statements that were classified as reads and proved to write.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,14 +7,13 @@
 
 use clock::Instant;
 
-/// The SQLSTATE with which a replica refuses a write, which proves that the
-/// statement did not run there.
+/// SQLSTATE with which a replica refuses a write. The refused statement has not run.
 pub const READ_ONLY: &str = "25006";
 
-/// A bounded memory of fingerprints that go straight to the primary.
+/// A bounded set of fingerprints of statements that go to the primary.
 ///
-/// Forgetting one costs a refused try on a replica; remembering one too long
-/// would keep a statement off the replicas after its function was mended.
+/// A missing entry costs one refused attempt on a replica. Entries expire so that a
+/// statement can run on replicas again after a function that it calls was changed.
 #[derive(Debug, Clone)]
 pub struct KnownWrites {
     capacity: usize,
@@ -24,7 +23,7 @@
 }
 
 impl KnownWrites {
-    /// Remembers up to `capacity` fingerprints, each for `ttl`.
+    /// Creates a set of up to `capacity` fingerprints that expire after `ttl`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Remembers a statement that a replica refused with [`READ_ONLY`].
+    /// Adds a statement that a replica refused with [`READ_ONLY`].
     pub fn insert(&mut self, now: Instant, fingerprint: u64) {
         let previous = self.expires_at.insert(fingerprint, now + self.ttl);
         if previous.is_some() {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Whether the statement is known to write.
+    /// Returns true if the statement is known to write.
     pub fn contains(&self, now: Instant, fingerprint: u64) -> bool {
         self.expires_at
             .get(&fingerprint)
--- a/crates/route/src/lex.rs
+++ b/crates/route/src/lex.rs
@@ -1,26 +1,26 @@
-//! Cuts SQL into words, symbols, literals and comments, as PostgreSQL does.
+//! Splits SQL into words, symbols, literals and comments, as PostgreSQL does.
 //!
-//! It knows just enough not to be misled by a word inside a quote or comment.
-//! Plain quotes are read with `standard_conforming_strings` on, the server's
-//! default; with it off a text may be misread, and a write that passes for a
-//! read is still refused by the replica.
+//! The lexer only has to tell a keyword from a word inside a quote or comment. Plain
+//! quotes are read as with `standard_conforming_strings` on, the server's default.
+//! With the parameter off, a text may be split wrongly, but a write that is then
+//! classified as a read is still refused by the replica.
 
-/// One piece of SQL.
+/// One lexical element of SQL.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Piece<'a> {
-    /// A keyword or bare name, as written.
+    /// A keyword or unquoted name, as written.
     Word(&'a str),
     /// A quoted name, number, string or parameter, as written.
     Literal(&'a str),
-    /// A block comment without its marks.
+    /// A block comment without its delimiters.
     Comment(&'a str),
     /// Any other character.
     Symbol(char),
-    /// A quote or comment that does not end.
+    /// A quote or comment that is not terminated.
     Unterminated,
 }
 
-/// The pieces of a text, in order; white space and line comments are left out.
+/// Iterates over the pieces of a text, without white space and line comments.
 #[derive(Debug, Clone)]
 pub(crate) struct Lexer<'a> {
     rest: &'a str,
@@ -31,7 +31,7 @@
         Self { rest: sql }
     }
 
-    /// What was not read yet.
+    /// Returns the text that was not read yet.
     pub(crate) fn rest(&self) -> &'a str {
         self.rest
     }
@@ -127,7 +127,8 @@
     Escapes,
 }
 
-/// The end of the quote that `text` starts with; a doubled mark stays inside.
+/// Returns the end of the quote that `text` starts with; a doubled mark does not
+/// end it.
 fn quote_end(text: &str, mark: char, backslash: Backslash) -> Option<usize> {
     let mut chars = text.char_indices().skip(1).peekable();
     while let Some((at, c)) = chars.next() {
@@ -145,7 +146,7 @@
     None
 }
 
-/// The end of the block comment that `text` starts with; these nest.
+/// Returns the end of the block comment that `text` starts with; comments nest.
 fn block_end(text: &str) -> Option<usize> {
     let bytes = text.as_bytes();
     let mut depth = 0_usize;
@@ -167,7 +168,7 @@
     None
 }
 
-/// The opening mark of a dollar quote, such as `$$` or `$body$`.
+/// Returns the opening tag of a dollar quote, such as `$$` or `$body$`.
 fn dollar_tag(text: &str) -> Option<&str> {
     let end = text[1..].find('$')? + 1;
     let tag = &text[1..end];
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which upstream a read goes to, and the proof that its answer is fresh enough.
+//! Chooses upstreams for reads and verifies that the answers are fresh enough.
 //!
-//! [`Router`] is told what this instance observes and chooses; what it chooses
-//! by may be old or wrong, so every answer is judged again by a position asked
-//! for on the same connection ([`Router::verify`]). [`statement`] tells reads
-//! from writes, and [`KnownWrites`] remembers where that was wrong.
+//! [`Router`] chooses by what this instance has observed, which may be out of date.
+//! Every answer is therefore verified by a position queried on the same connection
+//! ([`Router::verify`]). [`statement`] classifies statements as reads or writes, and
+//! [`KnownWrites`] holds those that were taken for reads and proved to write.
 
 mod choose;
 mod confirm;
--- a/crates/route/src/node.rs
+++ b/crates/route/src/node.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! The state that a router keeps for one upstream.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,11 +11,13 @@
     trend::{Observation, Trend},
 };
 
-/// How many different age bounds an upstream's bound_state is kept for.
+/// Largest number of age bounds for which a [`BoundState`] is kept.
 const MAX_BOUNDS: usize = 16;
-/// The longest that an upstream is held out for leaving too often.
+/// Longest time for which an upstream gets no reads under an age bound after it
+/// exceeded the bound repeatedly.
 const MAX_EXCLUSION: Duration = Duration::from_secs(2);
-/// An upstream that stayed inside for this many times its exclusion is forgiven.
+/// An upstream that stays within a bound for this multiple of its last exclusion gets
+/// the shortest exclusion again.
 const RESET_FACTOR: u32 = 8;
 const RTT_WEIGHT: f64 = 0.2;
 const SERVICE_WEIGHT: f64 = 0.1;
@@ -23,48 +25,49 @@
 /// An upstream as the catalogue describes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the upstream.
     pub upstream: name::Upstream,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: name::Zone,
-    /// How many statements it runs at once.
+    /// Number of statements that the upstream runs concurrently.
     pub slots: u16,
-    /// Whether the catalogue is taking it out of service.
+    /// Service state in the catalogue.
     pub state: State,
 }
 
-/// Whether an upstream gets new work.
+/// Tells if an upstream gets new statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// The upstream gets new statements.
     Serving,
-    /// It is being taken out, or its instance is leaving.
+    /// The upstream or its instance is leaving, so the upstream gets no new statements.
     Leaving,
 }
 
-/// Whether the circuit breaker of an upstream lets requests through.
+/// State of the circuit breaker of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breaker {
-    /// Requests pass.
+    /// The breaker lets requests through.
     Closed,
-    /// None pass.
+    /// The breaker rejects requests.
     Open,
 }
 
-/// What an upstream has to do, as the pool counts it.
+/// Load of an upstream, as counted by its pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Load {
-    /// Statements that run.
+    /// Number of running statements.
     pub in_flight: u32,
-    /// Statements that wait for a slot.
+    /// Number of statements that wait for a slot.
     pub queued: u32,
 }
 
-/// Where an upstream stands against an age bound, and since when.
+/// The side of an age bound on which an upstream is, and the start time.
 ///
-/// An upstream whose age swings about the bound would change sides with every
-/// report, and its reads would swing to the primary and back. One that leaves
-/// is held out for a while, twice as long each time it leaves again soon.
+/// An upstream whose age varies around the bound would change sides with every
+/// report, and its reads would move to the primary and back. An upstream that
+/// exceeds the bound is therefore excluded for a time, which doubles whenever the
+/// upstream exceeds the bound again soon.
 #[derive(Debug, Clone, Copy)]
 struct BoundState {
     side: Side,
@@ -108,13 +111,14 @@
         }
     }
 
-    /// Takes in a change of the catalogue, which may change the age bounds too.
+    /// Applies a change of the catalogue, which may also change the age bounds.
     pub(crate) fn set_member(&mut self, member: Member) {
         self.member = member;
         self.bound_states.clear();
     }
 
-    /// Takes in an answer; one sent before the last known is only measured.
+    /// Records an answer; one to a query older than the last only counts for the round
+    /// trip.
     pub(crate) fn record_answer(&mut self, now: Instant, answer: Answer, history: &History) {
         self.update_rtt(now.since(answer.sent));
         if self.answer.is_some_and(|last| last.sent > answer.sent) {
@@ -136,15 +140,17 @@
         }
     }
 
-    /// A round was confirmed: whoever had reached it is that much younger.
+    /// Notes a confirmed round: if the upstream has reached the round's position, its
+    /// data is as recent as the round.
     pub(crate) fn note_round(&mut self, round: session::Confirmed) {
         if self.position().is_some_and(|p| p.covers(round.position)) {
             self.as_of = Some(round.since);
         }
     }
 
-    /// A way that got shorter is believed at once, one that got longer slowly:
-    /// a single late answer is a queue's doing, not the distance's.
+    /// Updates the round trip: a shorter one applies at once, a longer one by an
+    /// average, since a single late answer is more often due to a queue than to the
+    /// network.
     fn update_rtt(&mut self, rtt: Duration) {
         if rtt < self.rtt {
             self.rtt = rtt;
@@ -153,7 +159,8 @@
         self.rtt += (rtt - self.rtt).mul_f64(RTT_WEIGHT);
     }
 
-    /// A statement ran on it for `took`, its queue and way left out.
+    /// Notes that a statement ran for `took`, without its time in queues and on the
+    /// network.
     pub(crate) fn note_service_time(&mut self, took: Duration) {
         let mean = self.service_time.as_secs_f64();
         let moved = mean + SERVICE_WEIGHT * (took.as_secs_f64() - mean);
@@ -172,7 +179,7 @@
         self.answer.map(|answer| position(&answer.report))
     }
 
-    /// The expected time until an answer is back, if it were sent now.
+    /// Returns the expected time until the answer to a statement that is sent now.
     pub(crate) fn cost(&self) -> Duration {
         let slots = u32::from(self.member.slots.max(1));
         let before = self.load.in_flight + self.load.queued;
@@ -180,12 +187,13 @@
         self.rtt + self.service_time.mul_f64(rounds)
     }
 
-    /// The moment whose data it showed when it last reported.
+    /// Returns the time whose data the upstream showed at its last report.
     pub(crate) fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
 
-    /// The moment whose data it should show to a statement that is sent now.
+    /// Returns the time whose data the upstream is expected to show to a statement that
+    /// is sent now.
     pub(crate) fn expected_as_of(&self, now: Instant) -> Option<Instant> {
         let as_of = self.as_of?;
         if self
@@ -198,13 +206,14 @@
         Some(as_of + self.trend.expected_progress(now.since(known)))
     }
 
-    /// How long until it should show what the primary had reached at `target`.
+    /// Returns the expected time until the upstream shows what the primary had reached
+    /// at `target`.
     pub(crate) fn wait(&self, now: Instant, target: Instant) -> Option<Duration> {
         let shown = self.expected_as_of(now)?;
         self.trend.time_to_cover(target.since(shown))
     }
 
-    /// Notes and tells on which side of `bound` it stands when it is `age` old.
+    /// Updates and returns the side of `bound` for data of the given age.
     pub(crate) fn update_side(
         &mut self,
         now: Instant,
@@ -225,7 +234,7 @@
         bound_state.side
     }
 
-    /// How long it is still held out of `bound`.
+    /// Returns the time for which the upstream is still excluded under `bound`.
     pub(crate) fn exclusion_left(&self, now: Instant, bound: Duration) -> Duration {
         let bound_state = self.bound_states.get(&bound);
         let outside = bound_state.filter(|bound_state| bound_state.side == Side::Outside);
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,4 +1,4 @@
-//! Routers to measure against: each answers the same question.
+//! Alternative routing policies, as a baseline for measurements of the router.
 
 use clock::Instant;
 use model::{Cause, Freshness, Role, name};
@@ -7,30 +7,31 @@
 
 use crate::{Choice, Read, Router, Target, verify::demand};
 
-/// How reads are routed.
+/// A policy that routes reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// As the product does: [`Router::choose`].
+    /// The router's own policy, [`Router::choose`].
     Routed,
-    /// Any replica whose last report was good enough, else the primary.
+    /// Any replica whose last report was fresh enough, else the primary.
     Naive,
     /// Every read to the primary.
     AllPrimary,
-    /// Knows every position, now and later, and every session's true floor.
+    /// A policy that knows all present and future positions and the true floor of
+    /// every session.
     Oracle,
 }
 
-/// What only an oracle knows of a replica and a read.
+/// Exact knowledge of a replica and a read, for [`Policy::Oracle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exact {
     /// The replica.
     pub upstream: name::Upstream,
-    /// When a statement that arrives there is first fresh enough, if ever.
+    /// First time at which a statement that arrives there is fresh enough, if any.
     pub ready: Option<Instant>,
 }
 
 impl Policy {
-    /// Chooses where a read goes; `exact` is for the oracle alone.
+    /// Chooses an upstream for a read; only [`Policy::Oracle`] uses `exact`.
     pub fn choose(
         self,
         now: Instant,
@@ -78,8 +79,8 @@
     Choice::Replica(drawn.member.upstream.clone())
 }
 
-/// Serves from the replica that can answer first, within the same patience
-/// and by the same rule of spilling as the product's router.
+/// Serves from the replica that can answer first, with the router's own limits for
+/// the wait and for the preference of the primary.
 fn oracle(now: Instant, router: &Router, read: &Read, exact: &[Exact]) -> Choice {
     let end = (read.began + router.conf.max_replica_wait).min(read.deadline);
     let options = exact.iter().filter_map(|known| {
--- a/crates/route/src/read.rs
+++ b/crates/route/src/read.rs
@@ -1,4 +1,4 @@
-//! A read that wants an upstream, and where it is to go.
+//! A read to be routed, and the choice made for it.
 
 use clock::Instant;
 use model::{Cause, Freshness, Position, name};
@@ -6,40 +6,41 @@
 
 use crate::Target;
 
-/// How much a choice may rest on what an upstream is expected to have reached.
+/// The evidence that a choice needs for the freshness of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Trust {
-    /// Send to a replica that should have reached the floor by now.
+    /// A replica that is expected to have reached the floor by now will do.
     #[default]
     Expected,
-    /// Send only to a replica that reported the floor: a replica's answer was
+    /// The replica must have reported the floor, since a replica's answer was
     /// discarded before.
     Proved,
-    /// Take the primary only with a majority's word: its answer was discarded.
+    /// The primary must be confirmed by a majority, since its answer was discarded
+    /// before.
     Confirmed,
 }
 
-/// A read that wants an upstream.
+/// A read to be routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Read {
-    /// What the session's reads must have reached.
+    /// Floor of the session.
     pub floor: Floor,
-    /// What the session saw that is not known to be acknowledged.
+    /// Position that the session has read and that is not known to be acknowledged.
     pub seen: Option<Position>,
-    /// How fresh the entry's class wants it.
+    /// Freshness that the class of the entry asks for.
     pub freshness: Freshness,
-    /// When it came to this instance.
+    /// Time at which the read arrived at this instance.
     pub began: Instant,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Instant,
-    /// The statement's [`crate::statement::fingerprint`].
+    /// [`crate::statement::fingerprint`] of the statement.
     pub fingerprint: u64,
-    /// Whether an answer to it was discarded before.
+    /// Evidence needed, which grows with each discarded answer.
     pub trust: Trust,
 }
 
 impl Read {
-    /// A read by a session whose floor is unknown, with session freshness.
+    /// Creates a read of a session with an unknown floor, with session freshness.
     pub fn new(began: Instant, deadline: Instant) -> Self {
         Self {
             floor: Floor::Unknown { since: began },
@@ -52,13 +53,13 @@
         }
     }
 
-    /// The same read with this floor.
+    /// Returns the read with this floor.
     pub fn floor(mut self, floor: Floor) -> Self {
         self.floor = floor;
         self
     }
 
-    /// The same read after an answer to it did not pass.
+    /// Returns the read after an answer from `target` was discarded.
     pub fn discarded(mut self, target: Target) -> Self {
         self.trust = match (target, self.trust) {
             (Target::Replica, Trust::Expected) => Trust::Proved,
@@ -68,39 +69,41 @@
         self
     }
 
-    /// The same read with this freshness.
+    /// Returns the read with this freshness.
     pub fn freshness(mut self, freshness: Freshness) -> Self {
         self.freshness = freshness;
         self
     }
 }
 
-/// Where a read goes.
+/// The choice made for a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Choice {
-    /// To this replica; [`crate::Router::verify`] then judges the answer.
+    /// Send the read to this replica; [`crate::Router::verify`] then checks the answer.
     Replica(name::Upstream),
-    /// To the primary, judged with [`crate::Target::Primary`].
+    /// Send the read to the primary; the answer is checked for
+    /// [`crate::Target::Primary`].
     Primary(name::Upstream),
-    /// To the primary, and the answer is held until a majority confirms its
-    /// term by answers to questions sent after the read began.
+    /// Send the read to the primary, and hold the answer until a majority confirms the
+    /// primary's term in answers to queries sent after the read began.
     Confirmed(name::Upstream),
-    /// Choose again at `until`, or earlier when this upstream reports; where
-    /// [`Read::trust`] wants proof, ask it for its position at `until` first.
+    /// Choose again at `until`, or earlier when this upstream reports. If
+    /// [`Read::trust`] needs a reported position, query the upstream at `until`
+    /// first.
     Wait {
-        /// The replica that is expected to catch up.
+        /// Replica that is expected to catch up.
         upstream: name::Upstream,
-        /// When it is expected to have caught up.
+        /// Time at which the replica is expected to have caught up.
         until: Instant,
     },
-    /// Want a round ([`session::Round`]) and choose again when one ends.
+    /// Request a round ([`session::Round`]) and choose again when one ends.
     AwaitRound,
-    /// No upstream can serve it now but one may soon, as during a change of
-    /// primary: choose again after the next event, at `until` at the latest.
+    /// No upstream can serve the read now but one may soon, for example after a change
+    /// of primary: choose again after the next event, at `until` at the latest.
     Hold {
-        /// The read's deadline.
+        /// Deadline of the read.
         until: Instant,
     },
-    /// Nothing can serve it; it did not run.
+    /// No upstream can serve the read, which has not run.
     Refuse(Cause),
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one database: takes in what is observed, chooses upstreams.
+//! The router of one database: tracks its upstreams and chooses among them.
 
 use std::time::Duration;
 
@@ -11,27 +11,28 @@
     node::Node, verify,
 };
 
-/// The constants that routing works with.
+/// Settings of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Conf {
-    /// How long a read may wait for a replica rather than go to the primary.
+    /// Longest wait of a read for a replica before the read goes to the primary.
     pub max_replica_wait: Duration,
-    /// How much later than the primary's a replica's answer may be expected
-    /// before the primary takes the read.
+    /// Largest expected lead of the primary's answer over a replica's answer; with a
+    /// larger one, the read goes to the primary.
     pub spill_margin: Duration,
-    /// The round trip assumed inside an availability zone, until measured.
+    /// Assumed round trip inside an availability zone, until one is measured.
     pub zone_rtt: Duration,
-    /// The round trip assumed between availability zones, until measured.
+    /// Assumed round trip between availability zones, until one is measured.
     pub cross_zone_rtt: Duration,
-    /// The time on an upstream's slot assumed for a statement, until measured.
+    /// Assumed time of a statement on a slot of an upstream, until one is measured.
     pub service: Duration,
-    /// The greatest age that an entry of this database allows.
+    /// Largest age that an entry of this database allows.
     pub max_age: Duration,
-    /// How long a replica that left an age bound is held out, the first time.
+    /// Time for which a replica gets no reads under an age bound after it exceeded the
+    /// bound for the first time.
     pub exclusion: Duration,
-    /// How many writing statements are remembered.
+    /// Capacity of [`KnownWrites`].
     pub known_writes: usize,
-    /// How long a writing statement is remembered.
+    /// Time after which an entry of [`KnownWrites`] expires.
     pub known_write_ttl: Duration,
 }
 
@@ -51,40 +52,40 @@
     }
 }
 
-/// What a router is told.
+/// An event that a router tracks.
 #[derive(Debug, Clone)]
 pub enum Event<'a> {
-    /// The catalogue's upstreams of the database.
+    /// The upstreams of the database in the catalogue.
     Group(Vec<Member>),
-    /// An upstream answered a position query that was sent at `sent`, whether
-    /// on its own or pipelined with a read.
+    /// An upstream answered a status query that was sent alone or pipelined with a
+    /// read.
     Report {
-        /// Who answered.
+        /// Upstream that answered.
         upstream: &'a name::Upstream,
-        /// When this instance sent the question.
+        /// Time at which this instance sent the query.
         sent: Instant,
-        /// The answer.
+        /// Status that the upstream returned.
         report: Report,
     },
-    /// The store's record of the primary was read, or rumour brought it. It
-    /// only ever narrows the choice; what is proved rests on reports alone.
+    /// The store's record of the primary arrived, from the store or from another
+    /// instance. A record only restricts the choice; proofs use reports alone.
     Record(&'a Record),
-    /// An upstream is leaving, or was taken back.
+    /// An upstream is leaving, or returned to service.
     State(&'a name::Upstream, State),
     /// The circuit breaker of an upstream changed.
     Breaker(&'a name::Upstream, Breaker),
-    /// What an upstream has to do changed.
+    /// The load of an upstream changed.
     Load(&'a name::Upstream, Load),
-    /// A statement spent this time on a slot of the upstream.
+    /// A statement occupied a slot of the upstream for this time.
     Served(&'a name::Upstream, Duration),
     /// A replica refused a statement with [`crate::READ_ONLY`].
     Wrote {
-        /// The statement's fingerprint.
+        /// Fingerprint of the statement.
         fingerprint: u64,
     },
 }
 
-/// What the router knows of one database.
+/// The router of one database.
 #[derive(Debug, Clone)]
 pub struct Router {
     pub(crate) conf: Conf,
@@ -96,7 +97,7 @@
 }
 
 impl Router {
-    /// Makes the router of an instance in `zone`; it knows no upstream yet.
+    /// Creates the router of an instance in `zone`, without any upstreams.
     pub fn new(zone: &name::Zone, conf: Conf) -> Self {
         Self {
             conf,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Takes in an event; returns a newly confirmed round, which settles the
-    /// floors of the sessions that wait for one.
+    /// Applies an event; returns a newly confirmed round, if any, which gives a floor to
+    /// the sessions that wait for one.
     pub fn step(&mut self, now: Instant, event: Event<'_>) -> Option<Confirmed> {
         match event {
             Event::Group(members) => self.set_members(members),
@@ -132,32 +133,33 @@
         None
     }
 
-    /// The newest confirmed round.
+    /// Returns the newest confirmed round.
     pub fn confirmed(&self) -> Option<Confirmed> {
         self.history.newest()
     }
 
-    /// The lowest floor that is proved valid for a session that began at
-    /// `since`: the first round sent after it.
+    /// Returns the first round that began at `since` or later, which gives the lowest
+    /// proved floor of a session that began then.
     pub fn first_round_since(&self, since: Instant) -> Option<Confirmed> {
         self.history.first_since(since)
     }
 
-    /// The upstream that leads, as far as is known here.
+    /// Returns the primary, as far as this instance knows.
     pub fn primary(&self) -> Option<&name::Upstream> {
         self.primary_node().map(|node| &node.member.upstream)
     }
 
-    /// The newest status that the upstream gave, if it ever gave one.
+    /// Returns the newest status of the upstream, if any.
     pub fn answer(&self, upstream: &name::Upstream) -> Option<Answer> {
         self.node(upstream)?.answer
     }
 
-    /// How far the upstream's data was behind the newest confirmed round when
-    /// it last gave its status; `None` where that is not known.
+    /// Returns the lag of the upstream's data behind the newest confirmed round at its
+    /// last status; `None` if unknown.
     ///
-    /// It is not counted from now: while no majority confirms a round, nobody
-    /// knows what an upstream lacks, and all would seem to fall behind.
+    /// The lag is not measured from the present time: while no majority confirms a
+    /// round, the missing data is unknown, and all upstreams would seem to fall
+    /// behind.
     pub fn lag(&self, upstream: &name::Upstream) -> Option<Duration> {
         let node = self.node(upstream)?;
         let newest = self.confirmed()?.since;
@@ -168,10 +170,10 @@
         self.nodes.iter().find(|n| n.member.upstream == *upstream)
     }
 
-    /// Judges an answer, which came at `now`, by the position that was asked
-    /// ahead of the read on the same connection.
+    /// Checks an answer that arrived at `now` against the status queried ahead of the
+    /// read on the same connection.
     ///
-    /// Hand that report to [`Router::step`] first: it may be news.
+    /// Pass this report to [`Router::step`] first, since it may confirm a new round.
     pub fn verify(&self, now: Instant, report: &Report, read: &Read, target: Target) -> Verdict {
         let read = self.with_floor(read);
         verify::verify_age(now, &self.history, report, &read, target)
@@ -249,8 +251,8 @@
         Some(round)
     }
 
-    /// The node that leads: the one that claims so in the highest term, unless
-    /// the record tells of a later term.
+    /// Returns the node that reports itself as primary in the highest term or, if the
+    /// record has a later term, the primary of the record.
     pub(crate) fn primary_node(&self) -> Option<&Node> {
         let claims = |node: &&Node| {
             let primary = node.answer.map(|answer| answer.report.role);
@@ -273,8 +275,8 @@
         }
     }
 
-    /// Whether the node's log is known to have left the lineage: it is of an
-    /// earlier term and went on past the place where the next one forked off.
+    /// Returns true if the node's log is known to have diverged: its term is earlier
+    /// than the record's, and its position is past the fork of the record's term.
     pub(crate) fn has_diverged(&self, node: &Node) -> bool {
         let (Some(record), Some(position)) = (&self.record, node.position()) else {
             return false;
--- a/crates/route/src/statement.rs
+++ b/crates/route/src/statement.rs
@@ -1,18 +1,18 @@
-//! What a statement is, as far as routing must know.
+//! Classifies statements for routing.
 //!
-//! The classification errs towards the primary. What it takes for a read but
-//! proves to write is refused by a replica (SQLSTATE 25006), which proves that
-//! it did not run. Whether a transaction is open is never guessed from the
-//! text: the daemon reads that from the server's ready message.
+//! In doubt, a statement goes to the primary. A write that is classified as a read is
+//! refused by the replica (SQLSTATE 25006) and has not run. The state of a
+//! transaction is never derived from the text: the daemon takes it from the server's
+//! `ReadyForQuery` message.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::lex::{Lexer, Piece};
 
-/// What a query text is.
+/// The kind of a query text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind<'a> {
-    /// Only reads, as far as the text shows: a replica may run it.
+    /// Only reads, as far as the text shows, so that a replica may run the text.
     Read,
     /// Writes, locks, or changes something outside its transaction.
     Write,
@@ -20,39 +20,39 @@
     Begin(Access),
     /// Ends the transaction and keeps its effects.
     Commit,
-    /// Ends the transaction and takes its effects back.
+    /// Ends the transaction and discards its effects.
     Rollback,
     /// Sets a session parameter.
     Set {
-        /// The parameter, as written.
+        /// Name of the parameter, as written.
         name: &'a str,
-        /// The value without its quotes.
+        /// Value without its quotes.
         value: &'a str,
     },
     /// Shows a session parameter.
     Show {
-        /// The parameter, as written.
+        /// Name of the parameter, as written.
         name: &'a str,
     },
-    /// Copies in or out, with its own messages.
+    /// Runs `COPY`, which has its own messages.
     Copy,
-    /// Nothing but white space and comments.
+    /// Contains only white space and comments.
     Empty,
-    /// Anything else, and texts of several statements that are not all reads.
+    /// Anything else, including several statements that are not all reads.
     Other,
 }
 
-/// What an opened transaction says it will do.
+/// The access mode of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// It may write.
+    /// The transaction may write.
     ReadWrite,
-    /// It declares that it only reads.
+    /// The transaction is declared read-only.
     ReadOnly,
 }
 
-/// Functions that a replica would run, or run differently, though they change
-/// state that outlives the statement: locks, sequences, settings, messages.
+/// Functions that change state beyond the statement: locks, sequences, settings and
+/// notifications. A replica could run them, or run them with another result.
 const WRITING_FUNCTIONS: [&str; 9] = [
     "nextval",
     "setval",
@@ -68,7 +68,8 @@
 const MODIFYING: [&str; 4] = ["insert", "update", "delete", "merge"];
 const LOCKING: [&str; 4] = ["update", "share", "no", "key"];
 
-/// Tells what a query text is; of several statements, the most that any does.
+/// Returns the kind of a query text; a write among several statements makes the
+/// whole text a write.
 ///
 /// ```
 /// use route::statement::{Kind, classify};
@@ -92,7 +93,7 @@
     found
 }
 
-/// The statements of a text, without the semicolons between them.
+/// Returns the statements of a text, without the semicolons between them.
 ///
 /// ```
 /// let parts: Vec<_> = route::statement::split("select ';'; commit").collect();
@@ -114,7 +115,7 @@
     })
 }
 
-/// The key under which [`crate::KnownWrites`] remembers a statement's text.
+/// Returns the key of a statement's text in [`crate::KnownWrites`].
 pub fn fingerprint(sql: &str) -> u64 {
     xxh3_64(sql.as_bytes())
 }
@@ -147,7 +148,8 @@
     }
 }
 
-/// A statement that starts as a read does, unless a later word says otherwise.
+/// Classifies a statement that starts like a read: a write if a later word makes it
+/// one, else a read.
 fn classify_read<'a>(pieces: impl Iterator<Item = Piece<'a>>, modifying: &[&str]) -> Kind<'a> {
     let mut last = "";
     for piece in pieces {
@@ -198,7 +200,8 @@
     found
 }
 
-/// `COMMIT PREPARED` writes, and `ROLLBACK TO` leaves the transaction open.
+/// Classifies the end of a transaction: `COMMIT PREPARED` writes, while `ROLLBACK TO`
+/// and `AND CHAIN` leave a transaction open.
 fn classify_end<'a>(mut pieces: impl Iterator<Item = Piece<'a>>, kind: Kind<'a>) -> Kind<'a> {
     let special = pieces.find_map(|piece| match piece {
         Piece::Word(word) if is_one_of(word, &["prepared"]) => Some(Kind::Write),
@@ -236,7 +239,7 @@
     }
 }
 
-/// The value of a setting, without comments before or behind it.
+/// Returns the value of a setting, without comments before or behind it.
 fn value(text: &str) -> &str {
     let mut lexer = Lexer::new(text);
     let mut span: Option<(usize, usize)> = None;
@@ -260,12 +263,12 @@
     inner.unwrap_or(text)
 }
 
-/// Where `part`, which was cut from `sql`, starts in it.
+/// Returns the offset of `part` in `sql`; `part` must be a slice of `sql`.
 fn offset(sql: &str, part: &str) -> usize {
     part.as_ptr() as usize - sql.as_ptr() as usize
 }
 
-/// A name may have two parts, such as `dandelionlink.token`.
+/// Classifies `SHOW`, whose name may have two parts, as in `dandelionlink.token`.
 fn classify_show<'a>(sql: &'a str, pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
     let mut span: Option<(usize, usize)> = None;
     for piece in pieces {
--- a/crates/route/src/tag.rs
+++ b/crates/route/src/tag.rs
@@ -1,20 +1,20 @@
-//! Tags that a caller puts into a comment, in the published sqlcommenter form.
+//! Tags in a comment of a statement, in the sqlcommenter format.
 //!
-//! `/*class='calendar',request='r%2D17'*/`: keys and values are URL-encoded,
-//! values stand in single quotes, and a quote inside is escaped by a backslash.
+//! In `/*class='calendar',request='r%2D17'*/`, keys and values are URL-encoded,
+//! values are in single quotes, and a quote inside is escaped by a backslash.
 
 use crate::lex::{Lexer, Piece};
 
-/// What a caller says of its request in a comment.
+/// The tags of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tags {
-    /// The class that the request asks for.
+    /// Class that the request asks for.
     pub class: Option<String>,
-    /// The id under which the request is recorded, so that a repeat finds it.
+    /// Request id, by which a repeat gets the outcome of the first run.
     pub request: Option<String>,
 }
 
-/// Reads the tags from all block comments of a text; the last one counts.
+/// Reads the tags from all block comments of a text; the last tag of a name counts.
 ///
 /// ```
 /// let tags = route::tag::parse("select 1 /*class='calendar',request='r%2D17'*/");
@@ -50,7 +50,7 @@
     }
 }
 
-/// The place of the quote that ends a value.
+/// Returns the position of the quote that ends a value.
 fn quote_end(text: &str) -> Option<usize> {
     let mut escaped = false;
     for (at, c) in text.char_indices() {
@@ -64,7 +64,8 @@
     None
 }
 
-/// Undoes URL encoding and escaped quotes; `None` when that gives no text.
+/// Decodes URL encoding and escaped quotes; returns `None` if the result is not
+/// UTF-8 text or an escape is incomplete.
 fn decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
--- a/crates/route/src/trend.rs
+++ b/crates/route/src/trend.rs
@@ -1,4 +1,4 @@
-//! Whether a replica is catching up, keeping pace or falling behind.
+//! Estimates the pace and the delay of a replica's replay.
 
 use std::time::Duration;
 
@@ -9,9 +9,11 @@
 const MAX_PACE: f64 = 10.0;
 const MIN_PACE: f64 = 0.05;
 
-/// How fast the moment that a replica shows moves, per second of real time.
+/// Estimated pace and delay of a replica.
 ///
-/// 1 keeps pace with the primary, more catches up, less falls behind.
+/// The pace is the progress of the data that the replica shows, in seconds per second
+/// of real time: at 1 the replica keeps up with the primary, above 1 it catches up,
+/// below 1 it falls behind.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Trend {
     last: Option<(Instant, Instant)>,
@@ -19,14 +21,14 @@
     delay: Duration,
 }
 
-/// Where a replica stood among the rounds when it was asked.
+/// The position of a replica among the confirmed rounds at a status query.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Observation {
-    /// When it was asked.
+    /// Time at which the query was sent.
     pub(crate) sent: Instant,
-    /// The first round at which the primary had what the replica shows.
+    /// First round at which the primary had the data that the replica shows.
     pub(crate) reached: Instant,
-    /// The first round that the replica has not reached, if any.
+    /// First round that the replica has not reached, if any.
     pub(crate) missed: Option<Instant>,
 }
 
@@ -39,9 +41,11 @@
         }
     }
 
-    /// The replica showed the data of `as_of` when the newest round was
-    /// `newest`. Both ends are rounds, so that a pause in the rounds, as
-    /// during a change of primary, does not pass for a replica that stalls.
+    /// Updates the pace: the replica showed the data of `as_of` when the newest round
+    /// was `newest`.
+    ///
+    /// Both are times of rounds, so that a pause in the rounds, for example during a
+    /// change of primary, is not taken for a stall of the replica.
     pub(crate) fn update_pace(&mut self, newest: Instant, as_of: Instant) {
         let Some((last_newest, last_as_of)) = self.last else {
             self.last = Some((newest, as_of));
@@ -57,10 +61,10 @@
         self.last = Some((newest, as_of));
     }
 
-    /// Learns the usual delay from an observation of the replica.
+    /// Updates the usual delay from an observation of the replica.
     ///
-    /// A round that it missed tells how late it is at least; one that it has
-    /// reached, when it has missed none, how late it is at most.
+    /// The first round that the replica has missed gives a lower limit of its delay.
+    /// If it has missed none, the round that it has reached gives an upper limit.
     pub(crate) fn update_delay(&mut self, observation: Observation) {
         let bound = match observation.missed {
             Some(missed) => observation.sent.since(missed).max(self.delay),
@@ -70,7 +74,7 @@
         self.delay = Duration::from_secs_f64(moved);
     }
 
-    /// Whether the replica was only as late as usual.
+    /// Returns true if the replica was no later than usual.
     pub(crate) fn is_usual(self, observation: Observation) -> bool {
         let observed = observation
             .missed
@@ -78,18 +82,19 @@
         observed.is_none_or(|observed| observed <= self.delay + MIN_SPAN)
     }
 
-    /// How late the replica usually is.
+    /// Returns the usual delay of the replica.
     pub(crate) fn delay(self) -> Duration {
         self.delay
     }
 
-    /// How far it will have come after `span`, at no more than real time's
-    /// pace: a guess that is too high would be paid with a discarded answer.
+    /// Returns the expected progress of the replica in `span`, at most `span` itself: an
+    /// estimate that is too high would cost a discarded answer.
     pub(crate) fn expected_progress(self, span: Duration) -> Duration {
         span.mul_f64(self.pace.min(1.0))
     }
 
-    /// How long it takes to show `gap` more, or `None` when it does not move.
+    /// Returns the expected time until the replica shows data newer by `gap`; `None` if
+    /// the replica is stalled.
     pub(crate) fn time_to_cover(self, gap: Duration) -> Option<Duration> {
         (self.pace > MIN_PACE).then(|| gap.div_f64(self.pace))
     }
--- a/crates/route/src/verify.rs
+++ b/crates/route/src/verify.rs
@@ -1,12 +1,12 @@
-//! The proof that a read's answer was fresh enough.
+//! Verifies that the answer to a read was fresh enough.
 //!
-//! A report is a lower bound of an upstream's position only while its server
-//! keeps running in one lineage. A replica that restarts may come back at an
-//! earlier place, and an old primary that follows a new term is rewound; a
-//! choice made on the report before would then serve a stale answer. So the
-//! position query is pipelined on the same connection ahead of the read: a
-//! restart or a rewind closes the connection, so whatever answers both is at
-//! or past the position it named. An answer that does not pass is discarded.
+//! A reported position is a lower limit only while the server keeps running in one
+//! lineage. A replica may restart at an earlier position, and an old primary is
+//! rewound when it follows a new term, so a choice by an earlier report could serve a
+//! stale answer. A position query is therefore pipelined on the same connection ahead
+//! of the read. A restart or a rewind closes the connection, so a server that answers
+//! both has run the read at or past the reported position. An answer that fails the
+//! check is discarded.
 
 use clock::Instant;
 use model::{Freshness, Position, Report, Role};
@@ -14,34 +14,34 @@
 
 use crate::{History, Read, confirm};
 
-/// Whether an answer may be given to the caller.
+/// The result of the check of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is fresh enough.
+    /// The answer is fresh enough.
     Fresh,
     /// The upstream had not reached the session's floor.
     Behind,
-    /// Its age is greater than allowed, or is not proved.
+    /// The answer is older than allowed, or its age can't be proved.
     Old,
-    /// The upstream was to be the primary and is not.
+    /// The upstream was chosen as the primary and is not the primary.
     Deposed,
-    /// The session's floor is still unknown: nothing can be proved.
+    /// The session's floor is still unknown, so nothing can be proved.
     Unproved,
 }
 
-/// What the read was sent to the upstream as.
+/// The role for which the upstream of a read was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
     /// A replica, chosen by its position.
     Replica,
-    /// The primary of a term that no majority confirmed for this read.
+    /// The primary, of a term that no majority has confirmed for this read.
     Primary,
 }
 
-/// Checks the position that was asked ahead of a read against its floor.
+/// Checks the status queried ahead of a read against the read's floor.
 ///
-/// The floor of `read` must be known; see [`crate::Router::verify`] for the
-/// check that knows the history and therefore ages and unknown floors too.
+/// The floor of `read` must be known. [`crate::Router::verify`] has the history and
+/// therefore also checks ages and reads with an unknown floor.
 ///
 /// ```
 /// use clock::Instant;
@@ -74,7 +74,7 @@
     Verdict::Fresh
 }
 
-/// Checks the age as well.
+/// Checks the floor like [`verify`], and the age of the answer.
 pub(crate) fn verify_age(
     now: Instant,
     history: &History,
@@ -95,10 +95,11 @@
     }
 }
 
-/// What an upstream must have reached.
+/// Returns the position that an upstream must have reached.
 ///
-/// What was seen but is not acknowledged may be lost by a change of primary:
-/// a replica must have reached it, the primary need only be of its term.
+/// A change of primary may lose a write that was seen but not acknowledged. A replica
+/// must therefore have reached the position that was seen, while a primary only needs
+/// a log of its term or a later one.
 pub(crate) fn demand(floor: Position, seen: Option<Position>, target: Target) -> Position {
     let Some(seen) = seen else {
         return floor;
--- a/crates/route/tests/group/mod.rs
+++ b/crates/route/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of three upstreams, u0 leading, as a router observes it.
+//! A group of three upstreams with the primary u0, as observed by a router.
 
 use clock::Instant;
 use model::{Lsn, Position, Report, Role, Term, name};
@@ -29,7 +29,8 @@
 }
 
 impl Group {
-    /// Everyone stands at 1@`now` at `now`, and has kept pace for a second.
+    /// Creates a group in which every upstream is at position `now` of term 1 at the time
+    /// `now`, after a second without lag.
     pub(crate) fn steady(now: u64) -> Self {
         Self::with(now, Conf::default())
     }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! Routing under the failures that the brief names.
+//! Tests of routing under faults of replicas, primaries and zones.
 
 mod group;
 
@@ -28,9 +28,8 @@
     }
 }
 
-/// Symptom: a booking is missing in the calendar right after it was made.
-/// Events: the replica falls seconds behind; the session reads its own write.
-/// Cause: the replica was chosen though it had not reached the floor.
+/// Guards against a session that misses its own write: replicas fall seconds behind,
+/// and a read goes to one that has not reached the session's floor.
 #[test]
 fn a_lagging_replica_gets_no_read_above_its_position() {
     let mut group = Group::steady(1_000);
@@ -52,9 +51,9 @@
     assert!(matches!(group.choose(1_995, &old), Choice::Replica(_)));
 }
 
-/// Symptom: a caller that roamed with nothing misses its own write. Events: it
-/// wrote at an instance that has since died. Cause: without a token no
-/// position is known, and whatever peers tell may be from before the write.
+/// Guards against a session without a token that misses its own write. The session
+/// wrote at an instance that has crashed since, and positions known to other instances
+/// may be from before the write.
 #[test]
 fn a_session_without_a_token_waits_for_a_round_sent_after_it_began() {
     let mut group = Group::steady(1_000);
@@ -68,9 +67,9 @@
     assert!(matches!(group.choose(1_004, &read), Choice::Replica(_)));
 }
 
-/// Symptom: a zone that is cut off serves stale reads as current ones. Events:
-/// the old primary and the callers beside it are cut off; the others promote a
-/// new one and acknowledge writes. Cause: the old primary's word was believed.
+/// Guards against stale reads in a zone that is cut off. The old primary still reports
+/// itself as primary to callers in its zone, while the other upstreams promote a new
+/// one and acknowledge writes.
 #[test]
 fn a_cut_off_primary_confirms_nothing() {
     let mut group = Group::steady(1_000);
@@ -91,9 +90,8 @@
     assert_eq!(verdict, Verdict::Old);
 }
 
-/// Symptom: stale reads after a failover. Events: a majority is fenced to term
-/// 2 while the old primary still answers. Cause: its round was counted though
-/// a later term may already acknowledge.
+/// Guards against stale reads after a failover: the old primary still answers although
+/// a majority is fenced to term 2, which may already acknowledge writes.
 #[test]
 fn a_fenced_majority_ends_the_old_terms_rounds() {
     let mut group = Group::steady(1_000);
@@ -109,10 +107,9 @@
     assert_eq!(group.router.confirmed(), Some(before));
 }
 
-/// Symptom: after a change of primary a session misses what it wrote before.
-/// Events: write at 1@990 acknowledged; u1 leads term 2 from fork 1000; u2
-/// carries term 2 but lags behind the fork. Cause: a higher term alone was
-/// taken for a higher place.
+/// Guards against a session that misses its write after a change of primary. The write
+/// at 990 in term 1 is acknowledged, u1 is the primary of term 2 from the fork at 1000,
+/// and u2 has a log of term 2 that lags behind the fork.
 #[test]
 fn after_a_change_of_primary_both_term_and_log_position_count() {
     let mut group = Group::steady(1_000);
@@ -134,9 +131,9 @@
     );
 }
 
-/// Symptom: a read shows a booking that was never confirmed and then is gone.
-/// Events: the old primary ran on past the fork; it comes back as a replica
-/// that still has its own tail. Cause: its high place looked fresh.
+/// Guards against a read of writes that were never acknowledged and disappear again. The
+/// old primary wrote past the fork and returns as a replica with these writes, so its
+/// high position looks fresh.
 #[test]
 fn a_diverged_replica_gets_no_reads() {
     let mut group = Group::steady(1_000);
@@ -156,10 +153,9 @@
     );
 }
 
-/// Symptom: a stale answer from a replica that had reported the floor. Events:
-/// the old primary reports 1@1000, is rewound to follow term 2 and comes back
-/// at an earlier place; the read is on its way by then. Cause: a report from
-/// before the restart was taken for the position at the answer.
+/// Guards against a stale answer from an upstream that had reported the floor. The old
+/// primary reports 1000 in term 1 and is rewound to an earlier position of term 2 while
+/// a read is in flight.
 #[test]
 fn an_upstream_that_was_rewound_is_caught_by_the_position_ahead_of_the_read() {
     let mut group = Group::steady(1_000);
@@ -172,7 +168,7 @@
         .router
         .verify(at(1_004), &rewound, &read, Target::Replica);
     assert_eq!(verdict, Verdict::Behind);
-    // The broken variant judges by the report known when it chose.
+    // A check against the report that was known at the choice would not notice.
     let earlier = group::report(Role::Replica, 1, 1_000);
     let broken = group
         .router
@@ -180,9 +176,8 @@
     assert_eq!(broken, Verdict::Fresh);
 }
 
-/// Symptom: a read runs in circles until its deadline. Events: the answer was
-/// discarded; the same replica is expected to have caught up, again wrongly.
-/// Cause: the same guess was trusted twice.
+/// Guards against a read that is retried until its deadline: an answer was discarded,
+/// and the same replica is again wrongly expected to have caught up.
 #[test]
 fn after_a_discarded_answer_only_proved_positions_count() {
     let mut group = Group::steady(1_000);
@@ -200,8 +195,8 @@
     assert_eq!(end, Choice::Confirmed(group::upstream("u0")));
 }
 
-/// Symptom: a current read shows an old shelf status. Cause: it was served by
-/// a replica, or a primary, that nobody had asked since the read began.
+/// Guards against a current read that shows old data, because it was served by an
+/// upstream that was not queried since the read began.
 #[test]
 fn a_current_read_needs_a_round_of_its_own() {
     let mut group = Group::steady(1_000);
@@ -210,7 +205,7 @@
         group.choose(1_001, &current),
         Choice::Confirmed(group::upstream("u0"))
     );
-    // With a long queue on the primary, a round and a replica are sooner.
+    // With a long queue on the primary, a round and a replica are faster.
     let load = Load {
         in_flight: 2,
         queued: 40,
@@ -223,8 +218,8 @@
     assert!(matches!(group.choose(1_007, &current), Choice::Replica(_)));
 }
 
-/// Symptom: reads fail while the primary changes. Cause: a read that could
-/// have waited was refused.
+/// Guards against reads that are refused during a change of primary although they
+/// could wait.
 #[test]
 fn without_a_primary_known_floors_are_served_and_others_wait() {
     let mut group = Group::steady(1_000);
@@ -245,7 +240,7 @@
     assert_eq!(group.choose(1_502, &waits), Choice::Refuse(Cause::Deadline));
 }
 
-/// Symptom: an upstream that leaves, or fails, still gets reads.
+/// Guards against reads on an upstream that is leaving or whose breaker is open.
 #[test]
 fn leaving_and_broken_upstreams_get_nothing_new() {
     let mut group = Group::steady(1_000);
@@ -292,8 +287,8 @@
     );
 }
 
-/// Symptom: reads wait for a replica that never comes. Events: replay stalls.
-/// Cause: the wait was reckoned from the lag alone, not from whether it shrinks.
+/// Guards against reads that wait for a replica whose replay is stalled, because the
+/// wait was estimated from the lag alone and not from its trend.
 #[test]
 fn a_stalled_replica_is_not_waited_for() {
     let mut group = Group::steady(1_000);
@@ -309,22 +304,23 @@
     );
 }
 
-/// Symptom: calendar reads jump between replica and primary many times a
-/// second. Events: a replica's age swings about its bound. Cause: it came back
-/// in as soon as it was within the bound again, as the variant without hold does.
+/// Guards against reads that alternate between a replica and the primary many times a
+/// second, because the age of the replica varies around its bound. The variant without
+/// an exclusion shows the fault.
 #[test]
 fn a_replica_at_its_age_bound_does_not_flap() {
     let undamped = changes_at_the_bound(Duration::ZERO);
     assert!(undamped.len() > 80);
     let damped = changes_at_the_bound(Duration::from_millis(50));
     assert!(damped.len() <= 14, "{damped:?}");
-    // The hold doubles, so that the changes die out: in the last half of the
-    // time it comes in once more at most.
+    // The exclusion doubles each time: in the second half of the run, the replica
+    // returns once at most.
     let late = damped.iter().filter(|&&tick| tick >= 200).count();
     assert!(late <= 2, "{damped:?}");
 }
 
-/// The reads, of 400, at which the replica came in or went out.
+/// Returns the numbers of the reads, out of 400, at which the replica started or
+/// stopped serving.
 fn changes_at_the_bound(exclusion: Duration) -> Vec<u64> {
     let bound = Duration::from_millis(200);
     let conf = Conf {
@@ -342,7 +338,7 @@
     for tick in 0..400 {
         let now = 1_010 + tick * 10;
         group.report_primary(now, 1, now);
-        // Its lag swings between 180 and 220 ms every 40 ms.
+        // The lag alternates between 180 and 220 ms every 40 ms.
         let lag = if tick % 8 < 4 { 180 } else { 220 };
         group.report_replica("u1", now, 1, now - lag);
         group.report_replica("u2", now, 1, now);
@@ -356,9 +352,8 @@
     changes
 }
 
-/// Symptom: data older than allowed is served. Events: this instance's own
-/// probes are slow, so the primary's position is from long before its answer
-/// came. Cause: the age was counted from the answer's arrival.
+/// Guards against data older than allowed: with slow queries, the primary's position is
+/// from long before the answer's arrival, so the age must count from the query.
 #[test]
 fn age_counts_from_when_the_question_was_sent() {
     let mut group = Group::steady(1_000);
--- a/crates/route/tests/share.rs
+++ b/crates/route/tests/share.rs
@@ -1,4 +1,4 @@
-//! Bounds on the replica share, on exact seeded counts in virtual time.
+//! Bounds on the replica share, by seeded simulations in virtual time.
 
 #[path = "../examples/share/setup.rs"]
 #[allow(dead_code)]
@@ -45,8 +45,8 @@
     }
 }
 
-/// Symptom: sessions miss their own writes. Cause: the broken variant gives
-/// answers out on what replicas were expected to have reached.
+/// Checks that the simulation detects stale answers: without verification, answers are
+/// returned by the position that a replica was expected to have reached.
 #[test]
 fn routing_without_verification_serves_stale_answers() {
     let broken = tally(
--- a/crates/route/tests/statement.rs
+++ b/crates/route/tests/statement.rs
@@ -1,4 +1,4 @@
-//! Statements: what they are taken for, and that no text panics.
+//! Tests of the classification of statements and of the parsing of arbitrary text.
 
 use std::time::Duration;
 
@@ -132,8 +132,8 @@
     assert_eq!(tag::parse("select '/*class=''a''*/'"), tag::Tags::default());
 }
 
-/// Symptom: one client's odd text takes the daemon down. Cause it guards
-/// against: slicing a text between the bytes of a character.
+/// Guards against a panic of the daemon on a client's text, as slicing between the bytes
+/// of a character causes.
 #[test]
 fn arbitrary_text_does_not_panic_and_is_split_without_loss() {
     let piece = prop_oneof![
@@ -156,8 +156,8 @@
         .unwrap();
 }
 
-/// Symptom: a delete runs where only reads should. Cause it guards against: a
-/// quote or comment that hides the statement behind it.
+/// Guards against a `DELETE` that is classified as a read, because a quote or comment
+/// ahead hides the statement.
 #[test]
 fn a_write_behind_any_closed_quote_is_seen() {
     let hiding = prop_oneof![
