--- a/crates/route/src/trend.rs
+++ b/crates/route/src/trend.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 
-const MIN_SPAN: Duration = Duration::from_millis(50);
+const WINDOW: Duration = Duration::from_millis(50);
 const WEIGHT: f64 = 0.3;
 const MAX_PACE: f64 = 10.0;
 const MIN_PACE: f64 = 0.05;
@@ -52,7 +52,7 @@
             return;
         };
         let span = newest.since(last_newest);
-        if span < MIN_SPAN {
+        if span < WINDOW {
             return;
         }
         let moved = as_of.since(last_as_of).as_secs_f64();
@@ -79,7 +79,7 @@
         let observed = observation
             .missed
             .map(|missed| observation.sent.since(missed));
-        observed.is_none_or(|observed| observed <= self.delay + MIN_SPAN)
+        observed.is_none_or(|observed| observed <= self.delay + WINDOW)
     }
 
     /// Returns the usual delay of the replica.
