--- a/crates/pg/src/codec.rs
+++ b/crates/pg/src/codec.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The length field is smaller than the field itself.
-    #[error("message of type {tag:?}: length field {length} is too small")]
+    #[error("a message of type {tag:?} says that it has {length} bytes")]
     Short {
         /// Type of the message.
         tag: char,
@@ -28,7 +28,7 @@
         length: u32,
     },
     /// The message exceeds the size limit.
-    #[error("message of type {tag:?} has {length} bytes, the limit is {most}")]
+    #[error("a message of type {tag:?} has {length} bytes, the most is {most}")]
     Oversized {
         /// Type of the message.
         tag: char,
@@ -38,7 +38,7 @@
         most: usize,
     },
     /// The body does not have the layout of the message's type.
-    #[error("message of type {tag:?} is malformed: {what}")]
+    #[error("a message of type {tag:?} is malformed: {what}")]
     Malformed {
         /// Type of the message.
         tag: char,
@@ -46,10 +46,10 @@
         what: &'static str,
     },
     /// A message of this type must not be sent to this side.
-    #[error("unexpected message of type {0:?}")]
+    #[error("a message of type {0:?} is not expected here")]
     Unexpected(char),
     /// The connection failed.
-    #[error("connection failed: {0}")]
+    #[error("the connection broke: {0}")]
     Io(#[from] std::io::Error),
 }
 
--- a/crates/pg/src/front.rs
+++ b/crates/pg/src/front.rs
@@ -82,7 +82,7 @@
         return Ok(Some(Startup::Version { major, minor }));
     }
     if packet.len() == 8 || packet.last() != Some(&0) {
-        return Err(malformed("the parameters are not terminated"));
+        return Err(malformed("the parameters don't end"));
     }
     let session = startup::Startup::decode(&mut packet, &context)
         .ok()
@@ -142,7 +142,7 @@
     let mut buf = BytesMut::from(frame.bytes());
     let malformed = Error::Malformed {
         tag,
-        what: "the body can't be decoded",
+        what: "its contents",
     };
     match PgWireFrontendMessage::decode(&mut buf, &context) {
         Ok(Some(PgWireFrontendMessage::Parse(it))) => Ok(Frontend::Parse(it)),
@@ -158,12 +158,12 @@
     let body = frame.body();
     let text = body.strip_suffix(&[0]).ok_or(Error::Malformed {
         tag: 'Q',
-        what: "no terminating zero",
+        what: "no end",
     })?;
     let text = std::str::from_utf8(text);
     let text = text.map_err(|_| Error::Malformed {
         tag: 'Q',
-        what: "the text is not UTF-8",
+        what: "not UTF-8",
     })?;
     Ok(Frontend::Query(text.to_owned()))
 }
@@ -188,19 +188,19 @@
 
     fn text(&mut self) -> Result<&'a str, Error> {
         let Some(end) = self.rest.iter().position(|&byte| byte == 0) else {
-            return self.fail("a text is not terminated");
+            return self.fail("a text without an end");
         };
         let (text, rest) = self.rest.split_at(end);
         self.rest = &rest[1..];
         std::str::from_utf8(text).map_err(|_| Error::Malformed {
             tag: self.tag,
-            what: "a text is not UTF-8",
+            what: "a text that is not UTF-8",
         })
     }
 
     fn skip(&mut self, count: usize) -> Result<(), Error> {
         if self.rest.len() < count {
-            return self.fail("the body is shorter than its counts");
+            return self.fail("shorter than its counts say");
         }
         self.rest = &self.rest[count..];
         Ok(())
@@ -211,14 +211,14 @@
             return self.fail("a count is missing");
         }
         let count = self.rest.get_i16();
-        usize::try_from(count).or_else(|_| self.fail("a count is negative"))
+        usize::try_from(count).or_else(|_| self.fail("a negative count"))
     }
 
     fn end(&self) -> Result<(), Error> {
         if self.rest.is_empty() {
             Ok(())
         } else {
-            self.fail("bytes follow the end")
+            self.fail("bytes after its end")
         }
     }
 }
--- a/crates/request/src/ledger.rs
+++ b/crates/request/src/ledger.rs
@@ -41,13 +41,13 @@
     Expired,
     /// The time of the id is too far in the future, so cleaning would keep the id
     /// longer than others.
-    #[error("the time of the request id is in the future")]
+    #[error("the request id is from the future")]
     Future,
     /// The id was used with another statement.
     #[error("the request id was used for another statement")]
     Reused,
     /// The row in the ledger has another format.
-    #[error("the ledger row of the request id is malformed")]
+    #[error("the ledger's row of the request id can't be read")]
     Unreadable,
 }
 
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -33,23 +33,23 @@
     #[error("the session token is not base64url")]
     Encoding,
     /// The length does not fit the format.
-    #[error("the session token has an invalid length of {0} bytes")]
+    #[error("the session token has a wrong length of {0} bytes")]
     Length(usize),
     /// The version of the format is not supported.
-    #[error("version {0} of the session token is not supported")]
+    #[error("the session token has version {0}, which is not known here")]
     Version(u8),
     /// The token was signed with a key that this instance does not have, or no
     /// longer has.
-    #[error("the session token was signed with the unknown key {0}")]
+    #[error("the session token was signed with key {0}, which is not held here")]
     Key(u8),
     /// The signature is invalid: the token is corrupt or forged.
-    #[error("the signature of the session token is invalid")]
+    #[error("the session token's signature does not fit")]
     Signature,
     /// The token belongs to another database.
     #[error("the session token belongs to another database")]
     Database,
     /// The secret is too short.
-    #[error("a session key needs at least {MIN_SECRET} bytes, got {0}")]
+    #[error("a session key has at least {MIN_SECRET} bytes, this one has {0}")]
     Secret(usize),
 }
 
