--- a/crates/route/src/known_writes.rs
+++ b/crates/route/src/known_writes.rs
@@ -1,4 +1,4 @@
-//! Statements that looked like reads and proved to write.
+//! Statements that were classified as reads and proved to write.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,24 +7,23 @@
 
 use clock::Instant;
 
-/// The SQLSTATE with which a replica refuses a write, which proves that the
-/// statement did not run there.
+/// SQLSTATE with which a replica refuses a write. The refused statement has not run.
 pub const READ_ONLY: &str = "25006";
 
-/// A bounded memory of fingerprints that go straight to the primary.
+/// A bounded set of fingerprints of statements that go to the primary.
 ///
-/// Forgetting one costs a refused try on a replica; remembering one too long
-/// would keep a statement off the replicas after its function was mended.
+/// A missing entry costs one refused attempt on a replica. Entries expire so that a
+/// statement can run on replicas again after a function that it calls was changed.
 #[derive(Debug, Clone)]
 pub struct KnownWrites {
     capacity: usize,
     ttl: Duration,
-    until: HashMap<u64, Instant>,
+    expires_at: HashMap<u64, Instant>,
     order: VecDeque<u64>,
 }
 
 impl KnownWrites {
-    /// Remembers up to `capacity` fingerprints, each for `ttl`.
+    /// Creates a set of up to `capacity` fingerprints that expire after `ttl`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -40,29 +39,29 @@
         Self {
             capacity,
             ttl,
-            until: HashMap::new(),
+            expires_at: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// Remembers a statement that a replica refused with [`READ_ONLY`].
+    /// Adds a statement that a replica refused with [`READ_ONLY`].
     pub fn insert(&mut self, now: Instant, fingerprint: u64) {
-        let known = self.until.insert(fingerprint, now + self.ttl);
-        if known.is_some() {
+        let previous = self.expires_at.insert(fingerprint, now + self.ttl);
+        if previous.is_some() {
             return;
         }
         self.order.push_back(fingerprint);
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.until.remove(&oldest);
+            self.expires_at.remove(&oldest);
         }
     }
 
-    /// Whether the statement is known to write.
+    /// Returns true if the statement is known to write.
     pub fn contains(&self, now: Instant, fingerprint: u64) -> bool {
-        self.until
+        self.expires_at
             .get(&fingerprint)
-            .is_some_and(|&until| now < until)
+            .is_some_and(|&expires_at| now < expires_at)
     }
 }
--- a/crates/route/src/statement.rs
+++ b/crates/route/src/statement.rs
@@ -1,18 +1,18 @@
-//! What a statement is, as far as routing must know.
+//! Classifies statements for routing.
 //!
-//! The classification errs towards the primary. What it takes for a read but
-//! proves to write is refused by a replica (SQLSTATE 25006), which proves that
-//! it did not run. Whether a transaction is open is never guessed from the
-//! text: the daemon reads that from the server's ready message.
+//! In doubt, a statement goes to the primary. A write that is classified as a read is
+//! refused by the replica (SQLSTATE 25006) and has not run. The state of a
+//! transaction is never derived from the text: the daemon takes it from the server's
+//! `ReadyForQuery` message.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::lex::{Lexer, Piece};
 
-/// What a query text is.
+/// The kind of a query text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind<'a> {
-    /// Only reads, as far as the text shows: a replica may run it.
+    /// Only reads, as far as the text shows, so that a replica may run the text.
     Read,
     /// Writes, locks, or changes something outside its transaction.
     Write,
@@ -20,39 +20,39 @@
     Begin(Access),
     /// Ends the transaction and keeps its effects.
     Commit,
-    /// Ends the transaction and takes its effects back.
+    /// Ends the transaction and discards its effects.
     Rollback,
     /// Sets a session parameter.
     Set {
-        /// The parameter, as written.
+        /// Name of the parameter, as written.
         name: &'a str,
-        /// The value without its quotes.
+        /// Value without its quotes.
         value: &'a str,
     },
     /// Shows a session parameter.
     Show {
-        /// The parameter, as written.
+        /// Name of the parameter, as written.
         name: &'a str,
     },
-    /// Copies in or out, with its own messages.
+    /// Runs `COPY`, which has its own messages.
     Copy,
-    /// Nothing but white space and comments.
+    /// Contains only white space and comments.
     Empty,
-    /// Anything else, and texts of several statements that are not all reads.
+    /// Anything else, including several statements that are not all reads.
     Other,
 }
 
-/// What an opened transaction says it will do.
+/// The access mode of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// It may write.
+    /// The transaction may write.
     ReadWrite,
-    /// It declares that it only reads.
+    /// The transaction is declared read-only.
     ReadOnly,
 }
 
-/// Functions that a replica would run, or run differently, though they change
-/// state that outlives the statement: locks, sequences, settings, messages.
+/// Functions that change state beyond the statement: locks, sequences, settings and
+/// notifications. A replica could run them, or run them with another result.
 const WRITING_FUNCTIONS: [&str; 9] = [
     "nextval",
     "setval",
@@ -68,7 +68,8 @@
 const MODIFYING: [&str; 4] = ["insert", "update", "delete", "merge"];
 const LOCKING: [&str; 4] = ["update", "share", "no", "key"];
 
-/// Tells what a query text is; of several statements, the most that any does.
+/// Returns the kind of a query text; a write among several statements makes the
+/// whole text a write.
 ///
 /// ```
 /// use route::statement::{Kind, classify};
@@ -80,7 +81,7 @@
 pub fn classify(sql: &str) -> Kind<'_> {
     let mut found = Kind::Empty;
     for statement in split(sql) {
-        let kind = single(statement);
+        let kind = classify_one(statement);
         found = match (found, kind) {
             (Kind::Empty, kind) => kind,
             (found, Kind::Empty) => found,
@@ -92,7 +93,7 @@
     found
 }
 
-/// The statements of a text, without the semicolons between them.
+/// Returns the statements of a text, without the semicolons between them.
 ///
 /// ```
 /// let parts: Vec<_> = route::statement::split("select ';'; commit").collect();
@@ -114,16 +115,16 @@
     })
 }
 
-/// The key under which [`crate::KnownWrites`] remembers a statement's text.
+/// Returns the key of a statement's text in [`crate::KnownWrites`].
 pub fn fingerprint(sql: &str) -> u64 {
     xxh3_64(sql.as_bytes())
 }
 
-fn is(word: &str, any: &[&str]) -> bool {
+fn is_one_of(word: &str, any: &[&str]) -> bool {
     any.iter().any(|other| word.eq_ignore_ascii_case(other))
 }
 
-fn single(sql: &str) -> Kind<'_> {
+fn classify_one(sql: &str) -> Kind<'_> {
     let pieces = Lexer::new(sql).filter(|piece| !matches!(piece, Piece::Comment(_)));
     let mut pieces = pieces.skip_while(|&piece| piece == Piece::Symbol('('));
     let first = match pieces.next() {
@@ -132,35 +133,40 @@
         Some(_) => return Kind::Other,
     };
     match first.to_ascii_lowercase().as_str() {
-        "select" | "table" | "values" => reading(pieces, &[]),
-        "with" => reading(pieces, &MODIFYING),
+        "select" | "table" | "values" => classify_read(pieces, &[]),
+        "with" => classify_read(pieces, &MODIFYING),
         "insert" | "update" | "delete" | "merge" | "truncate" | "create" | "alter" | "drop" => {
             Kind::Write
         }
-        "begin" | "start" => Kind::Begin(access(pieces)),
-        "commit" | "end" => ending(pieces, Kind::Commit),
-        "rollback" | "abort" => ending(pieces, Kind::Rollback),
-        "set" => setting(sql, pieces),
-        "show" => showing(sql, pieces),
+        "begin" | "start" => Kind::Begin(transaction_access(pieces)),
+        "commit" | "end" => classify_end(pieces, Kind::Commit),
+        "rollback" | "abort" => classify_end(pieces, Kind::Rollback),
+        "set" => classify_set(sql, pieces),
+        "show" => classify_show(sql, pieces),
         "copy" => Kind::Copy,
         _ => Kind::Other,
     }
 }
 
-/// A statement that starts as a read does, unless a later word says otherwise.
-fn reading<'a>(pieces: impl Iterator<Item = Piece<'a>>, modifying: &[&str]) -> Kind<'a> {
+/// Classifies a statement that starts like a read: a write if a later word makes it
+/// one, else a read.
+fn classify_read<'a>(pieces: impl Iterator<Item = Piece<'a>>, modifying: &[&str]) -> Kind<'a> {
     let mut last = "";
     for piece in pieces {
         let word = match piece {
             Piece::Word(word) => word,
-            Piece::Open => return Kind::Other,
+            Piece::Unterminated => return Kind::Other,
             _ => {
                 last = "";
                 continue;
             }
         };
-        let locks = is(last, &["for"]) && is(word, &LOCKING);
-        if locks || is(word, &["into"]) || is(word, modifying) || writes(word) {
+        let locks = is_one_of(last, &["for"]) && is_one_of(word, &LOCKING);
+        if locks
+            || is_one_of(word, &["into"])
+            || is_one_of(word, modifying)
+            || is_writing_function(word)
+        {
             return Kind::Write;
         }
         last = word;
@@ -168,25 +174,25 @@
     Kind::Read
 }
 
-fn writes(word: &str) -> bool {
+fn is_writing_function(word: &str) -> bool {
     let starts = |prefix: &&str| {
         let head = word.as_bytes().get(..prefix.len());
         head.is_some_and(|head| head.eq_ignore_ascii_case(prefix.as_bytes()))
     };
-    is(word, &WRITING_FUNCTIONS) || WRITING_PREFIXES.iter().any(starts)
+    is_one_of(word, &WRITING_FUNCTIONS) || WRITING_PREFIXES.iter().any(starts)
 }
 
-fn access<'a>(pieces: impl Iterator<Item = Piece<'a>>) -> Access {
+fn transaction_access<'a>(pieces: impl Iterator<Item = Piece<'a>>) -> Access {
     let mut last = "";
     let mut found = Access::ReadWrite;
     for piece in pieces {
         let Piece::Word(word) = piece else {
             continue;
         };
-        if is(last, &["read"]) && is(word, &["only"]) {
+        if is_one_of(last, &["read"]) && is_one_of(word, &["only"]) {
             found = Access::ReadOnly;
         }
-        if is(last, &["read"]) && is(word, &["write"]) {
+        if is_one_of(last, &["read"]) && is_one_of(word, &["write"]) {
             found = Access::ReadWrite;
         }
         last = word;
@@ -194,30 +200,33 @@
     found
 }
 
-/// `COMMIT PREPARED` writes, and `ROLLBACK TO` leaves the transaction open.
-fn ending<'a>(mut pieces: impl Iterator<Item = Piece<'a>>, kind: Kind<'a>) -> Kind<'a> {
+/// Classifies the end of a transaction: `COMMIT PREPARED` writes, while `ROLLBACK TO`
+/// and `AND CHAIN` leave a transaction open.
+fn classify_end<'a>(mut pieces: impl Iterator<Item = Piece<'a>>, kind: Kind<'a>) -> Kind<'a> {
     let special = pieces.find_map(|piece| match piece {
-        Piece::Word(word) if is(word, &["prepared"]) => Some(Kind::Write),
-        Piece::Word(word) if is(word, &["to", "chain"]) => Some(Kind::Other),
+        Piece::Word(word) if is_one_of(word, &["prepared"]) => Some(Kind::Write),
+        Piece::Word(word) if is_one_of(word, &["to", "chain"]) => Some(Kind::Other),
         _ => None,
     });
     special.unwrap_or(kind)
 }
 
-fn setting<'a>(sql: &'a str, mut pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
+fn classify_set<'a>(sql: &'a str, mut pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
     let mut name = pieces.next();
-    if matches!(name, Some(Piece::Word(word)) if is(word, &["session"])) {
+    if matches!(name, Some(Piece::Word(word)) if is_one_of(word, &["session"])) {
         name = pieces.next();
     }
     let start = match name {
-        Some(Piece::Word(word)) if !is(word, &["local", "transaction", "constraints", "role"]) => {
+        Some(Piece::Word(word))
+            if !is_one_of(word, &["local", "transaction", "constraints", "role"]) =>
+        {
             offset(sql, word)
         }
         Some(Piece::Literal(name)) if name.starts_with('"') => offset(sql, name),
         _ => return Kind::Other,
     };
     let assign = pieces.find_map(|piece| match piece {
-        Piece::Word(word) if is(word, &["to"]) => Some((offset(sql, word), 2)),
+        Piece::Word(word) if is_one_of(word, &["to"]) => Some((offset(sql, word), 2)),
         Piece::Symbol('=') => Some((sql[start..].find('=')? + start, 1)),
         _ => None,
     });
@@ -230,7 +239,7 @@
     }
 }
 
-/// The value of a setting, without comments before or behind it.
+/// Returns the value of a setting, without comments before or behind it.
 fn value(text: &str) -> &str {
     let mut lexer = Lexer::new(text);
     let mut span: Option<(usize, usize)> = None;
@@ -254,13 +263,13 @@
     inner.unwrap_or(text)
 }
 
-/// Where `part`, which was cut from `sql`, starts in it.
+/// Returns the offset of `part` in `sql`; `part` must be a slice of `sql`.
 fn offset(sql: &str, part: &str) -> usize {
     part.as_ptr() as usize - sql.as_ptr() as usize
 }
 
-/// A name may have two parts, such as `dandelionlink.token`.
-fn showing<'a>(sql: &'a str, pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
+/// Classifies `SHOW`, whose name may have two parts, as in `dandelionlink.token`.
+fn classify_show<'a>(sql: &'a str, pieces: impl Iterator<Item = Piece<'a>>) -> Kind<'a> {
     let mut span: Option<(usize, usize)> = None;
     for piece in pieces {
         let (at, len) = match piece {
