--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -88,7 +88,7 @@
     run(async {
         let client = rig.connect(0, "slots").await;
         write(&client, "before").await.unwrap();
-        rig.group.set_fault(0, Fault::Parted);
+        rig.group.set_fault(0, Fault::ReplicationCut);
         write_until_done(&client, "after").await;
         // What was acknowledged is in the log of the one that leads now.
         let leader = (1..3)
@@ -113,7 +113,7 @@
         }
         client.batch_execute("SELECT key FROM kv").await.unwrap();
         for index in 0..3 {
-            rig.group.set_late(index, Duration::from_millis(30));
+            rig.group.set_answer_delay(index, Duration::from_millis(30));
         }
         let mut tasks = Vec::new();
         for caller in 0..6 {
--- a/crates/daemon/tests/wire.rs
+++ b/crates/daemon/tests/wire.rs
@@ -370,7 +370,7 @@
             let greeting = raw.log_in().await;
             let key = &greeting.iter().find(|it| it.0 == b'K').unwrap().1;
             raw.send(&query("INSERT INTO kv VALUES ('a', '2')")).await;
-            while rig.group.waits(0) < round {
+            while rig.group.lock_waits(0) < round {
                 tokio::task::yield_now().await;
             }
             let mut cancel = Raw::open(&rig).await;
--- a/crates/fake/src/group.rs
+++ b/crates/fake/src/group.rs
@@ -29,7 +29,7 @@
     /// Connections are taken and nothing is answered.
     Hang,
     /// It serves callers, but the rest of the group can't reach it.
-    Parted,
+    ReplicationCut,
 }
 
 /// The settings of one upstream.
@@ -40,9 +40,9 @@
     /// Connections that it takes.
     pub connections: usize,
     /// How long a new connection takes.
-    pub connect: Duration,
+    pub connect_time: Duration,
     /// How long a statement holds a slot.
-    pub service: Duration,
+    pub statement_time: Duration,
 }
 
 impl Default for Conf {
@@ -51,8 +51,8 @@
         Self {
             slots: 2,
             connections: 16,
-            connect: Duration::from_millis(10),
-            service: Duration::ZERO,
+            connect_time: Duration::from_millis(10),
+            statement_time: Duration::ZERO,
         }
     }
 }
@@ -150,7 +150,10 @@
 impl Node {
     /// Whether the rest of the group can't reach it.
     fn is_apart(&self) -> bool {
-        matches!(self.fault, Fault::Crashed | Fault::CutOff | Fault::Parted)
+        matches!(
+            self.fault,
+            Fault::Crashed | Fault::CutOff | Fault::ReplicationCut
+        )
     }
 
     /// Drops what it holds beyond the log that it now follows.
@@ -263,7 +266,7 @@
     }
 
     /// Sets how much later than made the answers of an upstream leave.
-    pub fn set_late(&self, index: usize, late: Duration) {
+    pub fn set_answer_delay(&self, index: usize, late: Duration) {
         lock(&self.shared).nodes[index].late = late;
     }
 
@@ -291,7 +294,7 @@
     }
 
     /// How often a statement of an upstream began to wait for a row.
-    pub fn waits(&self, index: usize) -> u64 {
+    pub fn lock_waits(&self, index: usize) -> u64 {
         lock(&self.shared).nodes[index].waits
     }
 
--- a/crates/fake/src/server.rs
+++ b/crates/fake/src/server.rs
@@ -86,7 +86,7 @@
         }
         (session, node.generation)
     };
-    let session = Session::new(index, session, shared, slots, conf.service);
+    let session = Session::new(index, session, shared, slots, conf.statement_time);
     let mut server = Server {
         io,
         session,
@@ -111,7 +111,7 @@
         if !self.startup().await? {
             return Ok(());
         }
-        sleep(conf.connect).await;
+        sleep(conf.connect_time).await;
         if !self.session.admit(conf.connections) {
             let mut buf = BytesMut::new();
             pg::error(&mut buf, "53300", "sorry, too many clients already", None);
--- a/crates/fake/src/server/exec.rs
+++ b/crates/fake/src/server/exec.rs
@@ -25,7 +25,7 @@
     pub(super) id: u64,
     shared: Shared,
     slots: Arc<Semaphore>,
-    service: Duration,
+    statement_time: Duration,
     /// Begun by `BEGIN`, as against the transaction that a batch makes.
     explicit: bool,
     failed: bool,
@@ -40,14 +40,14 @@
         id: u64,
         shared: Shared,
         slots: Arc<Semaphore>,
-        service: Duration,
+        statement_time: Duration,
     ) -> Self {
         Self {
             node,
             id,
             shared,
             slots,
-            service,
+            statement_time,
             explicit: false,
             failed: false,
             admitted: false,
@@ -145,8 +145,8 @@
         let slot = slots.acquire().await;
         // A cancel that comes between two statements hits nothing.
         self.is_cancelled();
-        if self.service > Duration::ZERO && !matches!(plan, Plan::Probe) {
-            sleep(self.service).await;
+        if self.statement_time > Duration::ZERO && !matches!(plan, Plan::Probe) {
+            sleep(self.statement_time).await;
         }
         let result = self.run_in_slot(plan, parameters).await;
         drop(slot);
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -124,7 +124,7 @@
     for (seed, loss) in [(1, 0.0), (2, 0.01), (3, 0.1), (4, 0.1)] {
         let mut world = world(90, seed);
         world.loss = loss;
-        world.tell(40, Event::Leave);
+        world.deliver_event(40, Event::Leave);
         let taken = world.run_until(10 * SECOND, |world| {
             others(world, 40)
                 .iter()
@@ -137,7 +137,7 @@
 #[test]
 fn a_goodbye_spreads_at_once_and_a_restart_clears_it() {
     let mut world = world(9, 3);
-    world.tell(4, Event::Stop);
+    world.deliver_event(4, Event::Stop);
     world.kill(4);
     world.run(3 * SECOND);
     assert!(
@@ -163,8 +163,8 @@
     let mut world = world(9, 4);
     let all = listing(&world, |_| Lifecycle::Leaving);
     for slot in 0..9 {
-        world.tell(slot, Event::Instances(all.clone()));
-        world.tell(slot, Event::Instances(Vec::new()));
+        world.deliver_event(slot, Event::Instances(all.clone()));
+        world.deliver_event(slot, Event::Instances(Vec::new()));
     }
     world.run(10 * SECOND);
     let distrusted = |notice: &&(usize, Notice)| {
@@ -182,7 +182,7 @@
     let tell = |world: &mut World, lifecycle: fn(usize) -> Lifecycle| {
         let list = listing(world, lifecycle);
         for slot in 0..9 {
-            world.tell(slot, Event::Instances(list.clone()));
+            world.deliver_event(slot, Event::Instances(list.clone()));
         }
         world.run(3 * SECOND);
     };
@@ -205,7 +205,7 @@
         let mut conf = world.conf(slot);
         conf.seeds = Vec::new();
         world.start_with(slot, conf);
-        world.tell(slot, Event::Instances(list.clone()));
+        world.deliver_event(slot, Event::Instances(list.clone()));
     }
     let taken = world.run_until(20 * SECOND, |world| {
         world.running().all(|slot| world.applied(slot).0 == first)
@@ -243,7 +243,7 @@
     let before = world.applied(0).0;
     let zone: Vec<_> = (0..30).filter(|&slot| world.zone(slot) == 3).collect();
     for &slot in &zone {
-        world.separate(slot, 1);
+        world.set_partition(slot, 1);
     }
     let mut last = before;
     for _ in 0..175 {
@@ -252,7 +252,7 @@
     }
     assert!(zone.iter().all(|&slot| world.applied(slot).0 == before));
     for &slot in &zone {
-        world.separate(slot, 0);
+        world.set_partition(slot, 0);
     }
     world.reset_counts();
     let taken = world.run_until(60 * SECOND, |world| {
@@ -276,7 +276,7 @@
     world.kill(7);
     world.run(5 * SECOND);
     let since = world.now();
-    world.tell(0, Event::Survey);
+    world.deliver_event(0, Event::Survey);
     world.run(SECOND);
     let fleet = world.fleet(0).unwrap();
     let replies: Vec<_> = fleet.survey_replies(since).collect();
@@ -318,7 +318,7 @@
             address,
             message: rumour.clone(),
         };
-        world.tell(at, event);
+        world.deliver_event(at, event);
     }
     assert_eq!(record(&world).incarnation, before.incarnation + 1);
     world.run(10 * SECOND);
@@ -338,11 +338,11 @@
     for seed in 0..8 {
         let mut world = world(90, seed);
         for slot in 0..90 {
-            world.separate(slot, u8::from(world.zone(slot) >= 7));
+            world.set_partition(slot, u8::from(world.zone(slot) >= 7));
         }
         world.run(60 * SECOND);
         for slot in 0..90 {
-            world.separate(slot, 0);
+            world.set_partition(slot, 0);
         }
         let mut suspects = 0;
         for _ in 0..5 {
--- a/crates/fleet/tests/store.rs
+++ b/crates/fleet/tests/store.rs
@@ -47,11 +47,11 @@
     // source, no other instance would get the revision.
     let mut world = nine_instances(1);
     let lone = relays(&world)[0];
-    world.store_island = 9;
+    world.store_partition = 9;
     let revision = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     // Only this relay is on the store's side, and dies there with the new
     // revision.
-    world.separate(lone, 9);
+    world.set_partition(lone, 9);
     world.run(20 * SECOND);
     assert_eq!(
         world.applied(lone).0,
@@ -63,7 +63,7 @@
     assert!(world.running().all(|slot| world.applied(slot).0 < revision));
     // The store is reachable again: another relay reads the revision, and all
     // instances get it.
-    world.store_island = 0;
+    world.store_partition = 0;
     let taken = world.run_until(30 * SECOND, |world| all_have(world, revision));
     assert!(taken.is_some());
     assert_no_violations(&world);
@@ -210,7 +210,7 @@
         ("catalog/entry/b", Some(b"y")),
     ]);
     world.run(5 * SECOND);
-    let half = |violation: &Violation| matches!(violation, Violation::Half { .. });
+    let half = |violation: &Violation| matches!(violation, Violation::Inconsistent { .. });
     assert!(world.monitor.violations().iter().any(half));
 }
 
@@ -265,10 +265,10 @@
     // answers to watches are lost, and a dead watch looks like a watch without
     // news.
     let mut world = nine_instances(7);
-    world.store_island = 9;
+    world.store_partition = 9;
     let second = world.apply(&[("catalog/entry/a", Some(b"second"))]);
     world.run(SECOND);
-    world.store_island = 0;
+    world.store_partition = 0;
     let taken = world.run_until(60 * SECOND, |world| all_have(world, second));
     assert!(taken.unwrap() < 15 * SECOND, "{taken:?}");
     assert_no_violations(&world);
@@ -347,7 +347,7 @@
     let mut world = nine_instances(10);
     let second = world.apply(&[("catalog/entry/a", Some(b"bad"))]);
     world.run(5 * SECOND);
-    world.tell(3, Event::Refused(second));
+    world.deliver_event(3, Event::Refused(second));
     let fleet = world.fleet(3).unwrap();
     assert_eq!(fleet.applied().number, 1);
     assert_eq!(fleet.status().held.unwrap().reason, Reason::Refused);
--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -218,7 +218,7 @@
 /// Puts the last three of ten zones, or the last of fewer, on an island.
 fn set_region(world: &mut World, island: u8) {
     for slot in region(world) {
-        world.separate(slot, island);
+        world.set_partition(slot, island);
     }
 }
 
@@ -277,7 +277,7 @@
 
 fn restart_one(world: &mut World, turn: usize) {
     let slot = (world.len() / 3 + 7 * turn) % world.len();
-    world.tell(slot, fleet::Event::Stop);
+    world.deliver_event(slot, fleet::Event::Stop);
     world.kill(slot);
     world.start(slot);
 }
@@ -337,7 +337,7 @@
             heap_per_node: 0,
             store_calls_s: world.store.calls as f64 / seconds + world.watches() as f64,
             watches: world.watches(),
-            cpu_share: (world.stepping.as_secs_f64() + sealing) / nodes as f64 / seconds,
+            cpu_share: (world.step_time.as_secs_f64() + sealing) / nodes as f64 / seconds,
             wrong_suspects: wrong_suspects(world),
             violations: world.monitor.violations().len(),
         }
--- a/crates/slopes/src/edge.rs
+++ b/crates/slopes/src/edge.rs
@@ -25,7 +25,7 @@
             .filter(|(key, _)| key.starts_with("catalog/"))
             .map(|(key, (_, value))| (key.clone(), value.clone()));
         if self.slots.len() <= 100 {
-            self.monitor.written(revision, catalog.collect());
+            self.monitor.note_write(revision, catalog.collect());
         }
         self.tell_watches(number);
         revision
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn serve(&mut self, slot: usize, generation: u32, call: Call, request: Request) {
-        if self.slots[slot].island != self.store_island {
+        if self.slots[slot].island != self.store_partition {
             return;
         }
         self.store.calls += 1;
@@ -87,7 +87,7 @@
         }
         let watches: Vec<_> = self.watches.iter().map(|(key, at)| (*key, *at)).collect();
         for ((slot, call), generation) in watches {
-            if self.slots[slot].island != self.store_island {
+            if self.slots[slot].island != self.store_partition {
                 continue;
             }
             self.store.calls += 1;
--- a/crates/slopes/src/monitor.rs
+++ b/crates/slopes/src/monitor.rs
@@ -28,7 +28,7 @@
         to: Revision,
     },
     /// The catalogue in force is not that of any one revision of the store.
-    Half {
+    Inconsistent {
         /// The instance's slot.
         slot: usize,
         /// The revision it was put in force under.
@@ -69,7 +69,7 @@
 
     /// A process started at a slot, while the peers it reaches had at least
     /// `floor` in force.
-    pub fn started(&mut self, slot: usize, floor: Revision) {
+    pub fn note_start(&mut self, slot: usize, floor: Revision) {
         if self.seen.len() <= slot {
             self.seen.resize(slot + 1, Seen::default());
         }
@@ -80,12 +80,12 @@
     }
 
     /// The store holds this catalogue at `revision`.
-    pub fn written(&mut self, revision: Revision, catalog: BTreeMap<Arc<str>, Bytes>) {
+    pub fn note_write(&mut self, revision: Revision, catalog: BTreeMap<Arc<str>, Bytes>) {
         self.truth.insert(revision, catalog);
     }
 
     /// A process took an action.
-    pub fn acted(&mut self, slot: usize, action: &Action) {
+    pub fn note_action(&mut self, slot: usize, action: &Action) {
         if let Action::Catalog {
             revision,
             scope,
@@ -119,7 +119,7 @@
             };
         }
         if self.truth.get(&to) != Some(&seen.catalog) {
-            let violation = Violation::Half { slot, revision: to };
+            let violation = Violation::Inconsistent { slot, revision: to };
             self.violations.push(violation);
         }
     }
--- a/crates/slopes/src/world.rs
+++ b/crates/slopes/src/world.rs
@@ -52,7 +52,7 @@
     /// Whether the store answers nobody.
     pub store_down: bool,
     /// Which island the store is on.
-    pub store_island: u8,
+    pub store_partition: u8,
     /// Checks the configuration of all instances.
     pub monitor: Monitor,
     /// What operators were told, with the slot that told it.
@@ -62,7 +62,7 @@
     /// The share of datagrams that is lost.
     pub loss: f64,
     /// Processor time spent in steps, by the machine's clock.
-    pub stepping: Duration,
+    pub step_time: Duration,
     /// How many steps were taken.
     pub steps: u64,
     counted_since: Instant,
@@ -93,12 +93,12 @@
             watches: BTreeMap::new(),
             store: Store::default(),
             store_down: false,
-            store_island: 0,
+            store_partition: 0,
             monitor: Monitor::default(),
             notices: Vec::new(),
             tamper: None,
             loss: setup.loss,
-            stepping: Duration::ZERO,
+            step_time: Duration::ZERO,
             steps: 0,
             counted_since: Instant::ZERO,
             warm: false,
@@ -174,7 +174,7 @@
             slot.count = Count::default();
         }
         self.store.calls = 0;
-        self.stepping = Duration::ZERO;
+        self.step_time = Duration::ZERO;
         self.steps = 0;
     }
 
@@ -206,7 +206,7 @@
     /// Starts a new process at a slot with settings of the test's choice.
     pub fn start_with(&mut self, slot: usize, conf: Conf) {
         let floor = self.least_within_reach(slot);
-        self.monitor.started(slot, floor);
+        self.monitor.note_start(slot, floor);
         self.slots[slot].generation += 1;
         let (fleet, actions) = Fleet::open(conf, self.now);
         self.slots[slot].fleet = Some(fleet);
@@ -227,17 +227,17 @@
     }
 
     /// Puts a slot on an island; messages only pass within one.
-    pub fn separate(&mut self, slot: usize, island: u8) {
+    pub fn set_partition(&mut self, slot: usize, island: u8) {
         self.slots[slot].island = island;
     }
 
     /// Whether a slot is on the store's side.
     pub fn reaches_store(&self, slot: usize) -> bool {
-        self.slots[slot].island == self.store_island
+        self.slots[slot].island == self.store_partition
     }
 
     /// Hands an event to the instance at a slot.
-    pub fn tell(&mut self, slot: usize, event: Event) {
+    pub fn deliver_event(&mut self, slot: usize, event: Event) {
         self.step(slot, event);
     }
 
@@ -360,7 +360,7 @@
         };
         let start = std::time::Instant::now();
         let actions = fleet.step(self.now, event);
-        self.stepping += start.elapsed();
+        self.step_time += start.elapsed();
         self.steps += 1;
         self.act(slot, actions);
     }
@@ -382,7 +382,7 @@
             tamper(slot, &mut actions);
         }
         for action in actions {
-            self.monitor.acted(slot, &action);
+            self.monitor.note_action(slot, &action);
             self.act_once(slot, action);
         }
     }
