--- a/crates/policy/src/gap.rs
+++ b/crates/policy/src/gap.rs
@@ -11,7 +11,7 @@
 use crate::{
     site::Site,
     stat::{Quantiles, Spans},
-    world::{Fault, Load, Mark, Step, World},
+    world::{Fault, Load, Milestones, Step, World},
 };
 
 /// When the callers begin; by then the views of the upstreams have settled.
@@ -94,16 +94,16 @@
 pub const PHASES: [&str; 5] = ["detect", "claim", "fence", "promote", "spread"];
 
 /// Runs one trial to its end and gives the world, for tests that look closer.
-pub fn play(site: Site, kind: Kind, seed: u64) -> (World, Instant) {
+pub fn simulate(site: Site, kind: Kind, seed: u64) -> (World, Instant) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0005_eedf_a117);
     let mut world = World::open(site, seed);
     let load = Load {
         callers: 1,
-        every: Duration::from_millis(10),
-        reads: 30,
-        roams: 10,
+        interval: Duration::from_millis(10),
+        read_percent: 30,
+        roam_percent: 10,
     };
-    world.load(BEGIN, load);
+    world.start_load(BEGIN, load);
     let fail = Instant::from_micros(FAIL + rng.random_range(0..500_000));
     plan(&mut world, &mut rng, kind, fail);
     if kind == Kind::CrashTwice {
@@ -111,47 +111,47 @@
     }
     let back = fail + kind.back();
     world.run(back);
-    world.plan(back, Fault::Heal);
-    world.plan(back, Fault::StoreUp);
+    world.schedule(back, Fault::Heal);
+    world.schedule(back, Fault::StoreUp);
     for server in 0..site.upstreams {
-        world.plan(back, Fault::Restart(server));
+        world.schedule(back, Fault::Restart(server));
     }
     world.run(back + REST);
-    world.quiet();
+    world.stop_load();
     world.run(back + REST + DRAIN);
-    world.settle();
+    world.finish();
     (world, fail)
 }
 
 fn plan(world: &mut World, rng: &mut ChaCha8Rng, kind: Kind, fail: Instant) {
     match kind {
-        Kind::Crash | Kind::CrashTwice => world.plan(fail, Fault::Crash(0)),
-        Kind::Silence => world.plan(fail, Fault::Silence(0)),
-        Kind::Cut => world.plan(fail, Fault::Isolate(world.servers[0].zone)),
-        Kind::Stall => world.plan(fail, Fault::Stall(0, Duration::from_secs(4))),
+        Kind::Crash | Kind::CrashTwice => world.schedule(fail, Fault::Crash(0)),
+        Kind::Silence => world.schedule(fail, Fault::Silence(0)),
+        Kind::Cut => world.schedule(fail, Fault::Isolate(world.servers[0].zone)),
+        Kind::Stall => world.schedule(fail, Fault::Stall(0, Duration::from_secs(4))),
         Kind::StoreSlow => {
             let extra = Duration::from_millis(rng.random_range(50..400));
-            world.plan(fail, Fault::StoreSlow(extra));
-            world.plan(fail, Fault::Crash(0));
+            world.schedule(fail, Fault::StoreSlow(extra));
+            world.schedule(fail, Fault::Crash(0));
         }
         Kind::StoreLost => {
-            world.plan(fail, Fault::LoseAnswers(2));
-            world.plan(fail, Fault::Crash(0));
+            world.schedule(fail, Fault::LoseAnswers(2));
+            world.schedule(fail, Fault::Crash(0));
         }
         Kind::StoreDown => {
-            world.plan(fail - Duration::from_secs(2), Fault::StoreDown);
-            world.plan(fail, Fault::Crash(0));
-            world.plan(fail + Duration::from_secs(3), Fault::StoreUp);
+            world.schedule(fail - Duration::from_secs(2), Fault::StoreDown);
+            world.schedule(fail, Fault::Crash(0));
+            world.schedule(fail + Duration::from_secs(3), Fault::StoreUp);
         }
         Kind::PromoterDies | Kind::PromoterDiesSilence => {
             let steps = [Step::Claim, Step::Fence, Step::Promote, Step::Record];
             let step = steps[rng.random_range(0..steps.len())];
-            world.plan(fail, Fault::KillOn(step));
+            world.schedule(fail, Fault::KillOn(step));
             let fault = match kind {
                 Kind::PromoterDies => Fault::Crash(0),
                 _ => Fault::Silence(0),
             };
-            world.plan(fail, fault);
+            world.schedule(fail, fault);
         }
     }
 }
@@ -165,9 +165,9 @@
         world.run(at);
         let leads = |u: &usize| world.servers[*u].role() == Role::Primary;
         if let Some(second) = (1..world.servers.len()).find(leads) {
-            world.plan(at, Fault::Restart(0));
+            world.schedule(at, Fault::Restart(0));
             let after = at + Duration::from_secs(1);
-            world.plan(after, Fault::Crash(second));
+            world.schedule(after, Fault::Crash(second));
             world.run(after);
             return;
         }
@@ -176,10 +176,10 @@
 
 /// Runs one trial and measures it.
 pub fn trial(site: Site, kind: Kind, seed: u64) -> Trial {
-    let (world, fail) = play(site, kind, seed);
+    let (world, fail) = simulate(site, kind, seed);
     let cut = (kind == Kind::Cut).then(|| world.servers[0].zone);
-    let landings = world.landings().iter();
-    let after: Vec<_> = landings
+    let acknowledgements = world.acknowledgements().iter();
+    let after: Vec<_> = acknowledgements
         .filter(|l| l.asked >= fail && l.term > Term(1))
         .collect();
     let first = after.iter().min_by_key(|l| l.at);
@@ -187,30 +187,30 @@
     let firsts = zones.map(|zone| after.iter().filter(|l| l.zone == zone).map(|l| l.at).min());
     let firsts: Option<Vec<Instant>> = firsts.collect();
     let last = firsts.and_then(|firsts| firsts.into_iter().max());
-    let mark = first.and_then(|l| world.marks.get(&l.term));
+    let milestones = first.and_then(|l| world.milestones.get(&l.term));
     Trial {
         gap: first.map(|l| l.at.since(fail)),
         everywhere: last.map(|at| at.since(fail)),
         phases: first
-            .zip(mark)
-            .and_then(|(l, mark)| phases(fail, mark, l.at)),
+            .zip(milestones)
+            .and_then(|(l, milestones)| phases(fail, milestones, l.at)),
         lost: world.suite.lost(),
         violations: world.suite.violations().len(),
         promotions: world
-            .marks
+            .milestones
             .values()
             .filter(|m| m.promoted.is_some())
             .count(),
     }
 }
 
-fn phases(fail: Instant, mark: &Mark, landed: Instant) -> Option<[Duration; 5]> {
+fn phases(fail: Instant, milestones: &Milestones, landed: Instant) -> Option<[Duration; 5]> {
     let moments = [
         fail,
-        mark.claim_sent?,
-        mark.claimed?,
-        mark.ordered?,
-        mark.promoted?,
+        milestones.claim_sent?,
+        milestones.claimed?,
+        milestones.ordered?,
+        milestones.promoted?,
         landed,
     ];
     let mut spans = [Duration::ZERO; 5];
--- a/crates/policy/src/jitter.rs
+++ b/crates/policy/src/jitter.rs
@@ -27,7 +27,7 @@
 
 /// What an ordinary time showed.
 #[derive(Debug, Clone, Copy)]
-pub struct Quiet {
+pub struct Outcome {
     /// Changes of primary.
     pub promotions: usize,
     /// Acknowledged writes that are gone.
@@ -43,45 +43,45 @@
 }
 
 /// Runs `span` of ordinary time.
-pub fn quiet(site: Site, span: Duration, seed: u64) -> Quiet {
+pub fn run(site: Site, span: Duration, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0071_7e12);
     let mut world = World::open(site, seed);
     let load = Load {
         callers: 1,
-        every: Duration::from_millis(500),
-        reads: 50,
-        roams: 10,
+        interval: Duration::from_millis(500),
+        read_percent: 50,
+        roam_percent: 10,
     };
-    world.load(Instant::from_millis(1_000), load);
+    world.start_load(Instant::from_millis(1_000), load);
     let end = Instant::from_millis(1_000) + span;
     for server in 0..site.upstreams {
         every(&mut rng, STALLS, end, |rng, at| {
             let stall = MAX_STALL.mul_f64(rng.random());
-            world.plan(at, Fault::Stall(server, stall));
+            world.schedule(at, Fault::Stall(server, stall));
         });
     }
     for instance in 0..site.instances {
         every(&mut rng, PAUSES, end, |rng, at| {
             let pause = MAX_PAUSE.mul_f64(rng.random());
-            world.plan(at, Fault::Pause(instance, pause));
+            world.schedule(at, Fault::Pause(instance, pause));
         });
         every(&mut rng, RESTARTS, end, |_, at| {
-            world.plan(at, Fault::Kill(instance))
+            world.schedule(at, Fault::Kill(instance))
         });
     }
     every(&mut rng, SLOW, end, |rng, at| {
         let extra = Duration::from_millis(rng.random_range(10..200));
-        world.plan(at, Fault::StoreSlow(extra));
-        world.plan(at + Duration::from_secs(5), Fault::StoreUp);
+        world.schedule(at, Fault::StoreSlow(extra));
+        world.schedule(at + Duration::from_secs(5), Fault::StoreUp);
     });
     world.run(end);
-    world.quiet();
+    world.stop_load();
     world.run(end + Duration::from_secs(2));
-    world.settle();
+    world.finish();
     let tally = world.tally();
-    Quiet {
+    Outcome {
         promotions: world
-            .marks
+            .milestones
             .values()
             .filter(|m| m.promoted.is_some())
             .count(),
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -99,7 +99,7 @@
 
 /// What one tenant got of one level.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Part {
+pub struct Count {
     /// Requests it sent, repeats left out.
     pub asked: u64,
     /// Those that were done in time.
@@ -159,7 +159,7 @@
 
 /// The statements a second that a group can run.
 pub fn capacity(site: Site) -> f64 {
-    site.upstreams as f64 * f64::from(site.slots) / site.service.as_secs_f64()
+    site.upstreams as f64 * f64::from(site.slots) / site.service_time.as_secs_f64()
 }
 
 /// Runs one level for `span`.
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -19,9 +19,9 @@
 use route::{Choice, Read, Router};
 use session::Floor;
 
-use super::{Kind, Level, Part, TENANTS, WEIGHT, capacity, tenant};
+use super::{Count, Kind, Level, TENANTS, WEIGHT, capacity, tenant};
 use crate::{
-    net::{Carrier, Net, Place, exponential},
+    net::{Net, Place, Transport, exponential},
     site::Site,
     stat::Spans,
 };
@@ -136,8 +136,8 @@
     late: u64,
     unknown: u64,
     repeats: u64,
-    kinds: BTreeMap<Kind, Part>,
-    tenants: BTreeMap<usize, Part>,
+    kinds: BTreeMap<Kind, Count>,
+    tenants: BTreeMap<usize, Count>,
     refusal: Spans,
     high: Spans,
 }
@@ -310,7 +310,7 @@
             repeat,
         });
         self.open.insert(request, open);
-        self.after(self.site.callers, Happening::Ask(request));
+        self.after(self.site.caller_latency, Happening::Ask(request));
     }
 
     /// A request reached its instance, which chooses the upstream.
@@ -352,7 +352,7 @@
         let instance = self.open.get(&request).map_or(0, |open| open.instance);
         let here = Place::Zone(instance % self.site.zones);
         let there = Place::Zone(self.seats[seat].zone);
-        let span = self.net.send(here, there, Carrier::Stream);
+        let span = self.net.send(here, there, Transport::Stream);
         span.expect("this bench parts no zones")
     }
 
@@ -361,7 +361,7 @@
             return;
         };
         // The answer must still travel to the instance and to the caller.
-        let way = self.site.callers + self.site.between;
+        let way = self.site.caller_latency + self.site.inter_zone_latency;
         let submitted = Request {
             ticket: Ticket(request.0),
             entry: open.kind.entry(),
@@ -406,7 +406,7 @@
                     upstream: self.names[self.seats[seat].upstream].clone(),
                     entry: None,
                 });
-                let connect = self.site.connect;
+                let connect = self.site.connect_time;
                 self.after(connect, Happening::Opened { seat, generation });
             }
             Action::Close(generation) => self.close(seat, generation),
@@ -444,7 +444,10 @@
             transaction: None,
         });
         self.seats[seat].running.insert(handle, request);
-        self.after(self.site.inside, Happening::Reach { seat, handle });
+        self.after(
+            self.site.intra_zone_latency,
+            Happening::Reach { seat, handle },
+        );
     }
 
     /// A statement reached its upstream, which runs as many as it has slots and
@@ -456,7 +459,7 @@
             return;
         }
         upstream.busy += 1;
-        let mean = self.site.service.as_secs_f64();
+        let mean = self.site.service_time.as_secs_f64();
         let service = Duration::from_secs_f64(exponential(&mut self.rng, mean));
         self.after(service, Happening::Ran { seat, handle });
     }
@@ -489,7 +492,10 @@
             effect,
         });
         self.seats[seat].ran.insert(handle, Ticket(request.0));
-        self.after(self.site.inside, Happening::Read { seat, handle });
+        self.after(
+            self.site.intra_zone_latency,
+            Happening::Read { seat, handle },
+        );
     }
 
     fn read(&mut self, seat: usize, handle: Handle) {
@@ -506,7 +512,7 @@
 
     fn reply(&mut self, seat: usize, ticket: Ticket, answer: Answer, retry_after: Duration) {
         let request = check::Request(ticket.0);
-        let span = self.travel(request, seat) + self.site.callers;
+        let span = self.travel(request, seat) + self.site.caller_latency;
         let happening = Happening::Answer {
             request,
             answer,
@@ -521,7 +527,7 @@
             answer,
             retry_after,
         };
-        self.after(self.site.callers, happening);
+        self.after(self.site.caller_latency, happening);
     }
 
     fn answered(&mut self, request: check::Request, answer: Answer, retry_after: Duration) {
@@ -578,7 +584,7 @@
         let request = check::Request(self.requests);
         self.tell_again(request, &again);
         self.open.insert(request, again);
-        self.after(wait + self.site.callers, Happening::Ask(request));
+        self.after(wait + self.site.caller_latency, Happening::Ask(request));
     }
 
     fn tell_again(&mut self, request: check::Request, open: &Open) {
--- a/crates/policy/src/load/naive.rs
+++ b/crates/policy/src/load/naive.rs
@@ -28,7 +28,7 @@
         let Some(slot) = mine.iter_mut().min() else {
             return 0.0;
         };
-        let service = exponential(&mut rng, site.service.as_secs_f64());
+        let service = exponential(&mut rng, site.service_time.as_secs_f64());
         *slot = (*slot).max(now) + Duration::from_secs_f64(service);
         met += u64::from(slot.since(now) <= kind.deadline());
     }
--- a/crates/policy/src/main.rs
+++ b/crates/policy/src/main.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use argh::FromArgs;
-use policy::report::{Report, WHOLE};
+use policy::report::{FULL, Report};
 
 /// Measure the decisions in virtual time, on both deployments' sizes.
 #[derive(Debug, FromArgs)]
@@ -17,7 +17,7 @@
 
 fn main() -> anyhow::Result<()> {
     let args: Args = argh::from_env();
-    let report = Report::measure(WHOLE, args.seed);
+    let report = Report::measure(FULL, args.seed);
     if !args.json {
         print!("{report}");
         return Ok(());
--- a/crates/policy/src/net.rs
+++ b/crates/policy/src/net.rs
@@ -27,7 +27,7 @@
 
 /// How a message travels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carrier {
+pub enum Transport {
     /// A datagram: lost for good.
     Datagram,
     /// A stream: a lost segment comes late.
@@ -53,16 +53,16 @@
     }
 
     /// Parts two places, in both directions.
-    pub fn cut(&mut self, a: Place, b: Place) {
+    pub fn partition(&mut self, a: Place, b: Place) {
         self.cut.insert((a.min(b), a.max(b)));
     }
 
     /// Parts a zone from every other place.
     pub fn isolate(&mut self, zone: usize) {
         for other in (0..self.site.zones).filter(|&other| other != zone) {
-            self.cut(Place::Zone(zone), Place::Zone(other));
+            self.partition(Place::Zone(zone), Place::Zone(other));
         }
-        self.cut(Place::Zone(zone), Place::Platform);
+        self.partition(Place::Zone(zone), Place::Platform);
     }
 
     /// Ends all partitions.
@@ -71,36 +71,36 @@
     }
 
     /// Whether messages pass between two places.
-    pub fn passes(&self, a: Place, b: Place) -> bool {
+    pub fn is_reachable(&self, a: Place, b: Place) -> bool {
         !self.cut.contains(&(a.min(b), a.max(b)))
     }
 
     /// How long a message takes, or `None` if it is lost.
-    pub fn send(&mut self, from: Place, to: Place, carrier: Carrier) -> Option<Duration> {
-        if !self.passes(from, to) {
+    pub fn send(&mut self, from: Place, to: Place, carrier: Transport) -> Option<Duration> {
+        if !self.is_reachable(from, to) {
             return None;
         }
         let span = self.latency(from, to);
         if self.rng.random_ratio(1, LOST_ONE_IN) {
             return match carrier {
-                Carrier::Datagram => None,
-                Carrier::Stream => Some(span + RETRANSMIT),
+                Transport::Datagram => None,
+                Transport::Stream => Some(span + RETRANSMIT),
             };
         }
         Some(span)
     }
 
     /// The latency between two places, without jitter.
-    pub fn base(&self, from: Place, to: Place) -> Duration {
+    pub fn base_latency(&self, from: Place, to: Place) -> Duration {
         match (from, to) {
-            (Place::Platform, _) | (_, Place::Platform) => self.site.store,
-            (a, b) if a == b => self.site.inside,
-            _ => self.site.between,
+            (Place::Platform, _) | (_, Place::Platform) => self.site.store_latency,
+            (a, b) if a == b => self.site.intra_zone_latency,
+            _ => self.site.inter_zone_latency,
         }
     }
 
     fn latency(&mut self, from: Place, to: Place) -> Duration {
-        let base = self.base(from, to);
+        let base = self.base_latency(from, to);
         let jitter = base.mul_f64(exponential(&mut self.rng, 0.1));
         if self.rng.random_ratio(1, DELAYED_ONE_IN) {
             return base + jitter + MAX_DELAY.mul_f64(self.rng.random());
--- a/crates/policy/src/reads/baseline.rs
+++ b/crates/policy/src/reads/baseline.rs
@@ -53,7 +53,7 @@
         let patience = route::Conf::default().max_replica_wait;
         let mut wait = Duration::ZERO;
         while wait <= patience {
-            let at = self.now + self.site.inside + wait;
+            let at = self.now + self.site.intra_zone_latency + wait;
             if replicas.iter().any(|&u| self.will_do(open, u, at)) {
                 return true;
             }
--- a/crates/policy/src/reads/bench.rs
+++ b/crates/policy/src/reads/bench.rs
@@ -16,7 +16,7 @@
 use super::Outcome;
 use crate::{
     lag::Lag,
-    net::{Carrier, Net, Place, exponential},
+    net::{Net, Place, Transport, exponential},
     site::Site,
 };
 
@@ -284,7 +284,7 @@
     pub(super) fn travel(&mut self, instance: usize, server: usize) -> Duration {
         let here = Place::Zone(self.instances[instance].zone);
         let there = Place::Zone(self.servers[server].zone);
-        let span = self.net.send(here, there, Carrier::Stream);
+        let span = self.net.send(here, there, Transport::Stream);
         span.expect("this bench parts no zones")
     }
 
@@ -305,7 +305,7 @@
             .or_insert_with(|| Session::open(self.now));
         match self.rng.random_range(0..100) {
             draw if draw < WRITES => {
-                let span = self.travel(instance, PRIMARY) + self.site.service;
+                let span = self.travel(instance, PRIMARY) + self.site.service_time;
                 self.after(span, Happening::Commit { caller, instance });
             }
             draw if draw < WRITES + OWN => self.ask(caller, Freshness::Session),
@@ -367,7 +367,7 @@
         self.commits.push(self.now);
         let at = Position::new(1, self.commits.len() as u64);
         // The nearest replica has it and says so, and the instance hears it.
-        let span = self.site.between * 2 + self.travel(instance, PRIMARY);
+        let span = self.site.inter_zone_latency * 2 + self.travel(instance, PRIMARY);
         let acknowledged = Happening::Acknowledged {
             caller,
             instance,
--- a/crates/policy/src/reads/serve.rs
+++ b/crates/policy/src/reads/serve.rs
@@ -79,7 +79,7 @@
             };
             self.servers[server].running += 1;
             let report = self.report(server);
-            let mean = self.site.service.as_secs_f64();
+            let mean = self.site.service_time.as_secs_f64();
             let took = Duration::from_secs_f64(exponential(&mut self.rng, mean));
             let seen = route::position(&report);
             let age = self.age(seen.lsn.0, self.now);
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -27,7 +27,7 @@
 }
 
 /// The effort of the whole bench.
-pub const WHOLE: Effort = Effort {
+pub const FULL: Effort = Effort {
     trials: 300,
     reads: Duration::from_secs(120),
     rounds: 4,
@@ -109,7 +109,7 @@
             .iter()
             .map(|(kind, trials)| (*kind, gap::summary(trials.iter())))
             .collect();
-        let quiet = jitter::quiet(site, effort.quiet, seed);
+        let quiet = jitter::run(site, effort.quiet, seed);
         let load = load::measure(site, effort.load, seed);
         let trials = || trials.values().flatten();
         Self {
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -61,7 +61,7 @@
     /// Whether its process runs.
     pub condition: Condition,
     /// Until when it does nothing at all.
-    pub stalled: Instant,
+    pub stalled_until: Instant,
     /// Whom it follows.
     pub follow: Option<Follow>,
     role: Role,
@@ -76,7 +76,7 @@
         let mut server = Self {
             zone,
             condition: Condition::Up,
-            stalled: Instant::ZERO,
+            stalled_until: Instant::ZERO,
             follow,
             role: Role::Replica,
             fenced: term,
@@ -129,12 +129,12 @@
     }
 
     /// Whether a read here shows an operation.
-    pub fn holds(&self, operation: Operation) -> bool {
+    pub fn contains(&self, operation: Operation) -> bool {
         self.ledger.contains_key(&operation)
     }
 
     /// Drops an operation from the ledger, though not from the log.
-    pub fn forget(&mut self, operation: Operation) {
+    pub fn remove_from_ledger(&mut self, operation: Operation) {
         self.ledger.remove(&operation);
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Whether it runs and takes writes in `term`.
-    pub fn leads(&self, term: Term) -> bool {
+    pub fn is_primary_in(&self, term: Term) -> bool {
         let runs = self.condition == Condition::Up;
         runs && self.role == Role::Primary && self.position().term == term
     }
--- a/crates/policy/src/site.rs
+++ b/crates/policy/src/site.rs
@@ -13,13 +13,13 @@
     /// Availability zones.
     pub zones: usize,
     /// One-way latency between zones.
-    pub between: Duration,
+    pub inter_zone_latency: Duration,
     /// One-way latency inside a zone.
-    pub inside: Duration,
+    pub intra_zone_latency: Duration,
     /// One-way latency to callers.
-    pub callers: Duration,
+    pub caller_latency: Duration,
     /// One-way latency to the platform's store.
-    pub store: Duration,
+    pub store_latency: Duration,
     /// Entry instances, spread over the zones.
     pub instances: usize,
     /// Database groups.
@@ -31,43 +31,43 @@
     /// Connections that an upstream accepts.
     pub connections: u16,
     /// How long opening a connection takes.
-    pub connect: Duration,
+    pub connect_time: Duration,
     /// How long a statement takes on average, once it has a slot.
-    pub service: Duration,
+    pub service_time: Duration,
 }
 
 /// Booking for livery yards: four zones, few connections.
 pub const STALGENOOT: Site = Site {
     name: "stalgenoot",
     zones: 4,
-    between: Duration::from_micros(1_500),
-    inside: Duration::from_micros(300),
-    callers: Duration::from_millis(3),
-    store: Duration::from_millis(1),
+    inter_zone_latency: Duration::from_micros(1_500),
+    intra_zone_latency: Duration::from_micros(300),
+    caller_latency: Duration::from_millis(3),
+    store_latency: Duration::from_millis(1),
     instances: 9,
     databases: 3,
     upstreams: 3,
     slots: 2,
     connections: 16,
-    connect: Duration::from_millis(10),
-    service: Duration::from_millis(2),
+    connect_time: Duration::from_millis(10),
+    service_time: Duration::from_millis(2),
 };
 
 /// Requests to the archive's reading rooms: three zones, nobody watching.
 pub const UMURAGE: Site = Site {
     name: "umurage",
     zones: 3,
-    between: Duration::from_micros(500),
-    inside: Duration::from_micros(100),
-    callers: Duration::from_millis(1),
-    store: Duration::from_millis(1),
+    inter_zone_latency: Duration::from_micros(500),
+    intra_zone_latency: Duration::from_micros(100),
+    caller_latency: Duration::from_millis(1),
+    store_latency: Duration::from_millis(1),
     instances: 9,
     databases: 3,
     upstreams: 3,
     slots: 2,
     connections: 35,
-    connect: Duration::from_millis(10),
-    service: Duration::from_millis(2),
+    connect_time: Duration::from_millis(10),
+    service_time: Duration::from_millis(2),
 };
 
 /// Both deployments.
--- a/crates/policy/src/world.rs
+++ b/crates/policy/src/world.rs
@@ -21,12 +21,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    net::{Carrier, Net, Place},
+    net::{Net, Place, Transport},
     server::{Condition, Follow, Server},
     site::Site,
 };
 
-pub use caller::{Caller, Kind, Landing, Line, Load, Said, Tally};
+pub use caller::{Acknowledgement, Caller, Command, CommandResult, Kind, Load, Tally};
 pub use instance::Instance;
 pub use platform::Store;
 
@@ -126,10 +126,10 @@
     /// and nobody is promoted.
     Naive,
     /// Broken: a write is acknowledged as soon as the primary ran it.
-    AcknowledgeAtOnce,
+    AcknowledgeUnreplicated,
     /// Broken: what callers present as their token is ignored, and a session
     /// is taken for one that has written nothing.
-    ForgetTokens,
+    IgnoreTokens,
     /// Broken: an answer is given out without its proof.
     Unverified,
     /// Broken: a broken connection is taken for a request that did not run.
@@ -160,7 +160,7 @@
 
 /// When a term's change of primary reached its steps.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Mark {
+pub struct Milestones {
     /// The claim was sent.
     pub claim_sent: Option<Instant>,
     /// The claimant learned that it had the claim.
@@ -185,7 +185,7 @@
     /// The checkers.
     pub suite: Suite,
     /// The steps of each term's change of primary.
-    pub marks: HashMap<Term, Mark>,
+    pub milestones: HashMap<Term, Milestones>,
     now: Instant,
     timer: Timer<Happening>,
     net: Net,
@@ -239,7 +239,7 @@
             instances: Vec::new(),
             store: Store::open(record),
             suite: Suite::default(),
-            marks: HashMap::new(),
+            milestones: HashMap::new(),
             now: Instant::ZERO,
             timer: Timer::default(),
             net,
@@ -266,7 +266,7 @@
     }
 
     /// Lets a fault happen at a moment.
-    pub fn plan(&mut self, at: Instant, fault: Fault) {
+    pub fn schedule(&mut self, at: Instant, fault: Fault) {
         self.timer.subscribe(at, Happening::Fault(fault));
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// Tells the checkers what the current primary's log has, and ends.
-    pub fn settle(&mut self) {
+    pub fn finish(&mut self) {
         let leaders = self.servers.iter().filter(|s| s.condition == Condition::Up);
         let Some(leader) = leaders.max_by_key(|s| s.position()) else {
             return;
@@ -341,15 +341,15 @@
             Fault::Crash(u) => self.crash(u),
             Fault::Silence(u) => self.servers[u].condition = Condition::Silent,
             Fault::Restart(u) => self.restart(u),
-            Fault::Stall(u, span) => self.servers[u].stalled = self.now + span,
+            Fault::Stall(u, span) => self.servers[u].stalled_until = self.now + span,
             Fault::Isolate(zone) => self.net.isolate(zone),
             Fault::Heal => self.net.heal(),
             Fault::StoreDown => self.store.down = true,
-            Fault::StoreSlow(extra) => self.store.extra = extra,
-            Fault::LoseAnswers(count) => self.store.lose = count,
+            Fault::StoreSlow(extra) => self.store.extra_latency = extra,
+            Fault::LoseAnswers(count) => self.store.answers_to_lose = count,
             Fault::StoreUp => self.store.recover(),
             Fault::Kill(i) => self.kill(i),
-            Fault::Pause(i, span) => self.instances[i].paused = self.now + span,
+            Fault::Pause(i, span) => self.instances[i].paused_until = self.now + span,
             Fault::KillOn(step) => self.trap = Some((step, None)),
             Fault::PauseOn(step, span) => self.trap = Some((step, Some(span))),
         }
@@ -364,7 +364,7 @@
     }
 
     /// Sends over the network; nothing comes of it if it is lost.
-    fn send(&mut self, from: Place, to: Place, carrier: Carrier, happening: Happening) -> bool {
+    fn send(&mut self, from: Place, to: Place, carrier: Transport, happening: Happening) -> bool {
         match self.net.send(from, to, carrier) {
             Some(span) => {
                 self.after(span, happening);
--- a/crates/policy/src/world/caller.rs
+++ b/crates/policy/src/world/caller.rs
@@ -20,12 +20,12 @@
     /// How many callers each zone has.
     pub callers: usize,
     /// How long after one request a caller sends its next.
-    pub every: Duration,
+    pub interval: Duration,
     /// How many of a hundred requests are reads.
-    pub reads: u32,
+    pub read_percent: u32,
     /// How many of a hundred requests a caller sends to another instance than
     /// the one before.
-    pub roams: u32,
+    pub roam_percent: u32,
 }
 
 /// What a request is.
@@ -52,18 +52,18 @@
 
 /// One line of a script, which a caller says after the one before is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Line {
+pub enum Command {
     /// Writes under this number.
     Write(u64),
     /// Looks whether what was written under this number is there.
-    Look(u64),
+    Read(u64),
 }
 
 /// What a caller was told to one line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Said {
+pub struct CommandResult {
     /// The line.
-    pub line: Line,
+    pub command: Command,
     /// How it ended at last, repeats of unknown writes included.
     pub outcome: Outcome,
     /// Whether a look found what it looked for.
@@ -77,14 +77,14 @@
     pub zone: usize,
     instance: usize,
     token: Option<Position>,
-    script: Vec<Line>,
-    said: Vec<Said>,
+    script: Vec<Command>,
+    results: Vec<CommandResult>,
     pace: Duration,
 }
 
 /// A write that was acknowledged to its caller.
 #[derive(Debug, Clone, Copy)]
-pub struct Landing {
+pub struct Acknowledgement {
     /// When the caller sent the request that was acknowledged.
     pub asked: Instant,
     /// When the acknowledgement reached it.
@@ -123,13 +123,13 @@
     open: HashMap<Request, Open>,
     requests: u64,
     operations: u64,
-    landings: Vec<Landing>,
+    acknowledgements: Vec<Acknowledgement>,
     tally: Tally,
 }
 
 impl World {
     /// Lets callers ask from `from` on.
-    pub fn load(&mut self, from: Instant, load: Load) {
+    pub fn start_load(&mut self, from: Instant, load: Load) {
         self.desk.load = Some(load);
         for zone in 0..self.site.zones {
             for _ in 0..load.callers {
@@ -140,10 +140,10 @@
                     instance,
                     token: None,
                     script: Vec::new(),
-                    said: Vec::new(),
-                    pace: load.every,
+                    results: Vec::new(),
+                    pace: load.interval,
                 });
-                let offset = load.every.mul_f64(self.rng.random());
+                let offset = load.interval.mul_f64(self.rng.random());
                 let at = from + offset;
                 self.timer.subscribe(at, Happening::Caller(caller));
             }
@@ -152,7 +152,7 @@
 
     /// Lets a caller in a zone say a script from `from` on, roaming at each
     /// line, with `pace` between an answer and the next line.
-    pub fn script(&mut self, from: Instant, zone: usize, pace: Duration, script: &[Line]) {
+    pub fn run_script(&mut self, from: Instant, zone: usize, pace: Duration, script: &[Command]) {
         let instance = self.instance_near(zone);
         let caller = self.desk.callers.len();
         let script = script.iter().rev().copied().collect();
@@ -161,15 +161,15 @@
             instance,
             token: None,
             script,
-            said: Vec::new(),
+            results: Vec::new(),
             pace,
         });
         self.timer.subscribe(from, Happening::Caller(caller));
     }
 
     /// What the callers with scripts were told.
-    pub fn said(&self) -> Vec<&[Said]> {
-        let scripted = self.desk.callers.iter().map(|c| &c.said[..]);
+    pub fn results(&self) -> Vec<&[CommandResult]> {
+        let scripted = self.desk.callers.iter().map(|c| &c.results[..]);
         scripted.collect()
     }
 
@@ -178,10 +178,10 @@
             return false;
         };
         match *line {
-            Line::Write(number) => {
+            Command::Write(number) => {
                 self.ask(caller, Operation(number), Kind::Write, REPEATS, true);
             }
-            Line::Look(number) => {
+            Command::Read(number) => {
                 let kind = Kind::Read(Freshness::Session);
                 self.ask(caller, Operation(number), kind, 0, true);
             }
@@ -199,8 +199,8 @@
         let Some(line) = caller.script.pop() else {
             return;
         };
-        caller.said.push(Said {
-            line,
+        caller.results.push(CommandResult {
+            command: line,
             outcome,
             found: end.found.is_some(),
         });
@@ -209,13 +209,13 @@
     }
 
     /// Lets no caller ask anything new.
-    pub fn quiet(&mut self) {
+    pub fn stop_load(&mut self) {
         self.desk.load = None;
     }
 
     /// The writes that were acknowledged.
-    pub fn landings(&self) -> &[Landing] {
-        &self.desk.landings
+    pub fn acknowledgements(&self) -> &[Acknowledgement] {
+        &self.desk.acknowledgements
     }
 
     /// How many requests ended how.
@@ -242,15 +242,15 @@
         let Some(load) = self.desk.load else {
             return;
         };
-        self.after(load.every, Happening::Caller(caller));
-        let kind = match self.rng.random_range(0..100) < load.reads {
+        self.after(load.interval, Happening::Caller(caller));
+        let kind = match self.rng.random_range(0..100) < load.read_percent {
             false => Kind::Write,
             true if self.rng.random_ratio(1, 4) => Kind::Read(Freshness::Current),
             true => Kind::Read(Freshness::Session),
         };
         self.desk.operations += 1;
         let operation = Operation(self.desk.operations);
-        let roams = self.rng.random_range(0..100) < load.roams;
+        let roams = self.rng.random_range(0..100) < load.roam_percent;
         self.ask(caller, operation, kind, REPEATS, roams);
     }
 
@@ -291,7 +291,7 @@
             roamed: !stays,
             look: (kind != Kind::Write).then_some(operation),
         };
-        let span = self.site.callers;
+        let span = self.site.caller_latency;
         self.later(instance, span, Arrival::Errand(errand));
     }
 
@@ -343,7 +343,7 @@
             Outcome::Done => {
                 self.desk.tally.done += 1;
                 if let (Kind::Write, Some(term)) = (open.kind, end.term) {
-                    self.desk.landings.push(Landing {
+                    self.desk.acknowledgements.push(Acknowledgement {
                         asked: open.asked,
                         at: self.now,
                         term,
--- a/crates/policy/src/world/instance.rs
+++ b/crates/policy/src/world/instance.rs
@@ -19,7 +19,7 @@
 use route::Router;
 use session::{Round, Session};
 
-use crate::net::Carrier;
+use crate::net::Transport;
 
 use super::{
     Fault, Happening, Logic, Step, World,
@@ -74,7 +74,7 @@
     /// How often it was started.
     pub epoch: u32,
     /// Until when it does nothing at all.
-    pub paused: Instant,
+    pub paused_until: Instant,
     /// Its failover.
     pub group: Group,
     name: name::Instance,
@@ -127,7 +127,7 @@
             zone,
             up: true,
             epoch,
-            paused: Instant::ZERO,
+            paused_until: Instant::ZERO,
             group,
             name,
             quorum: Quorum::open(self.servers.len(), Term(0), self.names[0].clone()),
@@ -212,8 +212,8 @@
             return;
         }
         here.wake = None;
-        if here.paused > self.now {
-            let at = here.paused;
+        if here.paused_until > self.now {
+            let at = here.paused_until;
             let tick = Happening::Tick { instance, epoch };
             self.instances[instance].wake = Some(self.timer.subscribe(at, tick));
             return;
@@ -226,8 +226,8 @@
         if here.epoch != epoch || !here.up {
             return;
         }
-        if here.paused > self.now {
-            let wait = here.paused.since(self.now);
+        if here.paused_until > self.now {
+            let wait = here.paused_until.since(self.now);
             return self.later(instance, wait, arrival);
         }
         match arrival {
@@ -264,7 +264,7 @@
             epoch,
             arrival,
         };
-        self.send(here, there, Carrier::Datagram, happening);
+        self.send(here, there, Transport::Datagram, happening);
     }
 
     /// Lets the failover decide, and carries out what it asks for.
@@ -319,7 +319,7 @@
         let now = self.now;
         match action {
             Action::Swap { record, .. } => {
-                let mark = self.marks.entry(record.term).or_default();
+                let mark = self.milestones.entry(record.term).or_default();
                 match record.phase {
                     Phase::Claimed { .. } => {
                         mark.claim_sent.get_or_insert(now);
@@ -330,12 +330,12 @@
             }
             Action::Order { order, .. } => match order {
                 failover::Order::Fence { term } => {
-                    let mark = self.marks.entry(*term).or_default();
+                    let mark = self.milestones.entry(*term).or_default();
                     mark.claimed.get_or_insert(now);
                     Some(Step::Fence)
                 }
                 failover::Order::Promote { term } => {
-                    let mark = self.marks.entry(*term).or_default();
+                    let mark = self.milestones.entry(*term).or_default();
                     mark.ordered.get_or_insert(now);
                     Some(Step::Promote)
                 }
@@ -353,7 +353,7 @@
             from: instance,
             ask,
         };
-        self.send(here, there, Carrier::Stream, happening);
+        self.send(here, there, Transport::Stream, happening);
     }
 
     fn tell_peer(&mut self, from: usize, to: &name::Instance, evidence: failover::Evidence) {
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -122,7 +122,7 @@
         let session = sessions.entry(errand.caller);
         let session = session.or_insert_with(|| Session::open(now));
         match (errand.token, self.logic) {
-            (_, Logic::ForgetTokens) => {
+            (_, Logic::IgnoreTokens) => {
                 *session = Session::open(now);
                 let nothing = session::Event::Presented(Position::default());
                 session.step(now, nothing);
@@ -145,7 +145,7 @@
                 request::Action::Send(_) => self.send_write(instance, request),
                 request::Action::Confirm(position) => self.land(instance, request, position),
                 request::Action::Withdraw => {}
-                request::Action::End(outcome, _) => self.finish(instance, request, outcome),
+                request::Action::End(outcome, _) => self.finish_request(instance, request, outcome),
             }
         }
     }
@@ -241,7 +241,7 @@
     fn refuse_read(&mut self, instance: usize, request: Request, cause: Cause) {
         let work = &self.instances[instance].work[&request];
         let outcome = work.given_up(cause);
-        self.finish(instance, request, outcome);
+        self.finish_request(instance, request, outcome);
     }
 
     fn discover(&mut self, instance: usize, request: Request) {
@@ -291,7 +291,7 @@
             Reply::Refused | Reply::Unreachable => Turn::Unsent(handle),
             Reply::Broken if self.logic == Logic::ClaimNotRun => {
                 let outcome = Outcome::NotRun(Cause::ConnectionLost);
-                return self.finish(instance, request, outcome);
+                return self.finish_request(instance, request, outcome);
             }
             Reply::Broken => Turn::Lost(handle),
         };
@@ -305,7 +305,7 @@
             return;
         };
         work.stage = Stage::Landing(position);
-        if matches!(self.logic, Logic::Naive | Logic::AcknowledgeAtOnce) {
+        if matches!(self.logic, Logic::Naive | Logic::AcknowledgeUnreplicated) {
             return self.landed(instance, request);
         }
         match here.quorum.add_write(Id(request.0), position) {
@@ -357,7 +357,7 @@
         if self.logic == Logic::Naive {
             let lost = Outcome::Unknown(Cause::ConnectionLost);
             let outcome = answer.map_or(lost, |_| Outcome::Done);
-            return self.finish(instance, request, outcome);
+            return self.finish_request(instance, request, outcome);
         }
         let Some((report, _)) = answer else {
             let upstream = self.names[server].clone();
@@ -368,7 +368,7 @@
         self.reported(instance, server, at, report);
         match proof {
             Proof::Confirmed if self.logic == Logic::Unverified => {
-                self.finish(instance, request, Outcome::Done);
+                self.finish_request(instance, request, Outcome::Done);
             }
             Proof::Confirmed => self.confirm(instance, request, report),
             Proof::Verified(target) => self.verify(instance, request, report, target),
@@ -389,7 +389,7 @@
             let confirmed = here.router.confirmed();
             session.step(now, session::Event::Read { upto, confirmed });
         }
-        self.finish(instance, request, Outcome::Done);
+        self.finish_request(instance, request, Outcome::Done);
     }
 
     /// Gives a read's answer out if a round since it began proves the term.
@@ -415,7 +415,7 @@
             let upto = position;
             session.step(now, session::Event::Read { upto, confirmed });
         }
-        self.finish(instance, request, Outcome::Done);
+        self.finish_request(instance, request, Outcome::Done);
     }
 
     fn anew(&mut self, instance: usize, request: Request) {
@@ -439,10 +439,10 @@
             return self.live(instance, request, Turn::Deadline);
         }
         let outcome = work.given_up(Cause::Deadline);
-        self.finish(instance, request, outcome);
+        self.finish_request(instance, request, outcome);
     }
 
-    fn finish(&mut self, instance: usize, request: Request, outcome: Outcome) {
+    fn finish_request(&mut self, instance: usize, request: Request, outcome: Outcome) {
         let here = &mut self.instances[instance];
         let Some(work) = here.work.remove(&request) else {
             return;
@@ -468,7 +468,7 @@
             token,
             end,
         };
-        self.after(self.site.callers, happening);
+        self.after(self.site.caller_latency, happening);
     }
 
     /// A caller's connection broke with its instance.
--- a/crates/policy/src/world/platform.rs
+++ b/crates/policy/src/world/platform.rs
@@ -5,7 +5,7 @@
 use failover::event::{Call, Entry, Event as Decision, StoreFault};
 use model::Record;
 
-use crate::net::{Carrier, Place};
+use crate::net::{Place, Transport};
 
 use super::{Happening, World, instance::Arrival};
 
@@ -32,9 +32,9 @@
     /// Whether it takes no calls.
     pub down: bool,
     /// How much longer than usual each call takes.
-    pub extra: Duration,
+    pub extra_latency: Duration,
     /// How many of the next answers are lost.
-    pub lose: u32,
+    pub answers_to_lose: u32,
     /// How many calls it took.
     pub calls: u64,
     entry: Entry,
@@ -45,8 +45,8 @@
     pub fn open(record: Record) -> Self {
         Self {
             down: false,
-            extra: Duration::ZERO,
-            lose: 0,
+            extra_latency: Duration::ZERO,
+            answers_to_lose: 0,
             calls: 0,
             entry: Entry {
                 revision: 1,
@@ -58,8 +58,8 @@
     /// Ends all that ails it.
     pub fn recover(&mut self) {
         self.down = false;
-        self.extra = Duration::ZERO;
-        self.lose = 0;
+        self.extra_latency = Duration::ZERO;
+        self.answers_to_lose = 0;
     }
 
     /// The record.
@@ -81,7 +81,7 @@
     pub(super) fn ask_store(&mut self, from: usize, call: Call, ask: Ask) {
         let place = self.instance_place(from);
         let happening = Happening::AtStore { from, call, ask };
-        self.send(place, Place::Platform, Carrier::Stream, happening);
+        self.send(place, Place::Platform, Transport::Stream, happening);
     }
 
     pub(super) fn at_store(&mut self, from: usize, call: Call, ask: Ask) {
@@ -103,11 +103,11 @@
                 Decision::Swapped { call, result }
             }
         };
-        if self.store.lose > 0 {
-            self.store.lose -= 1;
+        if self.store.answers_to_lose > 0 {
+            self.store.answers_to_lose -= 1;
             return;
         }
-        let span = SERVICE + self.store.extra;
+        let span = SERVICE + self.store.extra_latency;
         self.store_answers(from, span, Arrival::Group(decision));
     }
 
@@ -123,7 +123,7 @@
     /// Tells the watchers: one instance of each zone, which tells the others.
     fn notify(&mut self) {
         let entry = self.store.entry.clone();
-        let span = SERVICE + self.store.extra;
+        let span = SERVICE + self.store.extra_latency;
         for zone in 0..self.site.zones {
             let here = |i: &usize| self.instances[*i].zone == zone && self.instances[*i].up;
             let Some(relay) = (0..self.instances.len()).find(here) else {
@@ -135,7 +135,7 @@
 
     fn store_answers(&mut self, to: usize, span: Duration, arrival: Arrival) {
         let place = self.instance_place(to);
-        let Some(travel) = self.net.send(Place::Platform, place, Carrier::Stream) else {
+        let Some(travel) = self.net.send(Place::Platform, place, Transport::Stream) else {
             return;
         };
         let epoch = self.instances[to].epoch;
--- a/crates/policy/src/world/upstream.rs
+++ b/crates/policy/src/world/upstream.rs
@@ -8,7 +8,7 @@
 use model::{Lsn, Position, Report, Term};
 
 use crate::{
-    net::Carrier,
+    net::Transport,
     server::{Condition, Follow, Refusal, Written},
 };
 
@@ -59,21 +59,21 @@
             Condition::Crashed => return self.refuse(server, from, &ask),
             Condition::Up => {}
         }
-        if self.servers[server].stalled > now {
-            let wait = self.servers[server].stalled.since(now);
+        if self.servers[server].stalled_until > now {
+            let wait = self.servers[server].stalled_until.since(now);
             return self.after(wait, Happening::AtServer { server, from, ask });
         }
         match ask {
             Ask::Group(call, order) => self.order(server, from, call, order),
             Ask::Write(request, operation) => self.write(server, from, request, operation),
             Ask::Read(request, look) => {
-                let found = look.filter(|it| self.servers[server].holds(*it));
+                let found = look.filter(|it| self.servers[server].contains(*it));
                 let report = self.servers[server].report();
                 let seen = route::position(&report);
                 let age = Duration::ZERO;
                 self.ran(server, request, Effect::Read { seen, age });
                 let arrival = Arrival::Read(server, request, Some((report, found)));
-                self.reply(server, from, self.site.service, arrival);
+                self.reply(server, from, self.site.service_time, arrival);
             }
             Ask::Poll(asked) => {
                 let report = self.servers[server].report();
@@ -104,7 +104,7 @@
 
     fn reply(&mut self, server: usize, to: usize, span: Duration, arrival: Arrival) {
         let (from, place) = (self.server_place(server), self.instance_place(to));
-        let Some(travel) = self.net.send(from, place, Carrier::Stream) else {
+        let Some(travel) = self.net.send(from, place, Transport::Stream) else {
             return;
         };
         let epoch = self.instances[to].epoch;
@@ -145,8 +145,8 @@
 
     fn promoted(&mut self, server: usize, term: Term, fork: Lsn) {
         let at = self.now + PROMOTE;
-        self.servers[server].stalled = at;
-        self.marks.entry(term).or_default().promoted = Some(at);
+        self.servers[server].stalled_until = at;
+        self.milestones.entry(term).or_default().promoted = Some(at);
         self.tell(Event::Promoted {
             database: self.database.clone(),
             term,
@@ -176,8 +176,8 @@
             self.server_place(follow.leader),
             self.server_place(follower),
         );
-        let leads = self.servers[follow.leader].leads(follow.term);
-        if !leads || !self.net.passes(from, to) {
+        let leads = self.servers[follow.leader].is_primary_in(follow.term);
+        if !leads || !self.net.is_reachable(from, to) {
             return self.connect_later(follower);
         }
         let leader = self.servers[follow.leader].log().to_vec();
@@ -197,7 +197,7 @@
             self.server_place(follower),
         );
         let upto = self.servers[follow.leader].log().len();
-        let Some(span) = self.net.send(from, to, Carrier::Stream) else {
+        let Some(span) = self.net.send(from, to, Transport::Stream) else {
             return self.connect_later(follower);
         };
         let tail = self.tails.get(&follower).copied().unwrap_or_default();
@@ -216,13 +216,13 @@
         if here.follow != Some(follow) || here.condition != Condition::Up {
             return;
         }
-        if here.stalled > self.now {
+        if here.stalled_until > self.now {
             let happening = Happening::Stream {
                 follower,
                 follow,
                 upto,
             };
-            return self.after(here.stalled.since(self.now), happening);
+            return self.after(here.stalled_until.since(self.now), happening);
         }
         let have = here.log().len();
         let leader = self.servers[follow.leader].log();
@@ -238,7 +238,7 @@
         operation: check::Operation,
     ) {
         if self.logic == Logic::NoLedger {
-            self.servers[server].forget(operation);
+            self.servers[server].remove_from_ledger(operation);
         }
         let reply = match self.servers[server].write(operation) {
             Ok(Written::Added(at)) => {
@@ -255,7 +255,7 @@
             }
             Err(_) => Reply::Refused,
         };
-        let span = self.site.service;
+        let span = self.site.service_time;
         self.reply(server, from, span, Arrival::Wrote(server, request, reply));
     }
 
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -60,7 +60,7 @@
 #[test]
 fn quiet_time_changes_nothing() {
     for site in SITES {
-        let quiet = jitter::quiet(site, Duration::from_secs(30), SEED);
+        let quiet = jitter::run(site, Duration::from_secs(30), SEED);
         let broken = (quiet.promotions, quiet.lost, quiet.violations);
         assert_eq!(broken, (0, 0, 0), "{}", site.name);
     }
--- a/crates/policy/tests/broken.rs
+++ b/crates/policy/tests/broken.rs
@@ -13,25 +13,25 @@
 /// Dense enough that a fault always finds requests under way.
 const LOAD: Load = Load {
     callers: 10,
-    every: Duration::from_millis(10),
-    reads: 40,
-    roams: 20,
+    interval: Duration::from_millis(10),
+    read_percent: 40,
+    roam_percent: 20,
 };
 
 /// Runs a logic through faults at two seconds, and heals all at three.
 fn violations(logic: Logic, faults: &[Fault]) -> Vec<Violation> {
     let mut world = World::open_with(STALGENOOT, 11, logic);
-    world.load(Instant::from_millis(1_000), LOAD);
+    world.start_load(Instant::from_millis(1_000), LOAD);
     for fault in faults {
-        world.plan(Instant::from_millis(2_000), *fault);
+        world.schedule(Instant::from_millis(2_000), *fault);
     }
     world.run(Instant::from_millis(3_000));
-    world.plan(Instant::from_millis(3_000), Fault::Heal);
-    world.plan(Instant::from_millis(3_000), Fault::Restart(0));
+    world.schedule(Instant::from_millis(3_000), Fault::Heal);
+    world.schedule(Instant::from_millis(3_000), Fault::Restart(0));
     world.run(Instant::from_millis(4_000));
-    world.quiet();
+    world.stop_load();
     world.run(Instant::from_millis(5_500));
-    world.settle();
+    world.finish();
     world.suite.violations().to_vec()
 }
 
@@ -48,7 +48,7 @@
 fn acknowledged_at_once_is_lost() {
     let cut = [Fault::Isolate(0)];
     let lost = |v: &Violation| matches!(v, Violation::Lost { .. });
-    assert_told(Logic::AcknowledgeAtOnce, &cut, lost);
+    assert_told(Logic::AcknowledgeUnreplicated, &cut, lost);
 }
 
 /// Symptom and events as above; the checker of replaced primaries tells it too.
@@ -56,7 +56,7 @@
 fn acknowledged_by_replaced() {
     let cut = [Fault::Isolate(0)];
     let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_told(Logic::AcknowledgeAtOnce, &cut, told);
+    assert_told(Logic::AcknowledgeUnreplicated, &cut, told);
 }
 
 /// Symptom: a rider does not see the booking just made. Events: a replica
@@ -66,7 +66,7 @@
     let behind = [Fault::Stall(2, Duration::from_millis(900))];
     let slow = [Fault::Stall(1, Duration::from_millis(900)), behind[0]];
     let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_told(Logic::ForgetTokens, &slow, told);
+    assert_told(Logic::IgnoreTokens, &slow, told);
 }
 
 /// Symptom: a current read misses what another caller was told is done. Events:
@@ -110,5 +110,5 @@
 fn acknowledged_at_once_with_dying_promoter() {
     let faults = [Fault::KillOn(Step::Promote), Fault::Isolate(0)];
     let lost = |v: &Violation| matches!(v, Violation::Lost { .. });
-    assert_told(Logic::AcknowledgeAtOnce, &faults, lost);
+    assert_told(Logic::AcknowledgeUnreplicated, &faults, lost);
 }
--- a/crates/policy/tests/differential.rs
+++ b/crates/policy/tests/differential.rs
@@ -10,7 +10,7 @@
 use model::Outcome;
 use policy::{
     site::{SITES, Site},
-    world::{Fault, Line, Load, Logic, Said, Step, World},
+    world::{Command, CommandResult, Fault, Load, Logic, Step, World},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -64,7 +64,7 @@
 
 /// Scripts of three callers: each writes numbers of its own, and looks for its
 /// own numbers, written before or never.
-fn scripts() -> impl Strategy<Value = Vec<Vec<Line>>> {
+fn scripts() -> impl Strategy<Value = Vec<Vec<Command>>> {
     let line = (any::<bool>(), 0u64..40);
     let script = prop::collection::vec(line, 20..60);
     prop::collection::vec(script, 3).prop_map(|scripts| {
@@ -75,16 +75,16 @@
     })
 }
 
-fn own(caller: usize, lines: &[(bool, u64)]) -> Vec<Line> {
+fn own(caller: usize, lines: &[(bool, u64)]) -> Vec<Command> {
     let base = (caller as u64 + 1) * 1_000_000;
     let mut written = 0;
     let lines = lines.iter().map(|&(writes, back)| {
         if writes {
             written += 1;
-            return Line::Write(base + written);
+            return Command::Write(base + written);
         }
         // Looks for one of the last writes, or for one that was never written.
-        Line::Look(base + (written + 2).saturating_sub(back % 8))
+        Command::Read(base + (written + 2).saturating_sub(back % 8))
     });
     lines.collect()
 }
@@ -93,40 +93,40 @@
     site: Site,
     logic: Logic,
     seed: u64,
-    scripts: &[Vec<Line>],
+    scripts: &[Vec<Command>],
     faults: &[(u64, Fault)],
 ) -> World {
     let mut world = World::open_with(site, seed, logic);
     for (zone, script) in scripts.iter().enumerate() {
-        world.script(BEGIN, zone % site.zones, Duration::from_millis(40), script);
+        world.run_script(BEGIN, zone % site.zones, Duration::from_millis(40), script);
     }
     for &(after, fault) in faults {
-        world.plan(BEGIN + Duration::from_millis(after), fault);
+        world.schedule(BEGIN + Duration::from_millis(after), fault);
     }
     let heal = BEGIN + Duration::from_millis(FAULTS);
     world.run(heal);
     for fault in [Fault::Heal, Fault::StoreUp] {
-        world.plan(heal, fault);
+        world.schedule(heal, fault);
     }
     for server in 0..site.upstreams {
-        world.plan(heal, Fault::Restart(server));
+        world.schedule(heal, Fault::Restart(server));
     }
     world
 }
 
 /// What a caller was told of each line, by the line's place in its script.
-fn answers(said: &[Said]) -> HashMap<usize, Said> {
+fn answers(said: &[CommandResult]) -> HashMap<usize, CommandResult> {
     said.iter().copied().enumerate().collect()
 }
 
-fn done(said: &[Said], line: Line) -> bool {
+fn done(said: &[CommandResult], line: Command) -> bool {
     said.iter()
-        .any(|s| s.line == line && s.outcome == Outcome::Done)
+        .any(|s| s.command == line && s.outcome == Outcome::Done)
 }
 
-fn written(said: &[Said], upto: usize, number: u64) -> Option<bool> {
+fn written(said: &[CommandResult], upto: usize, number: u64) -> Option<bool> {
     let before = said[..upto].iter().rev();
-    let mut before = before.filter(|s| s.line == Line::Write(number));
+    let mut before = before.filter(|s| s.command == Command::Write(number));
     match before.next()?.outcome {
         Outcome::Done => Some(true),
         Outcome::NotRun(_) => Some(false),
@@ -136,17 +136,17 @@
 
 /// Whether the two agree on every look that both answered, about a write that
 /// both were told the same of.
-fn assert_agree(real: &[Said], naive: &[Said]) -> Result<(), TestCaseError> {
+fn assert_agree(real: &[CommandResult], naive: &[CommandResult]) -> Result<(), TestCaseError> {
     let naively = answers(naive);
     for (place, said) in real.iter().enumerate() {
-        let (Line::Look(number), Some(other)) = (said.line, naively.get(&place)) else {
+        let (Command::Read(number), Some(other)) = (said.command, naively.get(&place)) else {
             continue;
         };
         if said.outcome != Outcome::Done || other.outcome != Outcome::Done {
             continue;
         }
-        let never =
-            !done(real, Line::Write(number)) && !real.iter().any(|s| s.line == Line::Write(number));
+        let never = !done(real, Command::Write(number))
+            && !real.iter().any(|s| s.command == Command::Write(number));
         let ours = written(real, place, number);
         let theirs = written(naive, place, number);
         if never || (ours.is_some() && ours == theirs) {
@@ -175,20 +175,20 @@
     ) {
         let mut real = play(site, Logic::Real, seed, &scripts, &faults);
         let heal = BEGIN + Duration::from_millis(FAULTS);
-        let load = Load { callers: 1, every: Duration::from_millis(50), reads: 30, roams: 20 };
-        real.load(heal, load);
+        let load = Load { callers: 1, interval: Duration::from_millis(50), read_percent: 30, roam_percent: 20 };
+        real.start_load(heal, load);
         let end = heal + Duration::from_millis(6_000);
         real.run(end);
-        real.quiet();
+        real.stop_load();
         real.run(end + Duration::from_millis(1_500));
-        real.settle();
+        real.finish();
         prop_assert_eq!(real.suite.violations(), &[]);
-        let late = real.landings().iter().filter(|l| l.asked > end - Duration::from_millis(1_000));
+        let late = real.acknowledgements().iter().filter(|l| l.asked > end - Duration::from_millis(1_000));
         prop_assert!(late.count() > 5, "service is not back");
 
         let mut naive = play(site, Logic::Naive, seed, &scripts, &faults);
         naive.run(end);
-        for (ours, theirs) in real.said().iter().zip(naive.said()) {
+        for (ours, theirs) in real.results().iter().zip(naive.results()) {
             assert_agree(ours, theirs)?;
         }
     }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -12,9 +12,9 @@
 
 const LOAD: Load = Load {
     callers: 1,
-    every: Duration::from_millis(10),
-    reads: 40,
-    roams: 20,
+    interval: Duration::from_millis(10),
+    read_percent: 40,
+    roam_percent: 20,
 };
 
 /// When the faults come.
@@ -33,9 +33,9 @@
 /// A world whose callers are at work when the faults come.
 fn world(site: Site, seed: u64, faults: &[(u64, Fault)]) -> World {
     let mut world = World::open(site, seed);
-    world.load(Instant::from_millis(1_000), LOAD);
+    world.start_load(Instant::from_millis(1_000), LOAD);
     for &(after, fault) in faults {
-        world.plan(FAIL + ms(after), fault);
+        world.schedule(FAIL + ms(after), fault);
     }
     world
 }
@@ -46,25 +46,28 @@
     let heal = FAIL + ms(after);
     world.run(heal);
     for fault in [Fault::Heal, Fault::StoreUp] {
-        world.plan(heal, fault);
+        world.schedule(heal, fault);
     }
     for server in 0..world.servers.len() {
-        world.plan(heal, Fault::Restart(server));
+        world.schedule(heal, Fault::Restart(server));
     }
     let end = heal + ms(2_500);
     world.run(end);
-    world.quiet();
+    world.stop_load();
     world.run(end + ms(1_500));
-    world.settle();
+    world.finish();
     assert_eq!(world.suite.violations(), []);
-    let late = world.landings().iter().filter(|l| l.asked > end - ms(500));
+    let late = world
+        .acknowledgements()
+        .iter()
+        .filter(|l| l.asked > end - ms(500));
     assert!(late.count() > 20, "service is not back");
 }
 
 /// The first acknowledgement of a write that was asked after the fault, of a
 /// term after `term`, from the fault on.
 fn gap(world: &World, term: u64) -> Option<Duration> {
-    let after = world.landings().iter().filter(|l| l.asked >= FAIL);
+    let after = world.acknowledgements().iter().filter(|l| l.asked >= FAIL);
     let after = after.filter(|l| l.term > Term(term));
     after.map(|l| l.at.since(FAIL)).min()
 }
@@ -83,7 +86,7 @@
         (zombie.role(), zombie.position().term),
         (Role::Primary, Term(1))
     );
-    let beside = world.landings().iter().filter(|l| l.zone == 0);
+    let beside = world.acknowledgements().iter().filter(|l| l.zone == 0);
     assert!(beside.filter(|l| l.at > FAIL + ms(20)).count() == 0);
     assert_whole(&mut world, 2_500);
     assert_eq!(world.servers[0].role(), Role::Replica);
@@ -95,7 +98,7 @@
 #[test]
 fn replica_far_behind() {
     let mut world = world(STALGENOOT, 2, &[(0, Fault::Silence(0))]);
-    world.plan(FAIL - ms(700), Fault::Stall(2, ms(650)));
+    world.schedule(FAIL - ms(700), Fault::Stall(2, ms(650)));
     assert_whole(&mut world, 2_000);
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
@@ -111,7 +114,7 @@
         (300, Fault::Kill(1)),
     ];
     let mut world = world(UMURAGE, 3, &deaths);
-    world.load(Instant::from_millis(1_000), DENSE);
+    world.start_load(Instant::from_millis(1_000), DENSE);
     assert_whole(&mut world, 1_000);
     assert_eq!(world.leader(), Some(0));
     assert!(world.tally().unknown > 0);
@@ -213,7 +216,7 @@
     world.run(FAIL + ms(3_000));
     let second = world.leader().unwrap();
     assert_ne!(second, 0);
-    world.plan(FAIL + ms(3_000), Fault::Isolate(world.servers[second].zone));
+    world.schedule(FAIL + ms(3_000), Fault::Isolate(world.servers[second].zone));
     world.run(FAIL + ms(5_500));
     assert!(gap(&world, 2).unwrap() < ms(5_500));
     assert_whole(&mut world, 6_000);
@@ -227,7 +230,12 @@
     let mut world = world(UMURAGE, 12, &[(0, Fault::Crash(0)), (0, Fault::Isolate(1))]);
     world.run(FAIL + ms(2_500));
     assert_eq!(gap(&world, 1), None);
-    assert!(world.marks.values().all(|mark| mark.promoted.is_none()));
+    assert!(
+        world
+            .milestones
+            .values()
+            .all(|milestones| milestones.promoted.is_none())
+    );
     assert_whole(&mut world, 2_500);
 }
 
@@ -250,7 +258,7 @@
     let faults = [0, 1, 2].map(|zone| (0, Fault::Isolate(zone)));
     let mut world = world(UMURAGE, 14, &faults);
     world.run(FAIL + ms(2_000));
-    let during = world.landings().iter().filter(|l| l.asked > FAIL);
+    let during = world.acknowledgements().iter().filter(|l| l.asked > FAIL);
     assert_eq!(during.count(), 0);
     assert_whole(&mut world, 2_000);
 }
