--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -10,28 +10,32 @@
 use crate::job::{self, Command, Part};
 
 /// The message that says that a transaction was committed.
-const COMMITTED: &[u8] = b"C\0\0\0\x0bCOMMIT\0";
+const COMMIT_COMPLETE: &[u8] = b"C\0\0\0\x0bCOMMIT\0";
 
 /// Whether an answer goes to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Show {
+pub(super) enum Recipient {
     /// It does.
     Caller,
     /// The proxy asked on its own account.
-    Nobody,
+    Proxy,
 }
 
 /// Passes the answer to the running request on, part by part.
-pub(super) async fn pass(session: &mut Session, io: &Stream, show: Show) -> Result<(), End> {
+pub(super) async fn relay(
+    session: &mut Session,
+    io: &Stream,
+    recipient: Recipient,
+) -> Result<(), End> {
     loop {
         let part = tokio::select! {
             biased;
             part = next(session) => part?,
-            () = gone(io) => return Err(End::Gone),
+            () = disconnected(io) => return Err(End::Gone),
         };
         match part {
             Part::Chunk(bytes) => {
-                if show == Show::Caller {
+                if recipient == Recipient::Caller {
                     send(io, &bytes).await?;
                 }
                 let taken = Command::Taken {
@@ -40,7 +44,7 @@
                 };
                 session.shared.commands.send(taken).await;
             }
-            Part::End(end) => return finish(session, io, *end, show).await,
+            Part::End(end) => return finish(session, io, *end, recipient).await,
         }
     }
 }
@@ -58,23 +62,32 @@
 }
 
 /// Waits until the caller has closed its connection.
-async fn gone(io: &Stream) {
+async fn disconnected(io: &Stream) {
     io.on_disconnect().await;
 }
 
-async fn finish(session: &mut Session, io: &Stream, end: job::End, show: Show) -> Result<(), End> {
+async fn finish(
+    session: &mut Session,
+    io: &Stream,
+    end: job::End,
+    recipient: Recipient,
+) -> Result<(), End> {
     let now = session.shared.clock.now();
     for event in end.events {
         session.state.step(now, event);
     }
     let done = end.outcome == Outcome::Done;
-    let commit = done && end.bytes.windows(COMMITTED.len()).any(|it| it == COMMITTED);
-    let ready = session.ended(end.status, end.changes, commit);
-    if show == Show::Nobody {
+    let commit = done
+        && end
+            .bytes
+            .windows(COMMIT_COMPLETE.len())
+            .any(|it| it == COMMIT_COMPLETE);
+    let ready = session.note_batch_end(end.status, end.changes, commit);
+    if recipient == Recipient::Proxy {
         return Ok(());
     }
     let mut buf = BytesMut::from(&end.bytes[..]);
-    put_outcome(&mut buf, end.outcome, end.retry_after);
+    append_outcome(&mut buf, end.outcome, end.retry_after);
     session.put_token(&mut buf);
     if let Some(status) = ready {
         pg::ready(&mut buf, status);
@@ -89,14 +102,14 @@
     outcome: Outcome,
 ) -> Result<(), End> {
     let mut buf = BytesMut::new();
-    put_outcome(&mut buf, outcome, None);
-    if let Some(status) = session.refused() {
+    append_outcome(&mut buf, outcome, None);
+    if let Some(status) = session.note_refused() {
         pg::ready(&mut buf, status);
     }
     send(io, &buf).await
 }
 
-fn put_outcome(buf: &mut BytesMut, outcome: Outcome, retry_after: Option<std::time::Duration>) {
+fn append_outcome(buf: &mut BytesMut, outcome: Outcome, retry_after: Option<std::time::Duration>) {
     let Some(state) = outcome.sqlstate() else {
         return;
     };
--- a/crates/daemon/src/callers/auth.rs
+++ b/crates/daemon/src/callers/auth.rs
@@ -26,10 +26,10 @@
 #[derive(Debug)]
 pub(crate) struct Exchange {
     verifier: Verifier,
-    bare: String,
-    first: String,
+    client_first_bare: String,
+    server_first: String,
     nonce: String,
-    header: String,
+    gs2_header: String,
 }
 
 impl Exchange {
@@ -41,29 +41,29 @@
     pub(crate) fn open(verifier: Verifier, message: &[u8], salt: &[u8; 18]) -> Result<Self, Error> {
         let text = std::str::from_utf8(message).map_err(|_| Error::Form)?;
         let header_end = text.match_indices(',').nth(1).ok_or(Error::Form)?.0 + 1;
-        let (header, bare) = text.split_at(header_end);
-        if !header.starts_with("n,") && !header.starts_with("y,") {
+        let (gs2_header, client_first_bare) = text.split_at(header_end);
+        if !gs2_header.starts_with("n,") && !gs2_header.starts_with("y,") {
             return Err(Error::Form);
         }
-        let client = bare
+        let client = client_first_bare
             .split(',')
             .find_map(|it| it.strip_prefix("r="))
             .ok_or(Error::Form)?;
         let nonce = format!("{client}{}", STANDARD.encode(salt));
         let salt = STANDARD.encode(&verifier.salt);
-        let first = format!("r={nonce},s={salt},i={}", verifier.iterations);
+        let server_first = format!("r={nonce},s={salt},i={}", verifier.iterations);
         Ok(Self {
             verifier,
-            bare: bare.to_owned(),
-            first,
+            client_first_bare: client_first_bare.to_owned(),
+            server_first,
             nonce,
-            header: header.to_owned(),
+            gs2_header: gs2_header.to_owned(),
         })
     }
 
     /// The server's first message.
     pub(crate) fn challenge(&self) -> &str {
-        &self.first
+        &self.server_first
     }
 
     /// Checks the caller's last message and returns the server's.
@@ -73,13 +73,13 @@
     /// [`Error`] when the proof does not fit or the message is malformed.
     pub(crate) fn finish(&self, message: &[u8]) -> Result<String, Error> {
         let text = std::str::from_utf8(message).map_err(|_| Error::Form)?;
-        let (without, proof) = text.rsplit_once(",p=").ok_or(Error::Form)?;
-        let mut fields = without.split(',');
+        let (without_proof, proof) = text.rsplit_once(",p=").ok_or(Error::Form)?;
+        let mut fields = without_proof.split(',');
         let binding = fields
             .next()
             .and_then(|it| it.strip_prefix("c="))
             .ok_or(Error::Form)?;
-        if binding != STANDARD.encode(&self.header) {
+        if binding != STANDARD.encode(&self.gs2_header) {
             return Err(Error::Form);
         }
         let nonce = fields
@@ -89,7 +89,10 @@
         if nonce != self.nonce {
             return Err(Error::Nonce);
         }
-        let signed = format!("{},{},{without}", self.bare, self.first);
+        let signed = format!(
+            "{},{},{without_proof}",
+            self.client_first_bare, self.server_first
+        );
         self.check(&signed, &STANDARD.decode(proof).map_err(|_| Error::Form)?)?;
         let signature = mac(&self.verifier.server, signed.as_bytes());
         Ok(format!("v={}", STANDARD.encode(signature)))
@@ -116,21 +119,21 @@
 }
 
 /// The iterations of a verifier that PostgreSQL makes by its defaults.
-const ITERATIONS: u32 = 4_096;
+const DEFAULT_ITERATIONS: u32 = 4_096;
 
 /// The bytes of such a verifier's salt.
-const SALT: usize = 16;
+const DEFAULT_SALT_LEN: usize = 16;
 
 /// A verifier for a user that does not exist, which no proof fits.
 ///
 /// Its salt comes from a secret that all instances share, so that it is the
-/// same each time, as a real user's is; `pattern` is a real verifier that it
+/// same each time, as a real user's is; `template` is a real verifier that it
 /// takes its form from. An attacker could else tell who has an account.
-pub(crate) fn mock(secret: &[u8; 32], user: &str, pattern: Option<&Verifier>) -> Verifier {
+pub(crate) fn mock(secret: &[u8; 32], user: &str, template: Option<&Verifier>) -> Verifier {
     let salt = mac(secret, user.as_bytes());
-    let length = pattern.map_or(SALT, |it| it.salt.len().min(salt.len()));
+    let length = template.map_or(DEFAULT_SALT_LEN, |it| it.salt.len().min(salt.len()));
     Verifier {
-        iterations: pattern.map_or(ITERATIONS, |it| it.iterations),
+        iterations: template.map_or(DEFAULT_ITERATIONS, |it| it.iterations),
         salt: salt[..length].to_vec(),
         // No digest of a key that anybody knows.
         stored: mac(secret, &salt),
--- a/crates/daemon/src/callers/batch.rs
+++ b/crates/daemon/src/callers/batch.rs
@@ -76,13 +76,13 @@
         Kind::Set { .. } => Ok(Need::Setting),
         Kind::Begin(_) => Ok(Need::Begin),
         Kind::Write | Kind::Commit | Kind::Rollback => Ok(Need::Write),
-        Kind::Other => other(sql),
+        Kind::Other => need_of_other(sql),
         Kind::Copy => Err(Fault::Copy),
     }
 }
 
-fn other(sql: &str) -> Result<Need, Fault> {
-    if split(sql).any(chains) {
+fn need_of_other(sql: &str) -> Result<Need, Fault> {
+    if split(sql).any(is_chained) {
         return Err(Fault::Chain);
     }
     if split(sql).any(|part| classify(part) == Kind::Copy) {
@@ -103,7 +103,7 @@
 
 /// Whether a statement ends a transaction and opens the next at once. Its
 /// commit would be acknowledged before a majority holds it.
-fn chains(sql: &str) -> bool {
+fn is_chained(sql: &str) -> bool {
     let text = change::uncommented(sql).to_ascii_lowercase();
     let words: Vec<&str> = text.split_whitespace().collect();
     let ends = matches!(
@@ -168,7 +168,7 @@
 
     /// A batch that makes the open transaction fail on its server too: what is
     /// no statement aborts it.
-    pub(super) fn fail() -> Self {
+    pub(super) fn abort() -> Self {
         Self {
             steps: vec![Step::Query("REFUSED".to_owned())],
             need: Need::Write,
@@ -183,7 +183,7 @@
     pub(super) fn sync() -> Self {
         Self {
             steps: vec![Step::Sync],
-            ..Self::fail()
+            ..Self::abort()
         }
     }
 
@@ -211,7 +211,7 @@
 
 /// Who answers a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Answerer {
+enum Responder {
     /// The proxy: its statements are the proxy's own, or it has none.
     Proxy,
     /// An upstream.
@@ -219,7 +219,7 @@
 }
 
 /// A batch that is all there.
-pub(super) enum Whole {
+pub(super) enum Completed {
     /// For the proxy to answer.
     Local(Vec<Step>),
     /// For an upstream.
@@ -238,8 +238,8 @@
 
     /// Takes a message in. After a fault all is skipped up to the end, as the
     /// protocol has it.
-    pub(super) fn add(&mut self, session: &mut Session, front: Frontend, bytes: usize) {
-        self.flushes = matches!(front, Frontend::Flush);
+    pub(super) fn add(&mut self, session: &mut Session, message: Frontend, bytes: usize) {
+        self.flushes = matches!(message, Frontend::Flush);
         if self.fault.is_some() {
             return;
         }
@@ -248,14 +248,14 @@
             self.fault = Some(Fault::TooLong);
             return;
         }
-        match self.step(session, front) {
+        match self.step(session, message) {
             Ok(step) => self.steps.push(step),
             Err(fault) => self.fault = Some(fault),
         }
     }
 
-    fn step(&mut self, session: &mut Session, front: Frontend) -> Result<Step, Fault> {
-        match front {
+    fn step(&mut self, session: &mut Session, message: Frontend) -> Result<Step, Fault> {
+        match message {
             Frontend::Parse(parse) => {
                 need(&parse.query)?;
                 let statement = Arc::new(Statement::new(parse.query, parse.type_oids));
@@ -273,7 +273,7 @@
                 rows: it.max_rows,
             }),
             Frontend::Close(it) if it.target_type == b'S' => {
-                session.unprepare(it.name.as_deref().unwrap_or_default());
+                session.deallocate(it.name.as_deref().unwrap_or_default());
                 Ok(Step::CloseStatement)
             }
             Frontend::Close(it) => Ok(Step::ClosePortal(it.name)),
@@ -302,7 +302,7 @@
     }
 
     /// Who answers; only the statements tell, and all must agree.
-    fn answerer(&self, session: &Session) -> Result<Answerer, Fault> {
+    fn responder(&self, session: &Session) -> Result<Responder, Fault> {
         let mut found = None;
         for step in &self.steps {
             let (Step::Parse(it) | Step::Bind(it, _) | Step::DescribeStatement(it)) = step else {
@@ -311,9 +311,9 @@
             let local = local::read(&it.sql);
             let here = local.is_some_and(|it| it.is_always_local() || session.is_idle());
             let one = if here {
-                Answerer::Proxy
+                Responder::Proxy
             } else {
-                Answerer::Upstream
+                Responder::Upstream
             };
             if found.is_some_and(|before| before != one) {
                 return Err(Fault::Mixed);
@@ -327,9 +327,9 @@
             )
         };
         let default = if self.steps.iter().any(names_portal) {
-            Answerer::Upstream
+            Responder::Upstream
         } else {
-            Answerer::Proxy
+            Responder::Proxy
         };
         Ok(found.unwrap_or(default))
     }
@@ -339,7 +339,7 @@
     /// What follows a Flush has to run where this part runs. A driver that prepares a
     /// write, flushes, and executes it afterwards would have it refused by a replica
     /// with an error that its caller takes for the database's own.
-    fn ahead(&self) -> Need {
+    fn need_before_flush(&self) -> Need {
         let writes = |step: &Step| match step {
             Step::Parse(it) | Step::DescribeStatement(it) => need(&it.sql) == Ok(Need::Write),
             _ => false,
@@ -351,16 +351,19 @@
     }
 
     /// The batch, and who answers it.
-    pub(super) fn finish(self, session: &Session) -> Result<Whole, Fault> {
+    pub(super) fn finish(self, session: &Session) -> Result<Completed, Fault> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
         // What a Flush has left open upstream is ended there.
-        if self.answerer(session)? == Answerer::Proxy && !session.is_open() {
-            return Ok(Whole::Local(self.steps));
+        if self.responder(session)? == Responder::Proxy && !session.is_open() {
+            return Ok(Completed::Local(self.steps));
         }
-        let need = self.need.unwrap_or(Need::Read).max(self.ahead());
-        Ok(Whole::Batch(Batch {
+        let need = self
+            .need
+            .unwrap_or(Need::Read)
+            .max(self.need_before_flush());
+        Ok(Completed::Batch(Batch {
             steps: self.steps,
             need,
             closes: self.closes.unwrap_or(Closes::Nothing),
--- a/crates/daemon/src/callers/change.rs
+++ b/crates/daemon/src/callers/change.rs
@@ -11,7 +11,7 @@
 pub(super) fn changes(sql: &str) -> Vec<Change> {
     let mut found = Vec::new();
     for statement in split(sql) {
-        change(statement, &mut found);
+        append_changes(statement, &mut found);
     }
     found
 }
@@ -20,12 +20,12 @@
 pub(super) fn only_changes(sql: &str) -> bool {
     split(sql).all(|statement| {
         let mut found = Vec::new();
-        change(statement, &mut found);
+        append_changes(statement, &mut found);
         !found.is_empty() || classify(statement) == Kind::Empty
     })
 }
 
-fn change(sql: &str, found: &mut Vec<Change>) {
+fn append_changes(sql: &str, found: &mut Vec<Change>) {
     if let Kind::Set { name, value } = classify(sql) {
         found.push(assign(name, value));
         return;
@@ -46,7 +46,7 @@
             characteristics(modes, found);
         }
         ["set", "time", "zone", _] | ["set", "session", "time", "zone", _] => {
-            found.push(zone(words[words.len() - 1]));
+            found.push(time_zone(words[words.len() - 1]));
         }
         ["set", "names", _] => found.push(assign("client_encoding", unquoted(words[2]))),
         ["reset", "all"] | ["discard", "all"] => found.push(Change::ResetAll),
@@ -62,10 +62,10 @@
     if value.eq_ignore_ascii_case("default") {
         return Change::Reset(name);
     }
-    Change::Set(name, plain(value))
+    Change::Set(name, set_config_value(value))
 }
 
-fn zone(word: &str) -> Change {
+fn time_zone(word: &str) -> Change {
     if word.eq_ignore_ascii_case("local") {
         return Change::Reset("timezone".to_owned());
     }
@@ -81,7 +81,7 @@
             ["isolation", "level", "read", level, rest @ ..] => {
                 set(
                     "default_transaction_isolation",
-                    &format!("read {}", bare(level)),
+                    &format!("read {}", without_comma(level)),
                 );
                 rest
             }
@@ -96,7 +96,7 @@
                 rest
             }
             ["isolation", "level", level, rest @ ..] => {
-                set("default_transaction_isolation", bare(level));
+                set("default_transaction_isolation", without_comma(level));
                 rest
             }
             ["read", "only" | "only,", rest @ ..] => {
@@ -120,7 +120,7 @@
     }
 }
 
-fn bare(word: &str) -> &str {
+fn without_comma(word: &str) -> &str {
     word.trim_end_matches(',')
 }
 
@@ -131,7 +131,7 @@
 
 /// A value as `set_config` takes it. A list of quoted items, of which the
 /// outermost quotes are gone already, is written with double quotes.
-fn plain(value: &str) -> String {
+fn set_config_value(value: &str) -> String {
     if !value.contains("',") {
         return value.replace("''", "'");
     }
--- a/crates/daemon/src/callers/greet.rs
+++ b/crates/daemon/src/callers/greet.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 
 use super::{
-    Entry, PARTS, Shared, Stream,
+    Entry, MAX_PARTS, Shared, Stream,
     auth::{self, Exchange},
     serve::Session,
 };
@@ -73,9 +73,9 @@
 }
 
 /// Counts a connection among those that are logging in while it lives.
-struct Login(Rc<Shared>);
+struct LoginSlot(Rc<Shared>);
 
-impl Login {
+impl LoginSlot {
     /// Counts one more, if there may be.
     fn open(shared: &Rc<Shared>) -> Option<Self> {
         let count = shared.logins.get();
@@ -87,14 +87,14 @@
     }
 }
 
-impl Drop for Login {
+impl Drop for LoginSlot {
     fn drop(&mut self) {
         self.0.logins.set(self.0.logins.get() - 1);
     }
 }
 
-/// How a connection began.
-enum Began {
+/// How a connection opening.
+enum Opening {
     /// With this message.
     With(Stream, Startup),
     /// With something that is refused.
@@ -105,21 +105,23 @@
 
 /// Serves one connection from its first byte to its last.
 pub(super) async fn serve(io: Io, client: SocketAddr, shared: Rc<Shared>) {
-    let Some(counted) = Login::open(&shared) else {
+    let Some(slot) = LoginSlot::open(&shared) else {
         return reject(&io.seal(), "53300", "too many connections are logging in").await;
     };
     let started = shared.clock.now();
-    let began = ntex::time::timeout(LOGIN_TIMEOUT, begin(io, &shared)).await;
-    let (io, startup) = match began {
-        Ok(Began::With(io, startup)) => (io, startup),
-        Ok(Began::Refused(io, refusal)) => return reject(&io, refusal.state, &refusal.text).await,
-        Ok(Began::Gone) | Err(()) => return,
+    let opening = ntex::time::timeout(LOGIN_TIMEOUT, open_session(io, &shared)).await;
+    let (io, startup) = match opening {
+        Ok(Opening::With(io, startup)) => (io, startup),
+        Ok(Opening::Refused(io, refusal)) => {
+            return reject(&io, refusal.state, &refusal.text).await;
+        }
+        Ok(Opening::Gone) | Err(()) => return,
     };
     let spent = shared.clock.now().since(started);
     let left = Duration::from(LOGIN_TIMEOUT).saturating_sub(spent);
     let login =
         ntex::time::timeout(Millis::from(left), log_in(&io, client, &shared, startup)).await;
-    drop(counted);
+    drop(slot);
     match login {
         Ok(Ok(None)) => {}
         Ok(Ok(Some(session))) => session.run(io).await,
@@ -179,12 +181,12 @@
     for (key, value) in optional.chain(given) {
         if key == "dandelionlink.session" {
             session
-                .present(value)
+                .apply_token(value)
                 .or_else(|error| refuse("22023", error.to_string()))?;
         }
         session.start_setting(key, value);
     }
-    greet(io, shared, &mut session)?;
+    register(io, shared, &mut session)?;
     Ok(Some(session))
 }
 
@@ -196,14 +198,14 @@
     let mut words = vec![String::new()];
     let mut chars = text.chars();
     while let Some(char) = chars.next() {
-        let kept = if char == '\\' {
+        let literal = if char == '\\' {
             chars.next()
         } else {
             Some(char)
         };
-        match kept {
+        match literal {
             Some(_) if char.is_whitespace() => words.push(String::new()),
-            Some(kept) => words.last_mut().expect("it begins with one").push(kept),
+            Some(literal) => words.last_mut().expect("it begins with one").push(literal),
             None => {}
         }
     }
@@ -236,31 +238,31 @@
 
 /// Reads first messages until one begins something. Callers may ask for
 /// encryption of each kind once before; TLS is served if settings say so.
-async fn begin(io: Io, shared: &Shared) -> Began {
+async fn open_session(io: Io, shared: &Shared) -> Opening {
     let (mut tls, mut gss) = (false, false);
     loop {
-        let found = match first(&io).await {
+        let found = match read_startup(&io).await {
             Ok(Some(found)) => found,
-            Ok(None) => return Began::Gone,
-            Err(refusal) => return Began::Refused(io.seal(), refusal),
+            Ok(None) => return Opening::Gone,
+            Err(refusal) => return Opening::Refused(io.seal(), refusal),
         };
-        let asked = match found {
+        let requested = match found {
             Startup::Tls => &mut tls,
             Startup::Gss => &mut gss,
-            found => return Began::With(io.seal(), found),
+            found => return Opening::With(io.seal(), found),
         };
-        if std::mem::replace(asked, true) {
-            return Began::Refused(io.seal(), twice());
+        if std::mem::replace(requested, true) {
+            return Opening::Refused(io.seal(), requested_twice());
         }
         match (&found, &shared.tls) {
-            (Startup::Tls, Some(tls)) => return secure(io, tls).await,
-            _ if decline(&io).is_err() => return Began::Gone,
+            (Startup::Tls, Some(tls)) => return start_tls(io, tls).await,
+            _ if decline(&io).is_err() => return Opening::Gone,
             _ => {}
         }
     }
 }
 
-fn twice() -> Refusal {
+fn requested_twice() -> Refusal {
     Refusal {
         state: "08P01",
         text: "encryption was asked for twice".to_owned(),
@@ -277,27 +279,27 @@
 /// Bytes that are there already were sent in the clear. Taken for part of the
 /// encrypted session, they would let somebody on the way put statements in
 /// front of the caller's own (as in CVE-2021-23214).
-async fn secure(io: Io, tls: &Tls) -> Began {
+async fn start_tls(io: Io, tls: &Tls) -> Opening {
     if io.with_read_buf(|src| !src.is_empty()) {
         let refusal = Refusal {
             state: "08P01",
             text: "data came ahead of the TLS handshake".to_owned(),
         };
-        return Began::Refused(io.seal(), refusal);
+        return Opening::Refused(io.seal(), refusal);
     }
     if io.encode_slice(b"S").and_then(|()| io.send_buf()).is_err() {
-        return Began::Gone;
+        return Opening::Gone;
     }
     // The layer goes on before the sealing: a sealed connection takes none.
     let Ok(io) = TlsServerFilter::create(io, tls.conf(), LOGIN_TIMEOUT).await else {
-        return Began::Gone;
+        return Opening::Gone;
     };
     let io = io.seal();
-    match first(&io).await {
-        Ok(Some(Startup::Tls | Startup::Gss)) => Began::Refused(io, twice()),
-        Ok(Some(found)) => Began::With(io, found),
-        Ok(None) => Began::Gone,
-        Err(refusal) => Began::Refused(io, refusal),
+    match read_startup(&io).await {
+        Ok(Some(Startup::Tls | Startup::Gss)) => Opening::Refused(io, requested_twice()),
+        Ok(Some(found)) => Opening::With(io, found),
+        Ok(None) => Opening::Gone,
+        Err(refusal) => Opening::Refused(io, refusal),
     }
 }
 
@@ -305,7 +307,7 @@
 ///
 /// What was received is looked at before the end of the stream is: a cancel
 /// request often comes together with it.
-async fn first<F: Filter>(io: &Io<F>) -> Result<Option<Startup>, Refusal> {
+async fn read_startup<F: Filter>(io: &Io<F>) -> Result<Option<Startup>, Refusal> {
     let mut open = true;
     loop {
         let found = io.with_read_buf(|src| -> Result<_, pg::Error> {
@@ -375,11 +377,11 @@
         let known = known.and_then(|text| Verifier::parse(text).ok());
         // An unknown user is led through the same exchange, so that it can't
         // be told from a wrong password.
-        let pattern = it
+        let template = it
             .users
             .values()
             .find_map(|text| Verifier::parse(text).ok());
-        known.or_else(|| Some(auth::mock(&shared.mock, user, pattern.as_ref())))
+        known.or_else(|| Some(auth::mock(&shared.mock, user, template.as_ref())))
     });
     let verifier = verifier.unwrap_or_else(|| auth::mock(&shared.mock, user, None));
     Ok((Scope::new(name, found), verifier))
@@ -443,24 +445,24 @@
 }
 
 /// Enters the session into the duty's table and greets the caller.
-fn greet(io: &Stream, shared: &Rc<Shared>, session: &mut Session) -> Result<(), Refusal> {
+fn register(io: &Stream, shared: &Rc<Shared>, session: &mut Session) -> Result<(), Refusal> {
     let caller = {
-        let mut made = shared.made.borrow_mut();
-        *made += 1;
-        *made
+        let mut last_caller = shared.last_caller.borrow_mut();
+        *last_caller += 1;
+        *last_caller
     };
     let secret = rand::rng().random();
-    let (parts, taken) = mpsc::channel(PARTS);
+    let (parts, parts_rx) = mpsc::channel(MAX_PARTS);
     shared.callers.borrow_mut().insert(
         caller,
         Entry {
             secret,
             seq: 0,
             parts,
-            face: Rc::clone(&session.face),
+            activity: Rc::clone(&session.activity),
         },
     );
-    session.enter(caller, taken);
+    session.register(caller, parts_rx);
     let mut buf = BytesMut::new();
     let _ = Authentication::Ok.encode(&mut buf);
     for (name, value) in [
--- a/crates/daemon/src/callers/local.rs
+++ b/crates/daemon/src/callers/local.rs
@@ -23,7 +23,7 @@
 
 /// A statement that the proxy answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Plan {
+pub(super) enum LocalStatement {
     /// Set one of the proxy's own settings.
     Set {
         /// Its name, without the prefix.
@@ -60,7 +60,7 @@
 }
 
 /// The name of one of the proxy's own settings, without the prefix.
-fn own(name: &str) -> Option<String> {
+fn own_setting(name: &str) -> Option<String> {
     let name = name.to_ascii_lowercase();
     name.strip_prefix(PREFIX).map(str::to_owned)
 }
@@ -68,19 +68,19 @@
 /// Whether a single statement is about one of the proxy's own settings.
 pub(super) fn is_own(sql: &str) -> bool {
     match classify(sql) {
-        Kind::Set { name, .. } | Kind::Show { name } => own(name).is_some(),
+        Kind::Set { name, .. } | Kind::Show { name } => own_setting(name).is_some(),
         _ => false,
     }
 }
 
 /// Reads a statement that the proxy answers; `None` when it is not one.
-pub(super) fn read(sql: &str) -> Option<Plan> {
+pub(super) fn read(sql: &str) -> Option<LocalStatement> {
     match classify(sql) {
         Kind::Set { name, value } => {
-            let (name, value) = (own(name)?, value.to_owned());
-            return Some(Plan::Set { name, value });
+            let (name, value) = (own_setting(name)?, value.to_owned());
+            return Some(LocalStatement::Set { name, value });
         }
-        Kind::Show { name } => return own(name).map(|name| Plan::Show { name }),
+        Kind::Show { name } => return own_setting(name).map(|name| LocalStatement::Show { name }),
         Kind::Other => {}
         _ => return None,
     }
@@ -91,7 +91,7 @@
     let words: Vec<&str> = text.split_whitespace().collect();
     let lower: Vec<String> = words.iter().map(|it| it.to_ascii_lowercase()).collect();
     let lower: Vec<&str> = lower.iter().map(String::as_str).collect();
-    let reset = |tag, prepared| Plan::Reset {
+    let reset = |tag, prepared| LocalStatement::Reset {
         changes: changes(sql),
         tag,
         prepared,
@@ -108,13 +108,15 @@
             let name = words[words.len() - 1];
             let bare = name.strip_prefix('"').and_then(|it| it.strip_suffix('"'));
             let folded = || name.to_ascii_lowercase();
-            Some(Plan::Deallocate(bare.map_or_else(folded, str::to_owned)))
+            Some(LocalStatement::Deallocate(
+                bare.map_or_else(folded, str::to_owned),
+            ))
         }
         _ => None,
     }
 }
 
-impl Plan {
+impl LocalStatement {
     /// Whether it is the proxy's to answer inside a transaction, too.
     ///
     /// What resets settings inside one goes upstream: it counts for the rest of
@@ -156,7 +158,7 @@
                 put(buf, &CommandComplete::new((*tag).to_owned()));
             }
             Self::Deallocate(name) => {
-                if !session.unprepare(name) {
+                if !session.deallocate(name) {
                     let text = format!("prepared statement \"{name}\" does not exist");
                     return refuse(buf, "26000", &text);
                 }
@@ -177,7 +179,7 @@
 }
 
 /// Answers a simple query, up to and without the ready message.
-pub(super) fn answer(session: &mut Session, plan: &Plan, buf: &mut BytesMut) {
+pub(super) fn answer(session: &mut Session, plan: &LocalStatement, buf: &mut BytesMut) {
     let mut rows = BytesMut::new();
     let result = plan.run(session, &mut rows);
     if result.is_ok() && plan.field().is_some() {
@@ -227,7 +229,7 @@
 fn set(session: &mut Session, name: &str, value: &str, buf: &mut BytesMut) -> Result<(), Refused> {
     match name {
         "session" => {
-            if let Err(error) = session.present(value) {
+            if let Err(error) = session.apply_token(value) {
                 return refuse(buf, "22023", &error.to_string());
             }
             session.put_token(buf);
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -41,14 +41,14 @@
     tls::Tls,
 };
 
-use self::view::Face;
+use self::view::Activity;
 
 /// How long an accept that failed waits, as when file descriptors are short.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Parts of an answer that may wait for one caller's connection: the window
 /// of the upstreams' duty, and the end.
-const PARTS: usize = job::WINDOW + 2;
+const MAX_PARTS: usize = job::WINDOW + 2;
 
 /// What the callers' duty is given.
 #[derive(Debug)]
@@ -89,7 +89,7 @@
     secret: i32,
     seq: u64,
     parts: mpsc::Sender<(u64, Part)>,
-    face: Rc<Face>,
+    activity: Rc<Activity>,
 }
 
 /// What the tasks of the duty share.
@@ -99,7 +99,7 @@
     commands: ring::Shared<Command>,
     catalog: RefCell<Arc<Snapshot>>,
     callers: RefCell<HashMap<Caller, Entry>>,
-    made: RefCell<u64>,
+    last_caller: RefCell<u64>,
     meters: Meters,
     serving: Arc<AtomicBool>,
     watch: Watch,
@@ -118,7 +118,7 @@
         commands: ring::Shared::new(conf.commands),
         catalog: RefCell::default(),
         callers: RefCell::default(),
-        made: RefCell::new(0),
+        last_caller: RefCell::new(0),
         meters: conf.meters,
         serving: conf.serving,
         watch: conf.watch.clone(),
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -13,10 +13,10 @@
 
 use super::{
     Shared, Stream,
-    answer::Show,
+    answer::Recipient,
     batch::{Draft, Fault},
     local,
-    view::Face,
+    view::Activity,
 };
 use crate::{
     duty::{self, Phase},
@@ -60,12 +60,12 @@
     /// Where its requests are counted.
     meter: Arc<Meter>,
     /// What operators see of it.
-    pub(super) face: Rc<Face>,
+    pub(super) activity: Rc<Activity>,
     pub(super) parts: Option<mpsc::Receiver<(u64, Part)>>,
     /// After a fault the messages up to the next Sync are skipped.
     skipping: bool,
     /// Whether a Flush has left a batch open upstream.
-    tail: Tail,
+    batch_state: BatchState,
     /// Whether the batch that runs ends with a Flush.
     flushing: bool,
     /// Changes of settings in the open transaction, kept when it commits.
@@ -78,7 +78,7 @@
 
 /// What a Flush has left of a batch at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tail {
+enum BatchState {
     /// Nothing: each batch so far has ended.
     Closed,
     /// A batch whose Sync is to come.
@@ -111,7 +111,7 @@
     ) -> Self {
         let now = shared.clock.now();
         let meter = shared.meters.of(&scope.tenant, &scope.entry);
-        let face = Rc::new(Face::open(now, &scope, user, client));
+        let activity = Rc::new(Activity::open(now, &scope, user, client));
         let catalog = Arc::clone(&shared.catalog.borrow());
         Self {
             shared,
@@ -125,10 +125,10 @@
             request: None,
             prepared: HashMap::new(),
             meter,
-            face,
+            activity,
             parts: None,
             skipping: false,
-            tail: Tail::Closed,
+            batch_state: BatchState::Closed,
             flushing: false,
             pending: Vec::new(),
             catalog,
@@ -137,13 +137,13 @@
     }
 
     /// Gives the session its number and the way its answers come.
-    pub(super) fn enter(&mut self, caller: Caller, parts: mpsc::Receiver<(u64, Part)>) {
+    pub(super) fn register(&mut self, caller: Caller, parts: mpsc::Receiver<(u64, Part)>) {
         self.caller = caller;
         self.parts = Some(parts);
     }
 
     /// Takes the token that the caller brings from another instance.
-    pub(super) fn present(&mut self, text: &str) -> Result<(), session::Error> {
+    pub(super) fn apply_token(&mut self, text: &str) -> Result<(), session::Error> {
         let token = Token::decode(text, self.keys(), &self.scope.database)?;
         let now = self.shared.clock.now();
         self.state
@@ -201,7 +201,7 @@
 
     /// Whether a Flush has left a batch open upstream.
     pub(super) fn is_open(&self) -> bool {
-        self.tail == Tail::Open
+        self.batch_state == BatchState::Open
     }
 
     /// Whether neither a transaction nor a batch is open.
@@ -211,14 +211,14 @@
 
     /// Takes in how a batch ended and tells the status for the caller, if its
     /// answer has one: a batch that ended with a Flush has none.
-    pub(super) fn ended(
+    pub(super) fn note_batch_end(
         &mut self,
         status: Option<u8>,
         changes: Vec<Change>,
         commit: bool,
     ) -> Option<u8> {
         let Some(status) = status else {
-            self.tail = Tail::Open;
+            self.batch_state = BatchState::Open;
             self.pending.extend(changes);
             return None;
         };
@@ -229,19 +229,19 @@
             // answers out of step.
             self.skipping = true;
             if status == b'I' || !implicit {
-                self.tail = Tail::Closed;
+                self.batch_state = BatchState::Closed;
                 self.status = status;
             }
             return None;
         }
-        self.settle(status, changes, commit);
-        self.tail = Tail::Closed;
+        self.commit_settings(status, changes, commit);
+        self.batch_state = BatchState::Closed;
         self.status = status;
         Some(status)
     }
 
     /// Keeps changes of settings, once their transaction has committed.
-    fn settle(&mut self, status: u8, changes: Vec<Change>, commit: bool) {
+    fn commit_settings(&mut self, status: u8, changes: Vec<Change>, commit: bool) {
         self.pending.extend(changes);
         if status != b'I' {
             return;
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Takes in that a batch never left; tells the status as [`Self::ended`].
-    pub(super) fn refused(&mut self) -> Option<u8> {
+    /// Takes in that a batch never left; tells the status as [`Self::note_batch_end`].
+    pub(super) fn note_refused(&mut self) -> Option<u8> {
         if self.flushing {
             self.skipping = true;
             return None;
@@ -262,7 +262,7 @@
     }
 
     /// Forgets a prepared statement; `false` when there is none of the name.
-    pub(super) fn unprepare(&mut self, name: &str) -> bool {
+    pub(super) fn deallocate(&mut self, name: &str) -> bool {
         self.prepared.remove(name).is_some()
     }
 
@@ -313,16 +313,16 @@
     async fn serve(&mut self, io: &Stream) -> Result<(), End> {
         let mut draft = Draft::default();
         loop {
-            let (front, bytes) = self.recv(io, &draft).await?;
-            match front {
+            let (message, bytes) = self.recv(io, &draft).await?;
+            match message {
                 Frontend::Terminate => return Ok(()),
                 Frontend::Copy => {}
                 Frontend::Sync if self.skipping => self.end_skipping(io).await?,
                 _ if self.skipping => {}
                 Frontend::Query(sql) => self.query(io, sql, &mut draft).await?,
-                front => {
-                    let ends = matches!(front, Frontend::Flush | Frontend::Sync);
-                    draft.add(self, front, bytes);
+                message => {
+                    let ends = matches!(message, Frontend::Flush | Frontend::Sync);
+                    draft.add(self, message, bytes);
                     if ends {
                         self.run_draft(io, std::mem::take(&mut draft)).await?;
                     }
@@ -335,7 +335,9 @@
     async fn end_skipping(&mut self, io: &Stream) -> Result<(), End> {
         self.skipping = false;
         if self.is_open() {
-            return self.run_batch(io, Batch::sync(), None, Show::Caller).await;
+            return self
+                .run_batch(io, Batch::sync(), None, Recipient::Caller)
+                .await;
         }
         self.ready(io).await
     }
@@ -366,9 +368,9 @@
         }
         let batch = Batch::simple(sql);
         let checked = batch.and_then(|it| self.check_changes(&it.changes).map(|()| it));
-        let tagged = checked.and_then(|batch| Ok((self.tagged(&batch)?, batch)));
+        let tagged = checked.and_then(|batch| Ok((self.request_tag(&batch)?, batch)));
         match tagged {
-            Ok((tagged, batch)) => self.run_batch(io, batch, tagged, Show::Caller).await,
+            Ok((tagged, batch)) => self.run_batch(io, batch, tagged, Recipient::Caller).await,
             Err(fault) => {
                 self.refuse(io, &fault).await?;
                 self.ready(io).await
@@ -390,8 +392,8 @@
         };
         match frame {
             Ok(Some(frame)) => {
-                let front = pg::decode(&frame).map_err(End::Protocol)?;
-                Ok((front, frame.bytes().len()))
+                let message = pg::decode(&frame).map_err(End::Protocol)?;
+                Ok((message, frame.bytes().len()))
             }
             Ok(None) | Err(Either::Right(_)) => Err(End::Gone),
             Err(Either::Left(error)) => Err(End::Protocol(error)),
--- a/crates/daemon/src/callers/serve/submit.rs
+++ b/crates/daemon/src/callers/serve/submit.rs
@@ -10,8 +10,8 @@
 use crate::{
     callers::{
         Stream,
-        answer::{self, Show},
-        batch::{Draft, Fault, Whole},
+        answer::{self, Recipient},
+        batch::{Completed, Draft, Fault},
         local,
     },
     job::{Batch, Closes, Command, Job, Scope, Step, Tagged},
@@ -22,14 +22,14 @@
     pub(super) async fn run_draft(&mut self, io: &Stream, draft: Draft) -> Result<(), End> {
         let flushes = draft.flushes();
         match draft.finish(self) {
-            Ok(Whole::Batch(batch)) => match self.tagged(&batch) {
-                Ok(tagged) => self.run_batch(io, batch, tagged, Show::Caller).await,
+            Ok(Completed::Batch(batch)) => match self.request_tag(&batch) {
+                Ok(tagged) => self.run_batch(io, batch, tagged, Recipient::Caller).await,
                 Err(fault) => {
                     self.refuse(io, &fault).await?;
                     self.end_local(io, flushes).await
                 }
             },
-            Ok(Whole::Local(steps)) => self.run_local(io, &steps, flushes).await,
+            Ok(Completed::Local(steps)) => self.run_local(io, &steps, flushes).await,
             Err(fault) => {
                 self.refuse(io, &fault).await?;
                 self.end_local(io, flushes).await
@@ -67,7 +67,7 @@
         if self.status == b'T' || self.is_open() {
             // The server never saw the statement, but the caller's transaction
             // is not what it meant any more.
-            self.run_batch(io, Batch::fail(), None, Show::Nobody)
+            self.run_batch(io, Batch::abort(), None, Recipient::Proxy)
                 .await?;
         }
         let mut buf = BytesMut::new();
@@ -101,7 +101,7 @@
 
     /// The request id for a batch, if it has one: from a comment in the
     /// statement, or set ahead of it.
-    pub(super) fn tagged(&mut self, batch: &Batch) -> Result<Option<Tagged>, Fault> {
+    pub(super) fn request_tag(&mut self, batch: &Batch) -> Result<Option<Tagged>, Fault> {
         if !batch.takes_request() {
             return Ok(None);
         }
@@ -129,7 +129,7 @@
         io: &Stream,
         batch: Batch,
         tagged: Option<Tagged>,
-        show: Show,
+        recipient: Recipient,
     ) -> Result<(), End> {
         let mut batch = batch;
         self.flushing = batch.flushes();
@@ -145,7 +145,7 @@
             entry.seq = self.seq;
         }
         let began = self.shared.clock.now();
-        self.face.begin(began, &self.scope);
+        self.activity.begin(began, &self.scope);
         let job = Job {
             meter: Arc::clone(&self.meter),
             caller: self.caller,
@@ -160,14 +160,14 @@
             request: tagged,
         };
         let result = match self.shared.commands.push(Command::Run(Box::new(job))) {
-            Ok(()) => answer::pass(self, io, show).await,
+            Ok(()) => answer::relay(self, io, recipient).await,
             Err(Full(_)) => {
                 metrics::counter!("dandelionlink_ring_full_total", "ring" => "asks").increment(1);
                 self.not_run(io, Cause::RingFull).await
             }
         };
         let now = self.shared.clock.now();
-        self.face.end(now, self.status, self.state.position());
+        self.activity.end(now, self.status, self.state.position());
         result
     }
 }
--- a/crates/daemon/src/callers/view.rs
+++ b/crates/daemon/src/callers/view.rs
@@ -19,11 +19,11 @@
 };
 
 /// How many callers are shown at most.
-const SHOWN: usize = 100;
+const MAX_SHOWN: usize = 100;
 
 /// What a caller's session shows of itself.
 #[derive(Debug)]
-pub(super) struct Face {
+pub(super) struct Activity {
     scope: RefCell<Arc<Scope>>,
     user: String,
     client: SocketAddr,
@@ -34,7 +34,7 @@
     token: Cell<Option<Position>>,
 }
 
-impl Face {
+impl Activity {
     /// Shows a session that begins at `now`.
     pub(super) fn open(now: Instant, scope: &Arc<Scope>, user: &str, client: SocketAddr) -> Self {
         Self {
@@ -94,8 +94,8 @@
 }
 
 /// Answers operators until the daemon stops.
-pub(super) async fn serve(shared: Rc<Shared>, mut asked: Requests<introspect::Callers>) {
-    while let Some(answer) = asked.recv().await {
+pub(super) async fn serve(shared: Rc<Shared>, mut inquiries: Requests<introspect::Callers>) {
+    while let Some(answer) = inquiries.recv().await {
         let _ = answer.send(callers(&shared));
     }
 }
@@ -105,18 +105,23 @@
 fn callers(shared: &Shared) -> introspect::Callers {
     let now = shared.clock.now();
     let callers = shared.callers.borrow();
-    let mut faces: Vec<(Caller, &Face)> = callers.iter().map(|(id, it)| (*id, &*it.face)).collect();
-    let rank = |face: &Face| {
-        let idle = face.phase.get() == Phase::Idle;
-        let since = face.transaction.get().unwrap_or(face.since.get());
+    let mut activities: Vec<(Caller, &Activity)> = callers
+        .iter()
+        .map(|(id, it)| (*id, &*it.activity))
+        .collect();
+    let rank = |activity: &Activity| {
+        let idle = activity.phase.get() == Phase::Idle;
+        let since = activity.transaction.get().unwrap_or(activity.since.get());
         (Reverse(!idle), since)
     };
-    if faces.len() > SHOWN {
-        faces.select_nth_unstable_by_key(SHOWN - 1, |(_, face)| rank(face));
-        faces.truncate(SHOWN);
+    if activities.len() > MAX_SHOWN {
+        activities.select_nth_unstable_by_key(MAX_SHOWN - 1, |(_, activity)| rank(activity));
+        activities.truncate(MAX_SHOWN);
     }
-    faces.sort_by_key(|(_, face)| rank(face));
-    let shown = faces.iter().map(|(id, face)| (*id, face.view(now)));
+    activities.sort_by_key(|(_, activity)| rank(activity));
+    let shown = activities
+        .iter()
+        .map(|(id, activity)| (*id, activity.view(now)));
     introspect::Callers {
         total: callers.len() as u64,
         sessions: shown.collect(),
--- a/crates/daemon/src/control/duty.rs
+++ b/crates/daemon/src/control/duty.rs
@@ -64,7 +64,7 @@
     group: Group,
     wake: Option<Instant>,
     /// The term whose primary the other duties were told last.
-    told: Option<model::Term>,
+    announced: Option<model::Term>,
 }
 
 /// Runs the duty until the daemon stops.
@@ -87,7 +87,7 @@
             Some(answer) = conf.answers.recv() => control.answer(answer),
             Some(response) = conf.store_responses.recv() => control.store_response(response),
             Some(update) = conf.peer_updates.recv() => control.update(update),
-            Some(answer) = conf.inquiries.recv() => drop(answer.send(control.leads())),
+            Some(answer) = conf.inquiries.recv() => drop(answer.send(control.primaries())),
             () = sleep(pause) => control.tick(),
         }
     }
@@ -95,24 +95,24 @@
 
 impl Control {
     /// What operators see of the databases.
-    fn leads(&self) -> Vec<Primary> {
-        let lead = |(database, slot): (&name::Database, &Slot)| {
+    fn primaries(&self) -> Vec<Primary> {
+        let primary = |(database, slot): (&name::Database, &Slot)| {
             let term = slot.group.term().unwrap_or_default();
-            let lead = slot.group.primary().filter(|lead| lead.term == term);
+            let primary = slot.group.primary().filter(|primary| primary.term == term);
             Primary {
                 database: database.clone(),
                 term,
-                upstream: lead.map(|it| it.upstream.clone()),
+                upstream: primary.map(|it| it.upstream.clone()),
             }
         };
-        self.groups.iter().map(lead).collect()
+        self.groups.iter().map(primary).collect()
     }
 
     /// How long until the first machine wants to be woken.
     fn pause(&self) -> std::time::Duration {
-        const QUIET: std::time::Duration = std::time::Duration::from_secs(1);
+        const MAX_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
         let next = self.groups.values().filter_map(|slot| slot.wake).min();
-        next.map_or(QUIET, |at| at.since(self.clock.now()))
+        next.map_or(MAX_PAUSE, |at| at.since(self.clock.now()))
     }
 
     fn tick(&mut self) {
@@ -166,7 +166,7 @@
     fn update(&mut self, update: Update) {
         match update {
             Update::Members(members) => self.set_members(members),
-            Update::Catalog(snapshot) => self.follow(&snapshot),
+            Update::Catalog(snapshot) => self.apply_catalog(&snapshot),
             Update::Primary { database, entry } => self.step(&database, Event::Watched(entry)),
             Update::Evidence {
                 from,
@@ -195,7 +195,7 @@
     }
 
     /// Brings the machines in line with the catalogue.
-    fn follow(&mut self, snapshot: &Snapshot) {
+    fn apply_catalog(&mut self, snapshot: &Snapshot) {
         let databases = &snapshot.catalog.databases;
         self.groups.retain(|name, _| databases.contains_key(name));
         for (name, database) in databases {
@@ -218,7 +218,7 @@
                     let slot = Slot {
                         group,
                         wake: None,
-                        told: None,
+                        announced: None,
                     };
                     self.groups.insert(name.clone(), slot);
                     self.step(name, Event::Members(self.members.clone()));
@@ -236,12 +236,12 @@
         };
         let actions = slot.group.step(now, event);
         for action in actions {
-            self.act(database, action);
+            self.perform(database, action);
         }
-        self.tell_lead(database);
+        self.announce_primary(database);
     }
 
-    fn act(&mut self, database: &name::Database, action: Action) {
+    fn perform(&mut self, database: &name::Database, action: Action) {
         let database = database.clone();
         match action {
             Action::Probe { call, upstream } => {
@@ -263,13 +263,13 @@
                     order,
                 });
             }
-            Action::Read { call } => self.ask(platform::RecordRequest::Read { database, call }),
+            Action::Read { call } => self.request(platform::RecordRequest::Read { database, call }),
             Action::Swap {
                 call,
                 expected,
                 record,
             } => {
-                self.ask(platform::RecordRequest::Swap {
+                self.request(platform::RecordRequest::Swap {
                     database,
                     call,
                     expected,
@@ -308,36 +308,36 @@
         }
     }
 
-    fn ask(&mut self, ask: platform::RecordRequest) {
-        if self.store_requests.push(ask).is_err() {
+    fn request(&mut self, request: platform::RecordRequest) {
+        if self.store_requests.push(request).is_err() {
             ring_full("store");
         }
     }
 
     /// Tells the upstreams' duty who leads, once for each term.
-    fn tell_lead(&mut self, database: &name::Database) {
+    fn announce_primary(&mut self, database: &name::Database) {
         let Some(slot) = self.groups.get_mut(database) else {
             return;
         };
-        let Some(lead) = slot.group.primary() else {
+        let Some(primary) = slot.group.primary() else {
             return;
         };
-        if slot.told == Some(lead.term) {
+        if slot.announced == Some(primary.term) {
             return;
         }
-        if slot.told.replace(lead.term).is_some() {
+        if slot.announced.replace(primary.term).is_some() {
             metrics::counter!("dandelionlink_failovers_total").increment(1);
         }
         log::info!(
             duty = "control", database = database.as_str();
-            "{} leads in term {}", lead.upstream, lead.term
+            "{} leads in term {}", primary.upstream, primary.term
         );
         let record = Record {
-            term: lead.term,
+            term: primary.term,
             phase: Change::Led {
-                upstream: lead.upstream.clone(),
+                upstream: primary.upstream.clone(),
             },
-            fork: lead.fork,
+            fork: primary.fork,
             attempt: 0,
         };
         let order = Order::SetPrimary {
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -29,27 +29,27 @@
 pub type Watch = watch::Receiver<Phase>;
 
 /// What is done when a duty's thread ends by a fault.
-static FAULT: OnceLock<fn(&'static str)> = OnceLock::new();
+static ON_PANIC: OnceLock<fn(&'static str)> = OnceLock::new();
 
-/// Has `act` called with a duty's name when its thread ends by a fault; the first
+/// Has `callback` called with a duty's name when its thread ends by a fault; the first
 /// call counts.
 ///
 /// The other duties would go on: the instance looks dead to others or serves
 /// nobody, takes callers all the same, and nobody starts it anew. So the daemon's
 /// process leaves.
-pub fn on_panic(act: fn(&'static str)) {
-    let _ = FAULT.set(act);
+pub fn on_panic(callback: fn(&'static str)) {
+    let _ = ON_PANIC.set(callback);
 }
 
 /// Tells of a thread that ends by a fault.
-struct Guard(&'static str);
+struct PanicGuard(&'static str);
 
-impl Drop for Guard {
+impl Drop for PanicGuard {
     fn drop(&mut self) {
         if thread::panicking()
-            && let Some(act) = FAULT.get()
+            && let Some(callback) = ON_PANIC.get()
         {
-            act(self.0);
+            callback(self.0);
         }
     }
 }
@@ -77,10 +77,10 @@
         let thread = thread::Builder::new()
             .name(name.to_owned())
             .spawn(move || {
-                let _guard = Guard(name);
+                let _guard = PanicGuard(name);
                 let system = System::new(name, ntex::rt::DefaultRuntime);
                 system.block_on(async move {
-                    ntex::rt::spawn(keep_timers());
+                    ntex::rt::spawn(occupy_timer_wheel());
                     let _ = started.send(());
                     make().await;
                 });
@@ -109,9 +109,9 @@
 /// not: its instance looks dead to all others, and its callers wait to their
 /// deadlines. The second poll is a matter of a thread that is put aside for a
 /// millisecond, so it comes under load.
-async fn keep_timers() {
-    const LONG: Seconds = Seconds(3_600);
+async fn occupy_timer_wheel() {
+    const INTERVAL: Seconds = Seconds(3_600);
     loop {
-        sleep(LONG).await;
+        sleep(INTERVAL).await;
     }
 }
--- a/crates/daemon/src/introspect.rs
+++ b/crates/daemon/src/introspect.rs
@@ -16,7 +16,7 @@
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Questions that may wait for a duty; more are answered as by a silent one.
-const WAITING: usize = 4;
+const MAX_PENDING: usize = 4;
 
 /// Where one duty is asked for its part.
 #[derive(Debug)]
@@ -27,16 +27,16 @@
 
 /// Makes the two ends.
 pub(crate) fn channel<T>() -> (Requester<T>, Requests<T>) {
-    let (ask, asked) = mpsc::channel(WAITING);
-    (Requester(ask), asked)
+    let (sender, requests) = mpsc::channel(MAX_PENDING);
+    (Requester(sender), requests)
 }
 
 impl<T> Requester<T> {
     /// Asks for the part; `None` when the duty does not answer in time.
-    pub(crate) async fn ask(&self) -> Option<T> {
-        let (answer, answered) = oneshot::channel();
-        self.0.try_send(answer).ok()?;
-        tokio::time::timeout(TIMEOUT, answered).await.ok()?.ok()
+    pub(crate) async fn request(&self) -> Option<T> {
+        let (reply, replied) = oneshot::channel();
+        self.0.try_send(reply).ok()?;
+        tokio::time::timeout(TIMEOUT, replied).await.ok()?.ok()
     }
 }
 
@@ -134,11 +134,11 @@
 impl Introspection {
     /// Makes the board of an instance, and the duties' ends of it.
     pub(crate) fn open(instance: &name::Instance, zone: &name::Zone) -> (Self, Receivers) {
-        let (fleet, fleet_end) = channel();
-        let (primaries, primaries_end) = channel();
-        let (groups, groups_end) = channel();
-        let (callers, callers_end) = channel();
-        let (store, store_end) = channel();
+        let (fleet, fleet_requests) = channel();
+        let (primaries, primaries_requests) = channel();
+        let (groups, groups_requests) = channel();
+        let (callers, callers_requests) = channel();
+        let (store, store_requests) = channel();
         let introspection = Self {
             instance: instance.clone(),
             zone: zone.clone(),
@@ -150,11 +150,11 @@
             store,
         };
         let receivers = Receivers {
-            fleet: fleet_end,
-            primaries: primaries_end,
-            groups: groups_end,
-            callers: callers_end,
-            store: store_end,
+            fleet: fleet_requests,
+            primaries: primaries_requests,
+            groups: groups_requests,
+            callers: callers_requests,
+            store: store_requests,
         };
         (introspection, receivers)
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -35,10 +35,10 @@
 pub use settings::Settings;
 
 /// Requests that may wait between two duties.
-const RING: usize = 4_096;
+const RING_CAPACITY: usize = 4_096;
 
 /// Catalogues that may wait between two duties.
-const CATALOGS: usize = 16;
+const CATALOG_RING_CAPACITY: usize = 16;
 
 /// A running daemon.
 #[derive(Debug)]
@@ -48,9 +48,9 @@
     peers: SocketAddr,
     drain: Duration,
     phase: watch::Sender<Phase>,
-    front: Duty,
-    middle: Duty,
-    back: Vec<Duty>,
+    callers_duty: Duty,
+    upstreams_duty: Duty,
+    other_duties: Vec<Duty>,
 }
 
 impl Daemon {
@@ -66,22 +66,22 @@
         let callers = bind(settings.listen)?;
         let ops = bind(settings.ops)?;
         let (caller_address, ops_address) = (callers.local_addr()?, ops.local_addr()?);
-        let (peers, socket) = bind_both(settings.peers)?;
+        let (peers, socket) = bind_tcp_and_udp(settings.peers)?;
         let peers_address = peers::reachable(settings.peers, peers.local_addr()?);
 
-        let (commands_tx, commands) = ring(RING);
-        let (replies_tx, replies) = ring(RING);
-        let (catalogs_tx, catalogs) = ring(CATALOGS);
-        let (orders_tx, orders) = ring(RING);
-        let (answers_tx, answers) = ring(RING);
-        let (store_requests_tx, store_requests) = ring(RING);
-        let (store_responses_tx, store_responses) = ring(RING);
-        let (peer_commands_tx, peer_commands) = ring(RING);
-        let (peer_updates_tx, peer_updates) = ring(RING);
-        let (store_calls_tx, store_calls) = ring(RING);
-        let (outs_tx, outs) = ring(RING);
-        let (ins_tx, ins) = ring(RING);
-        let (store_answers_tx, store_answers) = ring(RING);
+        let (commands_tx, commands) = ring(RING_CAPACITY);
+        let (replies_tx, replies) = ring(RING_CAPACITY);
+        let (catalogs_tx, catalogs) = ring(CATALOG_RING_CAPACITY);
+        let (orders_tx, orders) = ring(RING_CAPACITY);
+        let (answers_tx, answers) = ring(RING_CAPACITY);
+        let (store_requests_tx, store_requests) = ring(RING_CAPACITY);
+        let (store_responses_tx, store_responses) = ring(RING_CAPACITY);
+        let (peer_commands_tx, peer_commands) = ring(RING_CAPACITY);
+        let (peer_updates_tx, peer_updates) = ring(RING_CAPACITY);
+        let (store_calls_tx, store_calls) = ring(RING_CAPACITY);
+        let (outs_tx, outs) = ring(RING_CAPACITY);
+        let (ins_tx, ins) = ring(RING_CAPACITY);
+        let (store_answers_tx, store_answers) = ring(RING_CAPACITY);
 
         let meters = meter::Meters::default();
         let (introspection, receivers) = Introspection::open(&settings.instance, &settings.zone);
@@ -163,14 +163,14 @@
             watch,
         };
 
-        let back = vec![
+        let other_duties = vec![
             Duty::spawn("metrics", move || ops::run(ops_conf))?,
             Duty::spawn("control", move || control::run(control_conf))?,
             Duty::spawn("peers", move || peers::run(peers_conf))?,
             Duty::spawn("store", move || platform::run(store_conf))?,
         ];
-        let middle = Duty::spawn("upstreams", move || upstreams::run(upstreams_conf))?;
-        let front = Duty::spawn("callers", move || callers::run(callers_conf))?;
+        let upstreams_duty = Duty::spawn("upstreams", move || upstreams::run(upstreams_conf))?;
+        let callers_duty = Duty::spawn("callers", move || callers::run(callers_conf))?;
         let drain = settings.drain;
         Ok(Self {
             callers: caller_address,
@@ -178,9 +178,9 @@
             peers: peers_address,
             drain,
             phase,
-            front,
-            middle,
-            back,
+            callers_duty,
+            upstreams_duty,
+            other_duties,
         })
     }
 
@@ -205,13 +205,13 @@
         self.phase.send_replace(Phase::Drain);
         let phase = self.phase.clone();
         let drain = self.drain;
-        let (done, over) = std::sync::mpsc::channel();
-        let bound = std::thread::spawn(move || {
+        let (done, finished) = std::sync::mpsc::channel();
+        let timer = std::thread::spawn(move || {
             // Ends early when nothing runs any more, which drops `done`.
-            let _ = over.recv_timeout(drain);
+            let _ = finished.recv_timeout(drain);
             phase.send_replace(Phase::Stop);
         });
-        self.front.join();
+        self.callers_duty.join();
         self.phase.send_if_modified(|phase| {
             let drains = *phase < Phase::Settle;
             if drains {
@@ -219,18 +219,18 @@
             }
             drains
         });
-        self.middle.join();
+        self.upstreams_duty.join();
         drop::<std::sync::mpsc::Sender<()>>(done);
-        let _ = bound.join();
-        self.back.into_iter().for_each(Duty::join);
+        let _ = timer.join();
+        self.other_duties.into_iter().for_each(Duty::join);
     }
 
     /// Leaves at once, as a process that is killed would.
     pub fn kill(self) {
         self.phase.send_replace(Phase::Stop);
-        self.front.join();
-        self.middle.join();
-        self.back.into_iter().for_each(Duty::join);
+        self.callers_duty.join();
+        self.upstreams_duty.join();
+        self.other_duties.into_iter().for_each(Duty::join);
     }
 }
 
@@ -241,11 +241,11 @@
 }
 
 /// Binds the same port for streams and for datagrams.
-fn bind_both(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
+fn bind_tcp_and_udp(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     /// How often another ephemeral port is tried where one is taken.
-    const TRIES: u32 = 16;
+    const MAX_ATTEMPTS: u32 = 16;
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let listener = bind(address)?;
         match UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -35,20 +35,20 @@
 
 fn serve(settings: &Settings) -> anyhow::Result<()> {
     // Every line names the instance and its zone, also those of libraries.
-    let mut place = diagnostic::StaticDiagnostic::default();
-    place.insert("instance", settings.instance.as_str());
-    place.insert("zone", settings.zone.as_str());
+    let mut labels = diagnostic::StaticDiagnostic::default();
+    labels.insert("instance", settings.instance.as_str());
+    labels.insert("zone", settings.zone.as_str());
     logforth::starter_log::builder()
         .dispatch(move |dispatch| {
             let stdout = append::Stdout::default().with_layout(JsonLayout::default());
             dispatch
                 .filter(LevelFilter::MoreSevereEqual(logforth::record::Level::Info))
-                .diagnostic(place)
+                .diagnostic(labels)
                 .append(stdout)
         })
         .apply();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    duty::on_panic(leave);
+    duty::on_panic(exit_on_panic);
     let daemon = Daemon::spawn(settings)?;
     log::info!(
         duty = "daemon";
@@ -61,7 +61,7 @@
 }
 
 /// Ends the process: who watches over it starts it anew, whole.
-fn leave(duty: &'static str) {
+fn exit_on_panic(duty: &'static str) {
     log::error!(duty; "this duty ended by a fault; leaving");
     std::process::exit(1);
 }
--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -22,17 +22,17 @@
 /// What would go wrong without a bound: entries come and go with the
 /// catalogue, but a figure once told is told for ever, so each scrape, and the
 /// memory of whoever keeps the figures, would grow with every change.
-pub(crate) const ENTRIES: usize = 500;
+pub(crate) const MAX_ENTRIES: usize = 500;
 
 /// The tenant and the entry of what is counted together.
 pub(crate) const OTHER: &str = "other";
 
 /// How often one entry's requests of unknown outcome are logged at most.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many ends a request can have: done, and not run or unknown for each
 /// cause.
-const ENDS: usize = 1 + 2 * CAUSES.len();
+const OUTCOMES: usize = 1 + 2 * CAUSES.len();
 
 /// All causes, with their labels.
 const CAUSES: [(Cause, &str); 9] = [
@@ -69,8 +69,8 @@
     discarded: Counter,
     retries: Counter,
     /// Made when first needed: most ends never come.
-    ends: [OnceLock<Counter>; ENDS],
-    logged: AtomicU64,
+    outcomes: [OnceLock<Counter>; OUTCOMES],
+    next_log_us: AtomicU64,
 }
 
 impl Meter {
@@ -91,8 +91,8 @@
             primary_reads: reads("primary"),
             discarded: counter!("dandelionlink_answers_discarded_total", &labels),
             retries: counter!("dandelionlink_retries_total", &labels),
-            ends: array::from_fn(|_| OnceLock::new()),
-            logged: AtomicU64::new(0),
+            outcomes: array::from_fn(|_| OnceLock::new()),
+            next_log_us: AtomicU64::new(0),
             tenant,
             entry,
         }
@@ -101,11 +101,13 @@
     /// A request ended after `took`.
     pub(crate) fn note_ended(&self, outcome: Outcome, took: Duration) {
         self.latency.record(took.as_secs_f64());
-        let end = &self.ends[place(outcome)];
-        end.get_or_init(|| self.end(outcome)).increment(1);
+        let counter = &self.outcomes[outcome_index(outcome)];
+        counter
+            .get_or_init(|| self.outcome_counter(outcome))
+            .increment(1);
     }
 
-    fn end(&self, outcome: Outcome) -> Counter {
+    fn outcome_counter(&self, outcome: Outcome) -> Counter {
         let (outcome, cause) = match outcome {
             Outcome::Done => ("done", ""),
             Outcome::NotRun(cause) => ("not_run", label(cause)),
@@ -151,15 +153,15 @@
     /// Whether a request of unknown outcome may be logged now: an outage must
     /// not bury the other lines under one line for each statement.
     pub(crate) fn may_log(&self, now: Instant) -> bool {
-        let next = now.as_micros() + LOG_EVERY.as_micros() as u64;
+        let next = now.as_micros() + LOG_INTERVAL.as_micros() as u64;
         let update = |due: u64| (due <= now.as_micros()).then_some(next);
         let order = Ordering::Relaxed;
-        self.logged.fetch_update(order, order, update).is_ok()
+        self.next_log_us.fetch_update(order, order, update).is_ok()
     }
 }
 
 /// The place of an end's counter.
-fn place(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     let at = |cause| CAUSES.iter().position(|(it, _)| *it == cause).unwrap_or(0);
     match outcome {
         Outcome::Done => 0,
@@ -175,10 +177,10 @@
 
 /// The meters of all entries that had a request here, shared by the duties.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Meters(Arc<Mutex<Known>>);
+pub(crate) struct Meters(Arc<Mutex<Entries>>);
 
 #[derive(Debug, Default)]
-struct Known {
+struct Entries {
     entries: HashMap<(name::Tenant, name::Entry), Arc<Meter>>,
     other: Option<Arc<Meter>>,
 }
@@ -191,7 +193,7 @@
         if let Some(meter) = known.entries.get(&key) {
             return Arc::clone(meter);
         }
-        if known.entries.len() >= ENTRIES {
+        if known.entries.len() >= MAX_ENTRIES {
             let other = || Arc::new(Meter::open(OTHER, OTHER));
             return Arc::clone(known.other.get_or_insert_with(other));
         }
--- a/crates/daemon/src/meter/tests.rs
+++ b/crates/daemon/src/meter/tests.rs
@@ -3,7 +3,7 @@
 use clock::Instant;
 use model::{Cause, Outcome, name};
 
-use super::{CAUSES, ENDS, ENTRIES, Meters, place};
+use super::{CAUSES, MAX_ENTRIES, Meters, OUTCOMES, outcome_index};
 
 fn entry(number: usize) -> name::Entry {
     name::Entry::new(&format!("entry-{number}")).unwrap()
@@ -17,31 +17,31 @@
     let meters = Meters::default();
     let tenant = name::Tenant::new("yard").unwrap();
     let first = meters.of(&tenant, &entry(0));
-    for number in 1..ENTRIES {
+    for number in 1..MAX_ENTRIES {
         assert_eq!(
             meters.of(&tenant, &entry(number)).entry,
             format!("entry-{number}")
         );
     }
-    let late = meters.of(&tenant, &entry(ENTRIES));
+    let late = meters.of(&tenant, &entry(MAX_ENTRIES));
     assert_eq!(
         (late.tenant.as_str(), late.entry.as_str()),
         ("other", "other")
     );
-    let later = meters.of(&tenant, &entry(ENTRIES + 1));
+    let later = meters.of(&tenant, &entry(MAX_ENTRIES + 1));
     assert!(Arc::ptr_eq(&late, &later));
     assert!(Arc::ptr_eq(&first, &meters.of(&tenant, &entry(0))));
 }
 
 #[test]
 fn every_end_has_a_counter_of_its_own() {
-    let mut places = vec![place(Outcome::Done)];
+    let mut indices = vec![outcome_index(Outcome::Done)];
     for (cause, _) in CAUSES {
-        places.push(place(Outcome::NotRun(cause)));
-        places.push(place(Outcome::Unknown(cause)));
+        indices.push(outcome_index(Outcome::NotRun(cause)));
+        indices.push(outcome_index(Outcome::Unknown(cause)));
     }
-    places.sort_unstable();
-    assert_eq!(places, (0..ENDS).collect::<Vec<_>>());
+    indices.sort_unstable();
+    assert_eq!(indices, (0..OUTCOMES).collect::<Vec<_>>());
     // A cause that is new in `model` must be added to the labels.
     let newest = Cause::RingFull as usize;
     assert_eq!(newest + 1, CAUSES.len());
--- a/crates/daemon/src/ops/gauge.rs
+++ b/crates/daemon/src/ops/gauge.rs
@@ -12,34 +12,34 @@
 
 /// How many upstreams have gauges of their own; the rest are added up as
 /// [`OTHER`]. Each has four.
-pub(super) const UPSTREAMS: usize = 500;
+pub(super) const MAX_UPSTREAMS: usize = 500;
 
 /// The labels of an upstream's gauges.
-type Name = (String, String);
+type Labels = (String, String);
 
 /// The gauges that were told before.
 #[derive(Debug, Default)]
 pub(super) struct Gauges {
-    told: BTreeSet<Name>,
+    reported: BTreeSet<Labels>,
 }
 
 /// One upstream's figures, or those of several together.
 #[derive(Debug, Clone, Copy, Default)]
-struct Figures {
+struct PoolMetrics {
     open: u32,
     busy: u32,
     waiting: u32,
-    broken: u32,
+    breaker_open: u32,
 }
 
-impl Figures {
+impl PoolMetrics {
     fn of(pool: &Pool) -> Self {
-        let broken = matches!(pool.breaker, Some(Breaker::Open { .. }));
+        let breaker_open = matches!(pool.breaker, Some(Breaker::Open { .. }));
         Self {
             open: pool.open,
             busy: pool.busy,
             waiting: pool.waiting,
-            broken: broken.into(),
+            breaker_open: breaker_open.into(),
         }
     }
 
@@ -47,10 +47,10 @@
         self.open += other.open;
         self.busy += other.busy;
         self.waiting += other.waiting;
-        self.broken += other.broken;
+        self.breaker_open += other.breaker_open;
     }
 
-    fn tell(self, (database, upstream): &Name) {
+    fn set(self, (database, upstream): &Labels) {
         let connections = |state: &'static str, count: u32| {
             gauge!(
                 "dandelionlink_pool_connections",
@@ -69,14 +69,17 @@
             "dandelionlink_breaker_open",
             "database" => database.clone(), "upstream" => upstream.clone()
         )
-        .set(f64::from(self.broken));
+        .set(f64::from(self.breaker_open));
     }
 }
 
 /// Asks the duties, and returns what is to be told of them. A duty that does
 /// not answer leaves its gauges as they were.
-pub(super) async fn ask(introspection: &Introspection) -> Vec<Group> {
-    let (groups, callers) = tokio::join!(introspection.groups.ask(), introspection.callers.ask());
+pub(super) async fn request_groups(introspection: &Introspection) -> Vec<Group> {
+    let (groups, callers) = tokio::join!(
+        introspection.groups.request(),
+        introspection.callers.request()
+    );
     if let Some(callers) = callers {
         gauge!("dandelionlink_callers").set(callers.total as f64);
     }
@@ -86,35 +89,35 @@
 impl Gauges {
     /// Tells the figures of `groups`. An upstream that the catalogue has no
     /// more falls to nought: its last figures would otherwise stand for ever.
-    pub(super) fn tell(&mut self, groups: &[Group]) {
+    pub(super) fn set(&mut self, groups: &[Group]) {
         if groups.is_empty() {
             return;
         }
-        let mut gone = std::mem::take(&mut self.told);
-        let mut rest = Figures::default();
+        let mut gone = std::mem::take(&mut self.reported);
+        let mut rest = PoolMetrics::default();
         for upstream in groups.iter().flat_map(|it| &it.upstreams) {
-            let figures = upstream.pool.as_ref().map(Figures::of);
-            let figures = figures.unwrap_or_default();
-            let name = name(upstream);
-            if gone.remove(&name) || self.told.len() + gone.len() < UPSTREAMS {
-                figures.tell(&name);
-                self.told.insert(name);
+            let metrics = upstream.pool.as_ref().map(PoolMetrics::of);
+            let metrics = metrics.unwrap_or_default();
+            let labels = labels(upstream);
+            if gone.remove(&labels) || self.reported.len() + gone.len() < MAX_UPSTREAMS {
+                metrics.set(&labels);
+                self.reported.insert(labels);
             } else {
-                rest.add(figures);
+                rest.add(metrics);
             }
         }
         // They keep their places: the series exist, whatever they say.
-        for name in gone {
-            Figures::default().tell(&name);
-            self.told.insert(name);
+        for labels in gone {
+            PoolMetrics::default().set(&labels);
+            self.reported.insert(labels);
         }
-        if self.told.len() >= UPSTREAMS {
-            rest.tell(&(OTHER.to_owned(), OTHER.to_owned()));
+        if self.reported.len() >= MAX_UPSTREAMS {
+            rest.set(&(OTHER.to_owned(), OTHER.to_owned()));
         }
     }
 }
 
-fn name(upstream: &Upstream) -> Name {
+fn labels(upstream: &Upstream) -> Labels {
     let database = upstream.database.to_string();
     (database, upstream.upstream.to_string())
 }
--- a/crates/daemon/src/ops/gauge/tests.rs
+++ b/crates/daemon/src/ops/gauge/tests.rs
@@ -1,7 +1,7 @@
 use model::name;
 use view::{Link, Upstream};
 
-use super::{Gauges, UPSTREAMS};
+use super::{Gauges, MAX_UPSTREAMS};
 use crate::introspect::Group;
 
 /// A group of the upstreams with these numbers.
@@ -31,8 +31,8 @@
 #[test]
 fn upstreams_beyond_the_bound_get_no_gauges_of_their_own() {
     let mut gauges = Gauges::default();
-    gauges.tell(&[group(0..UPSTREAMS + 50)]);
-    assert_eq!(gauges.told.len(), UPSTREAMS);
+    gauges.set(&[group(0..MAX_UPSTREAMS + 50)]);
+    assert_eq!(gauges.reported.len(), MAX_UPSTREAMS);
 }
 
 /// Series can't be taken back, so those that have gone keep their places:
@@ -40,12 +40,12 @@
 #[test]
 fn upstreams_that_have_gone_count_against_the_bound() {
     let mut gauges = Gauges::default();
-    gauges.tell(&[group(0..UPSTREAMS - 10)]);
-    gauges.tell(&[group(UPSTREAMS..UPSTREAMS * 2)]);
-    assert_eq!(gauges.told.len(), UPSTREAMS);
+    gauges.set(&[group(0..MAX_UPSTREAMS - 10)]);
+    gauges.set(&[group(MAX_UPSTREAMS..MAX_UPSTREAMS * 2)]);
+    assert_eq!(gauges.reported.len(), MAX_UPSTREAMS);
     assert!(
         gauges
-            .told
+            .reported
             .contains(&("booking".to_owned(), "booking-0".to_owned()))
     );
 }
--- a/crates/daemon/src/ops/mod.rs
+++ b/crates/daemon/src/ops/mod.rs
@@ -24,13 +24,13 @@
 use gauge::Gauges;
 
 /// The buckets of latencies, in seconds.
-const SECONDS: [f64; 16] = [
+const LATENCY_BUCKETS_S: [f64; 16] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     5.0, 10.0,
 ];
 
 /// How often measured values are folded into histograms.
-const FOLD_EVERY: Duration = Duration::from_secs(1);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The recorder of this process; several daemons in one process share it.
 fn recorder() -> Option<&'static PrometheusHandle> {
@@ -38,7 +38,7 @@
     let install = || {
         let matcher = Matcher::Suffix("_seconds".to_owned());
         let builder = PrometheusBuilder::new()
-            .set_buckets_for_metric(matcher, &SECONDS)
+            .set_buckets_for_metric(matcher, &LATENCY_BUCKETS_S)
             .ok()?;
         builder.install_recorder().ok()
     };
@@ -98,7 +98,7 @@
     let server = server.run();
     let mut phase = conf.watch;
     tokio::select! {
-        () = fold() => {}
+        () = run_upkeep() => {}
         () = duty::wait_for(&mut phase, Phase::Stop) => {}
     }
     drop(server.stop(false));
@@ -108,9 +108,9 @@
 ///
 /// The recorder keeps each single value until then. Where nobody asks for the
 /// figures, they would fill the memory.
-async fn fold() {
+async fn run_upkeep() {
     loop {
-        sleep(FOLD_EVERY).await;
+        sleep(UPKEEP_INTERVAL).await;
         if let Some(handle) = recorder() {
             handle.run_upkeep();
         }
@@ -121,9 +121,9 @@
     let Some(handle) = recorder() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    let groups = gauge::ask(&shared.introspection).await;
+    let groups = gauge::request_groups(&shared.introspection).await;
     let gauges = shared.gauges.lock();
-    gauges.unwrap_or_else(PoisonError::into_inner).tell(&groups);
+    gauges.unwrap_or_else(PoisonError::into_inner).set(&groups);
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
         .body(handle.render())
@@ -154,14 +154,14 @@
 }
 
 async fn upstreams(shared: State) -> HttpResponse {
-    shown(page::upstreams(&shared.introspection).await.as_ref())
+    respond(page::upstreams(&shared.introspection).await.as_ref())
 }
 
 async fn sessions(shared: State) -> HttpResponse {
-    shown(page::sessions(&shared.introspection).await.as_ref())
+    respond(page::sessions(&shared.introspection).await.as_ref())
 }
 
-fn shown<T: Serialize>(view: Option<&T>) -> HttpResponse {
+fn respond<T: Serialize>(view: Option<&T>) -> HttpResponse {
     match view {
         Some(view) => HttpResponse::Ok().json(view),
         None => HttpResponse::ServiceUnavailable().body("a duty of this instance is silent\n"),
--- a/crates/daemon/src/ops/page.rs
+++ b/crates/daemon/src/ops/page.rs
@@ -11,18 +11,18 @@
 
 /// What `/status` shows.
 pub(super) async fn status(introspection: &Introspection, phase: duty::Phase) -> Status {
-    let (fleet, leads, groups, store) = tokio::join!(
-        introspection.fleet.ask(),
-        introspection.primaries.ask(),
-        introspection.groups.ask(),
-        introspection.store.ask(),
+    let (fleet, primaries, groups, store) = tokio::join!(
+        introspection.fleet.request(),
+        introspection.primaries.request(),
+        introspection.groups.request(),
+        introspection.store.request(),
     );
     let mut doubts = Vec::new();
     if phase > duty::Phase::Run {
         doubts.push(Doubt::Stopping);
     }
     let fleet = or_doubt(fleet, Duty::Peers, &mut doubts);
-    let leads = or_doubt(leads, Duty::Control, &mut doubts).unwrap_or_default();
+    let primaries = or_doubt(primaries, Duty::Control, &mut doubts).unwrap_or_default();
     let groups = or_doubt(groups, Duty::Upstreams, &mut doubts);
     let store = or_doubt(store, Duty::Store, &mut doubts).unwrap_or(Store::Idle);
     if let Store::Silent { since_ms } = store {
@@ -36,8 +36,8 @@
     });
     doubts.extend(fleet.doubts);
     let groups = groups.map_or_else(Vec::new, |it| it.groups);
-    let primaries = primaries(leads, &groups);
-    doubts.extend(primaries.iter().filter_map(leaderless));
+    let primaries = confirmed_primaries(primaries, &groups);
+    doubts.extend(primaries.iter().filter_map(missing_primary));
     doubts.extend(groups.into_iter().flat_map(|it| it.doubts));
     Status {
         instance: introspection.instance.clone(),
@@ -52,24 +52,24 @@
     }
 }
 
-fn primaries(leads: Vec<introspect::Primary>, groups: &[Group]) -> Vec<Primary> {
+fn confirmed_primaries(primaries: Vec<introspect::Primary>, groups: &[Group]) -> Vec<Primary> {
     let confirmed: BTreeMap<_, _> = groups
         .iter()
         .map(|it| (&it.database, it.confirmed_ms_ago))
         .collect();
-    let primary = |lead: introspect::Primary| {
-        let confirmed = confirmed.get(&lead.database).copied().flatten();
+    let primary = |known: introspect::Primary| {
+        let confirmed = confirmed.get(&known.database).copied().flatten();
         Primary {
-            database: lead.database,
-            term: lead.term,
-            upstream: lead.upstream,
+            database: known.database,
+            term: known.term,
+            upstream: known.upstream,
             confirmed_ms_ago: confirmed,
         }
     };
-    leads.into_iter().map(primary).collect()
+    primaries.into_iter().map(primary).collect()
 }
 
-fn leaderless(primary: &Primary) -> Option<Doubt> {
+fn missing_primary(primary: &Primary) -> Option<Doubt> {
     let database = primary.database.clone();
     let none = primary.upstream.is_none();
     none.then_some(Doubt::NoPrimary { database })
@@ -77,7 +77,7 @@
 
 /// What `/upstreams` shows; `None` when the duty that knows does not answer.
 pub(super) async fn upstreams(introspection: &Introspection) -> Option<Upstreams> {
-    let Groups { groups, .. } = introspection.groups.ask().await?;
+    let Groups { groups, .. } = introspection.groups.request().await?;
     Some(Upstreams {
         instance: introspection.instance.clone(),
         upstreams: groups.into_iter().flat_map(|it| it.upstreams).collect(),
@@ -86,7 +86,10 @@
 
 /// What `/sessions` shows; `None` when the duty that knows does not answer.
 pub(super) async fn sessions(introspection: &Introspection) -> Option<Sessions> {
-    let (callers, groups) = tokio::join!(introspection.callers.ask(), introspection.groups.ask());
+    let (callers, groups) = tokio::join!(
+        introspection.callers.request(),
+        introspection.groups.request()
+    );
     let callers = callers?;
     let queued: HashSet<_> = groups
         .map_or_else(Vec::new, |it| it.queued)
--- a/crates/daemon/src/peers/apply.rs
+++ b/crates/daemon/src/peers/apply.rs
@@ -11,11 +11,11 @@
 
 /// The catalogue's keys as they are in force.
 #[derive(Debug, Default)]
-pub(super) struct Force {
+pub(super) struct AppliedCatalog {
     keys: BTreeMap<String, (u64, Bytes)>,
 }
 
-impl Force {
+impl AppliedCatalog {
     /// Reads the catalogue that `changes` lead to; only if it is whole and
     /// right does it take the place of the last one.
     ///
--- a/crates/daemon/src/peers/datagram.rs
+++ b/crates/daemon/src/peers/datagram.rs
@@ -11,7 +11,7 @@
     /// Takes a datagram in; one that is not sealed by a peer is counted and
     /// dropped.
     pub(super) async fn datagram(&mut self, bytes: &[u8], address: SocketAddr) {
-        let frame = match self.gate.receive(address, bytes) {
+        let frame = match self.endpoint.receive(address, bytes) {
             Ok(frame) => frame,
             Err(error) => return dropped(error),
         };
@@ -29,7 +29,7 @@
 
     /// Sends a datagram; the network may lose it, and so may a full socket.
     pub(super) fn send(&mut self, to: SocketAddr, message: &Message) {
-        match self.gate.seal(to, message) {
+        match self.endpoint.seal(to, message) {
             Ok(bytes) => {
                 let _ = self.socket.try_send_to(&bytes, to);
             }
--- a/crates/daemon/src/peers/forward.rs
+++ b/crates/daemon/src/peers/forward.rs
@@ -27,10 +27,10 @@
 };
 
 /// How long a connection to another instance may take.
-const CONNECT: Millis = Millis(1_000);
+const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
 /// Commands or answers that may wait for one stream.
-const WAITING: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 
 type Frames = mpsc::Sender<Message>;
 type Commands = mpsc::Sender<(Seq, Command)>;
@@ -43,7 +43,7 @@
     outgoing: Rc<RefCell<HashMap<name::Instance, Commands>>>,
     incoming: Rc<RefCell<HashMap<Conn, Frames>>>,
     /// What the instances that ask here were told last of this one's stop.
-    told: Rc<Cell<Option<Farewell>>>,
+    last_notice: Rc<Cell<Option<StopNotice>>>,
 }
 
 impl Forwards {
@@ -53,12 +53,12 @@
             ins,
             outgoing: Rc::default(),
             incoming: Rc::default(),
-            told: Rc::default(),
+            last_notice: Rc::default(),
         }
     }
 
     /// Sends a command to the instance `to`, which listens at `address`.
-    pub(super) async fn ask(
+    pub(super) async fn send_command(
         &self,
         streams: &Streams,
         to: &name::Instance,
@@ -78,7 +78,7 @@
     }
 
     /// Sends an answer to the instance that asked on `conn`.
-    pub(super) async fn answer(&self, conn: Conn, seq: Seq, response: &Response) {
+    pub(super) async fn send_answer(&self, conn: Conn, seq: Seq, response: &Response) {
         let frames = self.incoming.borrow().get(&conn).cloned();
         let Some(frames) = frames else { return };
         let Ok(body) = postcard::to_allocvec(response) else {
@@ -93,16 +93,16 @@
     }
 
     /// Tells all instances that ask here that this one is stopping.
-    pub(super) async fn leave(&self, farewell: Farewell) {
-        self.told.set(Some(farewell));
+    pub(super) async fn notify_stop(&self, notice: StopNotice) {
+        self.last_notice.set(Some(notice));
         let all: Vec<_> = self.incoming.borrow().values().cloned().collect();
         for frames in all {
-            let _ = frames.send(farewell.message()).await;
+            let _ = frames.send(notice.message()).await;
         }
     }
 
     fn connect(&self, streams: &Streams, to: &name::Instance, address: SocketAddr) -> Commands {
-        let (sender, commands) = mpsc::channel(WAITING);
+        let (sender, commands) = mpsc::channel(QUEUE_CAPACITY);
         self.outgoing
             .borrow_mut()
             .insert(to.clone(), sender.clone());
@@ -124,9 +124,12 @@
         mut commands: mpsc::Receiver<(Seq, Command)>,
     ) {
         let mut upto = NO_SEQ;
-        let opened = timeout(CONNECT, open(streams, address)).await;
+        let opened = timeout(CONNECT_TIMEOUT, open(streams, address)).await;
         let ended = match opened {
-            Ok(Ok((tcp, end))) => self.carry(&to, tcp, end, &mut commands, &mut upto).await,
+            Ok(Ok((tcp, end))) => {
+                self.run_commands(&to, tcp, end, &mut commands, &mut upto)
+                    .await
+            }
             Ok(Err(_)) | Err(()) => Ended::Broken,
         };
         self.outgoing.borrow_mut().remove(&to);
@@ -144,7 +147,7 @@
 
     /// Writes commands and reads answers until the stream ends; notes the last
     /// command that may have left in `upto`.
-    async fn carry(
+    async fn run_commands(
         &self,
         to: &name::Instance,
         tcp: TcpStream,
@@ -153,7 +156,7 @@
         upto: &mut Seq,
     ) -> Ended {
         let (read, mut write) = tcp.into_split();
-        let (frames_tx, mut frames) = mpsc::channel(WAITING);
+        let (frames_tx, mut frames) = mpsc::channel(QUEUE_CAPACITY);
         ntex::rt::spawn(read_all(read, frames_tx));
         loop {
             tokio::select! {
@@ -172,7 +175,7 @@
                     let Some(bytes) = bytes else { return Ended::Broken };
                     match end.receive(&bytes) {
                         Ok(frame) if is_bye(&frame.message) => return Ended::Left,
-                        Ok(frame) => self.answered(to, frame.message).await,
+                        Ok(frame) => self.receive_answer(to, frame.message).await,
                         Err(error) => {
                             dropped(error);
                             return Ended::Broken;
@@ -183,7 +186,7 @@
         }
     }
 
-    async fn answered(&self, to: &name::Instance, message: Message) {
+    async fn receive_answer(&self, to: &name::Instance, message: Message) {
         if let Message::Answer { sequence, body, .. } = message
             && let Ok(response) = postcard::from_bytes(&body)
         {
@@ -206,15 +209,15 @@
         mut end: Stream,
         first: Message,
     ) {
-        let (answers_tx, mut answers) = mpsc::channel(WAITING);
-        if let Some(farewell) = self.told.get() {
-            let _ = answers_tx.try_send(farewell.message());
+        let (answers_tx, mut answers) = mpsc::channel(QUEUE_CAPACITY);
+        if let Some(notice) = self.last_notice.get() {
+            let _ = answers_tx.try_send(notice.message());
         }
         self.incoming.borrow_mut().insert(conn, answers_tx);
         let (read, mut write) = tcp.into_split();
-        let (frames_tx, mut frames) = mpsc::channel(WAITING);
+        let (frames_tx, mut frames) = mpsc::channel(QUEUE_CAPACITY);
         ntex::rt::spawn(read_all(read, frames_tx));
-        self.asked(conn, first).await;
+        self.receive_command(conn, first).await;
         loop {
             tokio::select! {
                 Some(message) = answers.recv() => {
@@ -230,7 +233,7 @@
                 bytes = frames.recv() => {
                     let Some(bytes) = bytes else { break };
                     match end.receive(&bytes) {
-                        Ok(frame) => self.asked(conn, frame.message).await,
+                        Ok(frame) => self.receive_command(conn, frame.message).await,
                         Err(error) => {
                             dropped(error);
                             break;
@@ -243,7 +246,7 @@
         self.ins.send(In::Gone { conn }).await;
     }
 
-    async fn asked(&self, conn: Conn, message: Message) {
+    async fn receive_command(&self, conn: Conn, message: Message) {
         if let Message::Forward { sequence, body, .. } = message
             && let Ok(command) = postcard::from_bytes(&body)
         {
@@ -279,14 +282,14 @@
 
 /// What a stopping instance tells those that ask it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Farewell {
+pub(super) enum StopNotice {
     /// [`Response::Leaving`].
     Leaving,
     /// [`Response::Bye`].
     Bye,
 }
 
-impl Farewell {
+impl StopNotice {
     fn message(self) -> Message {
         let response = match self {
             Self::Leaving => Response::Leaving,
@@ -303,7 +306,7 @@
 
 /// Whether a message is the last of a stopping instance.
 fn is_bye(message: &Message) -> bool {
-    *message == Farewell::Bye.message()
+    *message == StopNotice::Bye.message()
 }
 
 /// Connects to another instance's streams.
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -32,10 +32,10 @@
     ring,
 };
 
-use self::view::Kept;
-use apply::Force;
-use forward::{Farewell, Forwards};
-use stream::Heard;
+use self::view::Diagnostics;
+use apply::AppliedCatalog;
+use forward::{Forwards, StopNotice};
+use stream::Received;
 
 /// What the control duty asks of the peers' duty.
 #[derive(Debug)]
@@ -111,17 +111,17 @@
 struct Peers {
     clock: Clock,
     fleet: Fleet,
-    gate: Endpoint,
+    endpoint: Endpoint,
     socket: Rc<tokio::net::UdpSocket>,
     streams: stream::Streams,
     forwards: Forwards,
     updates: ring::Shared<Update>,
     catalogs: ring::Shared<Arc<Snapshot>>,
     store_calls: ring::Shared<fleet::Store>,
-    force: Force,
+    catalog: AppliedCatalog,
     wake: Option<Instant>,
     members: BTreeMap<name::Instance, name::Zone>,
-    kept: Kept,
+    diagnostics: Diagnostics,
 }
 
 /// Runs the duty until the daemon stops.
@@ -140,27 +140,27 @@
     let address = conf.fleet.address;
     let forwards = Forwards::open(ring::Shared::new(conf.ins));
     let keys = conf.ring.clone();
-    let (streams, mut heard) =
+    let (streams, mut received) =
         stream::Streams::open(conf.listener, node, incarnation, keys, forwards.clone());
     let (fleet, actions) = Fleet::open(conf.fleet, conf.clock.now());
     let mut peers = Peers {
         clock: conf.clock,
         fleet,
-        gate: Endpoint::open(node, incarnation, address, conf.ring),
+        endpoint: Endpoint::open(node, incarnation, address, conf.ring),
         socket: Rc::new(socket),
         streams,
         forwards,
         updates: ring::Shared::new(conf.updates),
         catalogs: ring::Shared::new(conf.catalogs),
         store_calls: ring::Shared::new(conf.store_calls),
-        force: Force::default(),
+        catalog: AppliedCatalog::default(),
         wake: None,
         members: BTreeMap::new(),
-        kept: Kept::default(),
+        diagnostics: Diagnostics::default(),
     };
-    peers.carry(actions).await;
+    peers.perform(actions).await;
     // An instance that is alone is told of no other member.
-    peers.tell_members().await;
+    peers.update_members().await;
     let mut buf = vec![0; wire::DATAGRAM_MAX + 1];
     let mut draining = conf.watch.clone();
     let mut leaving = false;
@@ -174,7 +174,7 @@
                 peers.step(Event::Leave).await;
             }
             Ok((len, from)) = socket.recv_from(&mut buf) => peers.datagram(&buf[..len], from).await,
-            Some(heard) = heard.recv() => peers.heard(heard).await,
+            Some(received) = received.recv() => peers.received(received).await,
             Some(command) = conf.commands.recv() => peers.command(command),
             Some(out) = conf.outs.recv() => peers.out(out).await,
             Some(answer) = conf.store_answers.recv() => {
@@ -191,21 +191,21 @@
 impl Peers {
     /// How long until the fleet's part wants to be woken.
     fn pause(&self) -> Duration {
-        const QUIET: Duration = Duration::from_secs(1);
-        self.wake.map_or(QUIET, |at| at.since(self.clock.now()))
+        const MAX_PAUSE: Duration = Duration::from_secs(1);
+        self.wake.map_or(MAX_PAUSE, |at| at.since(self.clock.now()))
     }
 
     async fn step(&mut self, event: Event) {
         let actions = self.fleet.step(self.clock.now(), event);
-        self.carry(actions).await;
+        self.perform(actions).await;
     }
 
-    async fn carry(&mut self, actions: Vec<Action>) {
+    async fn perform(&mut self, actions: Vec<Action>) {
         let mut changed = false;
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, &message),
-                Action::Ask { call, to, message } => self.streams.ask(call, to, message),
+                Action::Ask { call, to, message } => self.streams.request(call, to, message),
                 Action::Reply { stream, messages } => self.streams.reply(stream, messages),
                 Action::Store(store) => self.ask_store(store),
                 Action::Catalog {
@@ -217,16 +217,16 @@
                 }
                 Action::Primary(change) => self.primary(&change).await,
                 Action::Member(_) => changed = true,
-                Action::Zone { zone, path } => tell_zone(&zone, path),
+                Action::Zone { zone, path } => log_zone_path(&zone, path),
                 Action::Notice(notice) => {
-                    self.kept.note(&notice);
-                    tell(&notice);
+                    self.diagnostics.note(&notice);
+                    log_notice(&notice);
                 }
                 Action::Wake(at) => self.wake = Some(at),
             }
         }
         if changed {
-            self.tell_members().await;
+            self.update_members().await;
         }
     }
 
@@ -244,10 +244,10 @@
         scope: fleet::Scope,
         changes: &[wire::Change],
     ) {
-        match self.force.apply(scope, changes) {
+        match self.catalog.apply(scope, changes) {
             Ok(snapshot) => {
                 let snapshot = Arc::new(snapshot);
-                self.kept.applied(self.clock.now());
+                self.diagnostics.applied(self.clock.now());
                 metrics::gauge!("dandelionlink_catalog_revision").set(snapshot.revision as f64);
                 self.updates
                     .send(Update::Catalog(Arc::clone(&snapshot)))
@@ -256,10 +256,10 @@
             }
             Err(error) => {
                 log::error!(duty = "peers"; "catalogue {revision} is held back: {error}");
-                self.kept.refused(revision, error.to_string());
+                self.diagnostics.refused(revision, error.to_string());
                 let actions = self.fleet.step(self.clock.now(), Event::Refused(revision));
                 // A refusal only brings notices, never another catalogue.
-                Box::pin(self.carry(actions)).await;
+                Box::pin(self.perform(actions)).await;
             }
         }
     }
@@ -280,9 +280,9 @@
         }
     }
 
-    async fn tell_members(&mut self) {
-        let workable = self.fleet.table().members().filter(|it| it.is_available());
-        let members: BTreeMap<_, _> = workable
+    async fn update_members(&mut self) {
+        let available = self.fleet.table().members().filter(|it| it.is_available());
+        let members: BTreeMap<_, _> = available
             .map(|it| (it.record.name.clone(), it.record.zone.clone()))
             .collect();
         if members != self.members {
@@ -299,7 +299,7 @@
                 let member = self.fleet.table().find(Node::of(&to));
                 let address = member.map(|it| it.record.address);
                 self.forwards
-                    .ask(&self.streams, &to, address, seq, command)
+                    .send_command(&self.streams, &to, address, seq, command)
                     .await;
             }
             Out::Answer {
@@ -307,10 +307,10 @@
                 seq,
                 response,
             } => {
-                self.forwards.answer(conn, seq, &response).await;
+                self.forwards.send_answer(conn, seq, &response).await;
             }
-            Out::Leaving => self.forwards.leave(Farewell::Leaving).await,
-            Out::Bye => self.forwards.leave(Farewell::Bye).await,
+            Out::Leaving => self.forwards.notify_stop(StopNotice::Leaving).await,
+            Out::Bye => self.forwards.notify_stop(StopNotice::Bye).await,
         }
     }
 
@@ -327,11 +327,11 @@
         }
     }
 
-    async fn heard(&mut self, heard: Heard) {
-        let event = match heard {
-            Heard::Answer { call, message } => Event::Answer { call, message },
-            Heard::Failed { call } => Event::Failed(call),
-            Heard::Asked { stream, message } => Event::Asked { stream, message },
+    async fn received(&mut self, received: Received) {
+        let event = match received {
+            Received::Answer { call, message } => Event::Answer { call, message },
+            Received::Failed { call } => Event::Failed(call),
+            Received::Request { stream, message } => Event::Asked { stream, message },
         };
         self.step(event).await;
     }
@@ -353,7 +353,7 @@
 }
 
 /// Counts and logs what an operator wants to know.
-fn tell(notice: &Notice) {
+fn log_notice(notice: &Notice) {
     let kind = match notice {
         Notice::StoreBehind { .. } => "store_behind",
         Notice::StoreDown => "store_down",
@@ -370,7 +370,7 @@
 }
 
 /// Tells operators that a zone is cut off from this instance, or is back.
-fn tell_zone(zone: &name::Zone, path: fleet::Path) {
+fn log_zone_path(zone: &name::Zone, path: fleet::Path) {
     let kind = "zone";
     metrics::counter!("dandelionlink_fleet_notices_total", "kind" => kind).increment(1);
     log::warn!(duty = "peers", zone = zone.as_str(); "the way to zone {zone}: {path:?}");
--- a/crates/daemon/src/peers/stream.rs
+++ b/crates/daemon/src/peers/stream.rs
@@ -26,17 +26,17 @@
 const TIMEOUT: Millis = Millis(5_000);
 
 /// How many questions of peers are answered at once.
-const MAX_ASKED: usize = 64;
+const MAX_SERVED: usize = 64;
 
 /// What has come on streams and waits for the duty.
-const MAX_HEARD: usize = 256;
+const MAX_RECEIVED: usize = 256;
 
 /// How long an accept that failed waits.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// What came on a stream.
 #[derive(Debug)]
-pub(super) enum Heard {
+pub(super) enum Received {
     /// A frame of the answer to a question.
     Answer {
         /// The question.
@@ -50,7 +50,7 @@
         call: Call,
     },
     /// A peer asks.
-    Asked {
+    Request {
         /// To answer with.
         stream: u64,
         /// What it asks.
@@ -76,7 +76,7 @@
     node: Node,
     incarnation: u64,
     ring: Ring,
-    heard: mpsc::Sender<Heard>,
+    received: mpsc::Sender<Received>,
     answers: Answers,
     forwards: Forwards,
 }
@@ -89,19 +89,19 @@
         incarnation: u64,
         ring: Ring,
         forwards: Forwards,
-    ) -> (Self, mpsc::Receiver<Heard>) {
-        let (heard, hearing) = mpsc::channel(MAX_HEARD);
+    ) -> (Self, mpsc::Receiver<Received>) {
+        let (received, inputs) = mpsc::channel(MAX_RECEIVED);
         let answers = Answers::default();
         let streams = Self {
             node,
             incarnation,
             ring,
-            heard,
+            received,
             answers,
             forwards,
         };
         ntex::rt::spawn(accept(listener, streams.handle()));
-        (streams, hearing)
+        (streams, inputs)
     }
 
     pub(super) fn handle(&self) -> Self {
@@ -109,19 +109,19 @@
             node: self.node,
             incarnation: self.incarnation,
             ring: self.ring.clone(),
-            heard: self.heard.clone(),
+            received: self.received.clone(),
             answers: Rc::clone(&self.answers),
             forwards: self.forwards.clone(),
         }
     }
 
-    /// Asks the instance at `to`; the answer comes as [`Heard`].
-    pub(super) fn ask(&self, call: Call, to: SocketAddr, message: Message) {
+    /// Asks the instance at `to`; the answer comes as [`Received`].
+    pub(super) fn request(&self, call: Call, to: SocketAddr, message: Message) {
         let streams = self.handle();
         ntex::rt::spawn(async move {
-            let asking = ask(&streams, call, to, &message);
-            if !matches!(timeout(TIMEOUT, asking).await, Ok(Ok(()))) {
-                let _ = streams.heard.send(Heard::Failed { call }).await;
+            let requesting = request(&streams, call, to, &message);
+            if !matches!(timeout(TIMEOUT, requesting).await, Ok(Ok(()))) {
+                let _ = streams.received.send(Received::Failed { call }).await;
             }
         });
     }
@@ -163,7 +163,7 @@
     Ok(Some(bytes))
 }
 
-async fn ask(
+async fn request(
     streams: &Streams,
     call: Call,
     to: SocketAddr,
@@ -175,12 +175,15 @@
     tcp.read_exact(&mut nonce).await?;
     let mut end = streams.end(nonce, Side::Connector);
     tcp.write_all(&end.seal(message)?).await?;
-    let mut some = false;
+    let mut answered = false;
     while let Some(message) = read(&mut tcp, &mut end).await? {
-        some = true;
-        let _ = streams.heard.send(Heard::Answer { call, message }).await;
+        answered = true;
+        let _ = streams
+            .received
+            .send(Received::Answer { call, message })
+            .await;
     }
-    if some {
+    if answered {
         Ok(())
     } else {
         Err(io::Error::from(io::ErrorKind::UnexpectedEof).into())
@@ -191,17 +194,17 @@
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
-    let room = Arc::new(Semaphore::new(MAX_ASKED));
-    let mut made = 0;
+    let permits = Arc::new(Semaphore::new(MAX_SERVED));
+    let mut accepted = 0;
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
             ntex::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        made += 1;
-        let (streams, stream) = (streams.handle(), made);
+        accepted += 1;
+        let (streams, stream) = (streams.handle(), accepted);
         // Peers beyond the bound are cut off and ask another instance.
-        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
         ntex::rt::spawn(async move {
@@ -220,8 +223,8 @@
     mut tcp: TcpStream,
     permit: OwnedSemaphorePermit,
 ) -> Result<(), Error> {
-    let greeting = timeout(TIMEOUT, greet(streams, &mut tcp)).await;
-    let Some((end, message)) = greeting.unwrap_or(Ok(None))? else {
+    let first = timeout(TIMEOUT, read_first(streams, &mut tcp)).await;
+    let Some((end, message)) = first.unwrap_or(Ok(None))? else {
         return Ok(());
     };
     if let Message::Forward { .. } = message {
@@ -238,7 +241,10 @@
 }
 
 /// Reads the first message of a stream.
-async fn greet(streams: &Streams, tcp: &mut TcpStream) -> Result<Option<(Stream, Message)>, Error> {
+async fn read_first(
+    streams: &Streams,
+    tcp: &mut TcpStream,
+) -> Result<Option<(Stream, Message)>, Error> {
     tcp.set_nodelay(true)?;
     let nonce: [u8; 16] = rand::random();
     tcp.write_all(&nonce).await?;
@@ -256,7 +262,10 @@
 ) -> Result<(), Error> {
     let (answer, answered) = oneshot::channel();
     streams.answers.borrow_mut().insert(stream, answer);
-    let _ = streams.heard.send(Heard::Asked { stream, message }).await;
+    let _ = streams
+        .received
+        .send(Received::Request { stream, message })
+        .await;
     for message in answered.await.unwrap_or_default() {
         tcp.write_all(&end.seal(&message)?).await?;
     }
--- a/crates/daemon/src/peers/view.rs
+++ b/crates/daemon/src/peers/view.rs
@@ -13,16 +13,16 @@
 
 /// What the duty keeps for operators only.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
+pub(super) struct Diagnostics {
     /// When the catalogue in force was put there.
     applied: Option<Instant>,
     /// Why the last catalogue that was refused was.
     refused: Option<(wire::Revision, String)>,
     /// The store's revision and the one held, since the store went back.
-    behind: Option<(wire::Revision, wire::Revision)>,
+    store_older: Option<(wire::Revision, wire::Revision)>,
 }
 
-impl Kept {
+impl Diagnostics {
     /// A catalogue was put in force.
     pub(super) fn applied(&mut self, now: Instant) {
         self.applied = Some(now);
@@ -37,8 +37,8 @@
     /// Takes in what the fleet's part tells.
     pub(super) fn note(&mut self, notice: &Notice) {
         match notice {
-            Notice::StoreBehind { store, held } => self.behind = Some((*store, *held)),
-            Notice::StoreBack => self.behind = None,
+            Notice::StoreBehind { store, held } => self.store_older = Some((*store, *held)),
+            Notice::StoreBack => self.store_older = None,
             _ => {}
         }
     }
@@ -48,7 +48,7 @@
     /// What operators see.
     pub(super) fn view(&self) -> introspect::Fleet {
         let now = self.clock.now();
-        let applied = self.kept.applied.unwrap_or(now);
+        let applied = self.diagnostics.applied.unwrap_or(now);
         introspect::Fleet {
             revision: revision(self.fleet.applied()),
             applied_ms_ago: millis(now.since(applied)),
@@ -63,13 +63,13 @@
         let others = others.filter(|it| it.node != self.fleet.node());
         let member = |it: &fleet::Member| {
             let heard = it.view.map_or(it.since, |(_, heard)| heard.max(it.since));
-            let told = it.view.map(|(view, _)| in_force(&status, &view));
+            let reported = it.view.map(|(view, _)| in_force(&status, &view));
             view::Member {
                 instance: it.record.name.clone(),
                 zone: it.record.zone.clone(),
                 address: it.record.address,
                 health: health(it.record.state),
-                revision: told.map(revision),
+                revision: reported.map(revision),
                 heard_ms_ago: millis(now.since(heard)),
             }
         };
@@ -85,8 +85,11 @@
             doubts.push(Doubt::NoCatalog);
         }
         doubts.extend(status.held.map(|held| self.held(held)));
-        let behind = self.kept.behind.filter(|_| status.watch != Watch::On);
-        doubts.extend(behind.map(|(shown, held)| Doubt::StoreOlder {
+        let store_older = self
+            .diagnostics
+            .store_older
+            .filter(|_| status.watch != Watch::On);
+        doubts.extend(store_older.map(|(shown, held)| Doubt::StoreOlder {
             shown: revision(shown),
             held: revision(held),
         }));
@@ -107,7 +110,7 @@
                 "keys were written behind its head, so it was not made in one transaction"
                     .to_owned()
             }
-            Reason::Refused => self.kept.refused.as_ref().map_or_else(
+            Reason::Refused => self.diagnostics.refused.as_ref().map_or_else(
                 || "it can't be read".to_owned(),
                 |(_, reason)| reason.clone(),
             ),
@@ -155,15 +158,15 @@
 /// It tells how far it mirrors the store, which each change of a primary
 /// moves on as well. Shown as it is, it would make this instance, whose
 /// catalogue is the same, seem to lack a change that there never was.
-fn in_force(own: &fleet::Status, told: &wire::View) -> wire::Revision {
-    if let Some(applied) = told.applied {
+fn in_force(own: &fleet::Status, reported: &wire::View) -> wire::Revision {
+    if let Some(applied) = reported.applied {
         return applied;
     }
-    let known = own.applied <= told.revision && told.revision <= own.mirrored;
+    let known = own.applied <= reported.revision && reported.revision <= own.mirrored;
     if known && own.held.is_none() {
         return own.applied;
     }
-    told.revision
+    reported.revision
 }
 
 fn revision(of: wire::Revision) -> Revision {
--- a/crates/daemon/src/peers/view/tests.rs
+++ b/crates/daemon/src/peers/view/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn told(revision: u64, applied: Option<u64>) -> View {
+fn reported(revision: u64, applied: Option<u64>) -> View {
     View {
         revision: at(revision),
         applied: applied.map(at),
@@ -37,19 +37,19 @@
 /// Cause: how far an instance mirrors the store was taken for its catalogue.
 #[test]
 fn a_change_of_primary_is_no_revision_of_the_catalogue() {
-    assert_eq!(in_force(&status(7, 8), &told(8, None)), at(7));
-    assert_eq!(in_force(&status(7, 8), &told(7, None)), at(7));
+    assert_eq!(in_force(&status(7, 8), &reported(8, None)), at(7));
+    assert_eq!(in_force(&status(7, 8), &reported(7, None)), at(7));
 }
 
 #[test]
 fn an_instance_that_lags_or_holds_back_is_shown_so() {
-    assert_eq!(in_force(&status(7, 8), &told(5, None)), at(5));
-    assert_eq!(in_force(&status(7, 8), &told(8, Some(3))), at(3));
+    assert_eq!(in_force(&status(7, 8), &reported(5, None)), at(5));
+    assert_eq!(in_force(&status(7, 8), &reported(8, Some(3))), at(3));
 }
 
 #[test]
 fn an_instance_that_is_ahead_is_believed() {
-    assert_eq!(in_force(&status(7, 8), &told(9, None)), at(9));
+    assert_eq!(in_force(&status(7, 8), &reported(9, None)), at(9));
     let held = Held {
         revision: at(8),
         reason: Reason::Refused,
@@ -58,7 +58,7 @@
         held: Some(held),
         ..status(7, 8)
     };
-    assert_eq!(in_force(&holding, &told(8, None)), at(8));
+    assert_eq!(in_force(&holding, &reported(8, None)), at(8));
 }
 
 #[test]
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,6 +1,6 @@
 //! The store's duty: the catalogue and the primaries' records.
 
-mod reach;
+mod client;
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,7 +23,7 @@
     ring,
 };
 
-use reach::Client;
+use client::Client;
 
 /// Below it is one key for each database, with its primary's record.
 pub(crate) const PRIMARIES: &str = "dandelionlink/primary/";
@@ -54,7 +54,7 @@
     },
 }
 
-/// What the control duty is told.
+/// What the control duty is announced.
 #[derive(Debug)]
 pub(crate) enum RecordResponse {
     /// To [`RecordRequest::Read`].
@@ -117,14 +117,14 @@
     };
     let store = Client::open(gateway, conf.clock);
     ntex::rt::spawn(serve_records(store.clone(), conf.requests, responses));
-    ntex::rt::spawn(show(store.clone(), conf.inquiries));
-    ntex::rt::spawn(take_calls(store, conf.calls, answers));
+    ntex::rt::spawn(serve_inquiries(store.clone(), conf.inquiries));
+    ntex::rt::spawn(serve_calls(store, conf.calls, answers));
     let mut watch = conf.watch;
     duty::wait_for(&mut watch, Phase::Stop).await;
 }
 
-async fn show(store: Client, mut asked: Requests<view::Store>) {
-    while let Some(answer) = asked.recv().await {
+async fn serve_inquiries(store: Client, mut inquiries: Requests<view::Store>) {
+    while let Some(answer) = inquiries.recv().await {
         let _ = answer.send(store.view());
     }
 }
@@ -221,16 +221,16 @@
 }
 
 /// Answers the fleet's calls until the daemon stops.
-async fn take_calls(store: Client, mut calls: ring::Receiver<fleet::Store>, answers: Answers) {
+async fn serve_calls(store: Client, mut calls: ring::Receiver<fleet::Store>, answers: Answers) {
     let mut watches: HashMap<fleet::Call, oneshot::Sender<()>> = HashMap::new();
     while let Some(fleet::Store { call, request }) = calls.recv().await {
         let (store, answers) = (store.clone(), answers.clone());
         match request {
             Request::Range => {
-                ntex::rt::spawn(async move { answers.tell(call, range(&store).await).await });
+                ntex::rt::spawn(async move { answers.send(call, range(&store).await).await });
             }
             Request::Head => {
-                ntex::rt::spawn(async move { answers.tell(call, head(&store).await).await });
+                ntex::rt::spawn(async move { answers.send(call, head(&store).await).await });
             }
             Request::Watch { from } => {
                 let (stop, stopped) = oneshot::channel();
@@ -239,7 +239,7 @@
                 ntex::rt::spawn(async move {
                     tokio::select! {
                         answer = watch(&store, from, call, &answers) => {
-                            answers.tell(call, answer).await;
+                            answers.send(call, answer).await;
                         }
                         _ = stopped => {}
                     }
@@ -255,7 +255,7 @@
 struct Answers(ring::Shared<FleetAnswer>);
 
 impl Answers {
-    async fn tell(&self, call: fleet::Call, answer: fleet::Answer) {
+    async fn send(&self, call: fleet::Call, answer: fleet::Answer) {
         self.0.send(FleetAnswer { call, answer }).await;
     }
 }
@@ -294,7 +294,7 @@
     let Ok(mut watch) = store.watch(&first, &past, from).await else {
         return fleet::Answer::Down;
     };
-    let mut told = false;
+    let mut announced = false;
     loop {
         let (events, revision) = match watch.next().await {
             Ok(found) => found,
@@ -304,15 +304,15 @@
                 return fleet::Answer::Down;
             }
         };
-        if !told {
-            told = true;
+        if !announced {
+            announced = true;
             answers
-                .tell(call, fleet::Answer::Watching { revision })
+                .send(call, fleet::Answer::Watching { revision })
                 .await;
         }
         for (revision, changes) in by_revision(events) {
             answers
-                .tell(call, fleet::Answer::Changes { revision, changes })
+                .send(call, fleet::Answer::Changes { revision, changes })
                 .await;
         }
     }
--- a/crates/daemon/src/platform/reach.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -12,10 +12,10 @@
 use crate::introspect::millis;
 
 /// After how long without a call the store counts as not asked.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Contact {
     answered: Option<Instant>,
     /// The first failure since the last answer.
     failing: Option<Instant>,
@@ -26,14 +26,14 @@
 pub(super) struct Client {
     gateway: Gateway,
     clock: Clock,
-    seen: Rc<RefCell<Seen>>,
+    contact: Rc<RefCell<Contact>>,
     /// How many watches are open.
     watches: Rc<Cell<usize>>,
 }
 
 /// A watch that counts as an open one while it lives.
 #[derive(Debug)]
-pub(super) struct Watching {
+pub(super) struct CountedWatch {
     watch: Watch,
     client: Client,
 }
@@ -44,7 +44,7 @@
         Self {
             gateway,
             clock,
-            seen: Rc::default(),
+            contact: Rc::default(),
             watches: Rc::default(),
         }
     }
@@ -56,7 +56,7 @@
     /// [`Fault`] tells whether the call may have taken effect.
     pub(super) async fn call(&self, call: &Call) -> Result<Answer, Fault> {
         let result = self.gateway.call(call).await;
-        self.note(result.as_ref().err());
+        self.note_result(result.as_ref().err());
         result
     }
 
@@ -70,12 +70,12 @@
         from: &str,
         to: &str,
         revision: u64,
-    ) -> Result<Watching, Fault> {
+    ) -> Result<CountedWatch, Fault> {
         let result = self.gateway.watch(from, to, revision).await;
-        self.note(result.as_ref().err());
+        self.note_result(result.as_ref().err());
         let watch = result?;
         self.watches.set(self.watches.get() + 1);
-        Ok(Watching {
+        Ok(CountedWatch {
             watch,
             client: self.clone(),
         })
@@ -84,19 +84,19 @@
     /// What operators see.
     pub(super) fn view(&self) -> view::Store {
         let now = self.clock.now();
-        let seen = self.seen.borrow();
-        if let Some(failing) = seen.failing {
-            let since = seen.answered.unwrap_or(failing);
+        let contact = self.contact.borrow();
+        if let Some(failing) = contact.failing {
+            let since = contact.answered.unwrap_or(failing);
             return view::Store::Silent {
                 since_ms: millis(now.since(since)),
             };
         }
-        let Some(answered) = seen.answered else {
+        let Some(answered) = contact.answered else {
             return view::Store::Idle;
         };
         let age = now.since(answered);
         // An open watch is an open call: silence on it is what it should bring.
-        if self.watches.get() == 0 && age > IDLE {
+        if self.watches.get() == 0 && age > IDLE_AFTER {
             return view::Store::Idle;
         }
         view::Store::Answering {
@@ -104,23 +104,23 @@
         }
     }
 
-    fn note(&self, fault: Option<&Fault>) {
+    fn note_result(&self, fault: Option<&Fault>) {
         let now = self.clock.now();
-        let mut seen = self.seen.borrow_mut();
+        let mut contact = self.contact.borrow_mut();
         match fault {
             // A refusal is an answer as well.
             None | Some(Fault::Refused { .. } | Fault::Compacted { .. }) => {
-                seen.answered = Some(now);
-                seen.failing = None;
+                contact.answered = Some(now);
+                contact.failing = None;
             }
             Some(Fault::Unreachable { .. } | Fault::Lost | Fault::Malformed { .. }) => {
-                seen.failing.get_or_insert(now);
+                contact.failing.get_or_insert(now);
             }
         }
     }
 }
 
-impl Watching {
+impl CountedWatch {
     /// Waits for changes.
     ///
     /// # Errors
@@ -128,12 +128,12 @@
     /// [`Fault`] when the watch broke or asks for what is no longer kept.
     pub(super) async fn next(&mut self) -> Result<(Vec<store::Event>, u64), Fault> {
         let result = self.watch.next().await;
-        self.client.note(result.as_ref().err());
+        self.client.note_result(result.as_ref().err());
         result
     }
 }
 
-impl Drop for Watching {
+impl Drop for CountedWatch {
     fn drop(&mut self) {
         self.client.watches.set(self.client.watches.get() - 1);
     }
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring.rs
@@ -9,7 +9,7 @@
 use ntex::time::sleep;
 
 /// How often a sender that waits for room looks again.
-const FULL_STEP: Duration = Duration::from_micros(200);
+const RETRY_INTERVAL: Duration = Duration::from_micros(200);
 
 /// The ring had no room; here is the item back.
 #[derive(Debug)]
@@ -116,9 +116,9 @@
     /// Puts an item in, waiting for room as long as it takes.
     pub async fn send(&self, item: T) {
         let mut item = item;
-        while let Err(Full(back)) = self.push(item) {
-            item = back;
-            sleep(FULL_STEP).await;
+        while let Err(Full(returned)) = self.push(item) {
+            item = returned;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    fn local(
+    fn address_or_localhost(
         &mut self,
         name: &'static str,
         flag: Option<&String>,
@@ -362,28 +362,28 @@
     ///
     /// All faults at once.
     pub fn read(args: &Args, env: &dyn Fn(&str) -> Option<String>) -> Result<Self, Vec<Fault>> {
-        let mut rdr = Reader {
+        let mut reader = Reader {
             env,
             faults: Vec::new(),
         };
-        let listen = rdr.local("listen", args.listen.as_ref(), 6432);
-        let ops = rdr.local("ops", args.ops.as_ref(), 6433);
-        let peers = rdr.local("peers", args.peers.as_ref(), 6434);
-        let seeds = rdr.addresses("seeds", args.seeds.as_ref());
-        let peer_keys = rdr.peer_keys("peer-keys", args.peer_keys.as_ref());
-        let instance = rdr.named("instance", args.instance.as_ref(), name::Instance::new);
-        let zone = rdr.named("zone", args.zone.as_ref(), name::Zone::new);
-        let store = rdr.required("store", args.store.as_ref());
-        let store = rdr.address("store", store);
-        let session_keys = rdr.keys("session-keys", args.session_keys.as_ref());
-        let mock = rdr.text("session-keys", args.session_keys.as_ref());
+        let listen = reader.address_or_localhost("listen", args.listen.as_ref(), 6432);
+        let ops = reader.address_or_localhost("ops", args.ops.as_ref(), 6433);
+        let peers = reader.address_or_localhost("peers", args.peers.as_ref(), 6434);
+        let seeds = reader.addresses("seeds", args.seeds.as_ref());
+        let peer_keys = reader.peer_keys("peer-keys", args.peer_keys.as_ref());
+        let instance = reader.named("instance", args.instance.as_ref(), name::Instance::new);
+        let zone = reader.named("zone", args.zone.as_ref(), name::Zone::new);
+        let store = reader.required("store", args.store.as_ref());
+        let store = reader.address("store", store);
+        let session_keys = reader.keys("session-keys", args.session_keys.as_ref());
+        let mock = reader.text("session-keys", args.session_keys.as_ref());
         let mock = mock_secret(&mock.unwrap_or_default());
-        let user = rdr.required("upstream-user", args.upstream_user.as_ref());
-        let password = rdr.text("upstream-password", args.upstream_password.as_ref());
-        let tls = rdr.tls(args.tls_certificate.as_ref(), args.tls_key.as_ref());
-        let callers = rdr.number("callers", args.callers.as_ref(), 10_000, (1, 1_000_000));
-        let drain = rdr.number("drain-ms", args.drain_ms.as_ref(), 30_000, (0, 3_600_000));
-        let seed = rdr.number("seed", args.seed.as_ref(), rand::random(), (0, u64::MAX));
+        let user = reader.required("upstream-user", args.upstream_user.as_ref());
+        let password = reader.text("upstream-password", args.upstream_password.as_ref());
+        let tls = reader.tls(args.tls_certificate.as_ref(), args.tls_key.as_ref());
+        let callers = reader.number("callers", args.callers.as_ref(), 10_000, (1, 1_000_000));
+        let drain = reader.number("drain-ms", args.drain_ms.as_ref(), 30_000, (0, 3_600_000));
+        let seed = reader.number("seed", args.seed.as_ref(), rand::random(), (0, u64::MAX));
         let settings = (|| {
             Some(Self {
                 listen: listen?,
@@ -407,8 +407,8 @@
             })
         })();
         match settings {
-            Some(settings) if rdr.faults.is_empty() => Ok(settings),
-            _ => Err(rdr.faults),
+            Some(settings) if reader.faults.is_empty() => Ok(settings),
+            _ => Err(reader.faults),
         }
     }
 }
