--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -1,4 +1,4 @@
-//! A thread for a duty, with a runtime of its own.
+//! Threads of the duties, each with a runtime of its own.
 
 use std::{
     io,
@@ -12,36 +12,36 @@
 };
 use tokio::sync::watch;
 
-/// Tells duties to stop.
+/// Phases of the daemon's life, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serve.
+    /// Normal service.
     Run,
-    /// Take nothing new and finish what runs.
+    /// Accept no new work and finish running requests.
     Drain,
-    /// This instance's callers are gone: finish what runs for other instances.
+    /// No caller is connected any more: finish requests of other instances.
     Settle,
-    /// Leave now.
+    /// End at once.
     Stop,
 }
 
-/// The daemon's phase, as each duty sees it.
+/// Receives the daemon's phase.
 pub type Watch = watch::Receiver<Phase>;
 
-/// What is done when a duty's thread ends by a fault.
+/// Called when a duty's thread panics.
 static ON_PANIC: OnceLock<fn(&'static str)> = OnceLock::new();
 
-/// Has `callback` called with a duty's name when its thread ends by a fault; the first
-/// call counts.
+/// Sets the function that is called with a duty's name when its thread panics;
+/// only the first call has an effect.
 ///
-/// The other duties would go on: the instance looks dead to others or serves
-/// nobody, takes callers all the same, and nobody starts it anew. So the daemon's
-/// process leaves.
+/// The other duties keep running after a panic, so the instance would still
+/// accept callers although other instances see it as dead or it serves nobody,
+/// and no supervisor would restart it. The daemon's process therefore exits.
 pub fn on_panic(callback: fn(&'static str)) {
     let _ = ON_PANIC.set(callback);
 }
 
-/// Tells of a thread that ends by a fault.
+/// Reports a panic when the thread unwinds.
 struct PanicGuard(&'static str);
 
 impl Drop for PanicGuard {
@@ -54,18 +54,19 @@
     }
 }
 
-/// A duty's thread.
+/// Thread of one duty.
 #[derive(Debug)]
 pub struct Duty {
     thread: JoinHandle<()>,
 }
 
 impl Duty {
-    /// Starts a thread called `name` that runs what `make` makes to its end.
+    /// Starts a thread called `name` that runs the future from `make` to
+    /// completion.
     ///
     /// # Errors
     ///
-    /// Fails when the system gives no thread.
+    /// Fails if the thread can't be created.
     pub fn spawn<F>(
         name: &'static str,
         make: impl FnOnce() -> F + Send + 'static,
@@ -89,7 +90,7 @@
         Ok(Self { thread })
     }
 
-    /// Waits for the duty's end.
+    /// Waits until the thread ends.
     pub fn join(self) {
         let _ = self.thread.join();
     }
@@ -97,18 +98,19 @@
 
 /// Waits until the daemon is in `phase` or a later one.
 pub async fn wait_for(watch: &mut Watch, phase: Phase) {
-    // An error means that the daemon's handle is gone, which is an end as well.
+    // An error means that the `Daemon` was dropped, which is an end as well.
     let _ = watch.wait_for(|now| *now >= phase).await;
 }
 
-/// Keeps the thread's timer wheel from ever being empty.
+/// Keeps one timer in the thread's timer wheel, so that the wheel is never
+/// empty.
 ///
-/// `ntex-util` 3.6.1 takes an empty wheel that is polled once more for one whose
-/// time has run to the largest number there is. The next timer then overflows,
-/// which ends the duty in a build that checks, and never rings in one that does
-/// not: its instance looks dead to all others, and its callers wait to their
-/// deadlines. The second poll is a matter of a thread that is put aside for a
-/// millisecond, so it comes under load.
+/// `ntex-util` 3.6.1 sets the time of an empty wheel to the maximum if the
+/// wheel is polled a second time, which happens under load when the thread is
+/// preempted for a millisecond. The next timer then overflows: the duty panics
+/// in a build with overflow checks and never gets a timer event in one without.
+/// Such an instance looks dead to the others, and its callers wait until their
+/// deadlines.
 async fn occupy_timer_wheel() {
     const INTERVAL: Seconds = Seconds(3_600);
     loop {
--- a/crates/daemon/src/forward.rs
+++ b/crates/daemon/src/forward.rs
@@ -1,8 +1,8 @@
-//! What instances ask the holder of an upstream's connections to do for them.
+//! Commands from other instances to the holder of an upstream's connections.
 //!
-//! An upstream takes a few connections from the whole fleet, so few instances
-//! hold them. The others send their batches to a holder over one stream; each
-//! command carries a number, and every answer carries it back.
+//! An upstream accepts only a few connections from the whole fleet, so few
+//! instances hold them. The others send their batches to a holder over one
+//! stream; each command has a number, and every answer repeats that number.
 
 use std::collections::BTreeMap;
 
@@ -12,81 +12,81 @@
 
 use crate::job::{Batch, Scope, Settings};
 
-/// A stream on which another instance asks, numbered by this one.
+/// Number of a stream from another instance, assigned by this instance.
 pub(crate) type Conn = u64;
 
-/// Numbers the commands of one instance.
+/// Number of a command of one instance.
 pub(crate) type Seq = u64;
 
-/// The number of no command.
+/// Number that belongs to no command.
 pub(crate) const NO_SEQ: Seq = 0;
 
-/// A batch that is to run on an upstream outside a transaction.
+/// A batch to run on an upstream outside a transaction.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Run {
-    /// The upstream.
+    /// Upstream to run on.
     pub(crate) upstream: name::Upstream,
-    /// Whose it is.
+    /// Owner, class and limits of the request.
     pub(crate) scope: Scope,
-    /// What to run.
+    /// Batch to run.
     pub(crate) batch: Batch,
-    /// The session's settings.
+    /// Settings of the session.
     pub(crate) settings: Settings,
-    /// Whether the status is wanted ahead of the batch, and from which place
-    /// on an earlier one of the same connection will do.
+    /// Status that is required before the batch.
     pub(crate) proof: Proof,
-    /// How long it may take, in microseconds.
+    /// Time left for the batch, in microseconds.
     pub(crate) left_us: u64,
 }
 
-/// Whether a status is wanted ahead of a batch.
+/// Status of the upstream that is required before a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Proof {
-    /// It is not.
+    /// No status.
     None,
-    /// It is, of this moment.
+    /// A status read now.
     Fresh,
-    /// It is; one that came before on the connection will do if it covers this.
+    /// A status that covers this position; an earlier one of the same
+    /// connection suffices.
     Covering(Position),
 }
 
-/// What a holder is asked.
+/// Command to a holder.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Run a batch.
+    /// Run a batch outside a transaction.
     Run(Box<Run>),
     /// Run a batch in the transaction that the command `pin` began.
     Within {
-        /// The command that began it.
+        /// Command that began the transaction.
         pin: Seq,
-        /// What to run.
+        /// Batch to run.
         batch: Batch,
-        /// How long it may take, in microseconds.
+        /// Time left for the batch, in microseconds.
         left_us: u64,
     },
     /// End the transaction that the command `pin` began.
     Leave {
-        /// The command that began it.
+        /// Command that began the transaction.
         pin: Seq,
     },
-    /// A part of the answer to `of` was taken.
+    /// The caller has received a part of the answer to command `of`.
     Taken {
-        /// The command.
+        /// Number of the command.
         of: Seq,
     },
-    /// Cancel what the command `of` runs.
+    /// Cancel the statement of command `of`.
     Cancel {
-        /// The command.
+        /// Number of the command.
         of: Seq,
     },
-    /// Ask an upstream for its status.
+    /// Read the status of an upstream.
     Probe {
         /// The database.
         database: name::Database,
         /// The upstream.
         upstream: name::Upstream,
     },
-    /// Have an upstream carry out an order.
+    /// Send an order to an upstream.
     Order {
         /// The database.
         database: name::Database,
@@ -97,131 +97,131 @@
     },
 }
 
-/// How a batch ended at the holder.
+/// Result of a batch at the holder.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Finish {
-    /// The transaction's state behind it; `None` when the batch goes on.
+    /// Transaction state after the batch; `None` if the batch continues.
     pub(crate) status: Option<u8>,
-    /// The SQLSTATE of its error, if it had one.
+    /// SQLSTATE of the batch's error, if any.
     pub(crate) error: Option<String>,
-    /// The status asked for behind it.
+    /// Status read after the batch.
     pub(crate) behind: Option<Report>,
-    /// Whether a statement of the proxy's own was refused.
+    /// True if the upstream refused a statement of the proxy itself.
     pub(crate) spoiled: bool,
-    /// The rest of the answer.
+    /// Rest of the answer.
     pub(crate) bytes: Bytes,
 }
 
-/// What a holder answers.
+/// Answer of a holder.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Response {
-    /// To a probe or an order; ends the command.
+    /// Status after a probe or an order; ends the command.
     Status(Result<Report, failover::Fault>),
-    /// The status ahead of a batch; `None` when the upstream gave none.
+    /// Status before a batch; `None` if the upstream gave none.
     Before(Option<Report>),
     /// Part of a batch's answer.
     Chunk(Bytes),
-    /// The end of a batch's answer; ends the command.
+    /// End of a batch's answer; ends the command.
     End(Box<Finish>),
     /// The batch did not run; ends the command.
     Refused {
-        /// Why.
+        /// Cause of the refusal.
         cause: Cause,
-        /// When asking again has a chance, in microseconds.
+        /// Microseconds until a retry may succeed.
         retry_after_us: Option<u64>,
     },
-    /// The upstream's connection failed, the batch may have run; ends the
-    /// command.
+    /// The connection to the upstream failed and the batch may have run; ends
+    /// the command.
     Broken,
-    /// The holder is stopping: it finishes what it has, and new work should go
-    /// to others. It carries [`NO_SEQ`].
+    /// The holder is stopping: it finishes running commands, and new work
+    /// should go to other instances. Sent with [`NO_SEQ`].
     ///
-    /// Membership tells this too, but takes longer than a stop waits.
+    /// Membership reports this as well, but later than a stop waits.
     Leaving,
-    /// The holder takes no command any more, and whatever it has not answered
-    /// it has not begun. It carries [`NO_SEQ`] and is the last on its stream.
+    /// The holder accepts no more commands, and has not begun any command that
+    /// is unanswered. Sent with [`NO_SEQ`] as the last message of the stream.
     ///
-    /// A stop that just closed the stream would leave the commands that were
-    /// on their way in doubt, and each planned restart would cut some.
+    /// If a stop only closed the stream, commands in flight would end with an
+    /// unknown outcome, so each planned restart would lose some.
     Bye,
 }
 
-/// From the upstreams' duty to the peers' duty.
+/// Messages from the upstreams' duty to the peers' duty.
 #[derive(Debug)]
 pub(crate) enum Out {
-    /// Ask another instance.
+    /// Send a command to another instance.
     Ask {
-        /// Whom.
+        /// Instance to send to.
         to: name::Instance,
-        /// Numbers the command.
+        /// Number of the command.
         seq: Seq,
-        /// What to do.
+        /// Command to send.
         command: Command,
     },
-    /// Answer another instance.
+    /// Answer a command of another instance.
     Answer {
-        /// The stream it asked on.
+        /// Stream that the command came on.
         conn: Conn,
-        /// The command.
+        /// Number of the command.
         seq: Seq,
-        /// The answer.
+        /// Answer to send.
         response: Response,
     },
-    /// Tell all that ask here [`Response::Leaving`].
+    /// Send [`Response::Leaving`] to all instances with a stream to this one.
     Leaving,
-    /// Tell all that ask here [`Response::Bye`].
+    /// Send [`Response::Bye`] to all instances with a stream to this one.
     Bye,
 }
 
-/// From the peers' duty to the upstreams' duty.
+/// Messages from the peers' duty to the upstreams' duty.
 #[derive(Debug)]
 pub(crate) enum In {
-    /// The instances that may be given work, with their zones.
+    /// Available instances with their zones.
     Members(BTreeMap<name::Instance, name::Zone>),
-    /// Another instance asks.
+    /// Another instance sent a command.
     Asked {
-        /// The stream it asks on.
+        /// Stream that the command came on.
         conn: Conn,
-        /// Its number for the command.
+        /// Number of the command at its sender.
         seq: Seq,
-        /// What to do.
+        /// Command to run.
         command: Command,
     },
-    /// The stream of another instance has ended.
+    /// A stream from another instance has ended.
     Gone {
-        /// The stream.
+        /// Number of the stream.
         conn: Conn,
     },
-    /// A command was answered.
+    /// A command of this instance was answered.
     Answered {
-        /// The command.
+        /// Number of the command.
         seq: Seq,
-        /// The answer.
+        /// Answer of the holder.
         response: Response,
     },
-    /// A command never left this instance.
+    /// A command was not sent.
     Unsent {
-        /// The command.
+        /// Number of the command.
         seq: Seq,
     },
-    /// Another instance has said [`Response::Leaving`].
+    /// Another instance sent [`Response::Leaving`].
     Leaving {
         /// The instance.
         to: name::Instance,
     },
-    /// Another instance has said [`Response::Bye`].
+    /// Another instance sent [`Response::Bye`].
     Left {
         /// The instance.
         to: name::Instance,
-        /// The last command that its stream carried.
+        /// Last command sent on the stream.
         upto: Seq,
     },
-    /// The stream to another instance has ended, and what was asked on it is
-    /// lost: commands may have run, transactions have rolled back.
+    /// The stream to another instance has ended. Unanswered commands on the
+    /// stream may have run, and their transactions have rolled back.
     Down {
         /// The instance.
         to: name::Instance,
-        /// The last command that the stream carried.
+        /// Last command sent on the stream.
         upto: Seq,
     },
 }
--- a/crates/daemon/src/introspect.rs
+++ b/crates/daemon/src/introspect.rs
@@ -1,10 +1,9 @@
-//! What operators ask of the duties, and what each duty shows of itself.
+//! State of the duties for operators.
 //!
-//! A duty makes its part only when it is asked, in its own thread, so nothing
-//! is counted or copied on the way of a statement. What can go wrong: a duty
-//! that hangs would hang the operators' port too, just when it is needed. Each
-//! question therefore waits a bounded time, and a duty that does not answer is
-//! named as a doubt.
+//! Each duty builds its part on request, in its own thread, so a statement pays
+//! nothing for counting or copying. A duty that hangs must not block the
+//! operators' port as well: each request has a timeout, and a duty that does
+//! not answer is reported as a doubt.
 
 use std::{sync::Arc, sync::atomic::AtomicBool, time::Duration};
 
@@ -12,27 +11,28 @@
 use tokio::sync::{mpsc, oneshot};
 use view::{Doubt, Duty, Member, Revision, Session, Upstream};
 
-/// How long a duty may take to show its part.
+/// Time that a duty has to answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Questions that may wait for a duty; more are answered as by a silent one.
+/// Requests that may wait for one duty; further ones fail at once, as if the
+/// duty were silent.
 const MAX_PENDING: usize = 4;
 
-/// Where one duty is asked for its part.
+/// Requests the state of one duty.
 #[derive(Debug)]
 pub(crate) struct Requester<T>(mpsc::Sender<oneshot::Sender<T>>);
 
-/// The questions, as the duty takes them.
+/// Receives such requests in the duty; each one is a channel for the answer.
 pub(crate) type Requests<T> = mpsc::Receiver<oneshot::Sender<T>>;
 
-/// Makes the two ends.
+/// Creates a requester and its receiving end.
 pub(crate) fn channel<T>() -> (Requester<T>, Requests<T>) {
     let (sender, requests) = mpsc::channel(MAX_PENDING);
     (Requester(sender), requests)
 }
 
 impl<T> Requester<T> {
-    /// Asks for the part; `None` when the duty does not answer in time.
+    /// Requests the state; `None` if the duty does not answer in time.
     pub(crate) async fn request(&self) -> Option<T> {
         let (reply, replied) = oneshot::channel();
         self.0.try_send(reply).ok()?;
@@ -40,69 +40,70 @@
     }
 }
 
-/// What the peers' duty shows.
+/// State of the peers' duty.
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    /// The catalogue's revision in force.
+    /// Revision of the catalogue in force.
     pub(crate) revision: Revision,
-    /// For how many milliseconds.
+    /// Milliseconds since this revision was put in force.
     pub(crate) applied_ms_ago: u64,
-    /// The other instances.
+    /// Other instances.
     pub(crate) members: Vec<Member>,
-    /// What is wrong with the fleet or the catalogue.
+    /// Problems of the fleet or the catalogue.
     pub(crate) doubts: Vec<Doubt>,
 }
 
-/// What the control duty shows of one database.
+/// State of one database in the control duty.
 #[derive(Debug)]
 pub(crate) struct Primary {
     /// The database.
     pub(crate) database: name::Database,
-    /// The latest term known.
+    /// Latest known term.
     pub(crate) term: Term,
-    /// Who leads in it; none while it is only claimed.
+    /// Primary of this term; `None` while the term is only claimed.
     pub(crate) upstream: Option<name::Upstream>,
 }
 
-/// What the upstreams' duty shows of one database.
+/// State of one database in the upstreams' duty.
 #[derive(Debug)]
 pub(crate) struct Group {
     /// The database.
     pub(crate) database: name::Database,
-    /// Milliseconds since a majority confirmed a primary; none if not yet.
+    /// Milliseconds since a majority confirmed a primary; `None` if none has
+    /// yet.
     pub(crate) confirmed_ms_ago: Option<u64>,
-    /// Its upstreams.
+    /// Upstreams of the database.
     pub(crate) upstreams: Vec<Upstream>,
-    /// What is wrong with it.
+    /// Problems of the database.
     pub(crate) doubts: Vec<Doubt>,
 }
 
-/// What the upstreams' duty shows.
+/// State of the upstreams' duty.
 #[derive(Debug)]
 pub(crate) struct Groups {
-    /// All databases, by name.
+    /// Databases, ordered by name.
     pub(crate) groups: Vec<Group>,
-    /// The callers whose request waits and was not sent yet.
+    /// Callers whose request is waiting and has not been sent yet.
     pub(crate) queued: Vec<u64>,
 }
 
-/// What the callers' duty shows.
+/// State of the callers' duty.
 #[derive(Debug)]
 pub(crate) struct Callers {
-    /// How many there are.
+    /// Number of connected callers.
     pub(crate) total: u64,
-    /// Some of them with their numbers, those in longest work first.
+    /// Some of the callers with their numbers, longest-running work first.
     pub(crate) sessions: Vec<(u64, Session)>,
 }
 
-/// Where all duties are asked, and what is known without asking.
+/// Requesters of all duties, and facts known without a request.
 #[derive(Debug)]
 pub(crate) struct Introspection {
     /// This instance.
     pub(crate) instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub(crate) zone: name::Zone,
-    /// Whether callers find a catalogue in force.
+    /// True if a catalogue is in force for callers.
     pub(crate) serving: Arc<AtomicBool>,
     /// The peers' duty.
     pub(crate) fleet: Requester<Fleet>,
@@ -116,23 +117,24 @@
     pub(crate) store: Requester<view::Store>,
 }
 
-/// The other ends of a board, one for each duty.
+/// Receiving ends for the duties.
 #[derive(Debug)]
 pub(crate) struct Receivers {
-    /// Of the peers' duty.
+    /// Requests to the peers' duty.
     pub(crate) fleet: Requests<Fleet>,
-    /// Of the control duty.
+    /// Requests to the control duty.
     pub(crate) primaries: Requests<Vec<Primary>>,
-    /// Of the upstreams' duty.
+    /// Requests to the upstreams' duty.
     pub(crate) groups: Requests<Groups>,
-    /// Of the callers' duty.
+    /// Requests to the callers' duty.
     pub(crate) callers: Requests<Callers>,
-    /// Of the store's duty.
+    /// Requests to the store's duty.
     pub(crate) store: Requests<view::Store>,
 }
 
 impl Introspection {
-    /// Makes the board of an instance, and the duties' ends of it.
+    /// Creates the requesters of an instance and the receiving ends for its
+    /// duties.
     pub(crate) fn open(instance: &name::Instance, zone: &name::Zone) -> (Self, Receivers) {
         let (fleet, fleet_requests) = channel();
         let (primaries, primaries_requests) = channel();
@@ -160,7 +162,7 @@
     }
 }
 
-/// The part of `duty`, or a doubt in its place.
+/// Passes on the state of `duty`, or adds a doubt if the duty did not answer.
 pub(crate) fn or_doubt<T>(part: Option<T>, duty: Duty, doubts: &mut Vec<Doubt>) -> Option<T> {
     if part.is_none() {
         doubts.push(Doubt::DutySilent { duty });
@@ -168,7 +170,7 @@
     part
 }
 
-/// A span as the views tell it, in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/job.rs
+++ b/crates/daemon/src/job.rs
@@ -1,4 +1,4 @@
-//! What the callers' duty asks of the upstreams' duty, and what comes back.
+//! Messages between the callers' duty and the upstreams' duty.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,33 +10,34 @@
 
 use crate::meter::Meter;
 
-/// How many parts of an answer are sent ahead of what the caller has taken.
+/// Parts of an answer that are sent before the caller has received them.
 ///
-/// Together with [`CHUNK`] it bounds the memory that one caller's answer takes.
+/// Together with [`CHUNK`] it limits the memory that one caller's answer takes.
 pub(crate) const WINDOW: usize = 8;
 
-/// The size of a part at which it is sent off, in bytes.
+/// Size at which a part of an answer is sent, in bytes.
 pub(crate) const CHUNK: usize = 16 << 10;
 
-/// A caller's connection, numbered by its instance.
+/// Number of a caller's connection, assigned by its instance.
 pub(crate) type Caller = u64;
 
-/// A caller's session settings, as `SET` has changed them.
+/// Session settings that a caller changed by `SET`.
 pub(crate) type Settings = BTreeMap<String, String>;
 
-/// A statement that a caller has prepared.
+/// A prepared statement.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Statement {
-    /// Its text.
+    /// SQL text.
     pub(crate) sql: String,
-    /// The parameter types that the caller gave.
+    /// Parameter types that the caller declared.
     pub(crate) types: Vec<u32>,
-    /// Names it on upstream connections, whichever caller prepared it.
+    /// Hash of text and types, which names the statement on upstream
+    /// connections, whichever caller prepared it.
     pub(crate) hash: u128,
 }
 
 impl Statement {
-    /// The statement with this text and these types.
+    /// Creates a statement and hashes its text and types.
     pub(crate) fn new(sql: String, types: Vec<u32>) -> Self {
         let mut bytes = sql.clone().into_bytes();
         bytes.push(0);
@@ -49,16 +50,16 @@
     }
 }
 
-/// A portal that a caller binds.
+/// A bound portal.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Portal {
-    /// Its name; `None` for the unnamed one.
+    /// Name; `None` for the unnamed portal.
     pub(crate) name: Option<String>,
-    /// The formats of the parameters, as the protocol numbers them.
+    /// Formats of the parameters, as numbered by the protocol.
     pub(crate) formats: Vec<i16>,
-    /// The parameters.
+    /// Values of the parameters.
     pub(crate) parameters: Vec<Option<Bytes>>,
-    /// The formats of the result's columns.
+    /// Formats of the result columns.
     pub(crate) results: Vec<i16>,
 }
 
@@ -67,7 +68,7 @@
 pub(crate) enum Step {
     /// A simple query, which is a batch of its own.
     Query(String),
-    /// Prepare a statement and say so.
+    /// Prepare a statement and confirm it.
     Parse(Arc<Statement>),
     /// Bind a portal to a statement.
     Bind(Arc<Statement>, Portal),
@@ -77,48 +78,50 @@
     DescribePortal(Option<String>),
     /// Run a portal.
     Execute {
-        /// Its name; `None` for the unnamed one.
+        /// Name; `None` for the unnamed portal.
         portal: Option<String>,
-        /// How many rows at most; 0 for all.
+        /// Maximum number of rows; 0 for all.
         rows: i32,
     },
-    /// Close a statement: upstreams keep theirs, so the proxy answers.
+    /// Close a statement. The proxy answers, because upstreams keep their
+    /// prepared statements.
     CloseStatement,
     /// Close a portal.
     ClosePortal(Option<String>),
-    /// Ask for the answers so far and keep the batch open.
+    /// Request the answers so far and keep the batch open.
     Flush,
     /// End the batch.
     Sync,
 }
 
-/// What a batch needs of the upstream that runs it.
+/// Requirement of a batch on the upstream that runs it, weakest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Need {
-    /// It only reads: a replica will do.
+    /// Only reads, so a replica suffices.
     Read,
-    /// It changes a session setting: any upstream will do to check it.
+    /// Changes a session setting, which any upstream can check.
     Setting,
-    /// It opens a transaction.
+    /// Opens a transaction.
     Begin,
-    /// It writes or ends a transaction.
+    /// Writes or ends a transaction.
     Write,
-    /// It may change state of the connection that can't be reset: the
-    /// connection is closed behind it.
+    /// May change connection state that can't be reset, so the connection is
+    /// closed after the batch.
     Alone,
 }
 
 impl Batch {
-    /// Whether it runs a statement that writes, so that a request id is for it.
+    /// Returns true if the batch executes a write, so that a request id applies
+    /// to it.
     ///
-    /// Drivers prepare and describe a statement in batches of their own, ahead
-    /// of the one that runs it.
+    /// Drivers prepare and describe a statement in earlier batches, which must
+    /// not consume the id.
     pub(crate) fn takes_request(&self) -> bool {
         let runs = |step: &Step| matches!(step, Step::Query(_) | Step::Execute { .. });
         self.need == Need::Write && self.closes == Closes::Nothing && self.steps.iter().any(runs)
     }
 
-    /// The fingerprint of its statements with their parameters.
+    /// Hash of the statements and their parameters.
     pub(crate) fn digest(&self) -> request::ledger::Digest {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
         for step in &self.steps {
@@ -139,73 +142,74 @@
     }
 }
 
-/// Whether a batch ends an open transaction.
+/// Effect of a batch on an open transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Closes {
-    /// It does not, as far as its text shows.
+    /// Its text shows no end of a transaction.
     Nothing,
-    /// It holds a `COMMIT` or a `ROLLBACK`.
+    /// It contains a `COMMIT` or a `ROLLBACK`.
     Transaction,
 }
 
-/// Messages that go to one upstream together.
+/// Messages that run together on one upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Batch {
     /// The messages.
     pub(crate) steps: Vec<Step>,
-    /// What they need.
+    /// Requirement on the upstream.
     pub(crate) need: Need,
-    /// Whether it ends the transaction that it runs in.
+    /// Effect on the transaction that the batch runs in.
     pub(crate) closes: Closes,
-    /// What the routing remembers the statement by.
+    /// Fingerprint by which routing recognises the statement.
     pub(crate) fingerprint: u64,
-    /// What it changes of the session's settings, to be kept if it succeeds.
+    /// Changes of session settings, applied if the batch succeeds.
     pub(crate) changes: Vec<Change>,
-    /// What it leaves behind on its connection.
+    /// State that the batch leaves on its connection.
     pub(crate) leaves: Leaves,
 }
 
-/// A change of a session's settings.
+/// A change of session settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Change {
-    /// This setting gets this value.
+    /// Set a setting to a value.
     Set(String, String),
-    /// This setting gets its default.
+    /// Set a setting to its default.
     Reset(String),
-    /// All settings get their defaults.
+    /// Set all settings to their defaults.
     ResetAll,
 }
 
-/// What a batch leaves behind on its connection.
+/// State that a batch leaves on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Leaves {
-    /// Nothing.
+    /// No state.
     Nothing,
-    /// Settings: they are reset before another request has the connection.
+    /// Changed settings, which are reset before another request gets the
+    /// connection.
     Settings,
 }
 
-/// Whose request it is, and under which class and limits.
+/// Owner of a request, its class and its limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Scope {
-    /// The owner.
+    /// Tenant that owns the entry.
     pub(crate) tenant: name::Tenant,
-    /// The entry.
+    /// Entry of the catalogue.
     pub(crate) entry: name::Entry,
     /// The database.
     pub(crate) database: name::Database,
-    /// The entry's class.
+    /// Class of the entry.
     pub(crate) class: Class,
-    /// How many upstream connections the entry may hold.
+    /// Maximum number of upstream connections of the entry.
     pub(crate) connections: u16,
-    /// How many of its requests may wait.
+    /// Maximum number of waiting requests of the entry.
     pub(crate) queue: u32,
-    /// How long a request may take.
+    /// Time limit of a request.
     pub(crate) deadline: Duration,
 }
 
 impl Scope {
-    /// The scope of the catalogue's `entry`, which is called `name`.
+    /// Scope of the catalogue entry `entry`, which is called `name`.
     pub(crate) fn new(name: &name::Entry, entry: &catalog::Entry) -> Self {
         Self {
             tenant: entry.tenant.clone(),
@@ -219,91 +223,93 @@
     }
 }
 
-/// A request's id, with the fingerprint of what it runs.
+/// Request id with the hash of its batch.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Tagged {
-    /// The id.
+    /// Id from the caller.
     pub(crate) id: request::ledger::Id,
-    /// The fingerprint.
+    /// Hash of the batch.
     pub(crate) digest: request::ledger::Digest,
 }
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Where it is counted.
+    /// Metrics of the entry.
     pub(crate) meter: Arc<Meter>,
-    /// The caller; its requests come one by one.
+    /// Caller, which has one request at a time.
     pub(crate) caller: Caller,
-    /// Counts the caller's requests, so that a late answer finds no taker.
+    /// Number of the request at its caller, so that a late answer is not taken
+    /// for the next one.
     pub(crate) seq: u64,
-    /// Whose it is.
+    /// Owner, class and limits.
     pub(crate) scope: Arc<Scope>,
-    /// What to run.
+    /// Batch to run.
     pub(crate) batch: Batch,
-    /// The session's settings.
+    /// Settings of the session.
     pub(crate) settings: Arc<Settings>,
-    /// What its reads must have reached.
+    /// Position that reads of this session must have reached.
     pub(crate) floor: Floor,
-    /// What it has seen that is not known to be acknowledged.
+    /// Position that the session has seen and that is not known to be
+    /// acknowledged by a majority.
     pub(crate) seen: Option<Position>,
-    /// When it came in.
+    /// Arrival time.
     pub(crate) began: Instant,
-    /// When it is given up.
+    /// Time after which the request is given up.
     pub(crate) deadline: Instant,
-    /// The id that makes a repeat find the first run.
+    /// Request id by which a repeated request finds its first run.
     pub(crate) request: Option<Tagged>,
 }
 
-/// What the callers' duty sends.
+/// Command from the callers' duty.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Run this.
+    /// Run a request.
     Run(Box<Job>),
-    /// The caller is gone: end its transaction, if it has one.
+    /// The caller has disconnected: end its transaction, if any.
     Leave(Caller),
-    /// The caller took a part of the answer to its request `seq`.
+    /// The caller received a part of the answer to its request `seq`.
     Taken {
         /// The caller.
         caller: Caller,
-        /// The request.
+        /// Number of the request.
         seq: u64,
     },
-    /// Cancel what the caller's request `seq` runs.
+    /// Cancel the caller's request `seq`.
     Cancel {
         /// The caller.
         caller: Caller,
-        /// The request.
+        /// Number of the request.
         seq: u64,
     },
     /// The catalogue has changed.
     Catalog(Arc<catalog::layout::Snapshot>),
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Debug)]
 pub(crate) struct End {
-    /// Done, not run, or unknown.
+    /// Outcome: done, not run, or unknown.
     pub(crate) outcome: Outcome,
-    /// What goes to the caller, up to and without the ready message.
+    /// Bytes for the caller, without the `ReadyForQuery` message.
     pub(crate) bytes: Bytes,
-    /// The transaction's state, as the ready message tells it; `None` after a
-    /// flush, which has no ready message.
+    /// Transaction state for `ReadyForQuery`; `None` after a `Flush`, which has
+    /// no such message.
     pub(crate) status: Option<u8>,
-    /// What the session learns.
+    /// Events for the session's state.
     pub(crate) events: Vec<session::Event>,
-    /// What it changed of the session's settings.
+    /// Changes of session settings.
     pub(crate) changes: Vec<Change>,
-    /// How long until a refused request may be sent again.
+    /// Time after which a refused request may be sent again.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What the upstreams' duty sends back.
+/// Part of an answer, from the upstreams' duty.
 #[derive(Debug)]
 pub(crate) struct Reply {
     /// The caller.
     pub(crate) caller: Caller,
-    /// The request.
+    /// Number of the request.
     pub(crate) seq: u64,
     /// Part of the answer.
     pub(crate) part: Part,
@@ -312,8 +318,8 @@
 /// A part of an answer.
 #[derive(Debug)]
 pub(crate) enum Part {
-    /// Bytes for the caller; more follows.
+    /// Bytes for the caller; more parts follow.
     Chunk(Bytes),
-    /// The end.
+    /// End of the answer.
     End(Box<End>),
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,10 @@
-//! The daemon of dandelionlink: callers in front, upstreams behind.
+//! The daemon of dandelionlink: accepts callers and runs their statements on
+//! upstreams.
 //!
-//! Each duty is a thread of its own, and bounded rings join them. The
-//! decisions are in crates of their own (`route`, `session`, `failover`,
-//! `pool`); here they are wired to sockets and to the clock.
+//! Each duty is a thread with a runtime of its own, and bounded rings carry
+//! messages between duties. The decisions are made in the crates `route`,
+//! `session`, `failover` and `pool`; this crate connects them to sockets and to
+//! the clock.
 
 mod callers;
 mod control;
@@ -34,10 +36,10 @@
 
 pub use settings::Settings;
 
-/// Requests that may wait between two duties.
+/// Messages that a ring between two duties can hold.
 const RING_CAPACITY: usize = 4_096;
 
-/// Catalogues that may wait between two duties.
+/// Catalogues that a ring between two duties can hold.
 const CATALOG_RING_CAPACITY: usize = 16;
 
 /// A running daemon.
@@ -54,11 +56,11 @@
 }
 
 impl Daemon {
-    /// Starts all duties.
+    /// Binds the ports and starts all duties.
     ///
     /// # Errors
     ///
-    /// Fails when a port can't be bound or a thread can't be had.
+    /// Fails if a port can't be bound or a thread can't be started.
     pub fn spawn(settings: &Settings) -> io::Result<Self> {
         ops::install();
         let clock = Clock::open();
@@ -184,30 +186,30 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators connect.
+    /// Address for operators.
     pub fn ops(&self) -> SocketAddr {
         self.ops
     }
 
-    /// Where other instances reach this one.
+    /// Address for other instances.
     pub fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Stops: takes nothing new, lets what runs end within the drain's bound,
-    /// and leaves.
+    /// Stops gracefully: accepts no new work, waits for running requests for at
+    /// most the drain time, and ends all duties.
     pub fn stop(self) {
         self.phase.send_replace(Phase::Drain);
         let phase = self.phase.clone();
         let drain = self.drain;
         let (done, finished) = std::sync::mpsc::channel();
         let timer = std::thread::spawn(move || {
-            // Ends early when nothing runs any more, which drops `done`.
+            // Dropping `done` ends the wait early, once nothing runs any more.
             let _ = finished.recv_timeout(drain);
             phase.send_replace(Phase::Stop);
         });
@@ -225,7 +227,7 @@
         self.other_duties.into_iter().for_each(Duty::join);
     }
 
-    /// Leaves at once, as a process that is killed would.
+    /// Stops without draining, like a killed process.
     pub fn kill(self) {
         self.phase.send_replace(Phase::Stop);
         self.callers_duty.join();
@@ -240,9 +242,9 @@
     Ok(listener)
 }
 
-/// Binds the same port for streams and for datagrams.
+/// Binds the same port for TCP and UDP.
 fn bind_tcp_and_udp(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    /// How often another ephemeral port is tried where one is taken.
+    /// Attempts to find an ephemeral port that is free for both protocols.
     const MAX_ATTEMPTS: u32 = 16;
     let mut last = None;
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,8 @@
-//! `dandelionlinkd`: reads its settings, serves, and stops when told to.
+//! `dandelionlinkd`: reads the settings, serves until a signal arrives, and
+//! drains.
 //!
-//! Exit codes: 0 after a stop, 1 when it could not start or a duty ended by a
-//! fault, 2 for settings that are wrong.
+//! Exit codes: 0 after a graceful stop, 1 if the start failed or a duty
+//! panicked, 2 for invalid settings.
 
 use std::process::ExitCode;
 
@@ -34,7 +35,7 @@
 }
 
 fn serve(settings: &Settings) -> anyhow::Result<()> {
-    // Every line names the instance and its zone, also those of libraries.
+    // Every log line, also of libraries, names the instance and its zone.
     let mut labels = diagnostic::StaticDiagnostic::default();
     labels.insert("instance", settings.instance.as_str());
     labels.insert("zone", settings.zone.as_str());
@@ -60,8 +61,9 @@
     Ok(())
 }
 
-/// Ends the process: who watches over it starts it anew, whole.
+/// Ends the process after a panic, so that its supervisor restarts the whole
+/// daemon.
 fn exit_on_panic(duty: &'static str) {
-    log::error!(duty; "this duty ended by a fault; leaving");
+    log::error!(duty; "duty panicked; exiting");
     std::process::exit(1);
 }
--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -1,6 +1,7 @@
-//! What is counted of each tenant's entries.
+//! Metrics of each tenant's entries.
 //!
-//! The handles are made once for each entry and kept by its sessions, so a statement costs a few additions and no text.
+//! The handles are created once for each entry and shared by its sessions, so a
+//! statement costs a few additions and no formatting.
 
 use std::{
     array,
@@ -16,25 +17,24 @@
 use metrics::{Counter, Histogram, counter, histogram};
 use model::{Cause, Outcome, name};
 
-/// How many entries have figures of their own; those that come later are
-/// counted together as [`OTHER`], until the instance restarts.
+/// Maximum number of entries with metrics of their own; further entries share
+/// those of [`OTHER`] until the instance restarts.
 ///
-/// What would go wrong without a bound: entries come and go with the
-/// catalogue, but a figure once told is told for ever, so each scrape, and the
-/// memory of whoever keeps the figures, would grow with every change.
+/// Entries come and go with the catalogue, but a registered metric stays for
+/// the life of the process. Without a limit each change of the catalogue would
+/// enlarge every scrape and the memory of the metrics store.
 pub(crate) const MAX_ENTRIES: usize = 500;
 
-/// The tenant and the entry of what is counted together.
+/// Label of tenant and entry for entries that are counted together.
 pub(crate) const OTHER: &str = "other";
 
-/// How often one entry's requests of unknown outcome are logged at most.
+/// Minimum interval between log lines about unknown outcomes of one entry.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many ends a request can have: done, and not run or unknown for each
-/// cause.
+/// Number of different outcomes: done, and for each cause not run or unknown.
 const OUTCOMES: usize = 1 + 2 * CAUSES.len();
 
-/// All causes, with their labels.
+/// Causes and their labels.
 const CAUSES: [(Cause, &str); 9] = [
     (Cause::Overload, "overload"),
     (Cause::Deadline, "deadline"),
@@ -47,16 +47,16 @@
     (Cause::RingFull, "ring_full"),
 ];
 
-/// Who served a read.
+/// Server of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Server {
-    /// A replica whose data had this age, if the age is known.
+    /// A replica, with the age of its data if known.
     Replica(Option<Duration>),
     /// The primary.
     Primary,
 }
 
-/// The figures of one entry.
+/// Metrics of one entry.
 #[derive(Debug)]
 pub(crate) struct Meter {
     tenant: String,
@@ -68,7 +68,7 @@
     primary_reads: Counter,
     discarded: Counter,
     retries: Counter,
-    /// Made when first needed: most ends never come.
+    /// Created on first use, because most outcomes never occur.
     outcomes: [OnceLock<Counter>; OUTCOMES],
     next_log_us: AtomicU64,
 }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A request ended after `took`.
+    /// Counts a request that ended after `took`.
     pub(crate) fn note_ended(&self, outcome: Outcome, took: Duration) {
         self.latency.record(took.as_secs_f64());
         let counter = &self.outcomes[outcome_index(outcome)];
@@ -122,12 +122,12 @@
         )
     }
 
-    /// A request waited this long for a connection and got one.
+    /// Records the time that a request waited for a connection.
     pub(crate) fn note_queued(&self, waited: Duration) {
         self.queue.record(waited.as_secs_f64());
     }
 
-    /// A read was answered.
+    /// Counts an answered read.
     pub(crate) fn note_read(&self, server: Server) {
         match server {
             Server::Replica(lag) => {
@@ -140,18 +140,18 @@
         }
     }
 
-    /// An answer was not passed on, since it was too old for its reader.
+    /// Counts an answer that was discarded because its data was too old.
     pub(crate) fn note_discarded(&self) {
         self.discarded.increment(1);
     }
 
-    /// A request is tried once more.
+    /// Counts a retry.
     pub(crate) fn note_retried(&self) {
         self.retries.increment(1);
     }
 
-    /// Whether a request of unknown outcome may be logged now: an outage must
-    /// not bury the other lines under one line for each statement.
+    /// Returns true if an unknown outcome may be logged now. During an outage
+    /// one line for each statement would bury all other lines.
     pub(crate) fn may_log(&self, now: Instant) -> bool {
         let next = now.as_micros() + LOG_INTERVAL.as_micros() as u64;
         let update = |due: u64| (due <= now.as_micros()).then_some(next);
@@ -160,7 +160,7 @@
     }
 }
 
-/// The place of an end's counter.
+/// Index of an outcome's counter.
 fn outcome_index(outcome: Outcome) -> usize {
     let at = |cause| CAUSES.iter().position(|(it, _)| *it == cause).unwrap_or(0);
     match outcome {
@@ -175,7 +175,7 @@
     found.map_or(OTHER, |(_, label)| label)
 }
 
-/// The meters of all entries that had a request here, shared by the duties.
+/// Metrics of all entries with requests on this instance, shared by the duties.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Meters(Arc<Mutex<Entries>>);
 
@@ -186,7 +186,7 @@
 }
 
 impl Meters {
-    /// The meter of an entry of the catalogue.
+    /// Metrics of a catalogue entry.
     pub(crate) fn of(&self, tenant: &name::Tenant, entry: &name::Entry) -> Arc<Meter> {
         let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let key = (tenant.clone(), entry.clone());
--- a/crates/daemon/src/meter/tests.rs
+++ b/crates/daemon/src/meter/tests.rs
@@ -9,9 +9,9 @@
     name::Entry::new(&format!("entry-{number}")).unwrap()
 }
 
-/// Symptom: the figures' page grew to tens of megabytes, and scrapes timed
-/// out. Events: a catalogue whose entries were renamed by every change. Cause:
-/// each entry that there ever was had figures of its own.
+/// Guards against a metrics page that grows without limit, up to tens of
+/// megabytes, until scrapes time out: each change of the catalogue renamed
+/// entries, and each name kept metrics of its own.
 #[test]
 fn entries_beyond_the_bound_are_counted_together() {
     let meters = Meters::default();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_end_has_a_counter_of_its_own() {
+fn every_outcome_has_a_counter_of_its_own() {
     let mut indices = vec![outcome_index(Outcome::Done)];
     for (cause, _) in CAUSES {
         indices.push(outcome_index(Outcome::NotRun(cause)));
@@ -42,7 +42,7 @@
     }
     indices.sort_unstable();
     assert_eq!(indices, (0..OUTCOMES).collect::<Vec<_>>());
-    // A cause that is new in `model` must be added to the labels.
+    // A new cause in `model` must be added to the labels.
     let newest = Cause::RingFull as usize;
     assert_eq!(newest + 1, CAUSES.len());
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,5 @@
-//! The store's duty: the catalogue and the primaries' records.
+//! The store's duty: calls the platform's store for the catalogue and the
+//! records of primaries.
 
 mod client;
 
@@ -25,83 +26,83 @@
 
 use client::Client;
 
-/// Below it is one key for each database, with its primary's record.
+/// Key prefix of the records of primaries, one for each database.
 pub(crate) const PRIMARIES: &str = "dandelionlink/primary/";
 
-/// How long a call to the store may take.
+/// Timeout of a call to the store.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the control duty asks of the store.
+/// Request of the control duty.
 #[derive(Debug)]
 pub(crate) enum RecordRequest {
     /// Read a database's record.
     Read {
         /// The database.
         database: name::Database,
-        /// To answer with.
+        /// Id that the answer repeats.
         call: Call,
     },
-    /// Replace a database's record if it is still at a revision.
+    /// Replace a database's record if its revision is the expected one.
     Swap {
         /// The database.
         database: name::Database,
-        /// To answer with.
+        /// Id that the answer repeats.
         call: Call,
-        /// The revision it must have; 0 when there must be none.
+        /// Expected revision; 0 if there must be no record.
         expected: u64,
         /// The new record.
         record: Record,
     },
 }
 
-/// What the control duty is announced.
+/// Answer to the control duty.
 #[derive(Debug)]
 pub(crate) enum RecordResponse {
-    /// To [`RecordRequest::Read`].
+    /// Answer to [`RecordRequest::Read`].
     Read {
         /// The database.
         database: name::Database,
-        /// What was asked.
+        /// Id of the request.
         call: Call,
-        /// The record.
+        /// Record, if there is one.
         result: Result<Option<Entry>, StoreFault>,
     },
-    /// To [`RecordRequest::Swap`].
+    /// Answer to [`RecordRequest::Swap`].
     Swapped {
         /// The database.
         database: name::Database,
-        /// What was asked.
+        /// Id of the request.
         call: Call,
-        /// The record's new revision.
+        /// New revision of the record.
         result: Result<u64, StoreFault>,
     },
 }
 
-/// What the store answered to a call of the fleet's part.
+/// The store's answer to a call of the fleet state machine.
 #[derive(Debug)]
 pub(crate) struct FleetAnswer {
-    /// What was asked.
+    /// Id of the request.
     pub(crate) call: fleet::Call,
-    /// The answer.
+    /// Answer of the store.
     pub(crate) answer: fleet::Answer,
 }
 
-/// What the store's duty is given.
+/// Configuration of the store's duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// Where the store's gateway is.
+    /// Address of the store's gateway.
     pub(crate) endpoint: SocketAddr,
     /// The machine's clock.
     pub(crate) clock: Clock,
-    /// From the control duty.
+    /// Requests of the control duty.
     pub(crate) requests: ring::Receiver<RecordRequest>,
-    /// To the control duty.
+    /// Answers to the control duty.
     pub(crate) responses: ring::Sender<RecordResponse>,
-    /// From the peers' duty.
+    /// Calls of the peers' duty.
     pub(crate) calls: ring::Receiver<fleet::Store>,
-    /// To the peers' duty.
+    /// Answers to the peers' duty.
     pub(crate) answers: ring::Sender<FleetAnswer>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<view::Store>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
@@ -112,7 +113,7 @@
     let responses = ring::Shared::new(conf.responses);
     let answers = Answers(ring::Shared::new(conf.answers));
     let Ok(gateway) = Gateway::open(conf.endpoint, TIMEOUT).await else {
-        log::error!(duty = "store"; "the store's client could not be made");
+        log::error!(duty = "store"; "can't create the store's client");
         return;
     };
     let store = Client::open(gateway, conf.clock);
@@ -177,7 +178,8 @@
     let Ok(Answer::Pairs { pairs, .. }) = store.call(&call).await else {
         return Err(StoreFault::Unanswered);
     };
-    // The range has the keys of databases whose names begin with this one's.
+    // The range also contains keys of databases whose names begin with this
+    // one's.
     let found = pairs.iter().find(|pair| pair.key == key);
     Ok(found.and_then(entry))
 }
@@ -205,9 +207,10 @@
     match store.call(&call).await {
         Ok(Answer::Swapped { revision }) => Ok(revision),
         Ok(Answer::Conflict { .. }) => Err(StoreFault::Conflict),
-        // Also where the fault proves that the swap did not run: the machine
-        // then reads the record back, which costs a call and is never wrong,
-        // whereas a conflict would say that somebody else has changed it.
+        // This includes faults that prove that the swap did not run: the state
+        // machine then reads the record back, which costs one call and is
+        // always correct. A conflict would mean that another instance has
+        // changed the record.
         Ok(_) | Err(_) => Err(StoreFault::Unanswered),
     }
 }
@@ -220,7 +223,7 @@
     })
 }
 
-/// Answers the fleet's calls until the daemon stops.
+/// Serves calls of the fleet state machine until the daemon stops.
 async fn serve_calls(store: Client, mut calls: ring::Receiver<fleet::Store>, answers: Answers) {
     let mut watches: HashMap<fleet::Call, oneshot::Sender<()>> = HashMap::new();
     while let Some(fleet::Store { call, request }) = calls.recv().await {
@@ -250,7 +253,7 @@
     }
 }
 
-/// Where the answers to the fleet's calls go.
+/// Sends answers to the peers' duty.
 #[derive(Clone)]
 struct Answers(ring::Shared<FleetAnswer>);
 
@@ -288,7 +291,7 @@
     }
 }
 
-/// Passes on what a watch shows, and returns how it ended.
+/// Passes on changes from a watch until the watch ends, and returns the reason.
 async fn watch(store: &Client, from: u64, call: fleet::Call, answers: &Answers) -> fleet::Answer {
     let (first, past) = (full_key(RANGE_START), full_key(RANGE_END));
     let Ok(mut watch) = store.watch(&first, &past, from).await else {
@@ -300,7 +303,7 @@
             Ok(found) => found,
             Err(Fault::Compacted { .. }) => return fleet::Answer::Compacted,
             Err(fault) => {
-                log::warn!(duty = "store"; "a watch broke: {fault}");
+                log::warn!(duty = "store"; "watch of the store failed: {fault}");
                 return fleet::Answer::Down;
             }
         };
@@ -318,7 +321,7 @@
     }
 }
 
-/// The changes of each revision together: one is applied whole or not at all.
+/// Groups changes by revision: a revision is applied whole or not at all.
 fn by_revision(events: Vec<Event>) -> BTreeMap<u64, Vec<Change>> {
     let mut found: BTreeMap<u64, Vec<Change>> = BTreeMap::new();
     for event in events {
--- a/crates/daemon/src/platform/client.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers, as this instance's own calls tell.
+//! Client of the platform's store that tracks whether the store answers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,27 +11,27 @@
 
 use crate::introspect::millis;
 
-/// After how long without a call the store counts as not asked.
+/// Time without a call after which the store counts as idle.
 const IDLE_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Default)]
 struct Contact {
     answered: Option<Instant>,
-    /// The first failure since the last answer.
+    /// First failure since the last answer.
     failing: Option<Instant>,
 }
 
-/// The store's client, which notes how its calls end.
+/// Client that records the results of its calls.
 #[derive(Debug, Clone)]
 pub(super) struct Client {
     gateway: Gateway,
     clock: Clock,
     contact: Rc<RefCell<Contact>>,
-    /// How many watches are open.
+    /// Number of open watches.
     watches: Rc<Cell<usize>>,
 }
 
-/// A watch that counts as an open one while it lives.
+/// A watch that is counted as open until it is dropped.
 #[derive(Debug)]
 pub(super) struct CountedWatch {
     watch: Watch,
@@ -39,7 +39,7 @@
 }
 
 impl Client {
-    /// Takes a gateway over.
+    /// Creates a client of `gateway`.
     pub(super) fn open(gateway: Gateway, clock: Clock) -> Self {
         Self {
             gateway,
@@ -49,22 +49,22 @@
         }
     }
 
-    /// Makes one call.
+    /// Calls the store.
     ///
     /// # Errors
     ///
-    /// [`Fault`] tells whether the call may have taken effect.
+    /// [`Fault`] shows whether the call may have taken effect.
     pub(super) async fn call(&self, call: &Call) -> Result<Answer, Fault> {
         let result = self.gateway.call(call).await;
         self.note_result(result.as_ref().err());
         result
     }
 
-    /// Opens a watch on the keys from `from` up to, and without, `to`.
+    /// Opens a watch on the keys from `from` up to, but not including, `to`.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the store can't be reached or refuses.
+    /// [`Fault`] if the store is unreachable or refuses the call.
     pub(super) async fn watch(
         &self,
         from: &str,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// What operators see.
+    /// State of the store for operators.
     pub(super) fn view(&self) -> view::Store {
         let now = self.clock.now();
         let contact = self.contact.borrow();
@@ -95,7 +95,7 @@
             return view::Store::Idle;
         };
         let age = now.since(answered);
-        // An open watch is an open call: silence on it is what it should bring.
+        // An open watch is a pending call on which silence is normal.
         if self.watches.get() == 0 && age > IDLE_AFTER {
             return view::Store::Idle;
         }
@@ -108,7 +108,7 @@
         let now = self.clock.now();
         let mut contact = self.contact.borrow_mut();
         match fault {
-            // A refusal is an answer as well.
+            // A refusal is also an answer.
             None | Some(Fault::Refused { .. } | Fault::Compacted { .. }) => {
                 contact.answered = Some(now);
                 contact.failing = None;
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the watch broke or asks for what is no longer kept.
+    /// [`Fault`] if the watch failed or its revision was compacted.
     pub(super) async fn next(&mut self) -> Result<(Vec<store::Event>, u64), Fault> {
         let result = self.watch.next().await;
         self.client.note_result(result.as_ref().err());
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring.rs
@@ -1,35 +1,35 @@
-//! Bounded rings between duties, with a wake-up for the duty that waits.
+//! Bounded rings between duties; a push wakes the receiving duty.
 //!
-//! A full ring is never a silent drop: [`Sender::push`] hands the item back,
-//! and each duty decides what that means (see `docs/DESIGN.md`).
+//! A full ring never drops an item silently: [`Sender::push`] returns the item,
+//! and each duty decides how to handle that (see `docs/DESIGN.md`).
 
 use std::{cell::RefCell, rc::Rc, sync::Arc, task::Poll, time::Duration};
 
 use atomic_waker::AtomicWaker;
 use ntex::time::sleep;
 
-/// How often a sender that waits for room looks again.
+/// Interval between attempts to push into a full ring.
 const RETRY_INTERVAL: Duration = Duration::from_micros(200);
 
-/// The ring had no room; here is the item back.
+/// Error of a full ring, with the item that was not pushed.
 #[derive(Debug)]
 pub struct Full<T>(pub T);
 
-/// The end that puts items in.
+/// Sending end of a ring.
 #[derive(Debug)]
 pub struct Sender<T> {
     items: rtrb::Producer<T>,
     waker: Arc<AtomicWaker>,
 }
 
-/// The end that takes items out.
+/// Receiving end of a ring.
 #[derive(Debug)]
 pub struct Receiver<T> {
     items: rtrb::Consumer<T>,
     waker: Arc<AtomicWaker>,
 }
 
-/// Makes a ring with room for `capacity` items.
+/// Creates a ring with room for `capacity` items.
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let waker = Arc::new(AtomicWaker::new());
@@ -47,11 +47,11 @@
 }
 
 impl<T> Sender<T> {
-    /// Puts an item in if there is room.
+    /// Pushes an item if there is room.
     ///
     /// # Errors
     ///
-    /// [`Full`] hands the item back.
+    /// [`Full`] returns the item.
     pub fn push(&mut self, item: T) -> Result<(), Full<T>> {
         match self.items.push(item) {
             Ok(()) => {
@@ -70,14 +70,16 @@
 }
 
 impl<T> Receiver<T> {
-    /// Waits for the next item; `None` once the sender is gone and all is taken.
+    /// Waits for the next item; `None` once the sender is dropped and the ring
+    /// is empty.
     pub async fn recv(&mut self) -> Option<T> {
         std::future::poll_fn(|context| {
             if let Ok(item) = self.items.pop() {
                 return Poll::Ready(Some(item));
             }
             self.waker.register(context.waker());
-            // An item may have come between the look and the registration.
+            // An item may have been pushed between the check and the
+            // registration.
             match self.items.pop() {
                 Ok(item) => Poll::Ready(Some(item)),
                 Err(_) if self.items.is_abandoned() => Poll::Ready(None),
@@ -88,7 +90,7 @@
     }
 }
 
-/// A sender that the tasks of one duty share.
+/// Sender that is shared by the tasks of one duty.
 #[derive(Debug)]
 pub struct Shared<T>(Rc<RefCell<Sender<T>>>);
 
@@ -104,16 +106,16 @@
         Self(Rc::new(RefCell::new(sender)))
     }
 
-    /// Puts an item in if there is room.
+    /// Pushes an item if there is room.
     ///
     /// # Errors
     ///
-    /// [`Full`] hands the item back.
+    /// [`Full`] returns the item.
     pub fn push(&self, item: T) -> Result<(), Full<T>> {
         self.0.borrow_mut().push(item)
     }
 
-    /// Puts an item in, waiting for room as long as it takes.
+    /// Pushes an item and waits for room without a time limit.
     pub async fn send(&self, item: T) {
         let mut item = item;
         while let Err(Full(returned)) = self.push(item) {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,5 @@
-//! The daemon's settings: flags, and environment variables of the same names.
+//! Settings of the daemon, from flags and environment variables of the same
+//! names.
 
 use std::{
     fmt,
@@ -15,117 +16,118 @@
 
 use crate::tls::{self, Tls};
 
-/// What the environment variables begin with.
+/// Prefix of the environment variables.
 const PREFIX: &str = "DANDELIONLINK_";
 
 /// A proxy for replicated databases that keeps sessions consistent.
 ///
-/// Each flag may be given as an environment variable instead: --peer-listen as
-/// DANDELIONLINK_PEER_LISTEN. The flag goes first.
+/// Each flag may be given as an environment variable instead: --peer-keys as
+/// DANDELIONLINK_PEER_KEYS. A flag takes precedence.
 #[derive(Debug, Default, FromArgs)]
 pub struct Args {
-    /// where callers connect, as IP:PORT (127.0.0.1:6432)
+    /// address for callers, as IP:PORT (127.0.0.1:6432)
     #[argh(option)]
     pub listen: Option<String>,
-    /// where operators and the balancer connect, as IP:PORT (127.0.0.1:6433)
+    /// address for operators and the load balancer, as IP:PORT (127.0.0.1:6433)
     #[argh(option)]
     pub ops: Option<String>,
-    /// where other instances reach this one, by UDP and TCP, as IP:PORT
-    /// (127.0.0.1:6434)
+    /// address for other instances, by UDP and TCP, as IP:PORT (127.0.0.1:6434)
     #[argh(option)]
     pub peers: Option<String>,
-    /// some other instances, as IP:PORT with commas between; the first ones to
-    /// be asked about the rest
+    /// addresses of some other instances, as IP:PORT separated by commas; they
+    /// are asked for the rest
     #[argh(option)]
     pub seeds: Option<String>,
-    /// the keys that frames between instances are sealed with, as ID:HEX and,
-    /// while they are changed, the other one behind a comma; the first seals
+    /// the keys that seal frames between instances, as ID:HEX; during a change
+    /// of keys two, separated by a comma, of which the first seals
     #[argh(option)]
     pub peer_keys: Option<String>,
-    /// this instance's name, unlike any other's
+    /// unique name of this instance
     #[argh(option)]
     pub instance: Option<String>,
-    /// this instance's availability zone
+    /// availability zone of this instance
     #[argh(option)]
     pub zone: Option<String>,
-    /// the gateway of the platform's store, as IP:PORT
+    /// address of the store's gateway, as IP:PORT
     #[argh(option)]
     pub store: Option<String>,
-    /// the keys that session tokens are signed with, as ID:HEX and, while they
-    /// are changed, the previous one behind a comma; 32 bytes each at least
+    /// the keys that sign session tokens, as ID:HEX of at least 32 bytes;
+    /// during a change of keys two, separated by a comma, of which the first
+    /// signs
     #[argh(option)]
     pub session_keys: Option<String>,
-    /// the user to log in to upstreams as
+    /// the user for logins to upstreams
     #[argh(option)]
     pub upstream_user: Option<String>,
-    /// that user's password, if upstreams ask for one
+    /// the password of that user, if upstreams require one
     #[argh(option)]
     pub upstream_password: Option<String>,
-    /// the PEM file of the certificate chain for callers; TLS is served if it
-    /// and the key are given
+    /// the PEM file of the certificate chain for callers; TLS is enabled if the
+    /// certificate and its key are given
     #[argh(option)]
     pub tls_certificate: Option<String>,
-    /// the PEM file of the certificate's private key
+    /// the PEM file of the private key of the certificate
     #[argh(option)]
     pub tls_key: Option<String>,
-    /// how many callers may be connected at once (10000)
+    /// the maximum number of connected callers (10000)
     #[argh(option)]
     pub callers: Option<String>,
-    /// how long a stop waits for what runs, in milliseconds (30000)
+    /// the time that a graceful stop waits for running requests, in
+    /// milliseconds (30000)
     #[argh(option)]
     pub drain_ms: Option<String>,
-    /// where random choices begin; taken from the system if not given
+    /// the seed of random choices; random by default
     #[argh(option)]
     pub seed: Option<String>,
-    /// only check the settings
+    /// only check the settings and exit
     #[argh(switch)]
     pub check: bool,
 }
 
-/// What is wrong with one setting.
+/// Fault of one setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The setting, as its flag is written without the dashes.
+    /// Name of the setting: its flag without the dashes.
     pub name: &'static str,
-    /// What is wrong.
+    /// Kind of fault.
     pub what: What,
 }
 
-/// What can be wrong with a setting.
+/// Kinds of faults.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum What {
-    /// It has no default and was not given.
+    /// Required, but not given.
     #[error("is missing")]
     Missing,
-    /// It is not an address.
+    /// Not an address.
     #[error("{0:?} is not an IP:PORT such as 10.0.0.1:6432")]
     Address(String),
-    /// It is not a number in its range.
+    /// Not a number within its range.
     #[error("{text:?} is not a number from {least} to {most}")]
     Number {
-        /// What was given.
+        /// Given text.
         text: String,
-        /// The least.
+        /// Minimum.
         least: u64,
-        /// The most.
+        /// Maximum.
         most: u64,
     },
-    /// It is not a name.
+    /// Not a valid name.
     #[error("{0}")]
     Name(#[from] name::Error),
-    /// It is not a list of keys; the text is not repeated, it is secret.
+    /// Not a list of keys; the text is secret and not repeated.
     #[error("is not a list of at most two keys written ID:HEX")]
     Keys,
-    /// A session key can't be used.
+    /// Invalid session key.
     #[error("{0}")]
     Key(#[from] session::Error),
-    /// A certificate, or its key, can't be used.
+    /// Invalid certificate or private key.
     #[error("{0}")]
     Tls(#[from] tls::Error),
-    /// Of two settings that go together, the other is missing.
-    #[error("is missing; it goes with --{0}")]
+    /// Missing, although the setting that requires it is given.
+    #[error("is missing; --{0} requires it")]
     Without(&'static str),
-    /// The peers' keys can't be used.
+    /// Invalid keys for frames between instances.
     #[error("{0}")]
     PeerKeys(#[from] wire::KeyError),
 }
@@ -139,48 +141,48 @@
 
 impl std::error::Error for Fault {}
 
-/// The environment variable of a setting.
+/// Environment variable of a setting.
 fn variable(name: &str) -> String {
     format!("{PREFIX}{}", name.replace('-', "_").to_ascii_uppercase())
 }
 
-/// Settings that have been checked.
+/// Validated settings.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub ops: SocketAddr,
-    /// Where other instances reach this one.
+    /// Address for other instances.
     pub peers: SocketAddr,
-    /// Some other instances.
+    /// Addresses of some other instances, which are asked for the rest.
     pub seeds: Vec<SocketAddr>,
-    /// The keys that frames between instances are sealed with.
+    /// Keys that seal frames between instances.
     pub peer_keys: wire::Ring,
-    /// This instance.
+    /// Name of this instance.
     pub instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: name::Zone,
-    /// The gateway of the platform's store.
+    /// Address of the store's gateway.
     pub store: SocketAddr,
-    /// What session tokens are signed with.
+    /// Keys that sign session tokens.
     pub session_keys: Keys,
-    /// What the verifiers of unknown users are made from; from the session
-    /// keys, so that all instances agree.
+    /// Secret for the verifiers of unknown users. It is derived from the
+    /// session keys, so that all instances agree.
     pub mock: [u8; 32],
-    /// How to log in to upstreams.
+    /// Credentials for upstreams.
     pub login: Login,
-    /// What callers are served TLS with, if they are.
+    /// TLS for callers, if configured.
     pub tls: Option<Tls>,
-    /// How many callers may be connected at once.
+    /// Maximum number of connected callers.
     pub callers: usize,
-    /// How long a stop waits for what runs.
+    /// Time that a graceful stop waits for running requests.
     pub drain: Duration,
-    /// Where random choices begin.
+    /// Seed of random choices.
     pub seed: u64,
 }
 
-/// Collects faults, so that all are told at once.
+/// Reads settings and collects all faults, so that they are reported at once.
 struct Reader<'a> {
     env: &'a dyn Fn(&str) -> Option<String>,
     faults: Vec<Fault>,
@@ -253,7 +255,7 @@
         }
     }
 
-    /// The certificate and its key; both or neither are given.
+    /// Reads the certificate and its key; either both or neither must be given.
     fn tls(&mut self, certificate: Option<&String>, key: Option<&String>) -> Option<Tls> {
         const NAMES: (&str, &str) = ("tls-certificate", "tls-key");
         let certificate = self.text(NAMES.0, certificate);
@@ -307,7 +309,8 @@
     }
 }
 
-/// A secret of its own from the text of the session keys.
+/// Derives the secret for verifiers of unknown users from the text of the
+/// session keys.
 fn mock_secret(keys: &str) -> [u8; 32] {
     let mut digest = Sha256::new();
     digest.update(b"dandelionlink verifiers of unknown users");
@@ -315,7 +318,7 @@
     digest.finalize().into()
 }
 
-/// Reads one key, or two with the current one first.
+/// Parses one key, or two of which the first is the current one.
 fn keys(text: &str) -> Result<Keys, What> {
     let mut found = text.split(',').map(key);
     let current = found.next().ok_or(What::Keys)??;
@@ -335,7 +338,7 @@
     Ok(Key::new(id, &bytes(hex).ok_or(What::Keys)?)?)
 }
 
-/// Reads bytes written in hexadecimal.
+/// Decodes hexadecimal.
 fn bytes(hex: &str) -> Option<Vec<u8>> {
     if !hex.is_ascii() || !hex.len().is_multiple_of(2) {
         return None;
@@ -347,7 +350,7 @@
 }
 
 impl Settings {
-    /// Checks the flags, and the variables that `env` gives.
+    /// Validates the flags and the variables that `env` returns.
     ///
     /// ```
     /// use daemon::settings::{Args, Settings, What};
@@ -360,7 +363,7 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All faults of the settings.
     pub fn read(args: &Args, env: &dyn Fn(&str) -> Option<String>) -> Result<Self, Vec<Fault>> {
         let mut reader = Reader {
             env,
--- a/crates/daemon/src/tls.rs
+++ b/crates/daemon/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers, from a certificate and a key in PEM files.
+//! TLS for callers, from a certificate and a key in PEM files.
 
 use std::{io::ErrorKind, path::Path, sync::Arc};
 
@@ -8,7 +8,7 @@
     pki_types::{CertificateDer, PrivateKeyDer, pem, pem::PemObject},
 };
 
-/// Why a certificate and a key can't be used.
+/// Error of a certificate or a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -20,29 +20,29 @@
     /// The file has no certificate, or no key.
     #[error("the file has no {0} in PEM form")]
     Empty(&'static str),
-    /// The key does not fit the certificate, or is of a kind not served.
-    #[error("the key does not fit the certificate, or is not served")]
+    /// The key does not match the certificate, or its type is not supported.
+    #[error("the key does not match the certificate, or its type is not supported")]
     Key,
 }
 
-/// The TLS that callers are served with.
+/// TLS configuration for callers.
 #[derive(Debug, Clone)]
 pub struct Tls {
     conf: Arc<ServerConfig>,
 }
 
 impl Tls {
-    /// The library's settings.
+    /// Configuration for `rustls`.
     pub(crate) fn conf(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.conf)
     }
 }
 
-/// Reads a chain of certificates, the server's own first.
+/// Reads a certificate chain, the server's own certificate first.
 ///
 /// # Errors
 ///
-/// [`Error`] when there is none to be read.
+/// [`Error`] if the file has no readable certificate.
 pub fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Error> {
     let found = CertificateDer::pem_file_iter(path).map_err(|it| error(&it, "certificate"))?;
     let found: Result<Vec<_>, _> = found.collect();
@@ -57,16 +57,16 @@
 ///
 /// # Errors
 ///
-/// [`Error`] when there is none to be read.
+/// [`Error`] if the file has no readable key.
 pub fn key(path: &Path) -> Result<PrivateKeyDer<'static>, Error> {
     PrivateKeyDer::from_pem_file(path).map_err(|it| error(&it, "key"))
 }
 
-/// Joins a chain and its key.
+/// Combines a certificate chain and its private key.
 ///
 /// # Errors
 ///
-/// [`Error::Key`] when they don't belong together.
+/// [`Error::Key`] if the key does not belong to the certificate.
 pub fn join(
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
