--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller.
+//! Relaying of answers to the caller.
 
 use bytes::BytesMut;
 use model::Outcome;
@@ -9,19 +9,19 @@
 };
 use crate::job::{self, Command, Part};
 
-/// The message that says that a transaction was committed.
+/// `CommandComplete` message of a `COMMIT`.
 const COMMIT_COMPLETE: &[u8] = b"C\0\0\0\x0bCOMMIT\0";
 
-/// Whether an answer goes to the caller.
+/// Recipient of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Recipient {
-    /// It does.
+    /// The caller.
     Caller,
-    /// The proxy asked on its own account.
+    /// The proxy, which ran the batch for itself.
     Proxy,
 }
 
-/// Passes the answer to the running request on, part by part.
+/// Relays the answer to the running request, part by part.
 pub(super) async fn relay(
     session: &mut Session,
     io: &Stream,
@@ -95,7 +95,7 @@
     send(io, &buf).await
 }
 
-/// Tells the caller of a request that never left the instance.
+/// Reports a request to the caller that never left the instance.
 pub(super) async fn not_run(
     session: &mut Session,
     io: &Stream,
--- a/crates/daemon/src/callers/auth.rs
+++ b/crates/daemon/src/callers/auth.rs
@@ -1,28 +1,28 @@
-//! SCRAM-SHA-256 from the server's side, as RFC 5802 and RFC 7677 have it.
+//! Server side of SCRAM-SHA-256 (RFC 5802 and RFC 7677).
 //!
-//! The catalogue keeps verifiers only, so a reader of the catalogue can't log
-//! in with what it finds there.
+//! The catalogue stores verifiers only, so reading the catalogue does not
+//! suffice to log in.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use catalog::scram::Verifier;
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 
-/// Why a login failed; callers are told only that it did.
+/// Error of a login; the caller learns only that the login failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Error {
-    /// The message is not of the exchange's form.
+    /// The message is malformed.
     #[error("the message is not one of SCRAM-SHA-256")]
     Form,
-    /// The nonce is not the one that was given.
-    #[error("the nonce is another one")]
+    /// The nonce is not the one that was issued.
+    #[error("the nonce does not match")]
     Nonce,
-    /// The proof does not fit the verifier.
-    #[error("the proof does not fit")]
+    /// The proof does not match the verifier.
+    #[error("the proof does not match the verifier")]
     Proof,
 }
 
-/// An exchange after the caller's first message.
+/// A SCRAM exchange after the client's first message.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     verifier: Verifier,
@@ -33,11 +33,12 @@
 }
 
 impl Exchange {
-    /// Takes the caller's first message; `salt` makes the nonce unforeseeable.
+    /// Starts an exchange with the client's first message; `salt` makes the
+    /// nonce unpredictable.
     ///
     /// # Errors
     ///
-    /// [`Error::Form`] when the message is malformed or wants channel binding.
+    /// [`Error::Form`] if the message is malformed or requires channel binding.
     pub(crate) fn open(verifier: Verifier, message: &[u8], salt: &[u8; 18]) -> Result<Self, Error> {
         let text = std::str::from_utf8(message).map_err(|_| Error::Form)?;
         let header_end = text.match_indices(',').nth(1).ok_or(Error::Form)?.0 + 1;
@@ -61,16 +62,17 @@
         })
     }
 
-    /// The server's first message.
+    /// Server's first message.
     pub(crate) fn challenge(&self) -> &str {
         &self.server_first
     }
 
-    /// Checks the caller's last message and returns the server's.
+    /// Verifies the client's final message and returns the server's final
+    /// message.
     ///
     /// # Errors
     ///
-    /// [`Error`] when the proof does not fit or the message is malformed.
+    /// [`Error`] if the proof does not match or the message is malformed.
     pub(crate) fn finish(&self, message: &[u8]) -> Result<String, Error> {
         let text = std::str::from_utf8(message).map_err(|_| Error::Form)?;
         let (without_proof, proof) = text.rsplit_once(",p=").ok_or(Error::Form)?;
@@ -105,7 +107,7 @@
         }
         let client_key: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
         let digest: [u8; 32] = Sha256::digest(&client_key).into();
-        // All bytes are compared, so that the time taken tells nothing.
+        // All bytes are compared, so that the duration reveals nothing.
         let difference = digest
             .iter()
             .zip(self.verifier.stored)
@@ -118,24 +120,25 @@
     }
 }
 
-/// The iterations of a verifier that PostgreSQL makes by its defaults.
+/// Iterations of a verifier that PostgreSQL creates by default.
 const DEFAULT_ITERATIONS: u32 = 4_096;
 
-/// The bytes of such a verifier's salt.
+/// Salt length of such a verifier, in bytes.
 const DEFAULT_SALT_LEN: usize = 16;
 
-/// A verifier for a user that does not exist, which no proof fits.
+/// Creates a verifier for an unknown user, which no proof matches.
 ///
-/// Its salt comes from a secret that all instances share, so that it is the
-/// same each time, as a real user's is; `template` is a real verifier that it
-/// takes its form from. An attacker could else tell who has an account.
+/// The salt is derived from a secret that all instances share, so that it is
+/// the same at each login, as for a real user. `template` is a real verifier
+/// whose iterations and salt length are copied. Otherwise an attacker could
+/// tell which users exist.
 pub(crate) fn mock(secret: &[u8; 32], user: &str, template: Option<&Verifier>) -> Verifier {
     let salt = mac(secret, user.as_bytes());
     let length = template.map_or(DEFAULT_SALT_LEN, |it| it.salt.len().min(salt.len()));
     Verifier {
         iterations: template.map_or(DEFAULT_ITERATIONS, |it| it.iterations),
         salt: salt[..length].to_vec(),
-        // No digest of a key that anybody knows.
+        // Not the digest of any known key.
         stored: mac(secret, &salt),
         server: mac(secret, &[&salt[..], &salt[..]].concat()),
     }
--- a/crates/daemon/src/callers/batch.rs
+++ b/crates/daemon/src/callers/batch.rs
@@ -1,4 +1,4 @@
-//! Collecting a caller's messages into batches for one upstream.
+//! Collects a caller's messages into batches for one upstream.
 
 use std::sync::Arc;
 
@@ -9,43 +9,44 @@
 use super::{change, local, serve::Session};
 use crate::job::{Batch, Change, Closes, Leaves, Need, Portal, Statement, Step};
 
-/// The most messages in one batch.
+/// Maximum number of messages in one batch.
 const MAX_STEPS: usize = 10_000;
 
-/// The most bytes of messages in one batch: two of the largest frames.
+/// Maximum size of the messages in one batch, in bytes: two frames of the
+/// largest size.
 const MAX_BYTES: usize = 2 * pg::MAX_FRAME;
 
-/// Why a batch is refused before it leaves the instance.
+/// Reason to refuse a batch before it leaves the instance.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Fault {
-    /// COPY needs messages of its own, which are not served.
+    /// `COPY` requires messages that the proxy does not support.
     #[error("COPY is not served; use INSERT")]
     Copy,
-    /// A commit that opens the next transaction at once.
+    /// A commit that starts the next transaction at once.
     #[error("AND CHAIN is not served; use BEGIN")]
     Chain,
-    /// A statement for the proxy among others for an upstream.
+    /// A statement for the proxy together with others for an upstream.
     #[error("settings of dandelionlink are set and shown by themselves, not with other statements")]
     Mixed,
-    /// A name that no statement has.
+    /// No prepared statement has this name.
     #[error("prepared statement \"{0}\" does not exist")]
     NoStatement(String),
-    /// The caller prepares without closing.
+    /// The session holds too many prepared statements.
     #[error("too many prepared statements, or too long ones; close some")]
     TooManyStatements,
-    /// More settings than are kept for a session, or too long ones.
+    /// The session holds too many settings, or too long ones.
     #[error("too many session settings, or too long ones")]
     TooManySettings,
-    /// The request id can't promise a single run.
+    /// The request id can't ensure a single execution.
     #[error("{0}")]
     Request(request::ledger::Error),
-    /// The batch has too many messages before its end.
+    /// Too many messages before the end of the batch.
     #[error("too many messages before Sync")]
     TooLong,
 }
 
 impl Fault {
-    /// The SQLSTATE that tells the caller; each proves that nothing ran.
+    /// SQLSTATE for the caller; each of them proves that nothing ran.
     pub(super) fn sqlstate(&self) -> &'static str {
         match self {
             Self::Copy | Self::Chain | Self::Mixed => "0A000",
@@ -56,7 +57,7 @@
     }
 }
 
-/// First words of statements that leave nothing behind their transaction.
+/// First words of statements that change no state beyond their transaction.
 const TRANSIENT: [&str; 9] = [
     "savepoint",
     "release",
@@ -69,7 +70,7 @@
     "explain",
 ];
 
-/// What a statement needs, and whether it only prepares.
+/// Returns the requirement of a statement on its upstream.
 fn need(sql: &str) -> Result<Need, Fault> {
     match classify(sql) {
         Kind::Read | Kind::Show { .. } | Kind::Empty => Ok(Need::Read),
@@ -101,8 +102,8 @@
     Ok(Need::Alone)
 }
 
-/// Whether a statement ends a transaction and opens the next at once. Its
-/// commit would be acknowledged before a majority holds it.
+/// Returns true if a statement ends a transaction and starts the next at once.
+/// Such a commit would be acknowledged before a majority holds it.
 fn is_chained(sql: &str) -> bool {
     let text = change::uncommented(sql).to_ascii_lowercase();
     let words: Vec<&str> = text.split_whitespace().collect();
@@ -123,7 +124,7 @@
     }
 }
 
-/// Whether any statement of a text ends a transaction.
+/// Returns whether any statement of a text ends a transaction.
 fn closes(sql: &str) -> Closes {
     let ends = |part| matches!(classify(part), Kind::Commit | Kind::Rollback);
     if split(sql).any(ends) {
@@ -133,8 +134,8 @@
     }
 }
 
-/// What a text leaves behind on its connection, besides what [`Need::Alone`]
-/// says.
+/// Returns the state that a text leaves on its connection, besides the state
+/// that [`Need::Alone`] covers.
 fn leaves(sql: &str, changes: &[Change]) -> Leaves {
     const FUNCTION: &[u8] = b"set_config";
     let mut windows = sql.as_bytes().windows(FUNCTION.len());
@@ -147,7 +148,7 @@
 }
 
 impl Batch {
-    /// The batch of a simple query.
+    /// Creates the batch of a simple query.
     pub(super) fn simple(sql: String) -> Result<Self, Fault> {
         let need = need(&sql)?;
         if split(&sql).any(local::is_own) {
@@ -166,8 +167,8 @@
         })
     }
 
-    /// A batch that makes the open transaction fail on its server too: what is
-    /// no statement aborts it.
+    /// Creates a batch that aborts the open transaction on the server, by an
+    /// invalid statement.
     pub(super) fn abort() -> Self {
         Self {
             steps: vec![Step::Query("REFUSED".to_owned())],
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The end of a batch that a Flush has left open.
+    /// Creates the end of a batch that a `Flush` has left open.
     pub(super) fn sync() -> Self {
         Self {
             steps: vec![Step::Sync],
@@ -187,13 +188,13 @@
         }
     }
 
-    /// Whether it goes on behind its answers so far.
+    /// Returns true if the batch continues after its answers so far.
     pub(crate) fn flushes(&self) -> bool {
         matches!(self.steps.last(), Some(Step::Flush))
     }
 }
 
-/// A batch of the extended protocol while its messages come in.
+/// A batch of the extended protocol whose messages are still arriving.
 #[derive(Default)]
 pub(super) struct Draft {
     steps: Vec<Step>,
@@ -202,27 +203,28 @@
     fingerprint: u64,
     changes: Vec<Change>,
     leaves: Option<Leaves>,
-    /// How many bytes its messages have.
+    /// Size of the messages, in bytes.
     bytes: usize,
-    /// Whether its last message, taken or skipped, is a Flush.
+    /// True if the last message, accepted or skipped, is a `Flush`.
     flushes: bool,
     fault: Option<Fault>,
 }
 
-/// Who answers a batch.
+/// Party that answers a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Responder {
-    /// The proxy: its statements are the proxy's own, or it has none.
+    /// The proxy, because all statements concern the proxy itself or there is
+    /// none.
     Proxy,
     /// An upstream.
     Upstream,
 }
 
-/// A batch that is all there.
+/// A complete batch.
 pub(super) enum Completed {
-    /// For the proxy to answer.
+    /// Messages that the proxy answers.
     Local(Vec<Step>),
-    /// For an upstream.
+    /// A batch for an upstream.
     Batch(Batch),
 }
 
@@ -231,13 +233,13 @@
         self.steps.is_empty() && self.fault.is_none()
     }
 
-    /// Whether it goes on behind its answers so far.
+    /// Returns true if the batch continues after its answers so far.
     pub(super) fn flushes(&self) -> bool {
         self.flushes
     }
 
-    /// Takes a message in. After a fault all is skipped up to the end, as the
-    /// protocol has it.
+    /// Adds a message. After a fault all messages up to the end are skipped, as
+    /// the protocol requires.
     pub(super) fn add(&mut self, session: &mut Session, message: Frontend, bytes: usize) {
         self.flushes = matches!(message, Frontend::Flush);
         if self.fault.is_some() {
@@ -301,7 +303,8 @@
         Ok(Step::Bind(statement, portal))
     }
 
-    /// Who answers; only the statements tell, and all must agree.
+    /// Returns the party that answers. Only statements determine it, and all of
+    /// them must agree.
     fn responder(&self, session: &Session) -> Result<Responder, Fault> {
         let mut found = None;
         for step in &self.steps {
@@ -334,11 +337,13 @@
         Ok(found.unwrap_or(default))
     }
 
-    /// What the statements need that are only prepared here, ahead of a Flush.
+    /// Returns the requirement of statements that are only prepared here,
+    /// before a `Flush`.
     ///
-    /// What follows a Flush has to run where this part runs. A driver that prepares a
-    /// write, flushes, and executes it afterwards would have it refused by a replica
-    /// with an error that its caller takes for the database's own.
+    /// Messages after a `Flush` must run on the same upstream as those before
+    /// it. If a driver prepares a write, flushes and executes the write
+    /// afterwards, a replica would refuse the write with an error that the
+    /// caller takes for the database's own.
     fn need_before_flush(&self) -> Need {
         let writes = |step: &Step| match step {
             Step::Parse(it) | Step::DescribeStatement(it) => need(&it.sql) == Ok(Need::Write),
@@ -350,12 +355,12 @@
         }
     }
 
-    /// The batch, and who answers it.
+    /// Completes the batch and determines the party that answers it.
     pub(super) fn finish(self, session: &Session) -> Result<Completed, Fault> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
-        // What a Flush has left open upstream is ended there.
+        // A batch that a `Flush` left open on an upstream must end there.
         if self.responder(session)? == Responder::Proxy && !session.is_open() {
             return Ok(Completed::Local(self.steps));
         }
--- a/crates/daemon/src/callers/change.rs
+++ b/crates/daemon/src/callers/change.rs
@@ -1,13 +1,13 @@
-//! What a statement changes of its session's settings.
+//! Changes that a statement makes to the settings of its session.
 
 use route::statement::{Kind, classify, split};
 
 use crate::job::Change;
 
-/// The changes that a text makes, in order.
+/// Returns the changes that a text makes, in order.
 ///
-/// A session's settings are the proxy's to keep: its statements run on many
-/// connections, and a connection serves many sessions.
+/// The proxy stores the settings of each session, because a session runs on
+/// many connections and a connection serves many sessions.
 pub(super) fn changes(sql: &str) -> Vec<Change> {
     let mut found = Vec::new();
     for statement in split(sql) {
@@ -16,7 +16,7 @@
     found
 }
 
-/// Whether all that a text does is to change settings.
+/// Returns true if a text only changes settings.
 pub(super) fn only_changes(sql: &str) -> bool {
     split(sql).all(|statement| {
         let mut found = Vec::new();
@@ -72,7 +72,7 @@
     assign("timezone", unquoted(word))
 }
 
-/// The modes of transactions to come, which are settings of their own.
+/// Appends the modes of later transactions, which are settings of their own.
 fn characteristics(modes: &[&str], found: &mut Vec<Change>) {
     let mut set = |name: &str, value: &str| found.push(assign(name, value));
     let mut rest = modes;
@@ -129,8 +129,9 @@
     inner.unwrap_or(text)
 }
 
-/// A value as `set_config` takes it. A list of quoted items, of which the
-/// outermost quotes are gone already, is written with double quotes.
+/// Returns a value in the form that `set_config` expects. In a list of quoted
+/// items, whose outermost quotes are already removed, the items get double
+/// quotes.
 fn set_config_value(value: &str) -> String {
     if !value.contains("',") {
         return value.replace("''", "'");
@@ -140,7 +141,7 @@
     items.join(", ")
 }
 
-/// A text without its block comments and its last semicolon.
+/// Returns a text without block comments and without its last semicolon.
 pub(super) fn uncommented(sql: &str) -> String {
     let mut text = String::new();
     let mut rest = sql;
--- a/crates/daemon/src/callers/greet.rs
+++ b/crates/daemon/src/callers/greet.rs
@@ -1,4 +1,4 @@
-//! The beginning of a caller's connection: startup, login and greeting.
+//! Start of a caller's connection: startup, login and greeting.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -30,18 +30,18 @@
     tls::Tls,
 };
 
-/// How long a caller may take to log in.
+/// Time limit of a login.
 const LOGIN_TIMEOUT: Millis = Millis(10_000);
 
-/// Protocol 3.0 as one number, which is how servers tell their newest.
+/// Protocol version 3.0 as one number, the newest version that servers report.
 const PROTOCOL: i32 = 3 << 16;
 
-/// How many connections may be logging in at once. Together with
-/// [`pg::MAX_STARTUP`] and [`pg::MAX_LOGIN`] it bounds the memory that peers
-/// can take that have not proved who they are.
+/// Maximum number of connections that are logging in. Together with
+/// [`pg::MAX_STARTUP`] and [`pg::MAX_LOGIN`] it limits the memory that
+/// unauthenticated clients can take.
 const MAX_LOGINS: usize = 1_024;
 
-/// A refusal of the connection, told with its SQLSTATE.
+/// Refusal of a connection, with its SQLSTATE.
 pub(super) struct Refusal {
     state: &'static str,
     text: String,
@@ -72,11 +72,11 @@
     }
 }
 
-/// Counts a connection among those that are logging in while it lives.
+/// Counts a connection as logging in until it is dropped.
 struct LoginSlot(Rc<Shared>);
 
 impl LoginSlot {
-    /// Counts one more, if there may be.
+    /// Counts one more login, unless the maximum is reached.
     fn open(shared: &Rc<Shared>) -> Option<Self> {
         let count = shared.logins.get();
         if count >= MAX_LOGINS {
@@ -93,25 +93,25 @@
     }
 }
 
-/// How a connection opening.
+/// Result of the first messages of a connection.
 enum Opening {
-    /// With this message.
-    With(Stream, Startup),
-    /// With something that is refused.
+    /// A startup message.
+    Startup(Stream, Startup),
+    /// A message that is refused.
     Refused(Stream, Refusal),
-    /// The caller is gone, or its TLS broke off.
+    /// The caller disconnected, or the TLS handshake failed.
     Gone,
 }
 
-/// Serves one connection from its first byte to its last.
+/// Serves one connection until its end.
 pub(super) async fn serve(io: Io, client: SocketAddr, shared: Rc<Shared>) {
     let Some(slot) = LoginSlot::open(&shared) else {
         return reject(&io.seal(), "53300", "too many connections are logging in").await;
     };
     let started = shared.clock.now();
-    let opening = ntex::time::timeout(LOGIN_TIMEOUT, open_session(io, &shared)).await;
+    let opening = ntex::time::timeout(LOGIN_TIMEOUT, read_opening(io, &shared)).await;
     let (io, startup) = match opening {
-        Ok(Opening::With(io, startup)) => (io, startup),
+        Ok(Opening::Startup(io, startup)) => (io, startup),
         Ok(Opening::Refused(io, refusal)) => {
             return reject(&io, refusal.state, &refusal.text).await;
         }
@@ -190,10 +190,10 @@
     Ok(Some(session))
 }
 
-/// The settings in the `options` of a startup message, written `-c key=value`
-/// or `--key=value`; a backslash keeps the character behind it as it is.
+/// Parses the settings in the `options` of a startup message, written `-c
+/// key=value` or `--key=value`; a backslash escapes the next character.
 ///
-/// Many drivers can give a setting of the proxy only this way.
+/// Many drivers can pass a setting of the proxy only in this way.
 pub(super) fn options(text: &str) -> Vec<(String, String)> {
     let mut words = vec![String::new()];
     let mut chars = text.chars();
@@ -205,7 +205,10 @@
         };
         match literal {
             Some(_) if char.is_whitespace() => words.push(String::new()),
-            Some(literal) => words.last_mut().expect("it begins with one").push(literal),
+            Some(literal) => words
+                .last_mut()
+                .expect("the list starts with one word")
+                .push(literal),
             None => {}
         }
     }
@@ -236,9 +239,10 @@
     Some((key.to_owned(), value.to_owned()))
 }
 
-/// Reads first messages until one begins something. Callers may ask for
-/// encryption of each kind once before; TLS is served if settings say so.
-async fn open_session(io: Io, shared: &Shared) -> Opening {
+/// Reads messages until one of them starts a session or cancels a request. A
+/// caller may request each kind of encryption once before; TLS is accepted if
+/// configured.
+async fn read_opening(io: Io, shared: &Shared) -> Opening {
     let (mut tls, mut gss) = (false, false);
     loop {
         let found = match read_startup(&io).await {
@@ -249,7 +253,7 @@
         let requested = match found {
             Startup::Tls => &mut tls,
             Startup::Gss => &mut gss,
-            found => return Opening::With(io.seal(), found),
+            found => return Opening::Startup(io.seal(), found),
         };
         if std::mem::replace(requested, true) {
             return Opening::Refused(io.seal(), requested_twice());
@@ -274,11 +278,11 @@
     io.send_buf()
 }
 
-/// Goes on in TLS.
+/// Accepts TLS.
 ///
-/// Bytes that are there already were sent in the clear. Taken for part of the
-/// encrypted session, they would let somebody on the way put statements in
-/// front of the caller's own (as in CVE-2021-23214).
+/// Bytes received before the handshake are plain text. If they were taken for
+/// part of the encrypted session, an attacker on the network could insert
+/// statements before the caller's own (CVE-2021-23214).
 async fn start_tls(io: Io, tls: &Tls) -> Opening {
     if io.with_read_buf(|src| !src.is_empty()) {
         let refusal = Refusal {
@@ -290,23 +294,25 @@
     if io.encode_slice(b"S").and_then(|()| io.send_buf()).is_err() {
         return Opening::Gone;
     }
-    // The layer goes on before the sealing: a sealed connection takes none.
+    // The TLS layer must be added first, because a sealed connection accepts no
+    // layer.
     let Ok(io) = TlsServerFilter::create(io, tls.conf(), LOGIN_TIMEOUT).await else {
         return Opening::Gone;
     };
     let io = io.seal();
     match read_startup(&io).await {
         Ok(Some(Startup::Tls | Startup::Gss)) => Opening::Refused(io, requested_twice()),
-        Ok(Some(found)) => Opening::With(io, found),
+        Ok(Some(found)) => Opening::Startup(io, found),
         Ok(None) => Opening::Gone,
         Err(refusal) => Opening::Refused(io, refusal),
     }
 }
 
-/// Reads one first message; `None` when the caller has gone before its end.
+/// Reads a message of the startup phase; `None` if the caller disconnected
+/// before its end.
 ///
-/// What was received is looked at before the end of the stream is: a cancel
-/// request often comes together with it.
+/// Received bytes are decoded before the end of the stream is handled, because
+/// a cancel request often arrives together with it.
 async fn read_startup<F: Filter>(io: &Io<F>) -> Result<Option<Startup>, Refusal> {
     let mut open = true;
     loop {
@@ -326,7 +332,8 @@
     }
 }
 
-/// Tells a caller that asks for more than protocol 3.0 what there is.
+/// Reports the supported version and options to a caller that requests more
+/// than protocol 3.0.
 fn negotiate(io: &Stream, startup: &pgwire::messages::startup::Startup) -> Result<(), Refusal> {
     let options = startup.parameters.keys();
     let options: Vec<String> = options
@@ -339,7 +346,7 @@
     send(io, &NegotiateProtocolVersion::new(PROTOCOL, options))
 }
 
-/// Asks for what a cancel request names, if its key is right.
+/// Cancels the request that a cancel request names, if its secret key matches.
 async fn cancel(shared: &Shared, request: &CancelRequest) {
     let Some(secret) = request.secret_key.as_i32() else {
         return;
@@ -356,7 +363,7 @@
     }
 }
 
-/// The process number that stands for a caller in cancel requests.
+/// Process id that identifies a caller in cancel requests.
 fn pid(caller: u64) -> i32 {
     i32::try_from(caller % (1 << 31)).unwrap_or(0)
 }
@@ -375,8 +382,8 @@
     let verifier = tenant.and_then(|it| {
         let known = it.users.get(user);
         let known = known.and_then(|text| Verifier::parse(text).ok());
-        // An unknown user is led through the same exchange, so that it can't
-        // be told from a wrong password.
+        // An unknown user gets the same exchange, so that the failure looks
+        // like a wrong password.
         let template = it
             .users
             .values()
@@ -435,7 +442,8 @@
     Ok(Bytes::copy_from_slice(frame.body()))
 }
 
-/// The first message of the exchange, behind the method's name and a length.
+/// Extracts the client's first SCRAM message, which follows the mechanism name
+/// and a length.
 pub(super) fn initial_response(body: &[u8]) -> Option<&[u8]> {
     let end = body.iter().position(|&byte| byte == 0)?;
     let (method, rest) = body.split_at(end);
@@ -444,7 +452,7 @@
     (method == b"SCRAM-SHA-256" && whole).then_some(message)
 }
 
-/// Enters the session into the duty's table and greets the caller.
+/// Adds the session to the duty's table and greets the caller.
 fn register(io: &Stream, shared: &Rc<Shared>, session: &mut Session) -> Result<(), Refusal> {
     let caller = {
         let mut last_caller = shared.last_caller.borrow_mut();
--- a/crates/daemon/src/callers/local.rs
+++ b/crates/daemon/src/callers/local.rs
@@ -1,4 +1,4 @@
-//! Statements that the proxy answers itself, so that no upstream sees them.
+//! Statements that the proxy answers itself, without an upstream.
 
 use bytes::BytesMut;
 use pgwire::messages::{
@@ -15,57 +15,57 @@
 };
 use crate::job::{Change, Step};
 
-/// What the proxy's own settings begin with.
+/// Prefix of the proxy's own settings.
 const PREFIX: &str = "dandelionlink.";
 
-/// PostgreSQL's number of the type `text`.
+/// PostgreSQL's OID of the type `text`.
 const TEXT: u32 = 25;
 
-/// A statement that the proxy answers.
+/// A statement that the proxy answers itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum LocalStatement {
     /// Set one of the proxy's own settings.
     Set {
-        /// Its name, without the prefix.
+        /// Name of the setting, without the prefix.
         name: String,
-        /// The value.
+        /// New value.
         value: String,
     },
     /// Show one of the proxy's own settings.
     Show {
-        /// Its name, without the prefix.
+        /// Name of the setting, without the prefix.
         name: String,
     },
-    /// Give session settings their defaults back. Sent upstream, it would
-    /// reset a connection but not what the proxy keeps of the session.
+    /// Reset session settings to their defaults. An upstream would reset its
+    /// connection, but not the settings that the proxy stores.
     Reset {
-        /// What is reset.
+        /// Settings to reset.
         changes: Vec<Change>,
-        /// What the answer says.
+        /// Command tag of the answer.
         tag: &'static str,
-        /// Whether the prepared statements go as well.
+        /// Effect on prepared statements.
         prepared: Prepared,
     },
-    /// Forget a prepared statement, which upstreams know by another name.
+    /// Remove a prepared statement, which has another name on upstreams.
     Deallocate(String),
 }
 
-/// What becomes of the session's prepared statements.
+/// Effect on the session's prepared statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Prepared {
-    /// They stay.
+    /// The statements are kept.
     Kept,
-    /// They are forgotten.
+    /// The statements are removed.
     Dropped,
 }
 
-/// The name of one of the proxy's own settings, without the prefix.
+/// Returns the name of one of the proxy's own settings, without the prefix.
 fn own_setting(name: &str) -> Option<String> {
     let name = name.to_ascii_lowercase();
     name.strip_prefix(PREFIX).map(str::to_owned)
 }
 
-/// Whether a single statement is about one of the proxy's own settings.
+/// Returns true if a single statement concerns one of the proxy's own settings.
 pub(super) fn is_own(sql: &str) -> bool {
     match classify(sql) {
         Kind::Set { name, .. } | Kind::Show { name } => own_setting(name).is_some(),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads a statement that the proxy answers; `None` when it is not one.
+/// Parses a statement that the proxy answers; `None` for any other one.
 pub(super) fn read(sql: &str) -> Option<LocalStatement> {
     match classify(sql) {
         Kind::Set { name, value } => {
@@ -117,15 +117,16 @@
 }
 
 impl LocalStatement {
-    /// Whether it is the proxy's to answer inside a transaction, too.
+    /// Returns true if the proxy answers the statement inside a transaction,
+    /// too.
     ///
-    /// What resets settings inside one goes upstream: it counts for the rest of
-    /// the transaction and is taken back by a rollback.
+    /// A reset of settings inside a transaction goes upstream: it applies to
+    /// the rest of the transaction and is undone by a rollback.
     pub(super) fn is_always_local(&self) -> bool {
         !matches!(self, Self::Reset { .. })
     }
 
-    /// The shape of its rows, if it has any.
+    /// Description of the result column, if there is one.
     fn field(&self) -> Option<FieldDescription> {
         let Self::Show { name } = self else {
             return None;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Carries it out and appends the answer.
+    /// Executes the statement and appends the answer.
     fn run(&self, session: &mut Session, buf: &mut BytesMut) -> Result<(), Refused> {
         match self {
             Self::Set { name, value } => set(session, name, value, buf)?,
@@ -169,7 +170,7 @@
     }
 }
 
-/// The statement was refused, and the answer says so.
+/// The statement was refused, as the answer reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Refused;
 
@@ -178,18 +179,18 @@
     Err(Refused)
 }
 
-/// Answers a simple query, up to and without the ready message.
-pub(super) fn answer(session: &mut Session, plan: &LocalStatement, buf: &mut BytesMut) {
+/// Answers a simple query, without `ReadyForQuery`.
+pub(super) fn answer(session: &mut Session, local: &LocalStatement, buf: &mut BytesMut) {
     let mut rows = BytesMut::new();
-    let result = plan.run(session, &mut rows);
-    if result.is_ok() && plan.field().is_some() {
-        plan.describe(buf);
+    let result = local.run(session, &mut rows);
+    if result.is_ok() && local.field().is_some() {
+        local.describe(buf);
     }
     buf.extend_from_slice(&rows);
 }
 
-/// Answers a batch of the extended protocol whose statements are all the
-/// proxy's own, up to and without the ready message.
+/// Answers a batch of the extended protocol in which all statements are for the
+/// proxy, without `ReadyForQuery`.
 pub(super) fn answer_steps(
     session: &mut Session,
     steps: &[Step],
@@ -205,19 +206,19 @@
             }
             Step::DescribeStatement(statement) => {
                 put(buf, &ParameterDescription::new(Vec::new()));
-                if let Some(plan) = read(&statement.sql) {
-                    plan.describe(buf);
+                if let Some(local) = read(&statement.sql) {
+                    local.describe(buf);
                 }
             }
             Step::CloseStatement | Step::ClosePortal(_) => put(buf, &CloseComplete::new()),
             Step::DescribePortal(_) | Step::Execute { .. } => {
-                let Some(plan) = &bound else {
+                let Some(local) = &bound else {
                     return refuse(buf, "34000", "the portal does not exist");
                 };
                 if matches!(step, Step::Execute { .. }) {
-                    plan.run(session, buf)?;
+                    local.run(session, buf)?;
                 } else {
-                    plan.describe(buf);
+                    local.describe(buf);
                 }
             }
             Step::Query(_) | Step::Flush | Step::Sync => {}
@@ -264,6 +265,6 @@
 }
 
 fn put(buf: &mut BytesMut, message: &impl Message) {
-    // These messages are far below the library's size limits.
+    // These messages are far below the size limits of the library.
     let _ = message.encode(buf);
 }
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' duty: connections from applications, and their sessions.
+//! The callers' duty: connections of applications and their sessions.
 
 mod answer;
 mod auth;
@@ -43,48 +43,49 @@
 
 use self::view::Activity;
 
-/// How long an accept that failed waits, as when file descriptors are short.
+/// Pause after a failed accept, for example when the process is out of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Parts of an answer that may wait for one caller's connection: the window
-/// of the upstreams' duty, and the end.
+/// Maximum number of queued parts for one caller: the window of the upstreams'
+/// duty, and the end of the answer.
 const MAX_PARTS: usize = job::WINDOW + 2;
 
-/// What the callers' duty is given.
+/// Configuration of the callers' duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// Where callers connect.
+    /// Listener for callers.
     pub(crate) listener: TcpListener,
     /// The machine's clock.
     pub(crate) clock: Clock,
-    /// What session tokens are signed with.
+    /// Keys that sign session tokens.
     pub(crate) keys: Keys,
-    /// To the upstreams' duty.
+    /// Commands to the upstreams' duty.
     pub(crate) commands: ring::Sender<Command>,
-    /// From the upstreams' duty.
+    /// Answers of the upstreams' duty.
     pub(crate) replies: ring::Receiver<Reply>,
-    /// Changes of the catalogue.
+    /// New catalogues, from the peers' duty.
     pub(crate) catalogs: ring::Receiver<Arc<Snapshot>>,
-    /// Where requests are counted.
+    /// Metrics of the entries.
     pub(crate) meters: Meters,
-    /// Told once callers find a catalogue in force.
+    /// Set to whether a catalogue is in force for callers.
     pub(crate) serving: Arc<AtomicBool>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<introspect::Callers>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
-    /// How many callers may be connected at once.
+    /// Maximum number of connected callers.
     pub(crate) limit: usize,
-    /// What the verifiers of unknown users are made from.
+    /// Secret for the verifiers of unknown users.
     pub(crate) mock: [u8; 32],
-    /// What callers are served TLS with, if they are.
+    /// TLS for callers, if configured.
     pub(crate) tls: Option<Tls>,
 }
 
-/// A caller's connection, plain or encrypted.
+/// Connection of a caller, plain or encrypted.
 type Stream = Io<Sealed>;
 
-/// A caller's end in the duty's table.
+/// Connected caller in the duty's table.
 struct Entry {
     secret: i32,
     seq: u64,
@@ -92,7 +93,7 @@
     activity: Rc<Activity>,
 }
 
-/// What the tasks of the duty share.
+/// State shared by the tasks of the duty.
 struct Shared {
     clock: Clock,
     keys: Keys,
@@ -106,7 +107,7 @@
     limit: usize,
     mock: [u8; 32],
     tls: Option<Tls>,
-    /// How many connections are logging in.
+    /// Number of connections that are logging in.
     logins: Cell<usize>,
 }
 
@@ -167,10 +168,11 @@
     }
 }
 
-/// Hands replies to the callers that wait for them.
+/// Delivers replies to the waiting callers.
 ///
-/// A reply that comes after its request was given up finds another number and
-/// is dropped: it would otherwise be taken for the answer to the next request.
+/// A reply to a request that was already given up has an old number and is
+/// dropped, because it would otherwise be taken for the answer to the next
+/// request.
 async fn deliver(shared: Rc<Shared>, mut replies: ring::Receiver<Reply>) {
     while let Some(reply) = replies.recv().await {
         let parts = {
@@ -179,8 +181,8 @@
             entry.map(|it| it.parts.clone())
         };
         let Some(parts) = parts else { continue };
-        // The upstreams' duty sends no more than a window of parts ahead of
-        // what the caller took, so only a fault there finds this full.
+        // The upstreams' duty sends at most a window of parts ahead of the
+        // caller, so a full channel is a fault of that duty.
         if parts.try_send((reply.seq, reply.part)).is_err() {
             shared.callers.borrow_mut().remove(&reply.caller);
         }
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's session: its messages in, its answers out.
+//! Session of a caller: receives messages and sends answers.
 
 mod submit;
 
@@ -24,16 +24,16 @@
     meter::Meter,
 };
 
-/// How many statements a caller may have prepared at once.
+/// Maximum number of prepared statements of a session.
 const MAX_PREPARED: usize = 1_024;
 
-/// How many bytes of prepared statements a caller may have at once.
+/// Maximum size of the prepared statements of a session, in bytes.
 const MAX_PREPARED_BYTES: usize = pg::MAX_FRAME;
 
-/// How many session settings a caller may have changed.
+/// Maximum number of changed settings of a session.
 const MAX_SETTINGS: usize = 64;
 
-/// The longest name or value of a session setting, in bytes.
+/// Maximum length of a setting's name or value, in bytes.
 const MAX_SETTING: usize = 4_096;
 
 /// Startup parameters that are not session settings.
@@ -45,7 +45,7 @@
     "client_encoding",
 ];
 
-/// A caller's session after its login.
+/// Session of a caller after the login.
 pub(super) struct Session {
     pub(super) shared: Rc<Shared>,
     pub(super) scope: Arc<Scope>,
@@ -57,41 +57,41 @@
     pub(super) settings: Arc<Settings>,
     pub(super) request: Option<String>,
     pub(super) prepared: HashMap<String, Arc<Statement>>,
-    /// Where its requests are counted.
+    /// Metrics of the entry.
     meter: Arc<Meter>,
-    /// What operators see of it.
+    /// Activity for the operators' port.
     pub(super) activity: Rc<Activity>,
     pub(super) parts: Option<mpsc::Receiver<(u64, Part)>>,
-    /// After a fault the messages up to the next Sync are skipped.
+    /// Set after a fault: messages up to the next `Sync` are skipped.
     skipping: bool,
-    /// Whether a Flush has left a batch open upstream.
+    /// State of the last batch on its upstream.
     batch_state: BatchState,
-    /// Whether the batch that runs ends with a Flush.
+    /// True if the running batch ends with a `Flush`.
     flushing: bool,
-    /// Changes of settings in the open transaction, kept when it commits.
+    /// Changes of settings in the open transaction, applied at its commit.
     pending: Vec<Change>,
-    /// The catalogue that the scope was read from.
+    /// Catalogue that the scope was read from.
     catalog: Arc<Snapshot>,
-    /// The token that the caller was told last.
+    /// Token that was last sent to the caller.
     token: Option<String>,
 }
 
-/// What a Flush has left of a batch at an upstream.
+/// State of a batch on its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BatchState {
-    /// Nothing: each batch so far has ended.
+    /// No batch is open.
     Closed,
-    /// A batch whose Sync is to come.
+    /// A batch is open after a `Flush`, and its `Sync` is still to come.
     Open,
 }
 
-/// Why a session ends.
+/// Reason for the end of a session.
 pub(super) enum End {
-    /// The caller is gone or said goodbye.
+    /// The caller disconnected or sent `Terminate`.
     Gone,
     /// The instance is stopping.
     Stopping,
-    /// What the caller sent is not the protocol.
+    /// The caller violated the protocol.
     Protocol(pg::Error),
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Session {
-    /// Opens the session of a caller that logged in as `user`.
+    /// Creates the session of a caller that logged in as `user`.
     pub(super) fn open(
         shared: Rc<Shared>,
         scope: Arc<Scope>,
@@ -136,13 +136,13 @@
         }
     }
 
-    /// Gives the session its number and the way its answers come.
+    /// Sets the session's number and the channel of its answers.
     pub(super) fn register(&mut self, caller: Caller, parts: mpsc::Receiver<(u64, Part)>) {
         self.caller = caller;
         self.parts = Some(parts);
     }
 
-    /// Takes the token that the caller brings from another instance.
+    /// Applies a token that the caller got from another instance.
     pub(super) fn apply_token(&mut self, text: &str) -> Result<(), session::Error> {
         let token = Token::decode(text, self.keys(), &self.scope.database)?;
         let now = self.shared.clock.now();
@@ -155,19 +155,20 @@
         &self.shared.keys
     }
 
-    /// Keeps a startup parameter as a session setting, if it is one.
+    /// Stores a startup parameter if it is a session setting.
     pub(super) fn start_setting(&mut self, key: &str, value: &str) {
         if !NOT_SETTINGS.contains(&key) && !key.starts_with("dandelionlink.") {
             self.set(key, value);
         }
     }
 
-    /// Keeps a session setting; the bound on a startup message bounds it.
+    /// Stores a session setting, whose size is limited by the maximum size of a
+    /// startup message.
     fn set(&mut self, key: &str, value: &str) {
         self.change(vec![Change::Set(key.to_owned(), value.to_owned())]);
     }
 
-    /// Changes the session's settings.
+    /// Applies changes to the session's settings.
     pub(super) fn change(&mut self, changes: Vec<Change>) {
         if changes.is_empty() {
             return;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Refuses changes that would make the session too large to keep.
+    /// Refuses changes that would exceed the limits of a session.
     pub(super) fn check_changes(&self, changes: &[Change]) -> Result<(), Fault> {
         let sets = changes.iter().filter_map(|change| match change {
             Change::Set(key, value) => Some((key, value)),
@@ -199,18 +200,18 @@
         Ok(())
     }
 
-    /// Whether a Flush has left a batch open upstream.
+    /// Returns true if a `Flush` has left a batch open on an upstream.
     pub(super) fn is_open(&self) -> bool {
         self.batch_state == BatchState::Open
     }
 
-    /// Whether neither a transaction nor a batch is open.
+    /// Returns true if no transaction and no batch is open.
     pub(super) fn is_idle(&self) -> bool {
         self.status == b'I' && !self.is_open()
     }
 
-    /// Takes in how a batch ended and tells the status for the caller, if its
-    /// answer has one: a batch that ended with a Flush has none.
+    /// Notes the end of a batch and returns the transaction state for
+    /// `ReadyForQuery`; `None` after a `Flush`, which has no such message.
     pub(super) fn note_batch_end(
         &mut self,
         status: Option<u8>,
@@ -224,9 +225,9 @@
         };
         let implicit = self.status == b'I';
         if self.flushing {
-            // The batch was refused as a whole. The ready message belongs to
-            // the Sync that is to come; a second one would put the caller's
-            // answers out of step.
+            // The batch was refused as a whole. `ReadyForQuery` belongs to the
+            // `Sync` that is still to come; a second one would shift the
+            // caller's answers.
             self.skipping = true;
             if status == b'I' || !implicit {
                 self.batch_state = BatchState::Closed;
@@ -240,7 +241,7 @@
         Some(status)
     }
 
-    /// Keeps changes of settings, once their transaction has committed.
+    /// Applies changes of settings once their transaction has committed.
     fn commit_settings(&mut self, status: u8, changes: Vec<Change>, commit: bool) {
         self.pending.extend(changes);
         if status != b'I' {
@@ -252,7 +253,8 @@
         }
     }
 
-    /// Takes in that a batch never left; tells the status as [`Self::note_batch_end`].
+    /// Notes that a batch was not sent; returns the state as
+    /// [`Self::note_batch_end`] does.
     pub(super) fn note_refused(&mut self) -> Option<u8> {
         if self.flushing {
             self.skipping = true;
@@ -261,23 +263,23 @@
         Some(self.status)
     }
 
-    /// Forgets a prepared statement; `false` when there is none of the name.
+    /// Removes a prepared statement; `false` if there is none of this name.
     pub(super) fn deallocate(&mut self, name: &str) -> bool {
         self.prepared.remove(name).is_some()
     }
 
-    /// Forgets all prepared statements.
+    /// Removes all prepared statements.
     pub(super) fn forget_prepared(&mut self) {
         self.prepared.clear();
     }
 
-    /// The token for the caller, once the session has a position.
+    /// Token for the caller, once the session has a position.
     pub(super) fn token(&self) -> Option<String> {
         let position = self.state.position()?;
         Some(Token::new(&self.scope.database, position).encode(self.keys()))
     }
 
-    /// Tells the caller its token, if it has changed.
+    /// Sends the token to the caller if it has changed.
     pub(super) fn put_token(&mut self, buf: &mut BytesMut) {
         let token = self.token();
         if let Some(text) = &token
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Serves the session to its end.
+    /// Serves the session until its end.
     pub(super) async fn run(mut self, io: Stream) {
         let end = self.serve(&io).await;
         let mut buf = BytesMut::new();
@@ -331,7 +333,7 @@
         }
     }
 
-    /// Answers the Sync behind a fault.
+    /// Answers the `Sync` after a fault.
     async fn end_skipping(&mut self, io: &Stream) -> Result<(), End> {
         self.skipping = false;
         if self.is_open() {
@@ -348,7 +350,7 @@
         send(io, &buf).await
     }
 
-    /// Runs a simple query, behind what came before it without a Sync.
+    /// Runs a simple query after the pending messages that no `Sync` has ended.
     async fn query(&mut self, io: &Stream, sql: String, draft: &mut Draft) -> Result<(), End> {
         if !draft.is_empty() {
             draft.add(self, Frontend::Flush, 0);
@@ -357,12 +359,12 @@
                 return Ok(());
             }
         }
-        if let Some(plan) = local::read(&sql)
+        if let Some(local) = local::read(&sql)
             && !self.is_open()
-            && (self.is_idle() || plan.is_always_local())
+            && (self.is_idle() || local.is_always_local())
         {
             let mut buf = BytesMut::new();
-            local::answer(self, &plan, &mut buf);
+            local::answer(self, &local, &mut buf);
             pg::ready(&mut buf, self.status);
             return send(io, &buf).await;
         }
@@ -381,8 +383,9 @@
     /// Waits for the next message; an idle session ends when the daemon stops.
     async fn recv(&self, io: &Stream, draft: &Draft) -> Result<(Frontend, usize), End> {
         let mut watch = self.shared.watch.clone();
-        // A planned stop cuts nothing: a session with an open transaction or a
-        // half-sent batch goes on until it is idle or the stop's bound is over.
+        // A graceful stop interrupts nothing: a session with an open
+        // transaction or an incomplete batch continues until it is idle or the
+        // drain time is over.
         let idle = self.is_idle() && draft.is_empty();
         let phase = if idle { Phase::Drain } else { Phase::Stop };
         let frame = tokio::select! {
@@ -400,7 +403,7 @@
         }
     }
 
-    /// Remembers a prepared statement.
+    /// Stores a prepared statement.
     pub(super) fn prepare(&mut self, name: &str, statement: &Arc<Statement>) -> Result<(), Fault> {
         let others = self.prepared.iter().filter(|(other, _)| *other != name);
         let bytes: usize = others.clone().map(|(_, it)| it.sql.len()).sum();
@@ -412,7 +415,7 @@
     }
 }
 
-/// Sends bytes to the caller, and waits while too much is unsent.
+/// Sends bytes to the caller, and waits while the write buffer is full.
 pub(super) async fn send(io: &Stream, bytes: &[u8]) -> Result<(), End> {
     io.encode_slice(bytes)?;
     io.send_buf()?;
--- a/crates/daemon/src/callers/serve/submit.rs
+++ b/crates/daemon/src/callers/serve/submit.rs
@@ -1,4 +1,4 @@
-//! Sending a session's batches to the upstreams' duty, or refusing them.
+//! Sends a session's batches to the upstreams' duty, or refuses them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -52,8 +52,8 @@
         self.end_local(io, flushes).await
     }
 
-    /// Ends a batch that was answered or refused here: behind a Flush the rest
-    /// of it is skipped, and its Sync brings the ready message.
+    /// Ends a batch that was answered or refused by the proxy: after a `Flush`
+    /// the rest of the batch is skipped, and its `Sync` brings `ReadyForQuery`.
     pub(super) async fn end_local(&mut self, io: &Stream, flushes: bool) -> Result<(), End> {
         if flushes {
             self.skipping = true;
@@ -62,11 +62,11 @@
         self.ready(io).await
     }
 
-    /// Tells the fault of a batch that never leaves the instance.
+    /// Reports the fault of a batch that is not sent upstream.
     pub(super) async fn refuse(&mut self, io: &Stream, fault: &Fault) -> Result<(), End> {
         if self.status == b'T' || self.is_open() {
-            // The server never saw the statement, but the caller's transaction
-            // is not what it meant any more.
+            // The server did not see the refused statement, but the caller's
+            // transaction is incomplete without it and must fail.
             self.run_batch(io, Batch::abort(), None, Recipient::Proxy)
                 .await?;
         }
@@ -75,8 +75,8 @@
         send(io, &buf).await
     }
 
-    /// Takes the entry's limits from the newest catalogue; `false` when the
-    /// entry is gone or belongs to somebody else now.
+    /// Reads the entry's limits from the newest catalogue; `false` if the entry
+    /// is gone or has another tenant or database.
     fn refresh(&mut self) -> bool {
         let newest = Arc::clone(&self.shared.catalog.borrow());
         if Arc::ptr_eq(&newest, &self.catalog) {
@@ -86,21 +86,21 @@
         let same =
             found.filter(|it| it.tenant == self.scope.tenant && it.database == self.scope.database);
         let Some(entry) = same else { return false };
-        // The tenant and the entry are the same, and so is the meter.
+        // The tenant and the entry are the same, so the metrics stay.
         self.scope = Arc::new(Scope::new(&self.scope.entry, entry));
         self.catalog = newest;
         true
     }
 
-    /// Refuses a request that never left the instance.
+    /// Refuses a request that was not sent upstream.
     pub(super) async fn not_run(&mut self, io: &Stream, cause: Cause) -> Result<(), End> {
         let outcome = Outcome::NotRun(cause);
         self.meter.note_ended(outcome, Duration::ZERO);
         answer::not_run(self, io, outcome).await
     }
 
-    /// The request id for a batch, if it has one: from a comment in the
-    /// statement, or set ahead of it.
+    /// Returns the request id for a batch, if there is one: from a comment in
+    /// the statement, or set before it.
     pub(super) fn request_tag(&mut self, batch: &Batch) -> Result<Option<Tagged>, Fault> {
         if !batch.takes_request() {
             return Ok(None);
@@ -123,7 +123,7 @@
         }))
     }
 
-    /// Has a batch run and passes its answer on.
+    /// Runs a batch on an upstream and relays its answer.
     pub(super) async fn run_batch(
         &mut self,
         io: &Stream,
@@ -134,7 +134,7 @@
         let mut batch = batch;
         self.flushing = batch.flushes();
         if self.is_open() && self.status == b'I' && !self.flushing {
-            // The end of a batch commits what its parts wrote.
+            // The end of the batch commits the writes of its parts.
             batch.closes = Closes::Transaction;
         }
         if !self.refresh() {
--- a/crates/daemon/src/callers/tests.rs
+++ b/crates/daemon/src/callers/tests.rs
@@ -1,4 +1,4 @@
-//! Arbitrary input at the decoders of a login and of session settings.
+//! Property tests of the decoders of logins and session settings.
 
 use catalog::scram::Verifier;
 use hmac::{Hmac, Mac};
@@ -35,7 +35,7 @@
     Exchange::open(verifier(), b"n,,n=,r=nonce", &[1; 18]).expect("a first message")
 }
 
-/// The last message of a caller that knows the key.
+/// Client's final message with the right key.
 fn proof(exchange: &Exchange) -> String {
     use base64::{Engine, engine::general_purpose::STANDARD};
     let nonce = exchange.challenge().split(',').next().expect("a nonce");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_right_proof_passes_and_a_mock_takes_none() {
+fn a_valid_proof_passes_and_a_mock_verifier_accepts_none() {
     let exchange = open();
     assert!(exchange.finish(proof(&exchange).as_bytes()).is_ok());
     let mock = auth::mock(&[3; 32], "nobody", Some(&verifier()));
@@ -70,7 +70,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_login_s_messages_are_taken_or_refused(
+    fn login_messages_are_accepted_or_refused(
         bytes in proptest::collection::vec(any::<u8>(), 0..100),
         text in "[nyp=,]{0,4}[a-z=,]{0,12}",
     ) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// One changed byte, wherever it is, and the proof does not pass.
+    /// A proof with one changed byte must fail, wherever that byte is.
     #[test]
     fn a_changed_proof_never_passes(at: prop::sample::Index, byte: u8) {
         let exchange = open();
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn statements_on_settings_are_read_or_passed_over(
+    fn statements_on_settings_are_parsed_or_ignored(
         text in any::<String>(),
         sql in "(SET|RESET|DISCARD|SHOW|DEALLOCATE|set session characteristics as transaction) \
             [a-zA-Z.]{0,10}( |=|;|'|,|\"|/\\*|\\*/|TO|ALL|TIME ZONE|NAMES|DEFAULT|[a-z0-9]){0,8}",
@@ -106,7 +106,8 @@
                 Change::Reset(key) => key.len(),
                 Change::ResetAll => 0,
             }).sum();
-            // A name may be longer than what it stands for; quotes are added.
+            // A setting's name may be longer than its keyword in the statement,
+            // and quotes are added.
             prop_assert!(size <= 3 * sql.len() + 40);
             change::only_changes(sql);
             local::read(sql);
@@ -115,7 +116,7 @@
     }
 
     #[test]
-    fn options_are_read_or_passed_over(text in any::<String>(), near in "(-c ?|--|[a-z.=\\\\ ]){0,20}") {
+    fn options_are_parsed_or_ignored(text in any::<String>(), near in "(-c ?|--|[a-z.=\\\\ ]){0,20}") {
         for text in [&text, &near] {
             let found = greet::options(text);
             let size: usize = found.iter().map(|(key, value)| key.len() + value.len()).sum();
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn changes_are_read_as_the_server_reads_them() {
+fn changes_are_parsed_as_by_the_server() {
     let set = |key: &str, value: &str| Change::Set(key.to_owned(), value.to_owned());
     let cases = [
         ("SET a.B = 'it''s'", vec![set("a.b", "it's")]),
--- a/crates/daemon/src/callers/view.rs
+++ b/crates/daemon/src/callers/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the callers.
+//! State of the callers for operators.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,10 +18,10 @@
     job::{Caller, Scope},
 };
 
-/// How many callers are shown at most.
+/// Maximum number of callers that are shown.
 const MAX_SHOWN: usize = 100;
 
-/// What a caller's session shows of itself.
+/// Activity of a caller's session.
 #[derive(Debug)]
 pub(super) struct Activity {
     scope: RefCell<Arc<Scope>>,
@@ -35,7 +35,7 @@
 }
 
 impl Activity {
-    /// Shows a session that begins at `now`.
+    /// Activity of a session that starts at `now`.
     pub(super) fn open(now: Instant, scope: &Arc<Scope>, user: &str, client: SocketAddr) -> Self {
         Self {
             scope: RefCell::new(Arc::clone(scope)),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A request began.
+    /// Notes that a request began.
     pub(super) fn begin(&self, now: Instant, scope: &Arc<Scope>) {
         if !Arc::ptr_eq(&self.scope.borrow(), scope) {
             *self.scope.borrow_mut() = Arc::clone(scope);
@@ -57,8 +57,8 @@
         self.set(now, Phase::Running);
     }
 
-    /// A request ended and left the session in this state of a transaction, as
-    /// the ready message tells it.
+    /// Notes that a request ended with this transaction state, as in
+    /// `ReadyForQuery`.
     pub(super) fn end(&self, now: Instant, status: u8, token: Option<Position>) {
         let transaction = self.transaction.get();
         if status == b'I' {
@@ -93,15 +93,15 @@
     }
 }
 
-/// Answers operators until the daemon stops.
+/// Answers the operators' port until the daemon stops.
 pub(super) async fn serve(shared: Rc<Shared>, mut inquiries: Requests<introspect::Callers>) {
     while let Some(answer) = inquiries.recv().await {
         let _ = answer.send(callers(&shared));
     }
 }
 
-/// All callers counted, and those shown that have been at work the longest:
-/// first those that hold something, then the idle ones.
+/// Counts all callers and shows those that have worked the longest: first the
+/// ones with a request or a transaction, then the idle ones.
 fn callers(shared: &Shared) -> introspect::Callers {
     let now = shared.clock.now();
     let callers = shared.callers.borrow();
