--- a/crates/daemon/src/control/duty.rs
+++ b/crates/daemon/src/control/duty.rs
@@ -1,4 +1,5 @@
-//! Runs the failover machines and carries their actions to the other duties.
+//! Runs the failover state machines and passes their actions to the other
+//! duties.
 
 use std::collections::BTreeMap;
 
@@ -17,32 +18,32 @@
     ring,
 };
 
-/// What the control duty is given.
+/// Configuration of the control duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
     /// The machine's clock.
     pub(crate) clock: Clock,
     /// This instance.
     pub(crate) instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub(crate) zone: name::Zone,
-    /// To the upstreams' duty.
+    /// Orders to the upstreams' duty.
     pub(crate) orders: ring::Sender<Order>,
-    /// From the upstreams' duty.
+    /// Answers of the upstreams' duty.
     pub(crate) answers: ring::Receiver<Answer>,
-    /// To the store's duty.
+    /// Requests to the store's duty.
     pub(crate) store_requests: ring::Sender<platform::RecordRequest>,
-    /// From the store's duty.
+    /// Answers of the store's duty.
     pub(crate) store_responses: ring::Receiver<RecordResponse>,
-    /// To the peers' duty.
+    /// Commands to the peers' duty.
     pub(crate) peer_commands: ring::Sender<Command>,
-    /// From the peers' duty.
+    /// Updates of the peers' duty.
     pub(crate) peer_updates: ring::Receiver<Update>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<Vec<Primary>>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
-    /// Where the attempts' numbers begin.
+    /// Seed for the numbers of attempts.
     pub(crate) seed: u64,
 }
 
@@ -59,11 +60,11 @@
     groups: BTreeMap<name::Database, Slot>,
 }
 
-/// One database's machine.
+/// State machine of one database.
 struct Slot {
     group: Group,
     wake: Option<Instant>,
-    /// The term whose primary the other duties were told last.
+    /// Term of the last primary that was announced to the other duties.
     announced: Option<model::Term>,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl Control {
-    /// What operators see of the databases.
+    /// State of the databases for operators.
     fn primaries(&self) -> Vec<Primary> {
         let primary = |(database, slot): (&name::Database, &Slot)| {
             let term = slot.group.term().unwrap_or_default();
@@ -108,7 +109,7 @@
         self.groups.iter().map(primary).collect()
     }
 
-    /// How long until the first machine wants to be woken.
+    /// Time until the next state machine is due.
     fn pause(&self) -> std::time::Duration {
         const MAX_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
         let next = self.groups.values().filter_map(|slot| slot.wake).min();
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Brings the machines in line with the catalogue.
+    /// Adds, updates and removes state machines to match the catalogue.
     fn apply_catalog(&mut self, snapshot: &Snapshot) {
         let databases = &snapshot.catalog.databases;
         self.groups.retain(|name, _| databases.contains_key(name));
@@ -224,7 +225,7 @@
                     self.step(name, Event::Members(self.members.clone()));
                 }
                 Err(error) => log::error!(
-                    duty = "control", database = name.as_str(); "the state chart is faulty: {error}"),
+                    duty = "control", database = name.as_str(); "invalid state chart: {error}"),
             }
         }
     }
@@ -287,7 +288,7 @@
                     slot.wake = Some(at);
                 }
             }
-            // Evidence may be lost, and is told again.
+            // Lost evidence is sent again.
             Action::SendEvidence { to, evidence } => {
                 if self
                     .peer_commands
@@ -300,8 +301,8 @@
         }
     }
 
-    /// A probe or an order that finds the ring full is left out: the machine
-    /// counts it as unanswered and asks again, as with a lost packet.
+    /// A probe or an order that finds the ring full is dropped: the state
+    /// machine treats it as unanswered and repeats it, as after a lost packet.
     fn order(&mut self, order: Order) {
         if self.orders.push(order).is_err() {
             ring_full("orders");
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Tells the upstreams' duty who leads, once for each term.
+    /// Announces the primary to the upstreams' duty, once for each term.
     fn announce_primary(&mut self, database: &name::Database) {
         let Some(slot) = self.groups.get_mut(database) else {
             return;
@@ -330,7 +331,7 @@
         }
         log::info!(
             duty = "control", database = database.as_str();
-            "{} leads in term {}", primary.upstream, primary.term
+            "{} is the primary of term {}", primary.upstream, primary.term
         );
         let record = Record {
             term: primary.term,
@@ -352,7 +353,7 @@
     metrics::counter!("dandelionlink_ring_full_total", "ring" => ring).increment(1);
 }
 
-/// The upstreams of a database, as the failover machine sees them.
+/// Upstreams of a database for the failover state machine.
 fn members(database: &catalog::Database) -> BTreeMap<name::Upstream, Member> {
     let member = |it: &catalog::Upstream| {
         let status = if it.leaving {
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,15 +1,15 @@
-//! The control duty: who leads each database.
+//! The control duty: elects the primary of each database.
 
 use model::{Record, Report, name};
 
-/// What the control duty asks of the upstreams' duty.
+/// Order from the control duty to the upstreams' duty.
 #[derive(Debug)]
 pub(crate) enum Order {
-    /// Ask an upstream for its status.
+    /// Read an upstream's status.
     Probe {
         /// The database.
         database: name::Database,
-        /// To answer with.
+        /// Id that the answer repeats.
         call: failover::Call,
         /// The upstream.
         upstream: name::Upstream,
@@ -18,32 +18,32 @@
     Execute {
         /// The database.
         database: name::Database,
-        /// To answer with.
+        /// Id that the answer repeats.
         call: failover::Call,
         /// The upstream.
         upstream: name::Upstream,
         /// The order.
         order: failover::Order,
     },
-    /// Somebody leads, as the store or an announcement has it.
+    /// Set the primary that the store or an announcement names.
     SetPrimary {
         /// The database.
         database: name::Database,
-        /// Who, and in which term.
+        /// Primary and its term.
         record: Record,
     },
 }
 
-/// What the upstreams' duty answers the control duty.
+/// Answer of the upstreams' duty to the control duty.
 #[derive(Debug)]
 pub(crate) struct Answer {
     /// The database.
     pub(crate) database: name::Database,
-    /// What was asked.
+    /// Id of the order.
     pub(crate) call: failover::Call,
     /// The upstream.
     pub(crate) upstream: name::Upstream,
-    /// Its status, or why there is none.
+    /// Status of the upstream, or the fault of the order.
     pub(crate) result: Result<Report, failover::Fault>,
 }
 
--- a/crates/daemon/src/control/pace.rs
+++ b/crates/daemon/src/control/pace.rs
@@ -1,31 +1,32 @@
-//! How often the upstreams of a database are probed.
+//! Number of candidates and probe interval by the size of the fleet.
 
 use std::time::Duration;
 
 use failover::{CANDIDATES, Timing};
 
-/// The upstreams of a usual database.
+/// Typical number of upstreams of a database.
 const UPSTREAMS_PER_DATABASE: usize = 3;
 
-/// The candidates of a database in a large fleet: enough to outvote one.
+/// Candidates of a database in a large fleet: the smallest number of which two
+/// outvote one.
 const LARGE_FLEET_CANDIDATES: usize = 3;
 
-/// The bytes of a probe and its answer, at all instances that they pass: 280
-/// at the candidate, at the holder, and from there to the upstream and back,
-/// as `docs/CAPACITY.md` reckons them.
+/// Bytes of a probe and its answer at all instances on the way (see
+/// `docs/CAPACITY.md`): 280 each at the candidate, at the holder, and between
+/// the holder and the upstream.
 const PROBE_BYTES: usize = 840;
 
-/// What an instance may send and receive for probes, in bytes a second: the
-/// 9 KB/s for control, less what the fleet's own messages take.
+/// Bytes a second that an instance may send and receive for probes: the 9 KB/s
+/// for control traffic, less the share of membership messages.
 const BUDGET_BYTES_PER_S: usize = 7_700;
 
-/// The fleets up to which probes are as often as failover is fastest with.
+/// Largest fleet, in instances, that probes at the fastest interval.
 const SMALL_FLEET: usize = 90;
 
-/// The probes of large fleets are a whole multiple of this apart.
+/// Granularity of the probe interval in large fleets.
 const INTERVAL_STEP: Duration = Duration::from_millis(100);
 
-/// How many candidates a database has in a fleet of `instances`.
+/// Number of candidates of a database in a fleet of `instances`.
 pub(super) fn candidates(instances: usize) -> usize {
     if instances <= SMALL_FLEET {
         CANDIDATES
@@ -34,12 +35,11 @@
     }
 }
 
-/// The waits of the failover machines for a catalogue of `databases` in a
-/// fleet of `instances`.
+/// Timing of failover for a catalogue of `databases` in a fleet of `instances`.
 ///
-/// Probes cost as many bytes as there are databases for each instance. Today's
-/// fleets can afford the default; at its pace 4,000 instances before 6,600
-/// databases would spend 249 KB/s each, with three candidates.
+/// The traffic of probes grows with the number of databases for each instance.
+/// Small fleets can afford the default interval; with three candidates, 4,000
+/// instances with 6,600 databases would spend 249 KB/s each at that interval.
 pub(super) fn timing(databases: usize, instances: usize) -> Timing {
     if instances <= SMALL_FLEET {
         return Timing::default();
--- a/crates/daemon/src/control/pace/tests.rs
+++ b/crates/daemon/src/control/pace/tests.rs
@@ -5,7 +5,7 @@
 use super::{candidates, timing};
 
 #[test]
-fn todays_fleets_probe_as_often_as_failover_is_fastest_with() {
+fn small_fleets_probe_at_the_default_interval() {
     assert_eq!(
         timing(3, 9).probe_interval,
         Timing::default().probe_interval
@@ -13,11 +13,11 @@
     assert_eq!(candidates(9), failover::CANDIDATES);
 }
 
-/// Symptom: control takes 249 KB/s on each instance of the target's fleet.
-/// Events: 6,600 databases, three candidates each, three upstreams, 50 ms.
-/// Cause: a pace that does not look at the size of the fleet.
+/// Guards against probe traffic that ignores the size of the fleet: at the
+/// default interval of 50 ms, 6,600 databases with three candidates and three
+/// upstreams each took 249 KB/s on each instance.
 #[test]
-fn the_targets_fleet_probes_within_its_budget() {
+fn the_largest_fleet_probes_within_its_budget() {
     assert_eq!(
         timing(6_600, 4_000).probe_interval,
         Duration::from_millis(1_700)
