--- a/crates/daemon/src/ops/gauge.rs
+++ b/crates/daemon/src/ops/gauge.rs
@@ -1,4 +1,4 @@
-//! Gauges of what the duties hold, taken when the figures are asked for.
+//! Gauges of the duties' state, updated at each scrape.
 
 use std::collections::BTreeSet;
 
@@ -10,20 +10,20 @@
     meter::OTHER,
 };
 
-/// How many upstreams have gauges of their own; the rest are added up as
-/// [`OTHER`]. Each has four.
+/// Maximum number of upstreams with gauges of their own, four for each; the
+/// rest is summed up as [`OTHER`].
 pub(super) const MAX_UPSTREAMS: usize = 500;
 
-/// The labels of an upstream's gauges.
+/// Labels of an upstream's gauges: database and upstream.
 type Labels = (String, String);
 
-/// The gauges that were told before.
+/// Upstreams whose gauges have been set before.
 #[derive(Debug, Default)]
 pub(super) struct Gauges {
     reported: BTreeSet<Labels>,
 }
 
-/// One upstream's figures, or those of several together.
+/// Pool metrics of one upstream, or the sum of several.
 #[derive(Debug, Clone, Copy, Default)]
 struct PoolMetrics {
     open: u32,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Asks the duties, and returns what is to be told of them. A duty that does
-/// not answer leaves its gauges as they were.
+/// Requests the state of the duties and returns the groups. The gauges of a
+/// duty that does not answer keep their values.
 pub(super) async fn request_groups(introspection: &Introspection) -> Vec<Group> {
     let (groups, callers) = tokio::join!(
         introspection.groups.request(),
@@ -87,8 +87,9 @@
 }
 
 impl Gauges {
-    /// Tells the figures of `groups`. An upstream that the catalogue has no
-    /// more falls to nought: its last figures would otherwise stand for ever.
+    /// Sets the gauges of `groups`. Gauges of an upstream that is no longer in
+    /// the catalogue are set to 0, because they would otherwise keep their last
+    /// value.
     pub(super) fn set(&mut self, groups: &[Group]) {
         if groups.is_empty() {
             return;
@@ -106,7 +107,8 @@
                 rest.add(metrics);
             }
         }
-        // They keep their places: the series exist, whatever they say.
+        // Removed upstreams still count against the maximum, because their
+        // series continue to exist.
         for labels in gone {
             PoolMetrics::default().set(&labels);
             self.reported.insert(labels);
--- a/crates/daemon/src/ops/gauge/tests.rs
+++ b/crates/daemon/src/ops/gauge/tests.rs
@@ -4,7 +4,7 @@
 use super::{Gauges, MAX_UPSTREAMS};
 use crate::introspect::Group;
 
-/// A group of the upstreams with these numbers.
+/// Group of the upstreams with these numbers.
 fn group(numbers: std::ops::Range<usize>) -> Group {
     let database = name::Database::new("booking").unwrap();
     let upstream = |number| Upstream {
@@ -29,16 +29,17 @@
 }
 
 #[test]
-fn upstreams_beyond_the_bound_get_no_gauges_of_their_own() {
+fn upstreams_beyond_the_maximum_get_no_gauges_of_their_own() {
     let mut gauges = Gauges::default();
     gauges.set(&[group(0..MAX_UPSTREAMS + 50)]);
     assert_eq!(gauges.reported.len(), MAX_UPSTREAMS);
 }
 
-/// Series can't be taken back, so those that have gone keep their places:
-/// a catalogue that changes must not raise their number past the bound.
+/// Guards against a number of series that grows beyond the maximum with each
+/// change of the catalogue: a series can't be removed, so one of a removed
+/// upstream must still count.
 #[test]
-fn upstreams_that_have_gone_count_against_the_bound() {
+fn removed_upstreams_count_against_the_maximum() {
     let mut gauges = Gauges::default();
     gauges.set(&[group(0..MAX_UPSTREAMS - 10)]);
     gauges.set(&[group(MAX_UPSTREAMS..MAX_UPSTREAMS * 2)]);
--- a/crates/daemon/src/ops/mod.rs
+++ b/crates/daemon/src/ops/mod.rs
@@ -1,4 +1,5 @@
-//! The metrics duty: what operators and the platform's balancer look at.
+//! The metrics duty: HTTP pages for operators and for the platform's load
+//! balancer.
 
 mod gauge;
 mod page;
@@ -23,16 +24,16 @@
 
 use gauge::Gauges;
 
-/// The buckets of latencies, in seconds.
+/// Histogram buckets of latencies, in seconds.
 const LATENCY_BUCKETS_S: [f64; 16] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     5.0, 10.0,
 ];
 
-/// How often measured values are folded into histograms.
+/// Interval at which recorded values are merged into histograms.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The recorder of this process; several daemons in one process share it.
+/// Metrics recorder of this process; daemons in one process share it.
 fn recorder() -> Option<&'static PrometheusHandle> {
     static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     let install = || {
@@ -45,26 +46,26 @@
     HANDLE.get_or_init(install).as_ref()
 }
 
-/// Installs the recorder, before any duty makes a handle: one made sooner
-/// would count into the void for as long as it is kept.
+/// Installs the recorder. This must come before any duty creates a metric
+/// handle, because an earlier handle never records anything.
 pub(crate) fn install() {
     if recorder().is_none() {
-        log::error!(duty = "metrics"; "figures can't be recorded: another recorder is installed");
+        log::error!(duty = "metrics"; "can't record metrics: another recorder is installed");
     }
 }
 
-/// What the metrics duty is given.
+/// Configuration of the metrics duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// Where operators connect.
+    /// Listener for operators.
     pub(crate) listener: TcpListener,
-    /// Where the other duties are asked for what they know.
+    /// Requests to the other duties.
     pub(crate) introspection: Introspection,
     /// The daemon's phase.
     pub(crate) watch: Watch,
 }
 
-/// What the pages share.
+/// State shared by the pages.
 struct Shared {
     introspection: Introspection,
     gauges: Mutex<Gauges>,
@@ -92,7 +93,7 @@
     });
     let server = server.workers(1).disable_signals().listen(conf.listener);
     let Ok(server) = server else {
-        log::error!(duty = "metrics"; "the operators' port can't be served");
+        log::error!(duty = "metrics"; "can't serve the operators' port");
         return;
     };
     let server = server.run();
@@ -104,10 +105,10 @@
     drop(server.stop(false));
 }
 
-/// Folds what was measured into the histograms, for ever.
+/// Merges recorded values into the histograms, without end.
 ///
-/// The recorder keeps each single value until then. Where nobody asks for the
-/// figures, they would fill the memory.
+/// The recorder stores each single value until then, which would fill the
+/// memory if nothing scrapes the metrics.
 async fn run_upkeep() {
     loop {
         sleep(UPKEEP_INTERVAL).await;
@@ -129,15 +130,15 @@
         .body(handle.render())
 }
 
-/// The process lives.
+/// Liveness check: the process runs.
 async fn healthz() -> HttpResponse {
     HttpResponse::Ok().body("alive\n")
 }
 
-/// The instance takes new callers; the balancer asks this.
+/// Readiness check for the load balancer: the instance accepts new callers.
 ///
-/// Without a catalogue every login is refused, so an instance that has just
-/// started must not take callers from those that serve.
+/// Without a catalogue each login is refused, so an instance that has just
+/// started must not get callers instead of instances that serve.
 async fn readyz(shared: State) -> HttpResponse {
     if *shared.watch.borrow() > Phase::Run {
         return HttpResponse::ServiceUnavailable().body("stopping\n");
--- a/crates/daemon/src/ops/page.rs
+++ b/crates/daemon/src/ops/page.rs
@@ -1,4 +1,4 @@
-//! The views: each duty's part put together.
+//! Pages for operators, assembled from the state of each duty.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,7 +9,7 @@
     introspect::{self, Fleet, Group, Groups, Introspection, or_doubt},
 };
 
-/// What `/status` shows.
+/// Content of `/status`.
 pub(super) async fn status(introspection: &Introspection, phase: duty::Phase) -> Status {
     let (fleet, primaries, groups, store) = tokio::join!(
         introspection.fleet.request(),
@@ -75,7 +75,7 @@
     none.then_some(Doubt::NoPrimary { database })
 }
 
-/// What `/upstreams` shows; `None` when the duty that knows does not answer.
+/// Content of `/upstreams`; `None` if the duty does not answer.
 pub(super) async fn upstreams(introspection: &Introspection) -> Option<Upstreams> {
     let Groups { groups, .. } = introspection.groups.request().await?;
     Some(Upstreams {
@@ -84,7 +84,7 @@
     })
 }
 
-/// What `/sessions` shows; `None` when the duty that knows does not answer.
+/// Content of `/sessions`; `None` if the duty does not answer.
 pub(super) async fn sessions(introspection: &Introspection) -> Option<Sessions> {
     let (callers, groups) = tokio::join!(
         introspection.callers.request(),
