--- a/crates/daemon/src/peers/apply.rs
+++ b/crates/daemon/src/peers/apply.rs
@@ -1,4 +1,4 @@
-//! From the fleet's keys to a catalogue that can be put in force.
+//! Assembles the catalogue from replicated keys.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 
 use super::full_key;
 
-/// The catalogue's keys as they are in force.
+/// Keys of the catalogue in force.
 #[derive(Debug, Default)]
 pub(super) struct AppliedCatalog {
     keys: BTreeMap<String, (u64, Bytes)>,
 }
 
 impl AppliedCatalog {
-    /// Reads the catalogue that `changes` lead to; only if it is whole and
-    /// right does it take the place of the last one.
+    /// Decodes the catalogue that results from `changes`, which replaces the
+    /// previous one only if it is complete and valid.
     ///
     /// # Errors
     ///
-    /// What is wrong with it; the last one stays.
+    /// Fault of the new catalogue; the previous one stays.
     pub(super) fn apply(
         &mut self,
         scope: Scope,
--- a/crates/daemon/src/peers/datagram.rs
+++ b/crates/daemon/src/peers/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams from and to other instances.
+//! Datagrams between instances.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,7 @@
 use super::Peers;
 
 impl Peers {
-    /// Takes a datagram in; one that is not sealed by a peer is counted and
-    /// dropped.
+    /// Handles a datagram; one that no peer has sealed is counted and dropped.
     pub(super) async fn datagram(&mut self, bytes: &[u8], address: SocketAddr) {
         let frame = match self.endpoint.receive(address, bytes) {
             Ok(frame) => frame,
@@ -27,7 +26,8 @@
         .await;
     }
 
-    /// Sends a datagram; the network may lose it, and so may a full socket.
+    /// Sends a datagram, which may be lost in the network or by a full socket
+    /// buffer.
     pub(super) fn send(&mut self, to: SocketAddr, message: &Message) {
         match self.endpoint.seal(to, message) {
             Ok(bytes) => {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Counts a frame that was dropped, by its reason.
+/// Counts a dropped frame by its reason.
 pub(super) fn dropped(error: wire::Error) {
     metrics::counter!("dandelionlink_frames_dropped_total", "reason" => error.label()).increment(1);
 }
--- a/crates/daemon/src/peers/evidence.rs
+++ b/crates/daemon/src/peers/evidence.rs
@@ -1,9 +1,9 @@
-//! Evidence of the failover machines, to and from the wire's form.
+//! Conversion of failover evidence to and from its wire form.
 
 use failover::{Evidence, View};
 use wire::Verdict;
 
-/// The wire's form of a candidate's evidence.
+/// Converts a candidate's evidence to its wire form.
 pub(super) fn to_wire(evidence: &Evidence) -> wire::Evidence {
     let verdict = match evidence.view {
         View::Unsure => Verdict::Unsure,
@@ -20,7 +20,7 @@
     }
 }
 
-/// The machine's form of what came by wire.
+/// Converts received evidence to the form of the failover state machine.
 pub(super) fn from_wire(evidence: &wire::Evidence) -> Evidence {
     let view = match evidence.verdict {
         Verdict::Unsure => View::Unsure,
--- a/crates/daemon/src/peers/forward.rs
+++ b/crates/daemon/src/peers/forward.rs
@@ -1,4 +1,4 @@
-//! The streams that carry commands to the holders of connections.
+//! Streams that carry commands to the holders of upstream connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,28 +26,29 @@
     ring,
 };
 
-/// How long a connection to another instance may take.
+/// Timeout of connecting to another instance.
 const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// Commands or answers that may wait for one stream.
+/// Maximum number of commands or answers that wait for one stream.
 const QUEUE_CAPACITY: usize = 1_024;
 
 type Frames = mpsc::Sender<Message>;
 type Commands = mpsc::Sender<(Seq, Command)>;
 
-/// The streams of commands, to and from other instances.
+/// Command streams to and from other instances.
 #[derive(Clone)]
 pub(super) struct Forwards {
-    /// To the upstreams' duty.
+    /// Messages to the upstreams' duty.
     pub(super) ins: ring::Shared<In>,
     outgoing: Rc<RefCell<HashMap<name::Instance, Commands>>>,
     incoming: Rc<RefCell<HashMap<Conn, Frames>>>,
-    /// What the instances that ask here were told last of this one's stop.
+    /// Last notice of this instance's stop that was sent to connected
+    /// instances.
     last_notice: Rc<Cell<Option<StopNotice>>>,
 }
 
 impl Forwards {
-    /// Opens with no stream.
+    /// Creates the set of streams, which is empty at first.
     pub(super) fn open(ins: ring::Shared<In>) -> Self {
         Self {
             ins,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Sends a command to the instance `to`, which listens at `address`.
+    /// Sends a command to the instance `to` at `address`.
     pub(super) async fn send_command(
         &self,
         streams: &Streams,
@@ -71,13 +72,13 @@
         };
         let known = self.outgoing.borrow().get(to).cloned();
         let sender = known.unwrap_or_else(|| self.connect(streams, to, address));
-        // A stream that is stuck must not hold up the others.
+        // A blocked stream must not delay the others.
         if sender.try_send((seq, command)).is_err() {
             self.ins.send(In::Unsent { seq }).await;
         }
     }
 
-    /// Sends an answer to the instance that asked on `conn`.
+    /// Sends an answer on the stream `conn`.
     pub(super) async fn send_answer(&self, conn: Conn, seq: Seq, response: &Response) {
         let frames = self.incoming.borrow().get(&conn).cloned();
         let Some(frames) = frames else { return };
@@ -92,7 +93,7 @@
         let _ = frames.send(message).await;
     }
 
-    /// Tells all instances that ask here that this one is stopping.
+    /// Notifies all connected instances that this one is stopping.
     pub(super) async fn notify_stop(&self, notice: StopNotice) {
         self.last_notice.set(Some(notice));
         let all: Vec<_> = self.incoming.borrow().values().cloned().collect();
@@ -115,7 +116,7 @@
         sender
     }
 
-    /// Carries commands until the stream ends, and tells what became of them.
+    /// Sends commands until the stream ends, and reports the fate of the rest.
     async fn serve_outgoing(
         &self,
         streams: &Streams,
@@ -134,7 +135,7 @@
         };
         self.outgoing.borrow_mut().remove(&to);
         commands.close();
-        // Commands that still wait have not left.
+        // Commands that are still queued were not sent.
         while let Some((seq, _)) = commands.recv().await {
             self.ins.send(In::Unsent { seq }).await;
         }
@@ -145,8 +146,8 @@
         self.ins.send(input).await;
     }
 
-    /// Writes commands and reads answers until the stream ends; notes the last
-    /// command that may have left in `upto`.
+    /// Writes commands and reads answers until the stream ends; `upto` is set
+    /// to the last command that may have been sent.
     async fn run_commands(
         &self,
         to: &name::Instance,
@@ -161,7 +162,7 @@
         loop {
             tokio::select! {
                 Some((seq, command)) = commands.recv() => {
-                    // What does not fit a frame is refused alone.
+                    // Only a command that exceeds the frame size is refused.
                     let Ok(bytes) = end.seal(&forward(seq, &command)) else {
                         self.ins.send(In::Unsent { seq }).await;
                         continue;
@@ -201,7 +202,8 @@
         }
     }
 
-    /// Serves an instance that asks on `tcp`, whose first command has come.
+    /// Serves the commands of an instance on `tcp`, whose first command has
+    /// been read.
     pub(super) async fn serve_incoming(
         &self,
         conn: Conn,
@@ -261,16 +263,16 @@
     }
 }
 
-/// How a stream of commands ended.
+/// End of a command stream.
 #[derive(Debug)]
 enum Ended {
-    /// The holder said [`Response::Bye`].
+    /// The holder sent [`Response::Bye`].
     Left,
-    /// In any other way.
+    /// Any other end.
     Broken,
 }
 
-/// The frame of a command.
+/// Message of a command.
 fn forward(seq: Seq, command: &Command) -> Message {
     let body = postcard::to_allocvec(command).unwrap_or_default();
     Message::Forward {
@@ -280,7 +282,7 @@
     }
 }
 
-/// What a stopping instance tells those that ask it.
+/// Notice of a stopping instance to connected instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StopNotice {
     /// [`Response::Leaving`].
@@ -304,12 +306,12 @@
     }
 }
 
-/// Whether a message is the last of a stopping instance.
+/// Returns true if a message is the last of a stopping instance.
 fn is_bye(message: &Message) -> bool {
     *message == StopNotice::Bye.message()
 }
 
-/// Connects to another instance's streams.
+/// Opens a stream to another instance.
 async fn open(streams: &Streams, address: SocketAddr) -> Result<(TcpStream, Stream), Error> {
     let mut tcp = TcpStream::connect(address).await?;
     tcp.set_nodelay(true)?;
@@ -319,10 +321,10 @@
     Ok((tcp, end))
 }
 
-/// Reads frames, still sealed, until the stream ends.
+/// Reads sealed frames until the stream ends.
 ///
-/// A task of its own reads, because a read that is given up half-way would
-/// lose the bytes that it has taken.
+/// Runs as a separate task, because a cancelled read would lose the bytes that
+/// it has already taken.
 async fn read_all(mut read: OwnedReadHalf, frames: mpsc::Sender<Vec<u8>>) {
     while let Ok(Some(bytes)) = read_frame(&mut read).await {
         if frames.send(bytes).await.is_err() {
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The peers' duty: membership, the catalogue's spread, and what instances
-//! tell each other.
+//! The peers' duty: membership, distribution of the catalogue, and messages
+//! between instances.
 
 mod apply;
 mod datagram;
@@ -37,71 +37,71 @@
 use forward::{Forwards, StopNotice};
 use stream::Received;
 
-/// What the control duty asks of the peers' duty.
+/// Command of the control duty.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Tell another candidate, without confirmation.
+    /// Send evidence to another candidate, without acknowledgement.
     SendEvidence {
-        /// The candidate.
+        /// Recipient.
         to: name::Instance,
-        /// What to tell.
+        /// Evidence to send.
         evidence: Evidence,
     },
 }
 
-/// What the control duty is told.
+/// Update for the control duty.
 #[derive(Debug)]
 pub(crate) enum Update {
-    /// The instances that may be given work, with their zones.
+    /// Available instances with their zones.
     Members(BTreeMap<name::Instance, name::Zone>),
-    /// The catalogue that is in force now.
+    /// Catalogue that is in force now.
     Catalog(Arc<Snapshot>),
-    /// The store's record of a primary.
+    /// Record of a primary in the store.
     Primary {
         /// The database.
         database: name::Database,
         /// The record.
         entry: Entry,
     },
-    /// Another candidate told its evidence.
+    /// Evidence of another candidate.
     Evidence {
-        /// The teller.
+        /// Sender.
         from: name::Instance,
-        /// The teller's zone.
+        /// Zone of the sender.
         zone: name::Zone,
-        /// What it tells.
+        /// Evidence of the sender.
         evidence: Evidence,
     },
 }
 
-/// What the peers' duty is given.
+/// Configuration of the peers' duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// This instance's part in the fleet.
+    /// Configuration of the fleet state machine.
     pub(crate) fleet: fleet::Conf,
-    /// For datagrams.
+    /// Socket for datagrams.
     pub(crate) socket: UdpSocket,
-    /// For streams.
+    /// Listener for streams.
     pub(crate) listener: TcpListener,
-    /// The keys that frames are sealed with.
+    /// Keys that seal frames.
     pub(crate) ring: Ring,
     /// The machine's clock.
     pub(crate) clock: Clock,
-    /// From the control duty.
+    /// Commands of the control duty.
     pub(crate) commands: ring::Receiver<Command>,
-    /// To the control duty.
+    /// Updates for the control duty.
     pub(crate) updates: ring::Sender<Update>,
-    /// To the callers' duty.
+    /// New catalogues for the callers' duty.
     pub(crate) catalogs: ring::Sender<Arc<Snapshot>>,
-    /// From the upstreams' duty.
+    /// Messages of the upstreams' duty.
     pub(crate) outs: ring::Receiver<Out>,
-    /// To the upstreams' duty.
+    /// Messages to the upstreams' duty.
     pub(crate) ins: ring::Sender<In>,
-    /// To the store's duty.
+    /// Calls to the store's duty.
     pub(crate) store_calls: ring::Sender<fleet::Store>,
-    /// From the store's duty.
+    /// Answers of the store's duty.
     pub(crate) store_answers: ring::Receiver<platform::FleetAnswer>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<introspect::Fleet>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
@@ -127,13 +127,13 @@
 /// Runs the duty until the daemon stops.
 pub(crate) async fn run(mut conf: Conf) {
     let Ok(socket) = tokio::net::UdpSocket::from_std(conf.socket) else {
-        log::error!(duty = "peers"; "the peers' port can't be served");
+        log::error!(duty = "peers"; "can't serve the peers' port");
         return;
     };
-    // Until the runtime has polled it, a socket that was just bound takes
-    // nothing, and the greetings of the start would be dropped.
+    // A newly bound socket refuses to send until the runtime has polled it, so
+    // the greetings at the start would be lost.
     if let Err(error) = socket.writable().await {
-        log::warn!(duty = "peers"; "the peers' port takes nothing yet: {error}");
+        log::warn!(duty = "peers"; "the peers' port is not writable: {error}");
     }
     let node = Node::of(&conf.fleet.name);
     let incarnation = conf.fleet.incarnation();
@@ -159,7 +159,7 @@
         diagnostics: Diagnostics::default(),
     };
     peers.perform(actions).await;
-    // An instance that is alone is told of no other member.
+    // An instance that is alone gets no event about members.
     peers.update_members().await;
     let mut buf = vec![0; wire::DATAGRAM_MAX + 1];
     let mut draining = conf.watch.clone();
@@ -189,7 +189,7 @@
 }
 
 impl Peers {
-    /// How long until the fleet's part wants to be woken.
+    /// Time until the fleet state machine is due.
     fn pause(&self) -> Duration {
         const MAX_PAUSE: Duration = Duration::from_secs(1);
         self.wake.map_or(MAX_PAUSE, |at| at.since(self.clock.now()))
@@ -207,7 +207,7 @@
                 Action::Send { to, message } => self.send(to, &message),
                 Action::Ask { call, to, message } => self.streams.request(call, to, message),
                 Action::Reply { stream, messages } => self.streams.reply(stream, messages),
-                Action::Store(store) => self.ask_store(store),
+                Action::Store(store) => self.call_store(store),
                 Action::Catalog {
                     revision,
                     scope,
@@ -230,9 +230,9 @@
         }
     }
 
-    /// A call that finds the ring full is left out: the fleet's part counts it
-    /// as unanswered and makes it again.
-    fn ask_store(&mut self, store: fleet::Store) {
+    /// Passes a call to the store's duty. A call that finds the ring full is
+    /// dropped: the fleet state machine treats it as unanswered and repeats it.
+    fn call_store(&mut self, store: fleet::Store) {
         if self.store_calls.push(store).is_err() {
             metrics::counter!("dandelionlink_ring_full_total", "ring" => "fleet").increment(1);
         }
@@ -255,10 +255,10 @@
                 self.catalogs.send(snapshot).await;
             }
             Err(error) => {
-                log::error!(duty = "peers"; "catalogue {revision} is held back: {error}");
+                log::error!(duty = "peers"; "catalogue {revision} is invalid and not applied: {error}");
                 self.diagnostics.refused(revision, error.to_string());
                 let actions = self.fleet.step(self.clock.now(), Event::Refused(revision));
-                // A refusal only brings notices, never another catalogue.
+                // A refusal only causes notices, never another catalogue.
                 Box::pin(self.perform(actions)).await;
             }
         }
@@ -352,7 +352,7 @@
     }
 }
 
-/// Counts and logs what an operator wants to know.
+/// Counts and logs a notice for operators.
 fn log_notice(notice: &Notice) {
     let kind = match notice {
         Notice::StoreBehind { .. } => "store_behind",
@@ -369,27 +369,27 @@
     log::warn!(duty = "peers"; "{notice:?}");
 }
 
-/// Tells operators that a zone is cut off from this instance, or is back.
+/// Logs that a zone became unreachable from this instance, or reachable again.
 fn log_zone_path(zone: &name::Zone, path: fleet::Path) {
     let kind = "zone";
     metrics::counter!("dandelionlink_fleet_notices_total", "kind" => kind).increment(1);
-    log::warn!(duty = "peers", zone = zone.as_str(); "the way to zone {zone}: {path:?}");
+    log::warn!(duty = "peers", zone = zone.as_str(); "path to zone {zone}: {path:?}");
 }
 
-/// The store's key of a key that the fleet mirrors.
+/// Store key of a key that the fleet replicates.
 ///
-/// The fleet's keys travel without what all of them begin with.
+/// Keys between instances omit the prefix that all of them share.
 pub(crate) fn full_key(key: &str) -> String {
     let root = PRIMARIES.trim_end_matches("primary/");
     format!("{root}{key}")
 }
 
-/// The fleet's key of a key of the store.
+/// Key between instances of a store key; `None` without the common prefix.
 pub(crate) fn short_key(key: &str) -> Option<&str> {
     key.strip_prefix(PRIMARIES.trim_end_matches("primary/"))
 }
 
-/// Where peers reach an instance that binds `address`.
+/// Address that peers use for an instance that binds `address`.
 pub(crate) fn reachable(address: SocketAddr, bound: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip(), bound.port())
 }
--- a/crates/daemon/src/peers/stream.rs
+++ b/crates/daemon/src/peers/stream.rs
@@ -1,5 +1,4 @@
-//! Streams between instances: questions whose answers are too large for a
-//! datagram.
+//! Streams between instances, for requests whose answers exceed a datagram.
 
 use std::{
     cell::RefCell,
@@ -22,46 +21,46 @@
 
 use super::{datagram::dropped, forward::Forwards};
 
-/// How long a question on a stream may take, answer included.
+/// Timeout of a request on a stream, including the answer.
 const TIMEOUT: Millis = Millis(5_000);
 
-/// How many questions of peers are answered at once.
+/// Maximum number of requests of peers that are served at once.
 const MAX_SERVED: usize = 64;
 
-/// What has come on streams and waits for the duty.
+/// Maximum number of received messages that wait for the duty.
 const MAX_RECEIVED: usize = 256;
 
-/// How long an accept that failed waits.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What came on a stream.
+/// Input from a stream.
 #[derive(Debug)]
 pub(super) enum Received {
-    /// A frame of the answer to a question.
+    /// Part of the answer to a request.
     Answer {
-        /// The question.
+        /// Id of the request.
         call: Call,
-        /// What the peer says.
+        /// Message of the peer.
         message: Message,
     },
-    /// A question failed.
+    /// A request failed.
     Failed {
-        /// The question.
+        /// Id of the request.
         call: Call,
     },
-    /// A peer asks.
+    /// A request of a peer.
     Request {
-        /// To answer with.
+        /// Stream to answer on.
         stream: u64,
-        /// What it asks.
+        /// Message of the peer.
         message: Message,
     },
 }
 
-/// Why a stream ended.
+/// Error of a stream.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Error {
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A frame is not sealed by a peer.
@@ -71,7 +70,7 @@
 
 type Answers = Rc<RefCell<HashMap<u64, oneshot::Sender<Vec<Message>>>>>;
 
-/// The streams of one instance.
+/// Streams of one instance.
 pub(super) struct Streams {
     node: Node,
     incarnation: u64,
@@ -82,7 +81,7 @@
 }
 
 impl Streams {
-    /// Accepts streams on `listener` from now on.
+    /// Starts to accept streams on `listener`.
     pub(super) fn open(
         listener: TcpListener,
         node: Node,
@@ -115,7 +114,8 @@
         }
     }
 
-    /// Asks the instance at `to`; the answer comes as [`Received`].
+    /// Sends a request to the instance at `to`; the answer arrives as
+    /// [`Received`].
     pub(super) fn request(&self, call: Call, to: SocketAddr, message: Message) {
         let streams = self.handle();
         ntex::rt::spawn(async move {
@@ -126,7 +126,7 @@
         });
     }
 
-    /// Answers a question of a peer.
+    /// Answers the request of a peer.
     pub(super) fn reply(&self, stream: u64, messages: Vec<Message>) {
         let answer = self.answers.borrow_mut().remove(&stream);
         if let Some(answer) = answer {
@@ -134,13 +134,13 @@
         }
     }
 
-    /// This instance's end of a stream with that nonce.
+    /// This instance's end of a stream with the given nonce.
     pub(super) fn end(&self, nonce: [u8; 16], side: Side) -> Stream {
         Stream::open(self.node, self.incarnation, self.ring.clone(), nonce, side)
     }
 }
 
-/// Reads the next frame; `None` at the stream's end.
+/// Reads the next frame; `None` at the end of the stream.
 async fn read(tcp: &mut TcpStream, end: &mut Stream) -> Result<Option<Message>, Error> {
     match read_frame(tcp).await? {
         Some(bytes) => Ok(Some(end.receive(&bytes)?.message)),
@@ -148,7 +148,8 @@
     }
 }
 
-/// Reads the next frame, still sealed; `None` at the stream's end.
+/// Reads the next frame without opening its seal; `None` at the end of the
+/// stream.
 pub(super) async fn read_frame(
     tcp: &mut (impl AsyncRead + Unpin),
 ) -> Result<Option<Vec<u8>>, Error> {
@@ -203,7 +204,8 @@
         };
         accepted += 1;
         let (streams, stream) = (streams.handle(), accepted);
-        // Peers beyond the bound are cut off and ask another instance.
+        // Connections beyond the maximum are closed, and their peers ask
+        // another instance.
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
@@ -228,7 +230,8 @@
         return Ok(());
     };
     if let Message::Forward { .. } = message {
-        // A stream of commands lasts; it takes no room from the questions.
+        // A command stream is long-lived and must not occupy a permit for
+        // requests.
         drop(permit);
         streams
             .forwards
--- a/crates/daemon/src/peers/view.rs
+++ b/crates/daemon/src/peers/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet and of the catalogue in force.
+//! State of the fleet and of the catalogue in force for operators.
 
 use std::collections::BTreeSet;
 
@@ -11,30 +11,31 @@
 use super::Peers;
 use crate::introspect::{self, millis};
 
-/// What the duty keeps for operators only.
+/// State that the duty keeps only for operators.
 #[derive(Debug, Default)]
 pub(super) struct Diagnostics {
-    /// When the catalogue in force was put there.
+    /// Time at which the catalogue was put in force.
     applied: Option<Instant>,
-    /// Why the last catalogue that was refused was.
+    /// Last refused catalogue and the reason.
     refused: Option<(wire::Revision, String)>,
-    /// The store's revision and the one held, since the store went back.
+    /// Revision of the store and the newer one held here, after the store has
+    /// gone back.
     store_older: Option<(wire::Revision, wire::Revision)>,
 }
 
 impl Diagnostics {
-    /// A catalogue was put in force.
+    /// Notes that a catalogue was put in force.
     pub(super) fn applied(&mut self, now: Instant) {
         self.applied = Some(now);
         self.refused = None;
     }
 
-    /// A catalogue was refused.
+    /// Notes that a catalogue was refused.
     pub(super) fn refused(&mut self, revision: wire::Revision, reason: String) {
         self.refused = Some((revision, reason));
     }
 
-    /// Takes in what the fleet's part tells.
+    /// Notes a notice of the fleet state machine.
     pub(super) fn note(&mut self, notice: &Notice) {
         match notice {
             Notice::StoreBehind { store, held } => self.store_older = Some((*store, *held)),
@@ -45,7 +46,7 @@
 }
 
 impl Peers {
-    /// What operators see.
+    /// State of the duty for operators.
     pub(super) fn view(&self) -> introspect::Fleet {
         let now = self.clock.now();
         let applied = self.diagnostics.applied.unwrap_or(now);
@@ -132,8 +133,8 @@
     }
 }
 
-/// Zones of which no instance answers, by the states of each zone's instances.
-/// One that said goodbye is not missed.
+/// Returns the zones in which no instance answers, by the states of each zone's
+/// instances. Instances that left by themselves are not missed.
 fn silent_zones(
     own: &name::Zone,
     zones: impl Iterator<Item = (name::Zone, Vec<State>)>,
@@ -153,11 +154,12 @@
     alone.into_iter().chain(silent).collect()
 }
 
-/// The catalogue's revision that another instance has in force.
+/// Returns the revision of the catalogue that another instance has in force.
 ///
-/// It tells how far it mirrors the store, which each change of a primary
-/// moves on as well. Shown as it is, it would make this instance, whose
-/// catalogue is the same, seem to lack a change that there never was.
+/// An instance without `applied` reports only the revision up to which it
+/// mirrors the store, and each change of a primary raises that revision as
+/// well. Shown unchanged, it would suggest that this instance, which has the
+/// same catalogue, lacks a change.
 fn in_force(own: &fleet::Status, reported: &wire::View) -> wire::Revision {
     if let Some(applied) = reported.applied {
         return applied;
--- a/crates/daemon/src/peers/view/tests.rs
+++ b/crates/daemon/src/peers/view/tests.rs
@@ -31,24 +31,24 @@
     }
 }
 
-/// Symptom: `status` said that an instance lacked the latest catalogue, and
-/// `apply` had not been used for days. Events: a primary was replaced; the
-/// store's revision rose by its record; another instance told that revision.
-/// Cause: how far an instance mirrors the store was taken for its catalogue.
+/// Guards against a `status` that shows another instance without the latest
+/// catalogue although the catalogue has not changed: the revision that the
+/// instance mirrored, which the record of a new primary had raised, was taken
+/// for the revision of its catalogue.
 #[test]
-fn a_change_of_primary_is_no_revision_of_the_catalogue() {
+fn a_new_primary_does_not_change_the_catalogue_revision() {
     assert_eq!(in_force(&status(7, 8), &reported(8, None)), at(7));
     assert_eq!(in_force(&status(7, 8), &reported(7, None)), at(7));
 }
 
 #[test]
-fn an_instance_that_lags_or_holds_back_is_shown_so() {
+fn a_lagging_or_refused_catalogue_is_shown() {
     assert_eq!(in_force(&status(7, 8), &reported(5, None)), at(5));
     assert_eq!(in_force(&status(7, 8), &reported(8, Some(3))), at(3));
 }
 
 #[test]
-fn an_instance_that_is_ahead_is_believed() {
+fn a_newer_catalogue_of_another_instance_is_shown() {
     assert_eq!(in_force(&status(7, 8), &reported(9, None)), at(9));
     let held = Held {
         revision: at(8),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_zone_is_silent_when_nobody_there_answers() {
+fn a_zone_is_silent_when_no_instance_in_it_answers() {
     let own = zone("a");
     let zones = [
         (zone("a"), vec![State::Suspect]),
