--- a/crates/daemon/src/callers/change.rs
+++ b/crates/daemon/src/callers/change.rs
@@ -1,31 +1,31 @@
-//! What a statement changes of its session's settings.
+//! Changes that a statement makes to the settings of its session.
 
 use route::statement::{Kind, classify, split};
 
 use crate::job::Change;
 
-/// The changes that a text makes, in order.
+/// Returns the changes that a text makes, in order.
 ///
-/// A session's settings are the proxy's to keep: its statements run on many
-/// connections, and a connection serves many sessions.
+/// The proxy stores the settings of each session, because a session runs on
+/// many connections and a connection serves many sessions.
 pub(super) fn changes(sql: &str) -> Vec<Change> {
     let mut found = Vec::new();
     for statement in split(sql) {
-        change(statement, &mut found);
+        append_changes(statement, &mut found);
     }
     found
 }
 
-/// Whether all that a text does is to change settings.
+/// Returns true if a text only changes settings.
 pub(super) fn only_changes(sql: &str) -> bool {
     split(sql).all(|statement| {
         let mut found = Vec::new();
-        change(statement, &mut found);
+        append_changes(statement, &mut found);
         !found.is_empty() || classify(statement) == Kind::Empty
     })
 }
 
-fn change(sql: &str, found: &mut Vec<Change>) {
+fn append_changes(sql: &str, found: &mut Vec<Change>) {
     if let Kind::Set { name, value } = classify(sql) {
         found.push(assign(name, value));
         return;
@@ -46,7 +46,7 @@
             characteristics(modes, found);
         }
         ["set", "time", "zone", _] | ["set", "session", "time", "zone", _] => {
-            found.push(zone(words[words.len() - 1]));
+            found.push(time_zone(words[words.len() - 1]));
         }
         ["set", "names", _] => found.push(assign("client_encoding", unquoted(words[2]))),
         ["reset", "all"] | ["discard", "all"] => found.push(Change::ResetAll),
@@ -62,17 +62,17 @@
     if value.eq_ignore_ascii_case("default") {
         return Change::Reset(name);
     }
-    Change::Set(name, plain(value))
+    Change::Set(name, set_config_value(value))
 }
 
-fn zone(word: &str) -> Change {
+fn time_zone(word: &str) -> Change {
     if word.eq_ignore_ascii_case("local") {
         return Change::Reset("timezone".to_owned());
     }
     assign("timezone", unquoted(word))
 }
 
-/// The modes of transactions to come, which are settings of their own.
+/// Appends the modes of later transactions, which are settings of their own.
 fn characteristics(modes: &[&str], found: &mut Vec<Change>) {
     let mut set = |name: &str, value: &str| found.push(assign(name, value));
     let mut rest = modes;
@@ -81,7 +81,7 @@
             ["isolation", "level", "read", level, rest @ ..] => {
                 set(
                     "default_transaction_isolation",
-                    &format!("read {}", bare(level)),
+                    &format!("read {}", without_comma(level)),
                 );
                 rest
             }
@@ -96,7 +96,7 @@
                 rest
             }
             ["isolation", "level", level, rest @ ..] => {
-                set("default_transaction_isolation", bare(level));
+                set("default_transaction_isolation", without_comma(level));
                 rest
             }
             ["read", "only" | "only,", rest @ ..] => {
@@ -120,7 +120,7 @@
     }
 }
 
-fn bare(word: &str) -> &str {
+fn without_comma(word: &str) -> &str {
     word.trim_end_matches(',')
 }
 
@@ -129,9 +129,10 @@
     inner.unwrap_or(text)
 }
 
-/// A value as `set_config` takes it. A list of quoted items, of which the
-/// outermost quotes are gone already, is written with double quotes.
-fn plain(value: &str) -> String {
+/// Returns a value in the form that `set_config` expects. In a list of quoted
+/// items, whose outermost quotes are already removed, the items get double
+/// quotes.
+fn set_config_value(value: &str) -> String {
     if !value.contains("',") {
         return value.replace("''", "'");
     }
@@ -140,7 +141,7 @@
     items.join(", ")
 }
 
-/// A text without its block comments and its last semicolon.
+/// Returns a text without block comments and without its last semicolon.
 pub(super) fn uncommented(sql: &str) -> String {
     let mut text = String::new();
     let mut rest = sql;
--- a/crates/daemon/src/callers/greet.rs
+++ b/crates/daemon/src/callers/greet.rs
@@ -1,4 +1,4 @@
-//! The beginning of a caller's connection: startup, login and greeting.
+//! Start of a caller's connection: startup, login and greeting.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 
 use super::{
-    Entry, PARTS, Shared, Stream,
+    Entry, MAX_PARTS, Shared, Stream,
     auth::{self, Exchange},
     serve::Session,
 };
@@ -30,18 +30,18 @@
     tls::Tls,
 };
 
-/// How long a caller may take to log in.
+/// Time limit of a login.
 const LOGIN_TIMEOUT: Millis = Millis(10_000);
 
-/// Protocol 3.0 as one number, which is how servers tell their newest.
+/// Protocol version 3.0 as one number, the newest version that servers report.
 const PROTOCOL: i32 = 3 << 16;
 
-/// How many connections may be logging in at once. Together with
-/// [`pg::MAX_STARTUP`] and [`pg::MAX_LOGIN`] it bounds the memory that peers
-/// can take that have not proved who they are.
+/// Maximum number of connections that are logging in. Together with
+/// [`pg::MAX_STARTUP`] and [`pg::MAX_LOGIN`] it limits the memory that
+/// unauthenticated clients can take.
 const MAX_LOGINS: usize = 1_024;
 
-/// A refusal of the connection, told with its SQLSTATE.
+/// Refusal of a connection, with its SQLSTATE.
 pub(super) struct Refusal {
     state: &'static str,
     text: String,
@@ -72,11 +72,11 @@
     }
 }
 
-/// Counts a connection among those that are logging in while it lives.
-struct Login(Rc<Shared>);
+/// Counts a connection as logging in until it is dropped.
+struct LoginSlot(Rc<Shared>);
 
-impl Login {
-    /// Counts one more, if there may be.
+impl LoginSlot {
+    /// Counts one more login, unless the maximum is reached.
     fn open(shared: &Rc<Shared>) -> Option<Self> {
         let count = shared.logins.get();
         if count >= MAX_LOGINS {
@@ -87,39 +87,41 @@
     }
 }
 
-impl Drop for Login {
+impl Drop for LoginSlot {
     fn drop(&mut self) {
         self.0.logins.set(self.0.logins.get() - 1);
     }
 }
 
-/// How a connection began.
-enum Began {
-    /// With this message.
-    With(Stream, Startup),
-    /// With something that is refused.
+/// Result of the first messages of a connection.
+enum Opening {
+    /// A startup message.
+    Startup(Stream, Startup),
+    /// A message that is refused.
     Refused(Stream, Refusal),
-    /// The caller is gone, or its TLS broke off.
+    /// The caller disconnected, or the TLS handshake failed.
     Gone,
 }
 
-/// Serves one connection from its first byte to its last.
+/// Serves one connection until its end.
 pub(super) async fn serve(io: Io, client: SocketAddr, shared: Rc<Shared>) {
-    let Some(counted) = Login::open(&shared) else {
+    let Some(slot) = LoginSlot::open(&shared) else {
         return reject(&io.seal(), "53300", "too many connections are logging in").await;
     };
     let started = shared.clock.now();
-    let began = ntex::time::timeout(LOGIN_TIMEOUT, begin(io, &shared)).await;
-    let (io, startup) = match began {
-        Ok(Began::With(io, startup)) => (io, startup),
-        Ok(Began::Refused(io, refusal)) => return reject(&io, refusal.state, &refusal.text).await,
-        Ok(Began::Gone) | Err(()) => return,
+    let opening = ntex::time::timeout(LOGIN_TIMEOUT, read_opening(io, &shared)).await;
+    let (io, startup) = match opening {
+        Ok(Opening::Startup(io, startup)) => (io, startup),
+        Ok(Opening::Refused(io, refusal)) => {
+            return reject(&io, refusal.state, &refusal.text).await;
+        }
+        Ok(Opening::Gone) | Err(()) => return,
     };
     let spent = shared.clock.now().since(started);
     let left = Duration::from(LOGIN_TIMEOUT).saturating_sub(spent);
     let login =
         ntex::time::timeout(Millis::from(left), log_in(&io, client, &shared, startup)).await;
-    drop(counted);
+    drop(slot);
     match login {
         Ok(Ok(None)) => {}
         Ok(Ok(Some(session))) => session.run(io).await,
@@ -179,31 +181,34 @@
     for (key, value) in optional.chain(given) {
         if key == "dandelionlink.session" {
             session
-                .present(value)
+                .apply_token(value)
                 .or_else(|error| refuse("22023", error.to_string()))?;
         }
         session.start_setting(key, value);
     }
-    greet(io, shared, &mut session)?;
+    register(io, shared, &mut session)?;
     Ok(Some(session))
 }
 
-/// The settings in the `options` of a startup message, written `-c key=value`
-/// or `--key=value`; a backslash keeps the character behind it as it is.
+/// Parses the settings in the `options` of a startup message, written `-c
+/// key=value` or `--key=value`; a backslash escapes the next character.
 ///
-/// Many drivers can give a setting of the proxy only this way.
+/// Many drivers can pass a setting of the proxy only in this way.
 pub(super) fn options(text: &str) -> Vec<(String, String)> {
     let mut words = vec![String::new()];
     let mut chars = text.chars();
     while let Some(char) = chars.next() {
-        let kept = if char == '\\' {
+        let literal = if char == '\\' {
             chars.next()
         } else {
             Some(char)
         };
-        match kept {
+        match literal {
             Some(_) if char.is_whitespace() => words.push(String::new()),
-            Some(kept) => words.last_mut().expect("it begins with one").push(kept),
+            Some(literal) => words
+                .last_mut()
+                .expect("the list starts with one word")
+                .push(literal),
             None => {}
         }
     }
@@ -234,33 +239,34 @@
     Some((key.to_owned(), value.to_owned()))
 }
 
-/// Reads first messages until one begins something. Callers may ask for
-/// encryption of each kind once before; TLS is served if settings say so.
-async fn begin(io: Io, shared: &Shared) -> Began {
+/// Reads messages until one of them starts a session or cancels a request. A
+/// caller may request each kind of encryption once before; TLS is accepted if
+/// configured.
+async fn read_opening(io: Io, shared: &Shared) -> Opening {
     let (mut tls, mut gss) = (false, false);
     loop {
-        let found = match first(&io).await {
+        let found = match read_startup(&io).await {
             Ok(Some(found)) => found,
-            Ok(None) => return Began::Gone,
-            Err(refusal) => return Began::Refused(io.seal(), refusal),
+            Ok(None) => return Opening::Gone,
+            Err(refusal) => return Opening::Refused(io.seal(), refusal),
         };
-        let asked = match found {
+        let requested = match found {
             Startup::Tls => &mut tls,
             Startup::Gss => &mut gss,
-            found => return Began::With(io.seal(), found),
+            found => return Opening::Startup(io.seal(), found),
         };
-        if std::mem::replace(asked, true) {
-            return Began::Refused(io.seal(), twice());
+        if std::mem::replace(requested, true) {
+            return Opening::Refused(io.seal(), requested_twice());
         }
         match (&found, &shared.tls) {
-            (Startup::Tls, Some(tls)) => return secure(io, tls).await,
-            _ if decline(&io).is_err() => return Began::Gone,
+            (Startup::Tls, Some(tls)) => return start_tls(io, tls).await,
+            _ if decline(&io).is_err() => return Opening::Gone,
             _ => {}
         }
     }
 }
 
-fn twice() -> Refusal {
+fn requested_twice() -> Refusal {
     Refusal {
         state: "08P01",
         text: "encryption was asked for twice".to_owned(),
@@ -272,40 +278,42 @@
     io.send_buf()
 }
 
-/// Goes on in TLS.
+/// Accepts TLS.
 ///
-/// Bytes that are there already were sent in the clear. Taken for part of the
-/// encrypted session, they would let somebody on the way put statements in
-/// front of the caller's own (as in CVE-2021-23214).
-async fn secure(io: Io, tls: &Tls) -> Began {
+/// Bytes received before the handshake are plain text. If they were taken for
+/// part of the encrypted session, an attacker on the network could insert
+/// statements before the caller's own (CVE-2021-23214).
+async fn start_tls(io: Io, tls: &Tls) -> Opening {
     if io.with_read_buf(|src| !src.is_empty()) {
         let refusal = Refusal {
             state: "08P01",
             text: "data came ahead of the TLS handshake".to_owned(),
         };
-        return Began::Refused(io.seal(), refusal);
+        return Opening::Refused(io.seal(), refusal);
     }
     if io.encode_slice(b"S").and_then(|()| io.send_buf()).is_err() {
-        return Began::Gone;
+        return Opening::Gone;
     }
-    // The layer goes on before the sealing: a sealed connection takes none.
+    // The TLS layer must be added first, because a sealed connection accepts no
+    // layer.
     let Ok(io) = TlsServerFilter::create(io, tls.conf(), LOGIN_TIMEOUT).await else {
-        return Began::Gone;
+        return Opening::Gone;
     };
     let io = io.seal();
-    match first(&io).await {
-        Ok(Some(Startup::Tls | Startup::Gss)) => Began::Refused(io, twice()),
-        Ok(Some(found)) => Began::With(io, found),
-        Ok(None) => Began::Gone,
-        Err(refusal) => Began::Refused(io, refusal),
+    match read_startup(&io).await {
+        Ok(Some(Startup::Tls | Startup::Gss)) => Opening::Refused(io, requested_twice()),
+        Ok(Some(found)) => Opening::Startup(io, found),
+        Ok(None) => Opening::Gone,
+        Err(refusal) => Opening::Refused(io, refusal),
     }
 }
 
-/// Reads one first message; `None` when the caller has gone before its end.
+/// Reads a message of the startup phase; `None` if the caller disconnected
+/// before its end.
 ///
-/// What was received is looked at before the end of the stream is: a cancel
-/// request often comes together with it.
-async fn first<F: Filter>(io: &Io<F>) -> Result<Option<Startup>, Refusal> {
+/// Received bytes are decoded before the end of the stream is handled, because
+/// a cancel request often arrives together with it.
+async fn read_startup<F: Filter>(io: &Io<F>) -> Result<Option<Startup>, Refusal> {
     let mut open = true;
     loop {
         let found = io.with_read_buf(|src| -> Result<_, pg::Error> {
@@ -324,7 +332,8 @@
     }
 }
 
-/// Tells a caller that asks for more than protocol 3.0 what there is.
+/// Reports the supported version and options to a caller that requests more
+/// than protocol 3.0.
 fn negotiate(io: &Stream, startup: &pgwire::messages::startup::Startup) -> Result<(), Refusal> {
     let options = startup.parameters.keys();
     let options: Vec<String> = options
@@ -337,7 +346,7 @@
     send(io, &NegotiateProtocolVersion::new(PROTOCOL, options))
 }
 
-/// Asks for what a cancel request names, if its key is right.
+/// Cancels the request that a cancel request names, if its secret key matches.
 async fn cancel(shared: &Shared, request: &CancelRequest) {
     let Some(secret) = request.secret_key.as_i32() else {
         return;
@@ -354,7 +363,7 @@
     }
 }
 
-/// The process number that stands for a caller in cancel requests.
+/// Process id that identifies a caller in cancel requests.
 fn pid(caller: u64) -> i32 {
     i32::try_from(caller % (1 << 31)).unwrap_or(0)
 }
@@ -373,13 +382,13 @@
     let verifier = tenant.and_then(|it| {
         let known = it.users.get(user);
         let known = known.and_then(|text| Verifier::parse(text).ok());
-        // An unknown user is led through the same exchange, so that it can't
-        // be told from a wrong password.
-        let pattern = it
+        // An unknown user gets the same exchange, so that the failure looks
+        // like a wrong password.
+        let template = it
             .users
             .values()
             .find_map(|text| Verifier::parse(text).ok());
-        known.or_else(|| Some(auth::mock(&shared.mock, user, pattern.as_ref())))
+        known.or_else(|| Some(auth::mock(&shared.mock, user, template.as_ref())))
     });
     let verifier = verifier.unwrap_or_else(|| auth::mock(&shared.mock, user, None));
     Ok((Scope::new(name, found), verifier))
@@ -433,7 +442,8 @@
     Ok(Bytes::copy_from_slice(frame.body()))
 }
 
-/// The first message of the exchange, behind the method's name and a length.
+/// Extracts the client's first SCRAM message, which follows the mechanism name
+/// and a length.
 pub(super) fn initial_response(body: &[u8]) -> Option<&[u8]> {
     let end = body.iter().position(|&byte| byte == 0)?;
     let (method, rest) = body.split_at(end);
@@ -442,25 +452,25 @@
     (method == b"SCRAM-SHA-256" && whole).then_some(message)
 }
 
-/// Enters the session into the duty's table and greets the caller.
-fn greet(io: &Stream, shared: &Rc<Shared>, session: &mut Session) -> Result<(), Refusal> {
+/// Adds the session to the duty's table and greets the caller.
+fn register(io: &Stream, shared: &Rc<Shared>, session: &mut Session) -> Result<(), Refusal> {
     let caller = {
-        let mut made = shared.made.borrow_mut();
-        *made += 1;
-        *made
+        let mut last_caller = shared.last_caller.borrow_mut();
+        *last_caller += 1;
+        *last_caller
     };
     let secret = rand::rng().random();
-    let (parts, taken) = mpsc::channel(PARTS);
+    let (parts, parts_rx) = mpsc::channel(MAX_PARTS);
     shared.callers.borrow_mut().insert(
         caller,
         Entry {
             secret,
             seq: 0,
             parts,
-            face: Rc::clone(&session.face),
+            activity: Rc::clone(&session.activity),
         },
     );
-    session.enter(caller, taken);
+    session.register(caller, parts_rx);
     let mut buf = BytesMut::new();
     let _ = Authentication::Ok.encode(&mut buf);
     for (name, value) in [
--- a/crates/daemon/src/callers/serve.rs
+++ b/crates/daemon/src/callers/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's session: its messages in, its answers out.
+//! Session of a caller: receives messages and sends answers.
 
 mod submit;
 
@@ -13,10 +13,10 @@
 
 use super::{
     Shared, Stream,
-    answer::Show,
+    answer::Recipient,
     batch::{Draft, Fault},
     local,
-    view::Face,
+    view::Activity,
 };
 use crate::{
     duty::{self, Phase},
@@ -24,16 +24,16 @@
     meter::Meter,
 };
 
-/// How many statements a caller may have prepared at once.
+/// Maximum number of prepared statements of a session.
 const MAX_PREPARED: usize = 1_024;
 
-/// How many bytes of prepared statements a caller may have at once.
+/// Maximum size of the prepared statements of a session, in bytes.
 const MAX_PREPARED_BYTES: usize = pg::MAX_FRAME;
 
-/// How many session settings a caller may have changed.
+/// Maximum number of changed settings of a session.
 const MAX_SETTINGS: usize = 64;
 
-/// The longest name or value of a session setting, in bytes.
+/// Maximum length of a setting's name or value, in bytes.
 const MAX_SETTING: usize = 4_096;
 
 /// Startup parameters that are not session settings.
@@ -45,7 +45,7 @@
     "client_encoding",
 ];
 
-/// A caller's session after its login.
+/// Session of a caller after the login.
 pub(super) struct Session {
     pub(super) shared: Rc<Shared>,
     pub(super) scope: Arc<Scope>,
@@ -57,41 +57,41 @@
     pub(super) settings: Arc<Settings>,
     pub(super) request: Option<String>,
     pub(super) prepared: HashMap<String, Arc<Statement>>,
-    /// Where its requests are counted.
+    /// Metrics of the entry.
     meter: Arc<Meter>,
-    /// What operators see of it.
-    pub(super) face: Rc<Face>,
+    /// Activity for the operators' port.
+    pub(super) activity: Rc<Activity>,
     pub(super) parts: Option<mpsc::Receiver<(u64, Part)>>,
-    /// After a fault the messages up to the next Sync are skipped.
+    /// Set after a fault: messages up to the next `Sync` are skipped.
     skipping: bool,
-    /// Whether a Flush has left a batch open upstream.
-    tail: Tail,
-    /// Whether the batch that runs ends with a Flush.
+    /// State of the last batch on its upstream.
+    batch_state: BatchState,
+    /// True if the running batch ends with a `Flush`.
     flushing: bool,
-    /// Changes of settings in the open transaction, kept when it commits.
+    /// Changes of settings in the open transaction, applied at its commit.
     pending: Vec<Change>,
-    /// The catalogue that the scope was read from.
+    /// Catalogue that the scope was read from.
     catalog: Arc<Snapshot>,
-    /// The token that the caller was told last.
+    /// Token that was last sent to the caller.
     token: Option<String>,
 }
 
-/// What a Flush has left of a batch at an upstream.
+/// State of a batch on its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tail {
-    /// Nothing: each batch so far has ended.
+enum BatchState {
+    /// No batch is open.
     Closed,
-    /// A batch whose Sync is to come.
+    /// A batch is open after a `Flush`, and its `Sync` is still to come.
     Open,
 }
 
-/// Why a session ends.
+/// Reason for the end of a session.
 pub(super) enum End {
-    /// The caller is gone or said goodbye.
+    /// The caller disconnected or sent `Terminate`.
     Gone,
     /// The instance is stopping.
     Stopping,
-    /// What the caller sent is not the protocol.
+    /// The caller violated the protocol.
     Protocol(pg::Error),
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Session {
-    /// Opens the session of a caller that logged in as `user`.
+    /// Creates the session of a caller that logged in as `user`.
     pub(super) fn open(
         shared: Rc<Shared>,
         scope: Arc<Scope>,
@@ -111,7 +111,7 @@
     ) -> Self {
         let now = shared.clock.now();
         let meter = shared.meters.of(&scope.tenant, &scope.entry);
-        let face = Rc::new(Face::open(now, &scope, user, client));
+        let activity = Rc::new(Activity::open(now, &scope, user, client));
         let catalog = Arc::clone(&shared.catalog.borrow());
         Self {
             shared,
@@ -125,10 +125,10 @@
             request: None,
             prepared: HashMap::new(),
             meter,
-            face,
+            activity,
             parts: None,
             skipping: false,
-            tail: Tail::Closed,
+            batch_state: BatchState::Closed,
             flushing: false,
             pending: Vec::new(),
             catalog,
@@ -136,14 +136,14 @@
         }
     }
 
-    /// Gives the session its number and the way its answers come.
-    pub(super) fn enter(&mut self, caller: Caller, parts: mpsc::Receiver<(u64, Part)>) {
+    /// Sets the session's number and the channel of its answers.
+    pub(super) fn register(&mut self, caller: Caller, parts: mpsc::Receiver<(u64, Part)>) {
         self.caller = caller;
         self.parts = Some(parts);
     }
 
-    /// Takes the token that the caller brings from another instance.
-    pub(super) fn present(&mut self, text: &str) -> Result<(), session::Error> {
+    /// Applies a token that the caller got from another instance.
+    pub(super) fn apply_token(&mut self, text: &str) -> Result<(), session::Error> {
         let token = Token::decode(text, self.keys(), &self.scope.database)?;
         let now = self.shared.clock.now();
         self.state
@@ -155,19 +155,20 @@
         &self.shared.keys
     }
 
-    /// Keeps a startup parameter as a session setting, if it is one.
+    /// Stores a startup parameter if it is a session setting.
     pub(super) fn start_setting(&mut self, key: &str, value: &str) {
         if !NOT_SETTINGS.contains(&key) && !key.starts_with("dandelionlink.") {
             self.set(key, value);
         }
     }
 
-    /// Keeps a session setting; the bound on a startup message bounds it.
+    /// Stores a session setting, whose size is limited by the maximum size of a
+    /// startup message.
     fn set(&mut self, key: &str, value: &str) {
         self.change(vec![Change::Set(key.to_owned(), value.to_owned())]);
     }
 
-    /// Changes the session's settings.
+    /// Applies changes to the session's settings.
     pub(super) fn change(&mut self, changes: Vec<Change>) {
         if changes.is_empty() {
             return;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Refuses changes that would make the session too large to keep.
+    /// Refuses changes that would exceed the limits of a session.
     pub(super) fn check_changes(&self, changes: &[Change]) -> Result<(), Fault> {
         let sets = changes.iter().filter_map(|change| match change {
             Change::Set(key, value) => Some((key, value)),
@@ -199,49 +200,49 @@
         Ok(())
     }
 
-    /// Whether a Flush has left a batch open upstream.
+    /// Returns true if a `Flush` has left a batch open on an upstream.
     pub(super) fn is_open(&self) -> bool {
-        self.tail == Tail::Open
+        self.batch_state == BatchState::Open
     }
 
-    /// Whether neither a transaction nor a batch is open.
+    /// Returns true if no transaction and no batch is open.
     pub(super) fn is_idle(&self) -> bool {
         self.status == b'I' && !self.is_open()
     }
 
-    /// Takes in how a batch ended and tells the status for the caller, if its
-    /// answer has one: a batch that ended with a Flush has none.
-    pub(super) fn ended(
+    /// Notes the end of a batch and returns the transaction state for
+    /// `ReadyForQuery`; `None` after a `Flush`, which has no such message.
+    pub(super) fn note_batch_end(
         &mut self,
         status: Option<u8>,
         changes: Vec<Change>,
         commit: bool,
     ) -> Option<u8> {
         let Some(status) = status else {
-            self.tail = Tail::Open;
+            self.batch_state = BatchState::Open;
             self.pending.extend(changes);
             return None;
         };
         let implicit = self.status == b'I';
         if self.flushing {
-            // The batch was refused as a whole. The ready message belongs to
-            // the Sync that is to come; a second one would put the caller's
-            // answers out of step.
+            // The batch was refused as a whole. `ReadyForQuery` belongs to the
+            // `Sync` that is still to come; a second one would shift the
+            // caller's answers.
             self.skipping = true;
             if status == b'I' || !implicit {
-                self.tail = Tail::Closed;
+                self.batch_state = BatchState::Closed;
                 self.status = status;
             }
             return None;
         }
-        self.settle(status, changes, commit);
-        self.tail = Tail::Closed;
+        self.commit_settings(status, changes, commit);
+        self.batch_state = BatchState::Closed;
         self.status = status;
         Some(status)
     }
 
-    /// Keeps changes of settings, once their transaction has committed.
-    fn settle(&mut self, status: u8, changes: Vec<Change>, commit: bool) {
+    /// Applies changes of settings once their transaction has committed.
+    fn commit_settings(&mut self, status: u8, changes: Vec<Change>, commit: bool) {
         self.pending.extend(changes);
         if status != b'I' {
             return;
@@ -252,8 +253,9 @@
         }
     }
 
-    /// Takes in that a batch never left; tells the status as [`Self::ended`].
-    pub(super) fn refused(&mut self) -> Option<u8> {
+    /// Notes that a batch was not sent; returns the state as
+    /// [`Self::note_batch_end`] does.
+    pub(super) fn note_refused(&mut self) -> Option<u8> {
         if self.flushing {
             self.skipping = true;
             return None;
@@ -261,23 +263,23 @@
         Some(self.status)
     }
 
-    /// Forgets a prepared statement; `false` when there is none of the name.
-    pub(super) fn unprepare(&mut self, name: &str) -> bool {
+    /// Removes a prepared statement; `false` if there is none of this name.
+    pub(super) fn deallocate(&mut self, name: &str) -> bool {
         self.prepared.remove(name).is_some()
     }
 
-    /// Forgets all prepared statements.
+    /// Removes all prepared statements.
     pub(super) fn forget_prepared(&mut self) {
         self.prepared.clear();
     }
 
-    /// The token for the caller, once the session has a position.
+    /// Token for the caller, once the session has a position.
     pub(super) fn token(&self) -> Option<String> {
         let position = self.state.position()?;
         Some(Token::new(&self.scope.database, position).encode(self.keys()))
     }
 
-    /// Tells the caller its token, if it has changed.
+    /// Sends the token to the caller if it has changed.
     pub(super) fn put_token(&mut self, buf: &mut BytesMut) {
         let token = self.token();
         if let Some(text) = &token
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Serves the session to its end.
+    /// Serves the session until its end.
     pub(super) async fn run(mut self, io: Stream) {
         let end = self.serve(&io).await;
         let mut buf = BytesMut::new();
@@ -313,16 +315,16 @@
     async fn serve(&mut self, io: &Stream) -> Result<(), End> {
         let mut draft = Draft::default();
         loop {
-            let (front, bytes) = self.recv(io, &draft).await?;
-            match front {
+            let (message, bytes) = self.recv(io, &draft).await?;
+            match message {
                 Frontend::Terminate => return Ok(()),
                 Frontend::Copy => {}
                 Frontend::Sync if self.skipping => self.end_skipping(io).await?,
                 _ if self.skipping => {}
                 Frontend::Query(sql) => self.query(io, sql, &mut draft).await?,
-                front => {
-                    let ends = matches!(front, Frontend::Flush | Frontend::Sync);
-                    draft.add(self, front, bytes);
+                message => {
+                    let ends = matches!(message, Frontend::Flush | Frontend::Sync);
+                    draft.add(self, message, bytes);
                     if ends {
                         self.run_draft(io, std::mem::take(&mut draft)).await?;
                     }
@@ -331,11 +333,13 @@
         }
     }
 
-    /// Answers the Sync behind a fault.
+    /// Answers the `Sync` after a fault.
     async fn end_skipping(&mut self, io: &Stream) -> Result<(), End> {
         self.skipping = false;
         if self.is_open() {
-            return self.run_batch(io, Batch::sync(), None, Show::Caller).await;
+            return self
+                .run_batch(io, Batch::sync(), None, Recipient::Caller)
+                .await;
         }
         self.ready(io).await
     }
@@ -346,7 +350,7 @@
         send(io, &buf).await
     }
 
-    /// Runs a simple query, behind what came before it without a Sync.
+    /// Runs a simple query after the pending messages that no `Sync` has ended.
     async fn query(&mut self, io: &Stream, sql: String, draft: &mut Draft) -> Result<(), End> {
         if !draft.is_empty() {
             draft.add(self, Frontend::Flush, 0);
@@ -355,20 +359,20 @@
                 return Ok(());
             }
         }
-        if let Some(plan) = local::read(&sql)
+        if let Some(local) = local::read(&sql)
             && !self.is_open()
-            && (self.is_idle() || plan.is_always_local())
+            && (self.is_idle() || local.is_always_local())
         {
             let mut buf = BytesMut::new();
-            local::answer(self, &plan, &mut buf);
+            local::answer(self, &local, &mut buf);
             pg::ready(&mut buf, self.status);
             return send(io, &buf).await;
         }
         let batch = Batch::simple(sql);
         let checked = batch.and_then(|it| self.check_changes(&it.changes).map(|()| it));
-        let tagged = checked.and_then(|batch| Ok((self.tagged(&batch)?, batch)));
+        let tagged = checked.and_then(|batch| Ok((self.request_tag(&batch)?, batch)));
         match tagged {
-            Ok((tagged, batch)) => self.run_batch(io, batch, tagged, Show::Caller).await,
+            Ok((tagged, batch)) => self.run_batch(io, batch, tagged, Recipient::Caller).await,
             Err(fault) => {
                 self.refuse(io, &fault).await?;
                 self.ready(io).await
@@ -379,8 +383,9 @@
     /// Waits for the next message; an idle session ends when the daemon stops.
     async fn recv(&self, io: &Stream, draft: &Draft) -> Result<(Frontend, usize), End> {
         let mut watch = self.shared.watch.clone();
-        // A planned stop cuts nothing: a session with an open transaction or a
-        // half-sent batch goes on until it is idle or the stop's bound is over.
+        // A graceful stop interrupts nothing: a session with an open
+        // transaction or an incomplete batch continues until it is idle or the
+        // drain time is over.
         let idle = self.is_idle() && draft.is_empty();
         let phase = if idle { Phase::Drain } else { Phase::Stop };
         let frame = tokio::select! {
@@ -390,15 +395,15 @@
         };
         match frame {
             Ok(Some(frame)) => {
-                let front = pg::decode(&frame).map_err(End::Protocol)?;
-                Ok((front, frame.bytes().len()))
+                let message = pg::decode(&frame).map_err(End::Protocol)?;
+                Ok((message, frame.bytes().len()))
             }
             Ok(None) | Err(Either::Right(_)) => Err(End::Gone),
             Err(Either::Left(error)) => Err(End::Protocol(error)),
         }
     }
 
-    /// Remembers a prepared statement.
+    /// Stores a prepared statement.
     pub(super) fn prepare(&mut self, name: &str, statement: &Arc<Statement>) -> Result<(), Fault> {
         let others = self.prepared.iter().filter(|(other, _)| *other != name);
         let bytes: usize = others.clone().map(|(_, it)| it.sql.len()).sum();
@@ -410,7 +415,7 @@
     }
 }
 
-/// Sends bytes to the caller, and waits while too much is unsent.
+/// Sends bytes to the caller, and waits while the write buffer is full.
 pub(super) async fn send(io: &Stream, bytes: &[u8]) -> Result<(), End> {
     io.encode_slice(bytes)?;
     io.send_buf()?;
--- a/crates/daemon/src/callers/serve/submit.rs
+++ b/crates/daemon/src/callers/serve/submit.rs
@@ -1,4 +1,4 @@
-//! Sending a session's batches to the upstreams' duty, or refusing them.
+//! Sends a session's batches to the upstreams' duty, or refuses them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,8 +10,8 @@
 use crate::{
     callers::{
         Stream,
-        answer::{self, Show},
-        batch::{Draft, Fault, Whole},
+        answer::{self, Recipient},
+        batch::{Completed, Draft, Fault},
         local,
     },
     job::{Batch, Closes, Command, Job, Scope, Step, Tagged},
@@ -22,14 +22,14 @@
     pub(super) async fn run_draft(&mut self, io: &Stream, draft: Draft) -> Result<(), End> {
         let flushes = draft.flushes();
         match draft.finish(self) {
-            Ok(Whole::Batch(batch)) => match self.tagged(&batch) {
-                Ok(tagged) => self.run_batch(io, batch, tagged, Show::Caller).await,
+            Ok(Completed::Batch(batch)) => match self.request_tag(&batch) {
+                Ok(tagged) => self.run_batch(io, batch, tagged, Recipient::Caller).await,
                 Err(fault) => {
                     self.refuse(io, &fault).await?;
                     self.end_local(io, flushes).await
                 }
             },
-            Ok(Whole::Local(steps)) => self.run_local(io, &steps, flushes).await,
+            Ok(Completed::Local(steps)) => self.run_local(io, &steps, flushes).await,
             Err(fault) => {
                 self.refuse(io, &fault).await?;
                 self.end_local(io, flushes).await
@@ -52,8 +52,8 @@
         self.end_local(io, flushes).await
     }
 
-    /// Ends a batch that was answered or refused here: behind a Flush the rest
-    /// of it is skipped, and its Sync brings the ready message.
+    /// Ends a batch that was answered or refused by the proxy: after a `Flush`
+    /// the rest of the batch is skipped, and its `Sync` brings `ReadyForQuery`.
     pub(super) async fn end_local(&mut self, io: &Stream, flushes: bool) -> Result<(), End> {
         if flushes {
             self.skipping = true;
@@ -62,12 +62,12 @@
         self.ready(io).await
     }
 
-    /// Tells the fault of a batch that never leaves the instance.
+    /// Reports the fault of a batch that is not sent upstream.
     pub(super) async fn refuse(&mut self, io: &Stream, fault: &Fault) -> Result<(), End> {
         if self.status == b'T' || self.is_open() {
-            // The server never saw the statement, but the caller's transaction
-            // is not what it meant any more.
-            self.run_batch(io, Batch::fail(), None, Show::Nobody)
+            // The server did not see the refused statement, but the caller's
+            // transaction is incomplete without it and must fail.
+            self.run_batch(io, Batch::abort(), None, Recipient::Proxy)
                 .await?;
         }
         let mut buf = BytesMut::new();
@@ -75,8 +75,8 @@
         send(io, &buf).await
     }
 
-    /// Takes the entry's limits from the newest catalogue; `false` when the
-    /// entry is gone or belongs to somebody else now.
+    /// Reads the entry's limits from the newest catalogue; `false` if the entry
+    /// is gone or has another tenant or database.
     fn refresh(&mut self) -> bool {
         let newest = Arc::clone(&self.shared.catalog.borrow());
         if Arc::ptr_eq(&newest, &self.catalog) {
@@ -86,22 +86,22 @@
         let same =
             found.filter(|it| it.tenant == self.scope.tenant && it.database == self.scope.database);
         let Some(entry) = same else { return false };
-        // The tenant and the entry are the same, and so is the meter.
+        // The tenant and the entry are the same, so the metrics stay.
         self.scope = Arc::new(Scope::new(&self.scope.entry, entry));
         self.catalog = newest;
         true
     }
 
-    /// Refuses a request that never left the instance.
+    /// Refuses a request that was not sent upstream.
     pub(super) async fn not_run(&mut self, io: &Stream, cause: Cause) -> Result<(), End> {
         let outcome = Outcome::NotRun(cause);
         self.meter.note_ended(outcome, Duration::ZERO);
         answer::not_run(self, io, outcome).await
     }
 
-    /// The request id for a batch, if it has one: from a comment in the
-    /// statement, or set ahead of it.
-    pub(super) fn tagged(&mut self, batch: &Batch) -> Result<Option<Tagged>, Fault> {
+    /// Returns the request id for a batch, if there is one: from a comment in
+    /// the statement, or set before it.
+    pub(super) fn request_tag(&mut self, batch: &Batch) -> Result<Option<Tagged>, Fault> {
         if !batch.takes_request() {
             return Ok(None);
         }
@@ -123,18 +123,18 @@
         }))
     }
 
-    /// Has a batch run and passes its answer on.
+    /// Runs a batch on an upstream and relays its answer.
     pub(super) async fn run_batch(
         &mut self,
         io: &Stream,
         batch: Batch,
         tagged: Option<Tagged>,
-        show: Show,
+        recipient: Recipient,
     ) -> Result<(), End> {
         let mut batch = batch;
         self.flushing = batch.flushes();
         if self.is_open() && self.status == b'I' && !self.flushing {
-            // The end of a batch commits what its parts wrote.
+            // The end of the batch commits the writes of its parts.
             batch.closes = Closes::Transaction;
         }
         if !self.refresh() {
@@ -145,7 +145,7 @@
             entry.seq = self.seq;
         }
         let began = self.shared.clock.now();
-        self.face.begin(began, &self.scope);
+        self.activity.begin(began, &self.scope);
         let job = Job {
             meter: Arc::clone(&self.meter),
             caller: self.caller,
@@ -160,14 +160,14 @@
             request: tagged,
         };
         let result = match self.shared.commands.push(Command::Run(Box::new(job))) {
-            Ok(()) => answer::pass(self, io, show).await,
+            Ok(()) => answer::relay(self, io, recipient).await,
             Err(Full(_)) => {
                 metrics::counter!("dandelionlink_ring_full_total", "ring" => "asks").increment(1);
                 self.not_run(io, Cause::RingFull).await
             }
         };
         let now = self.shared.clock.now();
-        self.face.end(now, self.status, self.state.position());
+        self.activity.end(now, self.status, self.state.position());
         result
     }
 }
--- a/crates/daemon/src/callers/view.rs
+++ b/crates/daemon/src/callers/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the callers.
+//! State of the callers for operators.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,12 +18,12 @@
     job::{Caller, Scope},
 };
 
-/// How many callers are shown at most.
-const SHOWN: usize = 100;
+/// Maximum number of callers that are shown.
+const MAX_SHOWN: usize = 100;
 
-/// What a caller's session shows of itself.
+/// Activity of a caller's session.
 #[derive(Debug)]
-pub(super) struct Face {
+pub(super) struct Activity {
     scope: RefCell<Arc<Scope>>,
     user: String,
     client: SocketAddr,
@@ -34,8 +34,8 @@
     token: Cell<Option<Position>>,
 }
 
-impl Face {
-    /// Shows a session that begins at `now`.
+impl Activity {
+    /// Activity of a session that starts at `now`.
     pub(super) fn open(now: Instant, scope: &Arc<Scope>, user: &str, client: SocketAddr) -> Self {
         Self {
             scope: RefCell::new(Arc::clone(scope)),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A request began.
+    /// Notes that a request began.
     pub(super) fn begin(&self, now: Instant, scope: &Arc<Scope>) {
         if !Arc::ptr_eq(&self.scope.borrow(), scope) {
             *self.scope.borrow_mut() = Arc::clone(scope);
@@ -57,8 +57,8 @@
         self.set(now, Phase::Running);
     }
 
-    /// A request ended and left the session in this state of a transaction, as
-    /// the ready message tells it.
+    /// Notes that a request ended with this transaction state, as in
+    /// `ReadyForQuery`.
     pub(super) fn end(&self, now: Instant, status: u8, token: Option<Position>) {
         let transaction = self.transaction.get();
         if status == b'I' {
@@ -93,30 +93,35 @@
     }
 }
 
-/// Answers operators until the daemon stops.
-pub(super) async fn serve(shared: Rc<Shared>, mut asked: Requests<introspect::Callers>) {
-    while let Some(answer) = asked.recv().await {
+/// Answers the operators' port until the daemon stops.
+pub(super) async fn serve(shared: Rc<Shared>, mut inquiries: Requests<introspect::Callers>) {
+    while let Some(answer) = inquiries.recv().await {
         let _ = answer.send(callers(&shared));
     }
 }
 
-/// All callers counted, and those shown that have been at work the longest:
-/// first those that hold something, then the idle ones.
+/// Counts all callers and shows those that have worked the longest: first the
+/// ones with a request or a transaction, then the idle ones.
 fn callers(shared: &Shared) -> introspect::Callers {
     let now = shared.clock.now();
     let callers = shared.callers.borrow();
-    let mut faces: Vec<(Caller, &Face)> = callers.iter().map(|(id, it)| (*id, &*it.face)).collect();
-    let rank = |face: &Face| {
-        let idle = face.phase.get() == Phase::Idle;
-        let since = face.transaction.get().unwrap_or(face.since.get());
+    let mut activities: Vec<(Caller, &Activity)> = callers
+        .iter()
+        .map(|(id, it)| (*id, &*it.activity))
+        .collect();
+    let rank = |activity: &Activity| {
+        let idle = activity.phase.get() == Phase::Idle;
+        let since = activity.transaction.get().unwrap_or(activity.since.get());
         (Reverse(!idle), since)
     };
-    if faces.len() > SHOWN {
-        faces.select_nth_unstable_by_key(SHOWN - 1, |(_, face)| rank(face));
-        faces.truncate(SHOWN);
+    if activities.len() > MAX_SHOWN {
+        activities.select_nth_unstable_by_key(MAX_SHOWN - 1, |(_, activity)| rank(activity));
+        activities.truncate(MAX_SHOWN);
     }
-    faces.sort_by_key(|(_, face)| rank(face));
-    let shown = faces.iter().map(|(id, face)| (*id, face.view(now)));
+    activities.sort_by_key(|(_, activity)| rank(activity));
+    let shown = activities
+        .iter()
+        .map(|(id, activity)| (*id, activity.view(now)));
     introspect::Callers {
         total: callers.len() as u64,
         sessions: shown.collect(),
--- a/crates/daemon/src/control/duty.rs
+++ b/crates/daemon/src/control/duty.rs
@@ -1,4 +1,5 @@
-//! Runs the failover machines and carries their actions to the other duties.
+//! Runs the failover state machines and passes their actions to the other
+//! duties.
 
 use std::collections::BTreeMap;
 
@@ -17,32 +18,32 @@
     ring,
 };
 
-/// What the control duty is given.
+/// Configuration of the control duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
     /// The machine's clock.
     pub(crate) clock: Clock,
     /// This instance.
     pub(crate) instance: name::Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub(crate) zone: name::Zone,
-    /// To the upstreams' duty.
+    /// Orders to the upstreams' duty.
     pub(crate) orders: ring::Sender<Order>,
-    /// From the upstreams' duty.
+    /// Answers of the upstreams' duty.
     pub(crate) answers: ring::Receiver<Answer>,
-    /// To the store's duty.
+    /// Requests to the store's duty.
     pub(crate) store_requests: ring::Sender<platform::RecordRequest>,
-    /// From the store's duty.
+    /// Answers of the store's duty.
     pub(crate) store_responses: ring::Receiver<RecordResponse>,
-    /// To the peers' duty.
+    /// Commands to the peers' duty.
     pub(crate) peer_commands: ring::Sender<Command>,
-    /// From the peers' duty.
+    /// Updates of the peers' duty.
     pub(crate) peer_updates: ring::Receiver<Update>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<Vec<Primary>>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
-    /// Where the attempts' numbers begin.
+    /// Seed for the numbers of attempts.
     pub(crate) seed: u64,
 }
 
@@ -59,12 +60,12 @@
     groups: BTreeMap<name::Database, Slot>,
 }
 
-/// One database's machine.
+/// State machine of one database.
 struct Slot {
     group: Group,
     wake: Option<Instant>,
-    /// The term whose primary the other duties were told last.
-    told: Option<model::Term>,
+    /// Term of the last primary that was announced to the other duties.
+    announced: Option<model::Term>,
 }
 
 /// Runs the duty until the daemon stops.
@@ -87,32 +88,32 @@
             Some(answer) = conf.answers.recv() => control.answer(answer),
             Some(response) = conf.store_responses.recv() => control.store_response(response),
             Some(update) = conf.peer_updates.recv() => control.update(update),
-            Some(answer) = conf.inquiries.recv() => drop(answer.send(control.leads())),
+            Some(answer) = conf.inquiries.recv() => drop(answer.send(control.primaries())),
             () = sleep(pause) => control.tick(),
         }
     }
 }
 
 impl Control {
-    /// What operators see of the databases.
-    fn leads(&self) -> Vec<Primary> {
-        let lead = |(database, slot): (&name::Database, &Slot)| {
+    /// State of the databases for operators.
+    fn primaries(&self) -> Vec<Primary> {
+        let primary = |(database, slot): (&name::Database, &Slot)| {
             let term = slot.group.term().unwrap_or_default();
-            let lead = slot.group.primary().filter(|lead| lead.term == term);
+            let primary = slot.group.primary().filter(|primary| primary.term == term);
             Primary {
                 database: database.clone(),
                 term,
-                upstream: lead.map(|it| it.upstream.clone()),
+                upstream: primary.map(|it| it.upstream.clone()),
             }
         };
-        self.groups.iter().map(lead).collect()
+        self.groups.iter().map(primary).collect()
     }
 
-    /// How long until the first machine wants to be woken.
+    /// Time until the next state machine is due.
     fn pause(&self) -> std::time::Duration {
-        const QUIET: std::time::Duration = std::time::Duration::from_secs(1);
+        const MAX_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
         let next = self.groups.values().filter_map(|slot| slot.wake).min();
-        next.map_or(QUIET, |at| at.since(self.clock.now()))
+        next.map_or(MAX_PAUSE, |at| at.since(self.clock.now()))
     }
 
     fn tick(&mut self) {
@@ -166,7 +167,7 @@
     fn update(&mut self, update: Update) {
         match update {
             Update::Members(members) => self.set_members(members),
-            Update::Catalog(snapshot) => self.follow(&snapshot),
+            Update::Catalog(snapshot) => self.apply_catalog(&snapshot),
             Update::Primary { database, entry } => self.step(&database, Event::Watched(entry)),
             Update::Evidence {
                 from,
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Brings the machines in line with the catalogue.
-    fn follow(&mut self, snapshot: &Snapshot) {
+    /// Adds, updates and removes state machines to match the catalogue.
+    fn apply_catalog(&mut self, snapshot: &Snapshot) {
         let databases = &snapshot.catalog.databases;
         self.groups.retain(|name, _| databases.contains_key(name));
         for (name, database) in databases {
@@ -218,13 +219,13 @@
                     let slot = Slot {
                         group,
                         wake: None,
-                        told: None,
+                        announced: None,
                     };
                     self.groups.insert(name.clone(), slot);
                     self.step(name, Event::Members(self.members.clone()));
                 }
                 Err(error) => log::error!(
-                    duty = "control", database = name.as_str(); "the state chart is faulty: {error}"),
+                    duty = "control", database = name.as_str(); "invalid state chart: {error}"),
             }
         }
     }
@@ -236,12 +237,12 @@
         };
         let actions = slot.group.step(now, event);
         for action in actions {
-            self.act(database, action);
+            self.perform(database, action);
         }
-        self.tell_lead(database);
+        self.announce_primary(database);
     }
 
-    fn act(&mut self, database: &name::Database, action: Action) {
+    fn perform(&mut self, database: &name::Database, action: Action) {
         let database = database.clone();
         match action {
             Action::Probe { call, upstream } => {
@@ -263,13 +264,13 @@
                     order,
                 });
             }
-            Action::Read { call } => self.ask(platform::RecordRequest::Read { database, call }),
+            Action::Read { call } => self.request(platform::RecordRequest::Read { database, call }),
             Action::Swap {
                 call,
                 expected,
                 record,
             } => {
-                self.ask(platform::RecordRequest::Swap {
+                self.request(platform::RecordRequest::Swap {
                     database,
                     call,
                     expected,
@@ -287,7 +288,7 @@
                     slot.wake = Some(at);
                 }
             }
-            // Evidence may be lost, and is told again.
+            // Lost evidence is sent again.
             Action::SendEvidence { to, evidence } => {
                 if self
                     .peer_commands
@@ -300,44 +301,44 @@
         }
     }
 
-    /// A probe or an order that finds the ring full is left out: the machine
-    /// counts it as unanswered and asks again, as with a lost packet.
+    /// A probe or an order that finds the ring full is dropped: the state
+    /// machine treats it as unanswered and repeats it, as after a lost packet.
     fn order(&mut self, order: Order) {
         if self.orders.push(order).is_err() {
             ring_full("orders");
         }
     }
 
-    fn ask(&mut self, ask: platform::RecordRequest) {
-        if self.store_requests.push(ask).is_err() {
+    fn request(&mut self, request: platform::RecordRequest) {
+        if self.store_requests.push(request).is_err() {
             ring_full("store");
         }
     }
 
-    /// Tells the upstreams' duty who leads, once for each term.
-    fn tell_lead(&mut self, database: &name::Database) {
+    /// Announces the primary to the upstreams' duty, once for each term.
+    fn announce_primary(&mut self, database: &name::Database) {
         let Some(slot) = self.groups.get_mut(database) else {
             return;
         };
-        let Some(lead) = slot.group.primary() else {
+        let Some(primary) = slot.group.primary() else {
             return;
         };
-        if slot.told == Some(lead.term) {
+        if slot.announced == Some(primary.term) {
             return;
         }
-        if slot.told.replace(lead.term).is_some() {
+        if slot.announced.replace(primary.term).is_some() {
             metrics::counter!("dandelionlink_failovers_total").increment(1);
         }
         log::info!(
             duty = "control", database = database.as_str();
-            "{} leads in term {}", lead.upstream, lead.term
+            "{} is the primary of term {}", primary.upstream, primary.term
         );
         let record = Record {
-            term: lead.term,
+            term: primary.term,
             phase: Change::Led {
-                upstream: lead.upstream.clone(),
+                upstream: primary.upstream.clone(),
             },
-            fork: lead.fork,
+            fork: primary.fork,
             attempt: 0,
         };
         let order = Order::SetPrimary {
@@ -352,7 +353,7 @@
     metrics::counter!("dandelionlink_ring_full_total", "ring" => ring).increment(1);
 }
 
-/// The upstreams of a database, as the failover machine sees them.
+/// Upstreams of a database for the failover state machine.
 fn members(database: &catalog::Database) -> BTreeMap<name::Upstream, Member> {
     let member = |it: &catalog::Upstream| {
         let status = if it.leaving {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,10 @@
-//! The daemon of dandelionlink: callers in front, upstreams behind.
+//! The daemon of dandelionlink: accepts callers and runs their statements on
+//! upstreams.
 //!
-//! Each duty is a thread of its own, and bounded rings join them. The
-//! decisions are in crates of their own (`route`, `session`, `failover`,
-//! `pool`); here they are wired to sockets and to the clock.
+//! Each duty is a thread with a runtime of its own, and bounded rings carry
+//! messages between duties. The decisions are made in the crates `route`,
+//! `session`, `failover` and `pool`; this crate connects them to sockets and to
+//! the clock.
 
 mod callers;
 mod control;
@@ -34,11 +36,11 @@
 
 pub use settings::Settings;
 
-/// Requests that may wait between two duties.
-const RING: usize = 4_096;
+/// Messages that a ring between two duties can hold.
+const RING_CAPACITY: usize = 4_096;
 
-/// Catalogues that may wait between two duties.
-const CATALOGS: usize = 16;
+/// Catalogues that a ring between two duties can hold.
+const CATALOG_RING_CAPACITY: usize = 16;
 
 /// A running daemon.
 #[derive(Debug)]
@@ -48,17 +50,17 @@
     peers: SocketAddr,
     drain: Duration,
     phase: watch::Sender<Phase>,
-    front: Duty,
-    middle: Duty,
-    back: Vec<Duty>,
+    callers_duty: Duty,
+    upstreams_duty: Duty,
+    other_duties: Vec<Duty>,
 }
 
 impl Daemon {
-    /// Starts all duties.
+    /// Binds the ports and starts all duties.
     ///
     /// # Errors
     ///
-    /// Fails when a port can't be bound or a thread can't be had.
+    /// Fails if a port can't be bound or a thread can't be started.
     pub fn spawn(settings: &Settings) -> io::Result<Self> {
         ops::install();
         let clock = Clock::open();
@@ -66,22 +68,22 @@
         let callers = bind(settings.listen)?;
         let ops = bind(settings.ops)?;
         let (caller_address, ops_address) = (callers.local_addr()?, ops.local_addr()?);
-        let (peers, socket) = bind_both(settings.peers)?;
+        let (peers, socket) = bind_tcp_and_udp(settings.peers)?;
         let peers_address = peers::reachable(settings.peers, peers.local_addr()?);
 
-        let (commands_tx, commands) = ring(RING);
-        let (replies_tx, replies) = ring(RING);
-        let (catalogs_tx, catalogs) = ring(CATALOGS);
-        let (orders_tx, orders) = ring(RING);
-        let (answers_tx, answers) = ring(RING);
-        let (store_requests_tx, store_requests) = ring(RING);
-        let (store_responses_tx, store_responses) = ring(RING);
-        let (peer_commands_tx, peer_commands) = ring(RING);
-        let (peer_updates_tx, peer_updates) = ring(RING);
-        let (store_calls_tx, store_calls) = ring(RING);
-        let (outs_tx, outs) = ring(RING);
-        let (ins_tx, ins) = ring(RING);
-        let (store_answers_tx, store_answers) = ring(RING);
+        let (commands_tx, commands) = ring(RING_CAPACITY);
+        let (replies_tx, replies) = ring(RING_CAPACITY);
+        let (catalogs_tx, catalogs) = ring(CATALOG_RING_CAPACITY);
+        let (orders_tx, orders) = ring(RING_CAPACITY);
+        let (answers_tx, answers) = ring(RING_CAPACITY);
+        let (store_requests_tx, store_requests) = ring(RING_CAPACITY);
+        let (store_responses_tx, store_responses) = ring(RING_CAPACITY);
+        let (peer_commands_tx, peer_commands) = ring(RING_CAPACITY);
+        let (peer_updates_tx, peer_updates) = ring(RING_CAPACITY);
+        let (store_calls_tx, store_calls) = ring(RING_CAPACITY);
+        let (outs_tx, outs) = ring(RING_CAPACITY);
+        let (ins_tx, ins) = ring(RING_CAPACITY);
+        let (store_answers_tx, store_answers) = ring(RING_CAPACITY);
 
         let meters = meter::Meters::default();
         let (introspection, receivers) = Introspection::open(&settings.instance, &settings.zone);
@@ -163,14 +165,14 @@
             watch,
         };
 
-        let back = vec![
+        let other_duties = vec![
             Duty::spawn("metrics", move || ops::run(ops_conf))?,
             Duty::spawn("control", move || control::run(control_conf))?,
             Duty::spawn("peers", move || peers::run(peers_conf))?,
             Duty::spawn("store", move || platform::run(store_conf))?,
         ];
-        let middle = Duty::spawn("upstreams", move || upstreams::run(upstreams_conf))?;
-        let front = Duty::spawn("callers", move || callers::run(callers_conf))?;
+        let upstreams_duty = Duty::spawn("upstreams", move || upstreams::run(upstreams_conf))?;
+        let callers_duty = Duty::spawn("callers", move || callers::run(callers_conf))?;
         let drain = settings.drain;
         Ok(Self {
             callers: caller_address,
@@ -178,40 +180,40 @@
             peers: peers_address,
             drain,
             phase,
-            front,
-            middle,
-            back,
+            callers_duty,
+            upstreams_duty,
+            other_duties,
         })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators connect.
+    /// Address for operators.
     pub fn ops(&self) -> SocketAddr {
         self.ops
     }
 
-    /// Where other instances reach this one.
+    /// Address for other instances.
     pub fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Stops: takes nothing new, lets what runs end within the drain's bound,
-    /// and leaves.
+    /// Stops gracefully: accepts no new work, waits for running requests for at
+    /// most the drain time, and ends all duties.
     pub fn stop(self) {
         self.phase.send_replace(Phase::Drain);
         let phase = self.phase.clone();
         let drain = self.drain;
-        let (done, over) = std::sync::mpsc::channel();
-        let bound = std::thread::spawn(move || {
-            // Ends early when nothing runs any more, which drops `done`.
-            let _ = over.recv_timeout(drain);
+        let (done, finished) = std::sync::mpsc::channel();
+        let timer = std::thread::spawn(move || {
+            // Dropping `done` ends the wait early, once nothing runs any more.
+            let _ = finished.recv_timeout(drain);
             phase.send_replace(Phase::Stop);
         });
-        self.front.join();
+        self.callers_duty.join();
         self.phase.send_if_modified(|phase| {
             let drains = *phase < Phase::Settle;
             if drains {
@@ -219,18 +221,18 @@
             }
             drains
         });
-        self.middle.join();
+        self.upstreams_duty.join();
         drop::<std::sync::mpsc::Sender<()>>(done);
-        let _ = bound.join();
-        self.back.into_iter().for_each(Duty::join);
+        let _ = timer.join();
+        self.other_duties.into_iter().for_each(Duty::join);
     }
 
-    /// Leaves at once, as a process that is killed would.
+    /// Stops without draining, like a killed process.
     pub fn kill(self) {
         self.phase.send_replace(Phase::Stop);
-        self.front.join();
-        self.middle.join();
-        self.back.into_iter().for_each(Duty::join);
+        self.callers_duty.join();
+        self.upstreams_duty.join();
+        self.other_duties.into_iter().for_each(Duty::join);
     }
 }
 
@@ -240,12 +242,12 @@
     Ok(listener)
 }
 
-/// Binds the same port for streams and for datagrams.
-fn bind_both(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    /// How often another ephemeral port is tried where one is taken.
-    const TRIES: u32 = 16;
+/// Binds the same port for TCP and UDP.
+fn bind_tcp_and_udp(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
+    /// Attempts to find an ephemeral port that is free for both protocols.
+    const MAX_ATTEMPTS: u32 = 16;
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let listener = bind(address)?;
         match UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,8 @@
-//! `dandelionlinkd`: reads its settings, serves, and stops when told to.
+//! `dandelionlinkd`: reads the settings, serves until a signal arrives, and
+//! drains.
 //!
-//! Exit codes: 0 after a stop, 1 when it could not start or a duty ended by a
-//! fault, 2 for settings that are wrong.
+//! Exit codes: 0 after a graceful stop, 1 if the start failed or a duty
+//! panicked, 2 for invalid settings.
 
 use std::process::ExitCode;
 
@@ -34,21 +35,21 @@
 }
 
 fn serve(settings: &Settings) -> anyhow::Result<()> {
-    // Every line names the instance and its zone, also those of libraries.
-    let mut place = diagnostic::StaticDiagnostic::default();
-    place.insert("instance", settings.instance.as_str());
-    place.insert("zone", settings.zone.as_str());
+    // Every log line, also of libraries, names the instance and its zone.
+    let mut labels = diagnostic::StaticDiagnostic::default();
+    labels.insert("instance", settings.instance.as_str());
+    labels.insert("zone", settings.zone.as_str());
     logforth::starter_log::builder()
         .dispatch(move |dispatch| {
             let stdout = append::Stdout::default().with_layout(JsonLayout::default());
             dispatch
                 .filter(LevelFilter::MoreSevereEqual(logforth::record::Level::Info))
-                .diagnostic(place)
+                .diagnostic(labels)
                 .append(stdout)
         })
         .apply();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    duty::on_panic(leave);
+    duty::on_panic(exit_on_panic);
     let daemon = Daemon::spawn(settings)?;
     log::info!(
         duty = "daemon";
@@ -60,8 +61,9 @@
     Ok(())
 }
 
-/// Ends the process: who watches over it starts it anew, whole.
-fn leave(duty: &'static str) {
-    log::error!(duty; "this duty ended by a fault; leaving");
+/// Ends the process after a panic, so that its supervisor restarts the whole
+/// daemon.
+fn exit_on_panic(duty: &'static str) {
+    log::error!(duty; "duty panicked; exiting");
     std::process::exit(1);
 }
--- a/crates/daemon/src/peers/forward.rs
+++ b/crates/daemon/src/peers/forward.rs
@@ -1,4 +1,4 @@
-//! The streams that carry commands to the holders of connections.
+//! Streams that carry commands to the holders of upstream connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,39 +26,40 @@
     ring,
 };
 
-/// How long a connection to another instance may take.
-const CONNECT: Millis = Millis(1_000);
+/// Timeout of connecting to another instance.
+const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// Commands or answers that may wait for one stream.
-const WAITING: usize = 1_024;
+/// Maximum number of commands or answers that wait for one stream.
+const QUEUE_CAPACITY: usize = 1_024;
 
 type Frames = mpsc::Sender<Message>;
 type Commands = mpsc::Sender<(Seq, Command)>;
 
-/// The streams of commands, to and from other instances.
+/// Command streams to and from other instances.
 #[derive(Clone)]
 pub(super) struct Forwards {
-    /// To the upstreams' duty.
+    /// Messages to the upstreams' duty.
     pub(super) ins: ring::Shared<In>,
     outgoing: Rc<RefCell<HashMap<name::Instance, Commands>>>,
     incoming: Rc<RefCell<HashMap<Conn, Frames>>>,
-    /// What the instances that ask here were told last of this one's stop.
-    told: Rc<Cell<Option<Farewell>>>,
+    /// Last notice of this instance's stop that was sent to connected
+    /// instances.
+    last_notice: Rc<Cell<Option<StopNotice>>>,
 }
 
 impl Forwards {
-    /// Opens with no stream.
+    /// Creates the set of streams, which is empty at first.
     pub(super) fn open(ins: ring::Shared<In>) -> Self {
         Self {
             ins,
             outgoing: Rc::default(),
             incoming: Rc::default(),
-            told: Rc::default(),
+            last_notice: Rc::default(),
         }
     }
 
-    /// Sends a command to the instance `to`, which listens at `address`.
-    pub(super) async fn ask(
+    /// Sends a command to the instance `to` at `address`.
+    pub(super) async fn send_command(
         &self,
         streams: &Streams,
         to: &name::Instance,
@@ -71,14 +72,14 @@
         };
         let known = self.outgoing.borrow().get(to).cloned();
         let sender = known.unwrap_or_else(|| self.connect(streams, to, address));
-        // A stream that is stuck must not hold up the others.
+        // A blocked stream must not delay the others.
         if sender.try_send((seq, command)).is_err() {
             self.ins.send(In::Unsent { seq }).await;
         }
     }
 
-    /// Sends an answer to the instance that asked on `conn`.
-    pub(super) async fn answer(&self, conn: Conn, seq: Seq, response: &Response) {
+    /// Sends an answer on the stream `conn`.
+    pub(super) async fn send_answer(&self, conn: Conn, seq: Seq, response: &Response) {
         let frames = self.incoming.borrow().get(&conn).cloned();
         let Some(frames) = frames else { return };
         let Ok(body) = postcard::to_allocvec(response) else {
@@ -92,17 +93,17 @@
         let _ = frames.send(message).await;
     }
 
-    /// Tells all instances that ask here that this one is stopping.
-    pub(super) async fn leave(&self, farewell: Farewell) {
-        self.told.set(Some(farewell));
+    /// Notifies all connected instances that this one is stopping.
+    pub(super) async fn notify_stop(&self, notice: StopNotice) {
+        self.last_notice.set(Some(notice));
         let all: Vec<_> = self.incoming.borrow().values().cloned().collect();
         for frames in all {
-            let _ = frames.send(farewell.message()).await;
+            let _ = frames.send(notice.message()).await;
         }
     }
 
     fn connect(&self, streams: &Streams, to: &name::Instance, address: SocketAddr) -> Commands {
-        let (sender, commands) = mpsc::channel(WAITING);
+        let (sender, commands) = mpsc::channel(QUEUE_CAPACITY);
         self.outgoing
             .borrow_mut()
             .insert(to.clone(), sender.clone());
@@ -115,7 +116,7 @@
         sender
     }
 
-    /// Carries commands until the stream ends, and tells what became of them.
+    /// Sends commands until the stream ends, and reports the fate of the rest.
     async fn serve_outgoing(
         &self,
         streams: &Streams,
@@ -124,14 +125,17 @@
         mut commands: mpsc::Receiver<(Seq, Command)>,
     ) {
         let mut upto = NO_SEQ;
-        let opened = timeout(CONNECT, open(streams, address)).await;
+        let opened = timeout(CONNECT_TIMEOUT, open(streams, address)).await;
         let ended = match opened {
-            Ok(Ok((tcp, end))) => self.carry(&to, tcp, end, &mut commands, &mut upto).await,
+            Ok(Ok((tcp, end))) => {
+                self.run_commands(&to, tcp, end, &mut commands, &mut upto)
+                    .await
+            }
             Ok(Err(_)) | Err(()) => Ended::Broken,
         };
         self.outgoing.borrow_mut().remove(&to);
         commands.close();
-        // Commands that still wait have not left.
+        // Commands that are still queued were not sent.
         while let Some((seq, _)) = commands.recv().await {
             self.ins.send(In::Unsent { seq }).await;
         }
@@ -142,9 +146,9 @@
         self.ins.send(input).await;
     }
 
-    /// Writes commands and reads answers until the stream ends; notes the last
-    /// command that may have left in `upto`.
-    async fn carry(
+    /// Writes commands and reads answers until the stream ends; `upto` is set
+    /// to the last command that may have been sent.
+    async fn run_commands(
         &self,
         to: &name::Instance,
         tcp: TcpStream,
@@ -153,12 +157,12 @@
         upto: &mut Seq,
     ) -> Ended {
         let (read, mut write) = tcp.into_split();
-        let (frames_tx, mut frames) = mpsc::channel(WAITING);
+        let (frames_tx, mut frames) = mpsc::channel(QUEUE_CAPACITY);
         ntex::rt::spawn(read_all(read, frames_tx));
         loop {
             tokio::select! {
                 Some((seq, command)) = commands.recv() => {
-                    // What does not fit a frame is refused alone.
+                    // Only a command that exceeds the frame size is refused.
                     let Ok(bytes) = end.seal(&forward(seq, &command)) else {
                         self.ins.send(In::Unsent { seq }).await;
                         continue;
@@ -172,7 +176,7 @@
                     let Some(bytes) = bytes else { return Ended::Broken };
                     match end.receive(&bytes) {
                         Ok(frame) if is_bye(&frame.message) => return Ended::Left,
-                        Ok(frame) => self.answered(to, frame.message).await,
+                        Ok(frame) => self.receive_answer(to, frame.message).await,
                         Err(error) => {
                             dropped(error);
                             return Ended::Broken;
@@ -183,7 +187,7 @@
         }
     }
 
-    async fn answered(&self, to: &name::Instance, message: Message) {
+    async fn receive_answer(&self, to: &name::Instance, message: Message) {
         if let Message::Answer { sequence, body, .. } = message
             && let Ok(response) = postcard::from_bytes(&body)
         {
@@ -198,7 +202,8 @@
         }
     }
 
-    /// Serves an instance that asks on `tcp`, whose first command has come.
+    /// Serves the commands of an instance on `tcp`, whose first command has
+    /// been read.
     pub(super) async fn serve_incoming(
         &self,
         conn: Conn,
@@ -206,15 +211,15 @@
         mut end: Stream,
         first: Message,
     ) {
-        let (answers_tx, mut answers) = mpsc::channel(WAITING);
-        if let Some(farewell) = self.told.get() {
-            let _ = answers_tx.try_send(farewell.message());
+        let (answers_tx, mut answers) = mpsc::channel(QUEUE_CAPACITY);
+        if let Some(notice) = self.last_notice.get() {
+            let _ = answers_tx.try_send(notice.message());
         }
         self.incoming.borrow_mut().insert(conn, answers_tx);
         let (read, mut write) = tcp.into_split();
-        let (frames_tx, mut frames) = mpsc::channel(WAITING);
+        let (frames_tx, mut frames) = mpsc::channel(QUEUE_CAPACITY);
         ntex::rt::spawn(read_all(read, frames_tx));
-        self.asked(conn, first).await;
+        self.receive_command(conn, first).await;
         loop {
             tokio::select! {
                 Some(message) = answers.recv() => {
@@ -230,7 +235,7 @@
                 bytes = frames.recv() => {
                     let Some(bytes) = bytes else { break };
                     match end.receive(&bytes) {
-                        Ok(frame) => self.asked(conn, frame.message).await,
+                        Ok(frame) => self.receive_command(conn, frame.message).await,
                         Err(error) => {
                             dropped(error);
                             break;
@@ -243,7 +248,7 @@
         self.ins.send(In::Gone { conn }).await;
     }
 
-    async fn asked(&self, conn: Conn, message: Message) {
+    async fn receive_command(&self, conn: Conn, message: Message) {
         if let Message::Forward { sequence, body, .. } = message
             && let Ok(command) = postcard::from_bytes(&body)
         {
@@ -258,16 +263,16 @@
     }
 }
 
-/// How a stream of commands ended.
+/// End of a command stream.
 #[derive(Debug)]
 enum Ended {
-    /// The holder said [`Response::Bye`].
+    /// The holder sent [`Response::Bye`].
     Left,
-    /// In any other way.
+    /// Any other end.
     Broken,
 }
 
-/// The frame of a command.
+/// Message of a command.
 fn forward(seq: Seq, command: &Command) -> Message {
     let body = postcard::to_allocvec(command).unwrap_or_default();
     Message::Forward {
@@ -277,16 +282,16 @@
     }
 }
 
-/// What a stopping instance tells those that ask it.
+/// Notice of a stopping instance to connected instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Farewell {
+pub(super) enum StopNotice {
     /// [`Response::Leaving`].
     Leaving,
     /// [`Response::Bye`].
     Bye,
 }
 
-impl Farewell {
+impl StopNotice {
     fn message(self) -> Message {
         let response = match self {
             Self::Leaving => Response::Leaving,
@@ -301,12 +306,12 @@
     }
 }
 
-/// Whether a message is the last of a stopping instance.
+/// Returns true if a message is the last of a stopping instance.
 fn is_bye(message: &Message) -> bool {
-    *message == Farewell::Bye.message()
+    *message == StopNotice::Bye.message()
 }
 
-/// Connects to another instance's streams.
+/// Opens a stream to another instance.
 async fn open(streams: &Streams, address: SocketAddr) -> Result<(TcpStream, Stream), Error> {
     let mut tcp = TcpStream::connect(address).await?;
     tcp.set_nodelay(true)?;
@@ -316,10 +321,10 @@
     Ok((tcp, end))
 }
 
-/// Reads frames, still sealed, until the stream ends.
+/// Reads sealed frames until the stream ends.
 ///
-/// A task of its own reads, because a read that is given up half-way would
-/// lose the bytes that it has taken.
+/// Runs as a separate task, because a cancelled read would lose the bytes that
+/// it has already taken.
 async fn read_all(mut read: OwnedReadHalf, frames: mpsc::Sender<Vec<u8>>) {
     while let Ok(Some(bytes)) = read_frame(&mut read).await {
         if frames.send(bytes).await.is_err() {
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The peers' duty: membership, the catalogue's spread, and what instances
-//! tell each other.
+//! The peers' duty: membership, distribution of the catalogue, and messages
+//! between instances.
 
 mod apply;
 mod datagram;
@@ -32,76 +32,76 @@
     ring,
 };
 
-use self::view::Kept;
-use apply::Force;
-use forward::{Farewell, Forwards};
-use stream::Heard;
+use self::view::Diagnostics;
+use apply::AppliedCatalog;
+use forward::{Forwards, StopNotice};
+use stream::Received;
 
-/// What the control duty asks of the peers' duty.
+/// Command of the control duty.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Tell another candidate, without confirmation.
+    /// Send evidence to another candidate, without acknowledgement.
     SendEvidence {
-        /// The candidate.
+        /// Recipient.
         to: name::Instance,
-        /// What to tell.
+        /// Evidence to send.
         evidence: Evidence,
     },
 }
 
-/// What the control duty is told.
+/// Update for the control duty.
 #[derive(Debug)]
 pub(crate) enum Update {
-    /// The instances that may be given work, with their zones.
+    /// Available instances with their zones.
     Members(BTreeMap<name::Instance, name::Zone>),
-    /// The catalogue that is in force now.
+    /// Catalogue that is in force now.
     Catalog(Arc<Snapshot>),
-    /// The store's record of a primary.
+    /// Record of a primary in the store.
     Primary {
         /// The database.
         database: name::Database,
         /// The record.
         entry: Entry,
     },
-    /// Another candidate told its evidence.
+    /// Evidence of another candidate.
     Evidence {
-        /// The teller.
+        /// Sender.
         from: name::Instance,
-        /// The teller's zone.
+        /// Zone of the sender.
         zone: name::Zone,
-        /// What it tells.
+        /// Evidence of the sender.
         evidence: Evidence,
     },
 }
 
-/// What the peers' duty is given.
+/// Configuration of the peers' duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// This instance's part in the fleet.
+    /// Configuration of the fleet state machine.
     pub(crate) fleet: fleet::Conf,
-    /// For datagrams.
+    /// Socket for datagrams.
     pub(crate) socket: UdpSocket,
-    /// For streams.
+    /// Listener for streams.
     pub(crate) listener: TcpListener,
-    /// The keys that frames are sealed with.
+    /// Keys that seal frames.
     pub(crate) ring: Ring,
     /// The machine's clock.
     pub(crate) clock: Clock,
-    /// From the control duty.
+    /// Commands of the control duty.
     pub(crate) commands: ring::Receiver<Command>,
-    /// To the control duty.
+    /// Updates for the control duty.
     pub(crate) updates: ring::Sender<Update>,
-    /// To the callers' duty.
+    /// New catalogues for the callers' duty.
     pub(crate) catalogs: ring::Sender<Arc<Snapshot>>,
-    /// From the upstreams' duty.
+    /// Messages of the upstreams' duty.
     pub(crate) outs: ring::Receiver<Out>,
-    /// To the upstreams' duty.
+    /// Messages to the upstreams' duty.
     pub(crate) ins: ring::Sender<In>,
-    /// To the store's duty.
+    /// Calls to the store's duty.
     pub(crate) store_calls: ring::Sender<fleet::Store>,
-    /// From the store's duty.
+    /// Answers of the store's duty.
     pub(crate) store_answers: ring::Receiver<platform::FleetAnswer>,
-    /// What operators ask.
+    /// Requests of the operators' port.
     pub(crate) inquiries: Requests<introspect::Fleet>,
     /// The daemon's phase.
     pub(crate) watch: Watch,
@@ -111,56 +111,56 @@
 struct Peers {
     clock: Clock,
     fleet: Fleet,
-    gate: Endpoint,
+    endpoint: Endpoint,
     socket: Rc<tokio::net::UdpSocket>,
     streams: stream::Streams,
     forwards: Forwards,
     updates: ring::Shared<Update>,
     catalogs: ring::Shared<Arc<Snapshot>>,
     store_calls: ring::Shared<fleet::Store>,
-    force: Force,
+    catalog: AppliedCatalog,
     wake: Option<Instant>,
     members: BTreeMap<name::Instance, name::Zone>,
-    kept: Kept,
+    diagnostics: Diagnostics,
 }
 
 /// Runs the duty until the daemon stops.
 pub(crate) async fn run(mut conf: Conf) {
     let Ok(socket) = tokio::net::UdpSocket::from_std(conf.socket) else {
-        log::error!(duty = "peers"; "the peers' port can't be served");
+        log::error!(duty = "peers"; "can't serve the peers' port");
         return;
     };
-    // Until the runtime has polled it, a socket that was just bound takes
-    // nothing, and the greetings of the start would be dropped.
+    // A newly bound socket refuses to send until the runtime has polled it, so
+    // the greetings at the start would be lost.
     if let Err(error) = socket.writable().await {
-        log::warn!(duty = "peers"; "the peers' port takes nothing yet: {error}");
+        log::warn!(duty = "peers"; "the peers' port is not writable: {error}");
     }
     let node = Node::of(&conf.fleet.name);
     let incarnation = conf.fleet.incarnation();
     let address = conf.fleet.address;
     let forwards = Forwards::open(ring::Shared::new(conf.ins));
     let keys = conf.ring.clone();
-    let (streams, mut heard) =
+    let (streams, mut received) =
         stream::Streams::open(conf.listener, node, incarnation, keys, forwards.clone());
     let (fleet, actions) = Fleet::open(conf.fleet, conf.clock.now());
     let mut peers = Peers {
         clock: conf.clock,
         fleet,
-        gate: Endpoint::open(node, incarnation, address, conf.ring),
+        endpoint: Endpoint::open(node, incarnation, address, conf.ring),
         socket: Rc::new(socket),
         streams,
         forwards,
         updates: ring::Shared::new(conf.updates),
         catalogs: ring::Shared::new(conf.catalogs),
         store_calls: ring::Shared::new(conf.store_calls),
-        force: Force::default(),
+        catalog: AppliedCatalog::default(),
         wake: None,
         members: BTreeMap::new(),
-        kept: Kept::default(),
+        diagnostics: Diagnostics::default(),
     };
-    peers.carry(actions).await;
-    // An instance that is alone is told of no other member.
-    peers.tell_members().await;
+    peers.perform(actions).await;
+    // An instance that is alone gets no event about members.
+    peers.update_members().await;
     let mut buf = vec![0; wire::DATAGRAM_MAX + 1];
     let mut draining = conf.watch.clone();
     let mut leaving = false;
@@ -174,7 +174,7 @@
                 peers.step(Event::Leave).await;
             }
             Ok((len, from)) = socket.recv_from(&mut buf) => peers.datagram(&buf[..len], from).await,
-            Some(heard) = heard.recv() => peers.heard(heard).await,
+            Some(received) = received.recv() => peers.received(received).await,
             Some(command) = conf.commands.recv() => peers.command(command),
             Some(out) = conf.outs.recv() => peers.out(out).await,
             Some(answer) = conf.store_answers.recv() => {
@@ -189,25 +189,25 @@
 }
 
 impl Peers {
-    /// How long until the fleet's part wants to be woken.
+    /// Time until the fleet state machine is due.
     fn pause(&self) -> Duration {
-        const QUIET: Duration = Duration::from_secs(1);
-        self.wake.map_or(QUIET, |at| at.since(self.clock.now()))
+        const MAX_PAUSE: Duration = Duration::from_secs(1);
+        self.wake.map_or(MAX_PAUSE, |at| at.since(self.clock.now()))
     }
 
     async fn step(&mut self, event: Event) {
         let actions = self.fleet.step(self.clock.now(), event);
-        self.carry(actions).await;
+        self.perform(actions).await;
     }
 
-    async fn carry(&mut self, actions: Vec<Action>) {
+    async fn perform(&mut self, actions: Vec<Action>) {
         let mut changed = false;
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, &message),
-                Action::Ask { call, to, message } => self.streams.ask(call, to, message),
+                Action::Ask { call, to, message } => self.streams.request(call, to, message),
                 Action::Reply { stream, messages } => self.streams.reply(stream, messages),
-                Action::Store(store) => self.ask_store(store),
+                Action::Store(store) => self.call_store(store),
                 Action::Catalog {
                     revision,
                     scope,
@@ -217,22 +217,22 @@
                 }
                 Action::Primary(change) => self.primary(&change).await,
                 Action::Member(_) => changed = true,
-                Action::Zone { zone, path } => tell_zone(&zone, path),
+                Action::Zone { zone, path } => log_zone_path(&zone, path),
                 Action::Notice(notice) => {
-                    self.kept.note(&notice);
-                    tell(&notice);
+                    self.diagnostics.note(&notice);
+                    log_notice(&notice);
                 }
                 Action::Wake(at) => self.wake = Some(at),
             }
         }
         if changed {
-            self.tell_members().await;
+            self.update_members().await;
         }
     }
 
-    /// A call that finds the ring full is left out: the fleet's part counts it
-    /// as unanswered and makes it again.
-    fn ask_store(&mut self, store: fleet::Store) {
+    /// Passes a call to the store's duty. A call that finds the ring full is
+    /// dropped: the fleet state machine treats it as unanswered and repeats it.
+    fn call_store(&mut self, store: fleet::Store) {
         if self.store_calls.push(store).is_err() {
             metrics::counter!("dandelionlink_ring_full_total", "ring" => "fleet").increment(1);
         }
@@ -244,10 +244,10 @@
         scope: fleet::Scope,
         changes: &[wire::Change],
     ) {
-        match self.force.apply(scope, changes) {
+        match self.catalog.apply(scope, changes) {
             Ok(snapshot) => {
                 let snapshot = Arc::new(snapshot);
-                self.kept.applied(self.clock.now());
+                self.diagnostics.applied(self.clock.now());
                 metrics::gauge!("dandelionlink_catalog_revision").set(snapshot.revision as f64);
                 self.updates
                     .send(Update::Catalog(Arc::clone(&snapshot)))
@@ -255,11 +255,11 @@
                 self.catalogs.send(snapshot).await;
             }
             Err(error) => {
-                log::error!(duty = "peers"; "catalogue {revision} is held back: {error}");
-                self.kept.refused(revision, error.to_string());
+                log::error!(duty = "peers"; "catalogue {revision} is invalid and not applied: {error}");
+                self.diagnostics.refused(revision, error.to_string());
                 let actions = self.fleet.step(self.clock.now(), Event::Refused(revision));
-                // A refusal only brings notices, never another catalogue.
-                Box::pin(self.carry(actions)).await;
+                // A refusal only causes notices, never another catalogue.
+                Box::pin(self.perform(actions)).await;
             }
         }
     }
@@ -280,9 +280,9 @@
         }
     }
 
-    async fn tell_members(&mut self) {
-        let workable = self.fleet.table().members().filter(|it| it.is_available());
-        let members: BTreeMap<_, _> = workable
+    async fn update_members(&mut self) {
+        let available = self.fleet.table().members().filter(|it| it.is_available());
+        let members: BTreeMap<_, _> = available
             .map(|it| (it.record.name.clone(), it.record.zone.clone()))
             .collect();
         if members != self.members {
@@ -299,7 +299,7 @@
                 let member = self.fleet.table().find(Node::of(&to));
                 let address = member.map(|it| it.record.address);
                 self.forwards
-                    .ask(&self.streams, &to, address, seq, command)
+                    .send_command(&self.streams, &to, address, seq, command)
                     .await;
             }
             Out::Answer {
@@ -307,10 +307,10 @@
                 seq,
                 response,
             } => {
-                self.forwards.answer(conn, seq, &response).await;
+                self.forwards.send_answer(conn, seq, &response).await;
             }
-            Out::Leaving => self.forwards.leave(Farewell::Leaving).await,
-            Out::Bye => self.forwards.leave(Farewell::Bye).await,
+            Out::Leaving => self.forwards.notify_stop(StopNotice::Leaving).await,
+            Out::Bye => self.forwards.notify_stop(StopNotice::Bye).await,
         }
     }
 
@@ -327,11 +327,11 @@
         }
     }
 
-    async fn heard(&mut self, heard: Heard) {
-        let event = match heard {
-            Heard::Answer { call, message } => Event::Answer { call, message },
-            Heard::Failed { call } => Event::Failed(call),
-            Heard::Asked { stream, message } => Event::Asked { stream, message },
+    async fn received(&mut self, received: Received) {
+        let event = match received {
+            Received::Answer { call, message } => Event::Answer { call, message },
+            Received::Failed { call } => Event::Failed(call),
+            Received::Request { stream, message } => Event::Asked { stream, message },
         };
         self.step(event).await;
     }
@@ -352,8 +352,8 @@
     }
 }
 
-/// Counts and logs what an operator wants to know.
-fn tell(notice: &Notice) {
+/// Counts and logs a notice for operators.
+fn log_notice(notice: &Notice) {
     let kind = match notice {
         Notice::StoreBehind { .. } => "store_behind",
         Notice::StoreDown => "store_down",
@@ -369,27 +369,27 @@
     log::warn!(duty = "peers"; "{notice:?}");
 }
 
-/// Tells operators that a zone is cut off from this instance, or is back.
-fn tell_zone(zone: &name::Zone, path: fleet::Path) {
+/// Logs that a zone became unreachable from this instance, or reachable again.
+fn log_zone_path(zone: &name::Zone, path: fleet::Path) {
     let kind = "zone";
     metrics::counter!("dandelionlink_fleet_notices_total", "kind" => kind).increment(1);
-    log::warn!(duty = "peers", zone = zone.as_str(); "the way to zone {zone}: {path:?}");
+    log::warn!(duty = "peers", zone = zone.as_str(); "path to zone {zone}: {path:?}");
 }
 
-/// The store's key of a key that the fleet mirrors.
+/// Store key of a key that the fleet replicates.
 ///
-/// The fleet's keys travel without what all of them begin with.
+/// Keys between instances omit the prefix that all of them share.
 pub(crate) fn full_key(key: &str) -> String {
     let root = PRIMARIES.trim_end_matches("primary/");
     format!("{root}{key}")
 }
 
-/// The fleet's key of a key of the store.
+/// Key between instances of a store key; `None` without the common prefix.
 pub(crate) fn short_key(key: &str) -> Option<&str> {
     key.strip_prefix(PRIMARIES.trim_end_matches("primary/"))
 }
 
-/// Where peers reach an instance that binds `address`.
+/// Address that peers use for an instance that binds `address`.
 pub(crate) fn reachable(address: SocketAddr, bound: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip(), bound.port())
 }
--- a/crates/daemon/src/peers/stream.rs
+++ b/crates/daemon/src/peers/stream.rs
@@ -1,5 +1,4 @@
-//! Streams between instances: questions whose answers are too large for a
-//! datagram.
+//! Streams between instances, for requests whose answers exceed a datagram.
 
 use std::{
     cell::RefCell,
@@ -22,46 +21,46 @@
 
 use super::{datagram::dropped, forward::Forwards};
 
-/// How long a question on a stream may take, answer included.
+/// Timeout of a request on a stream, including the answer.
 const TIMEOUT: Millis = Millis(5_000);
 
-/// How many questions of peers are answered at once.
-const MAX_ASKED: usize = 64;
+/// Maximum number of requests of peers that are served at once.
+const MAX_SERVED: usize = 64;
 
-/// What has come on streams and waits for the duty.
-const MAX_HEARD: usize = 256;
+/// Maximum number of received messages that wait for the duty.
+const MAX_RECEIVED: usize = 256;
 
-/// How long an accept that failed waits.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What came on a stream.
+/// Input from a stream.
 #[derive(Debug)]
-pub(super) enum Heard {
-    /// A frame of the answer to a question.
+pub(super) enum Received {
+    /// Part of the answer to a request.
     Answer {
-        /// The question.
+        /// Id of the request.
         call: Call,
-        /// What the peer says.
+        /// Message of the peer.
         message: Message,
     },
-    /// A question failed.
+    /// A request failed.
     Failed {
-        /// The question.
+        /// Id of the request.
         call: Call,
     },
-    /// A peer asks.
-    Asked {
-        /// To answer with.
+    /// A request of a peer.
+    Request {
+        /// Stream to answer on.
         stream: u64,
-        /// What it asks.
+        /// Message of the peer.
         message: Message,
     },
 }
 
-/// Why a stream ended.
+/// Error of a stream.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Error {
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A frame is not sealed by a peer.
@@ -71,37 +70,37 @@
 
 type Answers = Rc<RefCell<HashMap<u64, oneshot::Sender<Vec<Message>>>>>;
 
-/// The streams of one instance.
+/// Streams of one instance.
 pub(super) struct Streams {
     node: Node,
     incarnation: u64,
     ring: Ring,
-    heard: mpsc::Sender<Heard>,
+    received: mpsc::Sender<Received>,
     answers: Answers,
     forwards: Forwards,
 }
 
 impl Streams {
-    /// Accepts streams on `listener` from now on.
+    /// Starts to accept streams on `listener`.
     pub(super) fn open(
         listener: TcpListener,
         node: Node,
         incarnation: u64,
         ring: Ring,
         forwards: Forwards,
-    ) -> (Self, mpsc::Receiver<Heard>) {
-        let (heard, hearing) = mpsc::channel(MAX_HEARD);
+    ) -> (Self, mpsc::Receiver<Received>) {
+        let (received, inputs) = mpsc::channel(MAX_RECEIVED);
         let answers = Answers::default();
         let streams = Self {
             node,
             incarnation,
             ring,
-            heard,
+            received,
             answers,
             forwards,
         };
         ntex::rt::spawn(accept(listener, streams.handle()));
-        (streams, hearing)
+        (streams, inputs)
     }
 
     pub(super) fn handle(&self) -> Self {
@@ -109,24 +108,25 @@
             node: self.node,
             incarnation: self.incarnation,
             ring: self.ring.clone(),
-            heard: self.heard.clone(),
+            received: self.received.clone(),
             answers: Rc::clone(&self.answers),
             forwards: self.forwards.clone(),
         }
     }
 
-    /// Asks the instance at `to`; the answer comes as [`Heard`].
-    pub(super) fn ask(&self, call: Call, to: SocketAddr, message: Message) {
+    /// Sends a request to the instance at `to`; the answer arrives as
+    /// [`Received`].
+    pub(super) fn request(&self, call: Call, to: SocketAddr, message: Message) {
         let streams = self.handle();
         ntex::rt::spawn(async move {
-            let asking = ask(&streams, call, to, &message);
-            if !matches!(timeout(TIMEOUT, asking).await, Ok(Ok(()))) {
-                let _ = streams.heard.send(Heard::Failed { call }).await;
+            let requesting = request(&streams, call, to, &message);
+            if !matches!(timeout(TIMEOUT, requesting).await, Ok(Ok(()))) {
+                let _ = streams.received.send(Received::Failed { call }).await;
             }
         });
     }
 
-    /// Answers a question of a peer.
+    /// Answers the request of a peer.
     pub(super) fn reply(&self, stream: u64, messages: Vec<Message>) {
         let answer = self.answers.borrow_mut().remove(&stream);
         if let Some(answer) = answer {
@@ -134,13 +134,13 @@
         }
     }
 
-    /// This instance's end of a stream with that nonce.
+    /// This instance's end of a stream with the given nonce.
     pub(super) fn end(&self, nonce: [u8; 16], side: Side) -> Stream {
         Stream::open(self.node, self.incarnation, self.ring.clone(), nonce, side)
     }
 }
 
-/// Reads the next frame; `None` at the stream's end.
+/// Reads the next frame; `None` at the end of the stream.
 async fn read(tcp: &mut TcpStream, end: &mut Stream) -> Result<Option<Message>, Error> {
     match read_frame(tcp).await? {
         Some(bytes) => Ok(Some(end.receive(&bytes)?.message)),
@@ -148,7 +148,8 @@
     }
 }
 
-/// Reads the next frame, still sealed; `None` at the stream's end.
+/// Reads the next frame without opening its seal; `None` at the end of the
+/// stream.
 pub(super) async fn read_frame(
     tcp: &mut (impl AsyncRead + Unpin),
 ) -> Result<Option<Vec<u8>>, Error> {
@@ -163,7 +164,7 @@
     Ok(Some(bytes))
 }
 
-async fn ask(
+async fn request(
     streams: &Streams,
     call: Call,
     to: SocketAddr,
@@ -175,12 +176,15 @@
     tcp.read_exact(&mut nonce).await?;
     let mut end = streams.end(nonce, Side::Connector);
     tcp.write_all(&end.seal(message)?).await?;
-    let mut some = false;
+    let mut answered = false;
     while let Some(message) = read(&mut tcp, &mut end).await? {
-        some = true;
-        let _ = streams.heard.send(Heard::Answer { call, message }).await;
+        answered = true;
+        let _ = streams
+            .received
+            .send(Received::Answer { call, message })
+            .await;
     }
-    if some {
+    if answered {
         Ok(())
     } else {
         Err(io::Error::from(io::ErrorKind::UnexpectedEof).into())
@@ -191,17 +195,18 @@
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
-    let room = Arc::new(Semaphore::new(MAX_ASKED));
-    let mut made = 0;
+    let permits = Arc::new(Semaphore::new(MAX_SERVED));
+    let mut accepted = 0;
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
             ntex::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        made += 1;
-        let (streams, stream) = (streams.handle(), made);
-        // Peers beyond the bound are cut off and ask another instance.
-        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
+        accepted += 1;
+        let (streams, stream) = (streams.handle(), accepted);
+        // Connections beyond the maximum are closed, and their peers ask
+        // another instance.
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
         ntex::rt::spawn(async move {
@@ -220,12 +225,13 @@
     mut tcp: TcpStream,
     permit: OwnedSemaphorePermit,
 ) -> Result<(), Error> {
-    let greeting = timeout(TIMEOUT, greet(streams, &mut tcp)).await;
-    let Some((end, message)) = greeting.unwrap_or(Ok(None))? else {
+    let first = timeout(TIMEOUT, read_first(streams, &mut tcp)).await;
+    let Some((end, message)) = first.unwrap_or(Ok(None))? else {
         return Ok(());
     };
     if let Message::Forward { .. } = message {
-        // A stream of commands lasts; it takes no room from the questions.
+        // A command stream is long-lived and must not occupy a permit for
+        // requests.
         drop(permit);
         streams
             .forwards
@@ -238,7 +244,10 @@
 }
 
 /// Reads the first message of a stream.
-async fn greet(streams: &Streams, tcp: &mut TcpStream) -> Result<Option<(Stream, Message)>, Error> {
+async fn read_first(
+    streams: &Streams,
+    tcp: &mut TcpStream,
+) -> Result<Option<(Stream, Message)>, Error> {
     tcp.set_nodelay(true)?;
     let nonce: [u8; 16] = rand::random();
     tcp.write_all(&nonce).await?;
@@ -256,7 +265,10 @@
 ) -> Result<(), Error> {
     let (answer, answered) = oneshot::channel();
     streams.answers.borrow_mut().insert(stream, answer);
-    let _ = streams.heard.send(Heard::Asked { stream, message }).await;
+    let _ = streams
+        .received
+        .send(Received::Request { stream, message })
+        .await;
     for message in answered.await.unwrap_or_default() {
         tcp.write_all(&end.seal(&message)?).await?;
     }
--- a/crates/daemon/src/peers/view.rs
+++ b/crates/daemon/src/peers/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet and of the catalogue in force.
+//! State of the fleet and of the catalogue in force for operators.
 
 use std::collections::BTreeSet;
 
@@ -11,44 +11,45 @@
 use super::Peers;
 use crate::introspect::{self, millis};
 
-/// What the duty keeps for operators only.
+/// State that the duty keeps only for operators.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
-    /// When the catalogue in force was put there.
+pub(super) struct Diagnostics {
+    /// Time at which the catalogue was put in force.
     applied: Option<Instant>,
-    /// Why the last catalogue that was refused was.
+    /// Last refused catalogue and the reason.
     refused: Option<(wire::Revision, String)>,
-    /// The store's revision and the one held, since the store went back.
-    behind: Option<(wire::Revision, wire::Revision)>,
+    /// Revision of the store and the newer one held here, after the store has
+    /// gone back.
+    store_older: Option<(wire::Revision, wire::Revision)>,
 }
 
-impl Kept {
-    /// A catalogue was put in force.
+impl Diagnostics {
+    /// Notes that a catalogue was put in force.
     pub(super) fn applied(&mut self, now: Instant) {
         self.applied = Some(now);
         self.refused = None;
     }
 
-    /// A catalogue was refused.
+    /// Notes that a catalogue was refused.
     pub(super) fn refused(&mut self, revision: wire::Revision, reason: String) {
         self.refused = Some((revision, reason));
     }
 
-    /// Takes in what the fleet's part tells.
+    /// Notes a notice of the fleet state machine.
     pub(super) fn note(&mut self, notice: &Notice) {
         match notice {
-            Notice::StoreBehind { store, held } => self.behind = Some((*store, *held)),
-            Notice::StoreBack => self.behind = None,
+            Notice::StoreBehind { store, held } => self.store_older = Some((*store, *held)),
+            Notice::StoreBack => self.store_older = None,
             _ => {}
         }
     }
 }
 
 impl Peers {
-    /// What operators see.
+    /// State of the duty for operators.
     pub(super) fn view(&self) -> introspect::Fleet {
         let now = self.clock.now();
-        let applied = self.kept.applied.unwrap_or(now);
+        let applied = self.diagnostics.applied.unwrap_or(now);
         introspect::Fleet {
             revision: revision(self.fleet.applied()),
             applied_ms_ago: millis(now.since(applied)),
@@ -63,13 +64,13 @@
         let others = others.filter(|it| it.node != self.fleet.node());
         let member = |it: &fleet::Member| {
             let heard = it.view.map_or(it.since, |(_, heard)| heard.max(it.since));
-            let told = it.view.map(|(view, _)| in_force(&status, &view));
+            let reported = it.view.map(|(view, _)| in_force(&status, &view));
             view::Member {
                 instance: it.record.name.clone(),
                 zone: it.record.zone.clone(),
                 address: it.record.address,
                 health: health(it.record.state),
-                revision: told.map(revision),
+                revision: reported.map(revision),
                 heard_ms_ago: millis(now.since(heard)),
             }
         };
@@ -85,8 +86,11 @@
             doubts.push(Doubt::NoCatalog);
         }
         doubts.extend(status.held.map(|held| self.held(held)));
-        let behind = self.kept.behind.filter(|_| status.watch != Watch::On);
-        doubts.extend(behind.map(|(shown, held)| Doubt::StoreOlder {
+        let store_older = self
+            .diagnostics
+            .store_older
+            .filter(|_| status.watch != Watch::On);
+        doubts.extend(store_older.map(|(shown, held)| Doubt::StoreOlder {
             shown: revision(shown),
             held: revision(held),
         }));
@@ -107,7 +111,7 @@
                 "keys were written behind its head, so it was not made in one transaction"
                     .to_owned()
             }
-            Reason::Refused => self.kept.refused.as_ref().map_or_else(
+            Reason::Refused => self.diagnostics.refused.as_ref().map_or_else(
                 || "it can't be read".to_owned(),
                 |(_, reason)| reason.clone(),
             ),
@@ -129,8 +133,8 @@
     }
 }
 
-/// Zones of which no instance answers, by the states of each zone's instances.
-/// One that said goodbye is not missed.
+/// Returns the zones in which no instance answers, by the states of each zone's
+/// instances. Instances that left by themselves are not missed.
 fn silent_zones(
     own: &name::Zone,
     zones: impl Iterator<Item = (name::Zone, Vec<State>)>,
@@ -150,20 +154,21 @@
     alone.into_iter().chain(silent).collect()
 }
 
-/// The catalogue's revision that another instance has in force.
+/// Returns the revision of the catalogue that another instance has in force.
 ///
-/// It tells how far it mirrors the store, which each change of a primary
-/// moves on as well. Shown as it is, it would make this instance, whose
-/// catalogue is the same, seem to lack a change that there never was.
-fn in_force(own: &fleet::Status, told: &wire::View) -> wire::Revision {
-    if let Some(applied) = told.applied {
+/// An instance without `applied` reports only the revision up to which it
+/// mirrors the store, and each change of a primary raises that revision as
+/// well. Shown unchanged, it would suggest that this instance, which has the
+/// same catalogue, lacks a change.
+fn in_force(own: &fleet::Status, reported: &wire::View) -> wire::Revision {
+    if let Some(applied) = reported.applied {
         return applied;
     }
-    let known = own.applied <= told.revision && told.revision <= own.mirrored;
+    let known = own.applied <= reported.revision && reported.revision <= own.mirrored;
     if known && own.held.is_none() {
         return own.applied;
     }
-    told.revision
+    reported.revision
 }
 
 fn revision(of: wire::Revision) -> Revision {
--- a/crates/daemon/src/platform/reach.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers, as this instance's own calls tell.
+//! Client of the platform's store that tracks whether the store answers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,92 +11,92 @@
 
 use crate::introspect::millis;
 
-/// After how long without a call the store counts as not asked.
-const IDLE: Duration = Duration::from_secs(10);
+/// Time without a call after which the store counts as idle.
+const IDLE_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Contact {
     answered: Option<Instant>,
-    /// The first failure since the last answer.
+    /// First failure since the last answer.
     failing: Option<Instant>,
 }
 
-/// The store's client, which notes how its calls end.
+/// Client that records the results of its calls.
 #[derive(Debug, Clone)]
 pub(super) struct Client {
     gateway: Gateway,
     clock: Clock,
-    seen: Rc<RefCell<Seen>>,
-    /// How many watches are open.
+    contact: Rc<RefCell<Contact>>,
+    /// Number of open watches.
     watches: Rc<Cell<usize>>,
 }
 
-/// A watch that counts as an open one while it lives.
+/// A watch that is counted as open until it is dropped.
 #[derive(Debug)]
-pub(super) struct Watching {
+pub(super) struct CountedWatch {
     watch: Watch,
     client: Client,
 }
 
 impl Client {
-    /// Takes a gateway over.
+    /// Creates a client of `gateway`.
     pub(super) fn open(gateway: Gateway, clock: Clock) -> Self {
         Self {
             gateway,
             clock,
-            seen: Rc::default(),
+            contact: Rc::default(),
             watches: Rc::default(),
         }
     }
 
-    /// Makes one call.
+    /// Calls the store.
     ///
     /// # Errors
     ///
-    /// [`Fault`] tells whether the call may have taken effect.
+    /// [`Fault`] shows whether the call may have taken effect.
     pub(super) async fn call(&self, call: &Call) -> Result<Answer, Fault> {
         let result = self.gateway.call(call).await;
-        self.note(result.as_ref().err());
+        self.note_result(result.as_ref().err());
         result
     }
 
-    /// Opens a watch on the keys from `from` up to, and without, `to`.
+    /// Opens a watch on the keys from `from` up to, but not including, `to`.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the store can't be reached or refuses.
+    /// [`Fault`] if the store is unreachable or refuses the call.
     pub(super) async fn watch(
         &self,
         from: &str,
         to: &str,
         revision: u64,
-    ) -> Result<Watching, Fault> {
+    ) -> Result<CountedWatch, Fault> {
         let result = self.gateway.watch(from, to, revision).await;
-        self.note(result.as_ref().err());
+        self.note_result(result.as_ref().err());
         let watch = result?;
         self.watches.set(self.watches.get() + 1);
-        Ok(Watching {
+        Ok(CountedWatch {
             watch,
             client: self.clone(),
         })
     }
 
-    /// What operators see.
+    /// State of the store for operators.
     pub(super) fn view(&self) -> view::Store {
         let now = self.clock.now();
-        let seen = self.seen.borrow();
-        if let Some(failing) = seen.failing {
-            let since = seen.answered.unwrap_or(failing);
+        let contact = self.contact.borrow();
+        if let Some(failing) = contact.failing {
+            let since = contact.answered.unwrap_or(failing);
             return view::Store::Silent {
                 since_ms: millis(now.since(since)),
             };
         }
-        let Some(answered) = seen.answered else {
+        let Some(answered) = contact.answered else {
             return view::Store::Idle;
         };
         let age = now.since(answered);
-        // An open watch is an open call: silence on it is what it should bring.
-        if self.watches.get() == 0 && age > IDLE {
+        // An open watch is a pending call on which silence is normal.
+        if self.watches.get() == 0 && age > IDLE_AFTER {
             return view::Store::Idle;
         }
         view::Store::Answering {
@@ -104,36 +104,36 @@
         }
     }
 
-    fn note(&self, fault: Option<&Fault>) {
+    fn note_result(&self, fault: Option<&Fault>) {
         let now = self.clock.now();
-        let mut seen = self.seen.borrow_mut();
+        let mut contact = self.contact.borrow_mut();
         match fault {
-            // A refusal is an answer as well.
+            // A refusal is also an answer.
             None | Some(Fault::Refused { .. } | Fault::Compacted { .. }) => {
-                seen.answered = Some(now);
-                seen.failing = None;
+                contact.answered = Some(now);
+                contact.failing = None;
             }
             Some(Fault::Unreachable { .. } | Fault::Lost | Fault::Malformed { .. }) => {
-                seen.failing.get_or_insert(now);
+                contact.failing.get_or_insert(now);
             }
         }
     }
 }
 
-impl Watching {
+impl CountedWatch {
     /// Waits for changes.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the watch broke or asks for what is no longer kept.
+    /// [`Fault`] if the watch failed or its revision was compacted.
     pub(super) async fn next(&mut self) -> Result<(Vec<store::Event>, u64), Fault> {
         let result = self.watch.next().await;
-        self.client.note(result.as_ref().err());
+        self.client.note_result(result.as_ref().err());
         result
     }
 }
 
-impl Drop for Watching {
+impl Drop for CountedWatch {
     fn drop(&mut self) {
         self.client.watches.set(self.client.watches.get() - 1);
     }
