--- a/crates/fake/src/group.rs
+++ b/crates/fake/src/group.rs
@@ -13,7 +13,7 @@
 use crate::{
     serve::Listener,
     server,
-    table::{Log, Place, Write},
+    table::{Log, RowKey, Write},
 };
 
 /// What can be wrong with an upstream.
@@ -63,12 +63,12 @@
     /// How much later than received a replica shows an entry.
     pub(crate) lag: Duration,
     /// How much later answers leave.
-    pub(crate) late: Duration,
+    pub(crate) answer_delay: Duration,
     pub(crate) role: Role,
     /// The highest term it was ordered to.
     pub(crate) fenced: Term,
     /// Which session raised the term last: only that one's orders are taken.
-    pub(crate) ordered_by: u64,
+    pub(crate) fenced_by: u64,
     /// The term it writes in when it is primary.
     pub(crate) term: Term,
     pub(crate) read_only: bool,
@@ -77,18 +77,18 @@
     /// When each entry not yet shown arrived.
     pub(crate) arrivals: Vec<Instant>,
     /// Rows that an open transaction has written, and by which session.
-    pub(crate) locks: HashMap<Place, u64>,
+    pub(crate) locks: HashMap<RowKey, u64>,
     /// Counts up when the process crashes, so that old connections break.
     pub(crate) generation: u64,
     pub(crate) connections: usize,
     /// The most connections that were ever open at once.
-    pub(crate) peak: usize,
+    pub(crate) peak_connections: usize,
     /// Statements run, for tests that count work.
     pub(crate) statements: u64,
     /// Those of them that read a table.
     pub(crate) selects: u64,
     /// How often a statement began to wait for a row.
-    pub(crate) waits: u64,
+    pub(crate) lock_waits: u64,
 }
 
 #[derive(Debug)]
@@ -112,14 +112,14 @@
     pub(crate) fn replicate(&mut self) {
         let now = Instant::now();
         for index in 0..self.nodes.len() {
-            self.receive(index, now);
-            self.nodes[index].show(now);
+            self.receive_log(index, now);
+            self.nodes[index].replay_due(now);
         }
     }
 
-    fn receive(&mut self, index: usize, now: Instant) {
+    fn receive_log(&mut self, index: usize, now: Instant) {
         let node = &self.nodes[index];
-        if node.role != Role::Replica || node.is_apart() {
+        if node.role != Role::Replica || node.is_isolated() {
             return;
         }
         let leader = node
@@ -129,27 +129,30 @@
             return;
         };
         let other = &self.nodes[leader];
-        if other.is_apart() || other.role != Role::Primary || other.term < node.log.received().term
+        if other.is_isolated()
+            || other.role != Role::Primary
+            || other.term < node.log.received().term
         {
             return;
         }
-        let known = node.log.entries.len();
-        let joined = known == 0 || other.log.entries.get(known - 1) == node.log.entries.last();
-        if !joined {
+        let held = node.log.entries.len();
+        let is_prefix = held == 0 || other.log.entries.get(held - 1) == node.log.entries.last();
+        if !is_prefix {
             let leader_log = other.log.clone();
             self.nodes[index].rewind(&leader_log);
         }
-        let known = self.nodes[index].log.entries.len();
-        let news = self.nodes[leader].log.entries[known..].to_vec();
+        let held = self.nodes[index].log.entries.len();
+        let new_entries = self.nodes[leader].log.entries[held..].to_vec();
         let node = &mut self.nodes[index];
-        node.arrivals.resize(node.arrivals.len() + news.len(), now);
-        node.log.entries.extend(news);
+        node.arrivals
+            .resize(node.arrivals.len() + new_entries.len(), now);
+        node.log.entries.extend(new_entries);
     }
 }
 
 impl Node {
     /// Whether the rest of the group can't reach it.
-    fn is_apart(&self) -> bool {
+    fn is_isolated(&self) -> bool {
         matches!(
             self.fault,
             Fault::Crashed | Fault::CutOff | Fault::ReplicationCut
@@ -166,7 +169,7 @@
             .truncate(self.log.entries.len() - self.log.replayed);
     }
 
-    fn show(&mut self, now: Instant) {
+    fn replay_due(&mut self, now: Instant) {
         if self.role != Role::Replica || self.fault == Fault::Crashed {
             return;
         }
@@ -185,7 +188,7 @@
             role: self.role,
             fenced: self.fenced,
             received: self.log.received(),
-            replayed: self.log.shown().lsn,
+            replayed: self.log.replayed_position().lsn,
         }
     }
 
@@ -266,8 +269,8 @@
     }
 
     /// Sets how much later than made the answers of an upstream leave.
-    pub fn set_answer_delay(&self, index: usize, late: Duration) {
-        lock(&self.shared).nodes[index].late = late;
+    pub fn set_answer_delay(&self, index: usize, delay: Duration) {
+        lock(&self.shared).nodes[index].answer_delay = delay;
     }
 
     /// What an upstream would tell of itself.
@@ -295,7 +298,7 @@
 
     /// How often a statement of an upstream began to wait for a row.
     pub fn lock_waits(&self, index: usize) -> u64 {
-        lock(&self.shared).nodes[index].waits
+        lock(&self.shared).nodes[index].lock_waits
     }
 
     /// How many statements that read a table an upstream has run.
@@ -305,7 +308,7 @@
 
     /// The most connections that an upstream ever had at once.
     pub fn peak_connections(&self, index: usize) -> usize {
-        lock(&self.shared).nodes[index].peak
+        lock(&self.shared).nodes[index].peak_connections
     }
 
     /// How many connections an upstream has now.
@@ -332,10 +335,10 @@
     Node {
         fault: Fault::None,
         lag: Duration::ZERO,
-        late: Duration::ZERO,
+        answer_delay: Duration::ZERO,
         role,
         fenced: Term(1),
-        ordered_by: 0,
+        fenced_by: 0,
         term: Term(1),
         read_only: false,
         follows: (index > 0).then_some(first),
@@ -344,9 +347,9 @@
         locks: HashMap::new(),
         generation: 0,
         connections: 0,
-        peak: 0,
+        peak_connections: 0,
         statements: 0,
         selects: 0,
-        waits: 0,
+        lock_waits: 0,
     }
 }
--- a/crates/fake/src/server.rs
+++ b/crates/fake/src/server.rs
@@ -178,7 +178,7 @@
                 Ok(Some(frame)) => frame,
                 _ => return Ok(()),
             };
-            self.check_fault().await?;
+            self.apply_fault().await?;
             let front = pg::decode(&frame)?;
             match front {
                 Frontend::Terminate => return Ok(()),
@@ -194,13 +194,13 @@
                 }
                 Frontend::Flush => self.send(buf.split()).await?,
                 Frontend::Query(text) => {
-                    self.simple(&text, &mut buf).await;
+                    self.simple_query(&text, &mut buf).await;
                     pg::ready(&mut buf, self.session.status());
                     self.send(buf.split()).await?;
                 }
                 _ if skipping => {}
                 front => {
-                    if let Err((state, text)) = self.extended(front, &mut buf).await {
+                    if let Err((state, text)) = self.extended_query(front, &mut buf).await {
                         self.session.fail();
                         pg::error(&mut buf, state, &text, None);
                         skipping = true;
@@ -211,17 +211,17 @@
     }
 
     /// Behaves as the faults that are switched on say.
-    async fn check_fault(&self) -> Result<(), End> {
+    async fn apply_fault(&self) -> Result<(), End> {
         loop {
-            let (fault, generation, late) = self.session.fault();
+            let (fault, generation, answer_delay) = self.session.fault();
             if generation != self.generation || fault == Fault::Crashed {
                 self.io.terminate();
                 return Err(End::Closed);
             }
             match fault {
                 Fault::CutOff | Fault::Hang => sleep(Duration::from_millis(5)).await,
-                _ if late > Duration::ZERO => {
-                    sleep(late).await;
+                _ if answer_delay > Duration::ZERO => {
+                    sleep(answer_delay).await;
                     return Ok(());
                 }
                 _ => return Ok(()),
@@ -230,22 +230,22 @@
     }
 
     async fn send(&self, buf: BytesMut) -> Result<(), End> {
-        self.check_answer().await?;
+        self.hold_answer().await?;
         self.io.encode_slice(&buf)?;
         self.io.flush(false).await?;
         Ok(())
     }
 
     /// An answer made before a fault began does not leave during it.
-    async fn check_answer(&self) -> Result<(), End> {
+    async fn hold_answer(&self) -> Result<(), End> {
         let (fault, generation, _) = self.session.fault();
         if generation != self.generation || fault != Fault::None {
-            return self.check_fault().await;
+            return self.apply_fault().await;
         }
         Ok(())
     }
 
-    async fn simple(&mut self, text: &str, buf: &mut BytesMut) {
+    async fn simple_query(&mut self, text: &str, buf: &mut BytesMut) {
         let plans = match sql::parse(text) {
             Ok(plans) => plans,
             Err((state, text)) => {
@@ -253,7 +253,7 @@
                 return pg::error(buf, state, &text, None);
             }
         };
-        let many = plans.len() > 1;
+        let is_multiple = plans.len() > 1;
         if plans.contains(&Plan::Deallocate) {
             self.statements.clear();
         }
@@ -272,20 +272,20 @@
                 }
             }
         }
-        if many {
+        if is_multiple {
             self.session.end_batch();
         }
         self.session.end_batch();
     }
 
-    async fn extended(&mut self, front: Frontend, buf: &mut BytesMut) -> Result<(), Refusal> {
+    async fn extended_query(&mut self, front: Frontend, buf: &mut BytesMut) -> Result<(), Refusal> {
         match front {
             Frontend::Parse(it) => {
                 let plans = sql::parse(&it.query)?;
                 if plans.len() > 1 {
                     return Err(("42601", "cannot insert multiple commands".to_owned()));
                 }
-                let count = plans.iter().map(parameters).max().unwrap_or(0);
+                let count = plans.iter().map(parameter_count).max().unwrap_or(0);
                 let mut types = it.type_oids;
                 types.resize(count.max(types.len()), TEXT);
                 for oid in types.iter_mut().filter(|oid| **oid == 0) {
@@ -322,7 +322,7 @@
         let statement = self
             .statements
             .get(&name)
-            .ok_or_else(|| missing("26000", &name))?;
+            .ok_or_else(|| not_found("26000", &name))?;
         if bind.parameters.len() != statement.types.len() {
             return Err(("08P01", "the number of parameters is wrong".to_owned()));
         }
@@ -332,7 +332,7 @@
             let format = formats.get(index).or(formats.first()).copied().unwrap_or(0);
             let value = value
                 .as_ref()
-                .map(|it| read(it, format, statement.types[index]));
+                .map(|it| decode_parameter(it, format, statement.types[index]));
             parameters.push(value.transpose()?);
         }
         let portal = Portal {
@@ -352,14 +352,14 @@
             let statement = self
                 .statements
                 .get(name)
-                .ok_or_else(|| missing("26000", name))?;
+                .ok_or_else(|| not_found("26000", name))?;
             put(buf, &ParameterDescription::new(statement.types.clone()));
             statement.plans.first().and_then(|plan| fields(plan, &[]))
         } else {
             let portal = self
                 .portals
                 .get(name)
-                .ok_or_else(|| missing("34000", name))?;
+                .ok_or_else(|| not_found("34000", name))?;
             portal
                 .plans
                 .first()
@@ -376,7 +376,7 @@
         let portal = self
             .portals
             .get_mut(name)
-            .ok_or_else(|| missing("34000", name))?;
+            .ok_or_else(|| not_found("34000", name))?;
         let Some(plan) = portal.plans.first().cloned() else {
             put(buf, &EmptyQueryResponse::new());
             return Ok(());
@@ -404,7 +404,7 @@
     }
 }
 
-fn missing(state: &'static str, name: &str) -> Refusal {
+fn not_found(state: &'static str, name: &str) -> Refusal {
     (state, format!("\"{name}\" does not exist"))
 }
 
@@ -445,7 +445,7 @@
 }
 
 /// Reads a parameter in text or binary form.
-fn read(bytes: &Bytes, format: i16, oid: u32) -> Result<String, Refusal> {
+fn decode_parameter(bytes: &Bytes, format: i16, oid: u32) -> Result<String, Refusal> {
     let malformed = || ("22P03", "a parameter is malformed".to_owned());
     let mut rest = bytes.clone();
     match (format, oid, rest.len()) {
@@ -457,9 +457,9 @@
 }
 
 /// How many parameters a statement has.
-fn parameters(plan: &Plan) -> usize {
-    let of = |term: &sql::Term| match term {
-        sql::Term::Parameter(index) => index + 1,
+fn parameter_count(plan: &Plan) -> usize {
+    let operand_count = |term: &sql::Operand| match term {
+        sql::Operand::Parameter(index) => index + 1,
         _ => 0,
     };
     match plan {
@@ -468,21 +468,27 @@
                 Column::Constant(Literal::Parameter(index)) => index + 1,
                 _ => 0,
             });
-            constants.chain(key.iter().map(of)).max().unwrap_or(0)
+            constants
+                .chain(key.iter().map(operand_count))
+                .max()
+                .unwrap_or(0)
         }
         Plan::Insert { rows, conflict, .. } => {
             let update = match conflict {
-                sql::Conflict::Update(value) => of(value),
+                sql::Conflict::Update(value) => operand_count(value),
                 _ => 0,
             };
             rows.iter()
-                .map(|(a, b)| of(a).max(of(b)))
+                .map(|(a, b)| operand_count(a).max(operand_count(b)))
                 .max()
                 .unwrap_or(0)
                 .max(update)
         }
-        Plan::Update { key, value, .. } => key.as_ref().map_or(0, of).max(of(value)),
-        Plan::Delete { key, .. } => key.as_ref().map_or(0, of),
+        Plan::Update { key, value, .. } => key
+            .as_ref()
+            .map_or(0, operand_count)
+            .max(operand_count(value)),
+        Plan::Delete { key, .. } => key.as_ref().map_or(0, operand_count),
         _ => 0,
     }
 }
--- a/crates/fake/src/server/exec.rs
+++ b/crates/fake/src/server/exec.rs
@@ -11,13 +11,13 @@
 use crate::{
     group::{Fault, Node, Shared, lock},
     sql::{self, Column, Conflict, Literal, Plan, Refusal},
-    table::{Place, Write},
+    table::{RowKey, Write},
 };
 
 /// How long a statement waits for a row that another transaction has written.
-const LOCK_WAIT: Duration = Duration::from_secs(2);
+const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often it looks again.
-const LOCK_STEP: Duration = Duration::from_millis(1);
+const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A connection's session at an upstream.
 pub(super) struct Session {
@@ -30,7 +30,7 @@
     explicit: bool,
     failed: bool,
     admitted: bool,
-    writes: BTreeMap<Place, Option<String>>,
+    writes: BTreeMap<RowKey, Option<String>>,
     settings: BTreeMap<String, String>,
 }
 
@@ -64,7 +64,7 @@
             return false;
         }
         node.connections += 1;
-        node.peak = node.peak.max(node.connections);
+        node.peak_connections = node.peak_connections.max(node.connections);
         self.admitted = true;
         true
     }
@@ -80,7 +80,7 @@
     pub(super) fn fault(&self) -> (Fault, u64, Duration) {
         let state = lock(&self.shared);
         let node = &state.nodes[self.node];
-        (node.fault, node.generation, node.late)
+        (node.fault, node.generation, node.answer_delay)
     }
 
     /// The transaction's state, as `ReadyForQuery` tells it.
@@ -144,7 +144,7 @@
         let slots = Arc::clone(&self.slots);
         let slot = slots.acquire().await;
         // A cancel that comes between two statements hits nothing.
-        self.is_cancelled();
+        self.take_cancel();
         if self.statement_time > Duration::ZERO && !matches!(plan, Plan::Probe) {
             sleep(self.statement_time).await;
         }
@@ -158,8 +158,8 @@
         plan: &Plan,
         parameters: &[Option<String>],
     ) -> Result<Outcome, Refusal> {
-        let ends = matches!(plan, Plan::Commit | Plan::Rollback);
-        if self.explicit && self.failed && !ends {
+        let ends_transaction = matches!(plan, Plan::Commit | Plan::Rollback);
+        if self.explicit && self.failed && !ends_transaction {
             return Err(("25P02", "current transaction is aborted".to_owned()));
         }
         {
@@ -180,13 +180,13 @@
             Plan::Rollback => Ok(self.end_transaction(End::Rollback)),
             Plan::Probe => Ok(self.probe()),
             Plan::Alter { name, value } => self.alter(name, value),
-            Plan::Reload => Ok(one("SELECT 1", "t")),
+            Plan::Reload => Ok(single_row("SELECT 1", "t")),
             Plan::Promote => self.promote(),
             Plan::Set { name, value } => {
                 self.settings.insert(name.clone(), value.clone());
                 Ok(tagged("SET"))
             }
-            Plan::Show { name } => Ok(one("SHOW", self.setting(name))),
+            Plan::Show { name } => Ok(single_row("SHOW", self.setting(name))),
             Plan::Reset { name: Some(name) } => {
                 self.settings.remove(name);
                 Ok(tagged("RESET"))
@@ -211,15 +211,17 @@
                 conflict,
             } => self.insert(*table, rows, conflict, parameters).await,
             Plan::Update { table, key, value } => {
-                let value = Some(bound(value, parameters)?);
+                let value = Some(bind_value(value, parameters)?);
                 let count = self
-                    .change(*table, key.as_ref(), &value, parameters)
+                    .write_rows(*table, key.as_ref(), &value, parameters)
                     .await?;
                 Ok(tagged(&format!("UPDATE {count}")))
             }
             Plan::Clean { below, limit } => self.clean(below, *limit).await,
             Plan::Delete { table, key } => {
-                let count = self.change(*table, key.as_ref(), &None, parameters).await?;
+                let count = self
+                    .write_rows(*table, key.as_ref(), &None, parameters)
+                    .await?;
                 Ok(tagged(&format!("DELETE {count}")))
             }
         }
@@ -245,21 +247,22 @@
     }
 
     /// Whether a cancel request has named this session; asked once.
-    fn is_cancelled(&self) -> bool {
+    fn take_cancel(&self) -> bool {
         lock(&self.shared).cancels.remove(&self.id)
     }
 
     async fn clean(&mut self, below: &str, limit: usize) -> Result<Outcome, Refusal> {
         /// The ledger's place among the tables.
-        const LEDGER: usize = 1;
+        const REQUEST_TABLE: usize = 1;
         let old = self
-            .keys(LEDGER)
+            .keys(REQUEST_TABLE)
             .into_iter()
             .filter(|id| id.as_str() < below);
         let old: Vec<_> = old.take(limit).collect();
         for id in &old {
-            let key = sql::Term::Text(id.clone());
-            self.change(LEDGER, Some(&key), &None, &[]).await?;
+            let key = sql::Operand::Text(id.clone());
+            self.write_rows(REQUEST_TABLE, Some(&key), &None, &[])
+                .await?;
         }
         Ok(tagged(&format!("DELETE {}", old.len())))
     }
@@ -308,10 +311,10 @@
                 return Err(("DL010", format!("the term is {} already", node.fenced)));
             }
             node.fenced = term;
-            node.ordered_by = self.id;
+            node.fenced_by = self.id;
             return Ok(tagged("ALTER SYSTEM"));
         }
-        self.check_order(node)?;
+        self.check_fencing(node)?;
         match name {
             "dandelionlink.log_term" => {
                 node.term = value.parse().map(Term).map_err(|_| malformed())?
@@ -333,8 +336,8 @@
     }
 
     /// Refuses the order of a session that another has raised the term after.
-    fn check_order(&self, node: &Node) -> Result<(), Refusal> {
-        if node.ordered_by == self.id {
+    fn check_fencing(&self, node: &Node) -> Result<(), Refusal> {
+        if node.fenced_by == self.id {
             return Ok(());
         }
         Err(("DL010", format!("the term is {} already", node.fenced)))
@@ -343,7 +346,7 @@
     fn promote(&self) -> Result<Outcome, Refusal> {
         let mut state = lock(&self.shared);
         let node = &mut state.nodes[self.node];
-        self.check_order(node)?;
+        self.check_fencing(node)?;
         let held = node.log.entries.len();
         node.arrivals.clear();
         node.log.replay(held);
@@ -351,7 +354,7 @@
         node.follows = None;
         node.log.append(node.term, Vec::new());
         state.replicate();
-        Ok(one("SELECT 1", "t"))
+        Ok(single_row("SELECT 1", "t"))
     }
 
     /// Refuses writes on a replica, and on a primary that was fenced.
@@ -368,38 +371,38 @@
     }
 
     /// Waits until no other transaction has written the row, then takes it.
-    async fn take(&self, place: &Place) -> Result<(), Refusal> {
+    async fn lock_row(&self, row_key: &RowKey) -> Result<(), Refusal> {
         let mut waited = Duration::ZERO;
         loop {
             {
                 let mut state = lock(&self.shared);
                 let node = &mut state.nodes[self.node];
-                let holder = node.locks.entry(place.clone()).or_insert(self.id);
+                let holder = node.locks.entry(row_key.clone()).or_insert(self.id);
                 if *holder == self.id {
                     return Ok(());
                 }
-                node.waits += u64::from(waited.is_zero());
+                node.lock_waits += u64::from(waited.is_zero());
             }
-            if self.is_cancelled() {
+            if self.take_cancel() {
                 let text = "canceling statement due to user request";
                 return Err(("57014", text.to_owned()));
             }
-            if waited >= LOCK_WAIT {
+            if waited >= LOCK_TIMEOUT {
                 return Err(("55P03", "the row is locked".to_owned()));
             }
-            sleep(LOCK_STEP).await;
-            waited += LOCK_STEP;
+            sleep(LOCK_POLL_INTERVAL).await;
+            waited += LOCK_POLL_INTERVAL;
         }
     }
 
-    fn row(&self, place: &Place) -> Option<String> {
-        if let Some(value) = self.writes.get(place) {
+    fn row(&self, row_key: &RowKey) -> Option<String> {
+        if let Some(value) = self.writes.get(row_key) {
             return value.clone();
         }
         lock(&self.shared).nodes[self.node]
             .log
             .rows
-            .get(place)
+            .get(row_key)
             .cloned()
     }
 
@@ -419,7 +422,7 @@
         &mut self,
         table: Option<usize>,
         columns: &[(String, Column)],
-        key: Option<&sql::Term>,
+        key: Option<&sql::Operand>,
         lock: bool,
         parameters: &[Option<String>],
     ) -> Result<Outcome, Refusal> {
@@ -434,17 +437,17 @@
             });
         };
         let keys = match key {
-            Some(key) => vec![bound(key, parameters)?],
+            Some(key) => vec![bind_value(key, parameters)?],
             None => self.keys(table),
         };
         let mut found = Vec::new();
         for key in keys {
-            let place = (table, key);
+            let row_key = (table, key);
             if lock {
-                self.take(&place).await?;
+                self.lock_row(&row_key).await?;
             }
-            if let Some(value) = self.row(&place) {
-                found.push((place.1, value));
+            if let Some(value) = self.row(&row_key) {
+                found.push((row_key.1, value));
             }
         }
         let count = found.len();
@@ -479,7 +482,7 @@
             Column::Constant(Literal::Int(number)) => Ok(Cell::Int(*number)),
             Column::Constant(Literal::Text(text)) => Ok(Cell::Text(text.clone())),
             Column::Constant(Literal::Parameter(index)) => {
-                bound(&sql::Term::Parameter(*index), parameters).map(Cell::Text)
+                bind_value(&sql::Operand::Parameter(*index), parameters).map(Cell::Text)
             }
         };
         columns.iter().map(cell).collect()
@@ -488,51 +491,51 @@
     async fn insert(
         &mut self,
         table: usize,
-        rows: &[(sql::Term, sql::Term)],
+        rows: &[(sql::Operand, sql::Operand)],
         conflict: &Conflict,
         parameters: &[Option<String>],
     ) -> Result<Outcome, Refusal> {
         self.check_writable()?;
         let mut count = 0;
         for (key, value) in rows {
-            let place = (table, bound(key, parameters)?);
-            let value = bound(value, parameters)?;
-            self.take(&place).await?;
-            let value = match (self.row(&place), conflict) {
+            let row_key = (table, bind_value(key, parameters)?);
+            let value = bind_value(value, parameters)?;
+            self.lock_row(&row_key).await?;
+            let value = match (self.row(&row_key), conflict) {
                 (None, _) => value,
                 (Some(_), Conflict::Nothing) => continue,
-                (Some(_), Conflict::Update(sql::Term::Excluded)) => value,
-                (Some(_), Conflict::Update(term)) => bound(term, parameters)?,
+                (Some(_), Conflict::Update(sql::Operand::Excluded)) => value,
+                (Some(_), Conflict::Update(term)) => bind_value(term, parameters)?,
                 (Some(_), Conflict::Refuse) => {
                     let text = "duplicate key value violates unique constraint".to_owned();
                     return Err(("23505", text));
                 }
             };
-            self.writes.insert(place, Some(value));
+            self.writes.insert(row_key, Some(value));
             count += 1;
         }
         Ok(tagged(&format!("INSERT 0 {count}")))
     }
 
     /// Updates or removes the rows that are there.
-    async fn change(
+    async fn write_rows(
         &mut self,
         table: usize,
-        key: Option<&sql::Term>,
+        key: Option<&sql::Operand>,
         value: &Option<String>,
         parameters: &[Option<String>],
     ) -> Result<usize, Refusal> {
         self.check_writable()?;
         let keys = match key {
-            Some(key) => vec![bound(key, parameters)?],
+            Some(key) => vec![bind_value(key, parameters)?],
             None => self.keys(table),
         };
         let mut count = 0;
         for key in keys {
-            let place = (table, key);
-            self.take(&place).await?;
-            if self.row(&place).is_some() {
-                self.writes.insert(place, value.clone());
+            let row_key = (table, key);
+            self.lock_row(&row_key).await?;
+            if self.row(&row_key).is_some() {
+                self.writes.insert(row_key, value.clone());
                 count += 1;
             }
         }
@@ -553,7 +556,7 @@
     }
 }
 
-fn one(tag: &str, text: &str) -> Outcome {
+fn single_row(tag: &str, text: &str) -> Outcome {
     Outcome {
         rows: vec![vec![Cell::Text(text.to_owned())]],
         tag: tag.to_owned(),
@@ -561,13 +564,13 @@
 }
 
 /// The value of a term, once the parameters are known.
-fn bound(term: &sql::Term, parameters: &[Option<String>]) -> Result<String, Refusal> {
+fn bind_value(term: &sql::Operand, parameters: &[Option<String>]) -> Result<String, Refusal> {
     match term {
-        sql::Term::Text(text) => Ok(text.clone()),
-        sql::Term::Parameter(index) => {
+        sql::Operand::Text(text) => Ok(text.clone()),
+        sql::Operand::Parameter(index) => {
             let value = parameters.get(*index).cloned().flatten();
             value.ok_or(("23502", "a null value is not allowed".to_owned()))
         }
-        sql::Term::Excluded => Err(("42P01", "no row is being inserted".to_owned())),
+        sql::Operand::Excluded => Err(("42P01", "no row is being inserted".to_owned())),
     }
 }
--- a/crates/fake/src/sql.rs
+++ b/crates/fake/src/sql.rs
@@ -17,7 +17,7 @@
 
 /// A value: given in the text, or the parameter of that number from 0.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Term {
+pub(crate) enum Operand {
     Text(String),
     Parameter(usize),
     /// The value that an insert would have written.
@@ -46,7 +46,7 @@
 pub(crate) enum Conflict {
     Refuse,
     Nothing,
-    Update(Term),
+    Update(Operand),
 }
 
 /// What a statement does.
@@ -80,22 +80,22 @@
     Select {
         table: Option<usize>,
         columns: Vec<(String, Column)>,
-        key: Option<Term>,
+        key: Option<Operand>,
         lock: bool,
     },
     Insert {
         table: usize,
-        rows: Vec<(Term, Term)>,
+        rows: Vec<(Operand, Operand)>,
         conflict: Conflict,
     },
     Update {
         table: usize,
-        key: Option<Term>,
-        value: Term,
+        key: Option<Operand>,
+        value: Operand,
     },
     Delete {
         table: usize,
-        key: Option<Term>,
+        key: Option<Operand>,
     },
     /// Deletes the ledger's rows whose ids are below a bound, up to a limit.
     Clean {
@@ -110,7 +110,7 @@
 
 /// Reads a text of one or more statements.
 pub(crate) fn parse(text: &str) -> Result<Vec<Plan>, Refusal> {
-    if let Some(plan) = system(text) {
+    if let Some(plan) = parse_admin(text) {
         return Ok(vec![plan]);
     }
     let statements = Parser::parse_sql(&PostgreSqlDialect {}, text);
@@ -119,11 +119,11 @@
 }
 
 /// How the cleaning of the ledger begins.
-const CLEAN: &str = "DELETE FROM dandelionlink_request WHERE id IN (\
+const CLEAN_PREFIX: &str = "DELETE FROM dandelionlink_request WHERE id IN (\
     SELECT id FROM dandelionlink_request WHERE id < '";
 
 /// The statements of an operator of the group, by their first words.
-fn system(text: &str) -> Option<Plan> {
+fn parse_admin(text: &str) -> Option<Plan> {
     let text = text.trim().trim_end_matches(';');
     if text.is_empty() {
         return Some(Plan::Empty);
@@ -145,7 +145,7 @@
     if text == "SELECT pg_promote()" {
         return Some(Plan::Promote);
     }
-    if let Some(rest) = text.strip_prefix(CLEAN) {
+    if let Some(rest) = text.strip_prefix(CLEAN_PREFIX) {
         let (below, rest) = rest.split_once('\'')?;
         let limit = rest
             .strip_prefix(" ORDER BY id LIMIT ")?
@@ -229,7 +229,7 @@
     found.ok_or(("42P01", format!("relation \"{name}\" does not exist")))
 }
 
-fn factor(factor: &TableFactor) -> Result<usize, Refusal> {
+fn table_of(factor: &TableFactor) -> Result<usize, Refusal> {
     match factor {
         TableFactor::Table { name, .. } => table(&name.to_string()),
         _ => Err(unsupported("this FROM")),
@@ -242,7 +242,7 @@
     };
     let from = match select.from.as_slice() {
         [] => None,
-        [one] if one.joins.is_empty() => Some(factor(&one.relation)?),
+        [one] if one.joins.is_empty() => Some(table_of(&one.relation)?),
         _ => return Err(unsupported("a join")),
     };
     let mut columns = Vec::new();
@@ -279,11 +279,11 @@
         SelectItem::QualifiedWildcard(..) => return Err(unsupported("this column")),
     };
     let (name, column) = match expr {
-        Expr::Identifier(name) => named(&name.value, from)?,
+        Expr::Identifier(name) => column_by_name(&name.value, from)?,
         Expr::Function(it) if it.name.to_string().eq_ignore_ascii_case("count") => {
             ("count".to_owned(), Column::Count)
         }
-        Expr::Function(it) => information(&it.name.to_string())?,
+        Expr::Function(it) => driver_function(&it.name.to_string())?,
         _ => ("?column?".to_owned(), Column::Constant(literal(expr)?)),
     };
     columns.push((alias.unwrap_or(name), column));
@@ -291,7 +291,7 @@
 }
 
 /// What drivers ask of a server that they have connected to.
-fn information(name: &str) -> Result<(String, Column), Refusal> {
+fn driver_function(name: &str) -> Result<(String, Column), Refusal> {
     let value = match name.to_ascii_lowercase().as_str() {
         "version" => "PostgreSQL 15.0 (stand-in)",
         "current_schema" => "public",
@@ -302,7 +302,7 @@
     Ok((name.to_ascii_lowercase(), column))
 }
 
-fn named(name: &str, from: Option<usize>) -> Result<(String, Column), Refusal> {
+fn column_by_name(name: &str, from: Option<usize>) -> Result<(String, Column), Refusal> {
     let names = TABLES[from.unwrap_or(0)].1;
     match names.iter().position(|known| *known == name) {
         Some(0) if from.is_some() => Ok((name.to_owned(), Column::Key)),
@@ -341,29 +341,29 @@
         .ok_or(("42P02", format!("no parameter {text}")))
 }
 
-fn term(expr: &Expr) -> Result<Term, Refusal> {
+fn operand(expr: &Expr) -> Result<Operand, Refusal> {
     if let Expr::CompoundIdentifier(parts) = expr
         && parts
             .first()
             .is_some_and(|it| it.value.eq_ignore_ascii_case("excluded"))
     {
-        return Ok(Term::Excluded);
+        return Ok(Operand::Excluded);
     }
     match literal(expr)? {
-        Literal::Int(number) => Ok(Term::Text(number.to_string())),
-        Literal::Text(text) => Ok(Term::Text(text)),
-        Literal::Parameter(index) => Ok(Term::Parameter(index)),
+        Literal::Int(number) => Ok(Operand::Text(number.to_string())),
+        Literal::Text(text) => Ok(Operand::Text(text)),
+        Literal::Parameter(index) => Ok(Operand::Parameter(index)),
     }
 }
 
 /// The key that a condition `key = …` asks for.
-fn key(expr: &Expr, table: usize) -> Result<Term, Refusal> {
+fn key(expr: &Expr, table: usize) -> Result<Operand, Refusal> {
     match expr {
         Expr::BinaryOp {
             left,
             op: BinaryOperator::Eq,
             right,
-        } if left.to_string().trim_matches('"') == TABLES[table].1[0] => term(right),
+        } if left.to_string().trim_matches('"') == TABLES[table].1[0] => operand(right),
         Expr::Nested(inner) => key(inner, table),
         _ => Err(unsupported("this condition")),
     }
@@ -387,7 +387,7 @@
         let [first, second] = row.as_slice() else {
             return Err(("42601", "the table has two columns".to_owned()));
         };
-        let (first, second) = (term(first)?, term(second)?);
+        let (first, second) = (operand(first)?, operand(second)?);
         rows.push(if swapped {
             (second, first)
         } else {
@@ -410,18 +410,20 @@
     };
     match &on.action {
         OnConflictAction::DoNothing => Ok(Conflict::Nothing),
-        OnConflictAction::DoUpdate(update) => Ok(Conflict::Update(assigned(&update.assignments)?)),
+        OnConflictAction::DoUpdate(update) => {
+            Ok(Conflict::Update(assigned_value(&update.assignments)?))
+        }
     }
 }
 
-fn assigned(assignments: &[Assignment]) -> Result<Term, Refusal> {
+fn assigned_value(assignments: &[Assignment]) -> Result<Operand, Refusal> {
     match assignments {
         [
             Assignment {
                 target: AssignmentTarget::ColumnName(_),
                 value,
             },
-        ] => term(value),
+        ] => operand(value),
         _ => Err(unsupported("these assignments")),
     }
 }
@@ -431,12 +433,12 @@
     assignments: &[Assignment],
     selection: Option<&Expr>,
 ) -> Result<Plan, Refusal> {
-    let table = factor(relation)?;
+    let table = table_of(relation)?;
     let key = selection.map(|it| key(it, table)).transpose()?;
     Ok(Plan::Update {
         table,
         key,
-        value: assigned(assignments)?,
+        value: assigned_value(assignments)?,
     })
 }
 
@@ -445,7 +447,7 @@
     let [one] = from.as_slice() else {
         return Err(unsupported("this DELETE"));
     };
-    let table = factor(&one.relation)?;
+    let table = table_of(&one.relation)?;
     let key = delete
         .selection
         .as_ref()
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -185,12 +185,12 @@
         state.fault
     };
     match fault {
-        Fault::Down => return broken(),
+        Fault::Down => return broken_answer(),
         Fault::Slow(span) => sleep(span).await,
         Fault::None | Fault::LoseAnswers { .. } => {}
     }
     let Ok(call) = serde_json::from_slice::<Value>(&body) else {
-        return refused(&json!({ "code": 3, "message": "invalid JSON" }));
+        return bad_request(&json!({ "code": 3, "message": "invalid JSON" }));
     };
     if request.path() == "/v3/watch" {
         return watch(&shared, &call["create_request"]);
@@ -204,17 +204,17 @@
         }
         answer
     };
-    if lose(&shared) {
-        return broken();
+    if take_lost_answer(&shared) {
+        return broken_answer();
     }
     match answer {
         Ok(answer) => HttpResponse::Ok().json(&answer),
-        Err(refusal) => refused(&refusal),
+        Err(refusal) => bad_request(&refusal),
     }
 }
 
 /// Whether the answer just made is to be lost.
-fn lose(shared: &Shared) -> bool {
+fn take_lost_answer(shared: &Shared) -> bool {
     let mut state = lock(shared);
     let Fault::LoseAnswers { count } = state.fault else {
         return false;
@@ -228,12 +228,12 @@
     true
 }
 
-fn refused(refusal: &Value) -> HttpResponse {
+fn bad_request(refusal: &Value) -> HttpResponse {
     HttpResponse::build(StatusCode::BAD_REQUEST).json(refusal)
 }
 
 /// An answer that breaks the connection in the middle.
-fn broken() -> HttpResponse {
+fn broken_answer() -> HttpResponse {
     let error = io::Error::from(io::ErrorKind::ConnectionReset);
     let stream = futures_util::stream::once(std::future::ready(Err::<Bytes, _>(error)));
     HttpResponse::Ok().streaming(Box::pin(stream))
@@ -243,7 +243,7 @@
     let stream = lock(shared).db.watch(request).map(|lines| Lines { lines });
     match stream {
         Ok(lines) => HttpResponse::Ok().streaming(lines),
-        Err(refusal) => refused(&refusal),
+        Err(refusal) => bad_request(&refusal),
     }
 }
 
--- a/crates/fake/src/store/db.rs
+++ b/crates/fake/src/store/db.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    ends: Instant,
+    expires: Instant,
 }
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     revision: u64,
     items: BTreeMap<Vec<u8>, Item>,
     leases: BTreeMap<u64, Lease>,
-    made: u64,
+    last_lease: u64,
     history: Vec<(u64, Vec<u8>, Value)>,
     compacted: u64,
     watchers: Vec<Watcher>,
@@ -91,12 +91,12 @@
 
     /// Carries out one call.
     pub(super) fn call(&mut self, path: &str, call: &Value) -> Result<Value, Refusal> {
-        self.lapse();
+        self.expire_leases();
         match path {
             "/v3/kv/range" => self.read(call),
             "/v3/kv/txn" => self.txn(call),
             "/v3/lease/grant" => Ok(self.grant(number(&call["TTL"]))),
-            "/v3/lease/keepalive" => Ok(self.keep(number(&call["ID"]))),
+            "/v3/lease/keepalive" => Ok(self.keep_alive(number(&call["ID"]))),
             "/v3/lease/revoke" => {
                 self.end_lease(number(&call["ID"]));
                 Ok(json!({ "header": self.header() }))
@@ -112,7 +112,7 @@
     fn read(&self, request: &Value) -> Result<Value, Refusal> {
         let (from, to) = range(request)?;
         let found = self.items.range(from..to);
-        let kvs: Vec<_> = found.map(|(key, item)| pair(key, item)).collect();
+        let kvs: Vec<_> = found.map(|(key, item)| key_value(key, item)).collect();
         Ok(json!({ "header": self.header(), "kvs": kvs, "count": kvs.len().to_string() }))
     }
 
@@ -120,8 +120,8 @@
         let mut holds = true;
         for compare in list(&request["compare"]) {
             let key = bytes(&compare["key"])?;
-            let stands = self.items.get(&key).map_or(0, |item| item.revision);
-            holds &= stands == number(&compare["mod_revision"]);
+            let current = self.items.get(&key).map_or(0, |item| item.revision);
+            holds &= current == number(&compare["mod_revision"]);
         }
         let operations = if holds {
             &request["success"]
@@ -137,7 +137,7 @@
             responses.push(self.operation(operation, revision)?);
         }
         self.revision = revision;
-        self.tell();
+        self.notify_watchers();
         Ok(json!({ "header": self.header(), "succeeded": holds, "responses": responses }))
     }
 
@@ -167,14 +167,14 @@
     pub(super) fn put(&mut self, key: &[u8], value: &[u8], lease: u64) {
         self.write(key, value, lease, self.revision + 1);
         self.revision += 1;
-        self.tell();
+        self.notify_watchers();
     }
 
     /// Removes one key in a revision of its own.
     pub(super) fn delete(&mut self, key: &[u8]) {
         self.remove(key, self.revision + 1);
         self.revision += 1;
-        self.tell();
+        self.notify_watchers();
     }
 
     fn write(&mut self, key: &[u8], value: &[u8], lease: u64, revision: u64) {
@@ -183,9 +183,9 @@
             revision,
             lease,
         };
-        let event = json!({ "kv": pair(key, &item) });
+        let event = json!({ "kv": key_value(key, &item) });
         self.items.insert(key.to_vec(), item);
-        self.note(key, revision, event);
+        self.record_event(key, revision, event);
     }
 
     fn remove(&mut self, key: &[u8], revision: u64) {
@@ -193,24 +193,24 @@
             return;
         }
         let kv = json!({ "key": STANDARD.encode(key), "mod_revision": revision.to_string() });
-        self.note(key, revision, json!({ "type": "DELETE", "kv": kv }));
+        self.record_event(key, revision, json!({ "type": "DELETE", "kv": kv }));
     }
 
-    fn note(&mut self, key: &[u8], revision: u64, event: Value) {
+    fn record_event(&mut self, key: &[u8], revision: u64, event: Value) {
         self.history.push((revision, key.to_vec(), event));
     }
 
     /// Tells the watches what the newest revision changed, in one line each.
-    fn tell(&mut self) {
+    fn notify_watchers(&mut self) {
         let revision = self.revision;
         let changed = self.history.iter().rev().take_while(|it| it.0 == revision);
         let changed: Vec<_> = changed.collect();
         self.watchers.retain(|watcher| {
-            let concerned = |key: &[u8]| (&watcher.from[..]..&watcher.to[..]).contains(&key);
+            let is_watched = |key: &[u8]| (&watcher.from[..]..&watcher.to[..]).contains(&key);
             let events = changed
                 .iter()
                 .rev()
-                .filter(|it| concerned(&it.1))
+                .filter(|it| is_watched(&it.1))
                 .map(|it| &it.2);
             let events: Vec<_> = events.collect();
             events.is_empty() || watcher.lines.send(line(revision, &events)).is_ok()
@@ -218,40 +218,40 @@
     }
 
     fn grant(&mut self, ttl: u64) -> Value {
-        self.made += 1;
+        self.last_lease += 1;
         let ttl_span = Duration::from_secs(ttl);
         let lease = Lease {
             ttl: ttl_span,
-            ends: Instant::now() + ttl_span,
+            expires: Instant::now() + ttl_span,
         };
-        self.leases.insert(self.made, lease);
+        self.leases.insert(self.last_lease, lease);
         json!({
             "header": self.header(),
-            "ID": self.made.to_string(),
+            "ID": self.last_lease.to_string(),
             "TTL": ttl.to_string(),
         })
     }
 
-    fn keep(&mut self, id: u64) -> Value {
+    fn keep_alive(&mut self, id: u64) -> Value {
         let header = self.header();
         let Some(lease) = self.leases.get_mut(&id) else {
             return json!({ "result": { "header": header, "ID": id.to_string() } });
         };
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires = Instant::now() + lease.ttl;
         let ttl = lease.ttl.as_secs().to_string();
         json!({ "result": { "header": header, "ID": id.to_string(), "TTL": ttl } })
     }
 
     /// Ends the leases whose time is over.
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .leases
             .iter()
-            .filter(|it| it.1.ends <= now)
+            .filter(|it| it.1.expires <= now)
             .map(|it| *it.0)
             .collect();
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
     }
@@ -267,7 +267,7 @@
             self.remove(&key, self.revision + 1);
         }
         self.revision += 1;
-        self.tell();
+        self.notify_watchers();
     }
 
     /// Opens a watch, first with what the history has for it.
@@ -299,7 +299,7 @@
     }
 }
 
-fn pair(key: &[u8], item: &Item) -> Value {
+fn key_value(key: &[u8], item: &Item) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "value": STANDARD.encode(&item.value),
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -11,13 +11,13 @@
 ];
 
 /// A row's place: the table and the primary key.
-pub(crate) type Place = (usize, String);
+pub(crate) type RowKey = (usize, String);
 
 /// Rows by table and key.
-pub(crate) type Rows = BTreeMap<Place, String>;
+pub(crate) type Rows = BTreeMap<RowKey, String>;
 
 /// A change of one row; `None` removes it.
-pub(crate) type Write = (Place, Option<String>);
+pub(crate) type Write = (RowKey, Option<String>);
 
 /// One committed transaction in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     }
 
     /// The position that the tables show.
-    pub(crate) fn shown(&self) -> Position {
+    pub(crate) fn replayed_position(&self) -> Position {
         let last = self.replayed.checked_sub(1);
         last.map_or(Position::default(), |last| self.entries[last].position)
     }
@@ -68,10 +68,10 @@
     pub(crate) fn replay(&mut self, count: usize) {
         let count = count.min(self.entries.len());
         for entry in &self.entries[self.replayed.min(count)..count] {
-            for (place, value) in &entry.writes {
+            for (row_key, value) in &entry.writes {
                 match value {
-                    Some(value) => self.rows.insert(place.clone(), value.clone()),
-                    None => self.rows.remove(place),
+                    Some(value) => self.rows.insert(row_key.clone(), value.clone()),
+                    None => self.rows.remove(row_key),
                 };
             }
         }
@@ -80,17 +80,17 @@
 
     /// Makes this log begin as `leader`'s does, dropping what is not in it.
     pub(crate) fn rewind(&mut self, leader: &Self) {
-        let same = self
+        let common = self
             .entries
             .iter()
             .zip(&leader.entries)
             .take_while(|(a, b)| a == b)
             .count();
-        if same == self.entries.len() {
+        if common == self.entries.len() {
             return;
         }
-        let replayed = self.replayed.min(same);
-        self.entries.truncate(same);
+        let replayed = self.replayed.min(common);
+        self.entries.truncate(common);
         self.rows.clear();
         self.replayed = 0;
         self.replay(replayed);
--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -11,7 +11,7 @@
 use crate::{Setup, World};
 
 /// How long rumours of the start are given to end.
-const WARM_UP: Duration = Duration::from_secs(25);
+const WARM_UP_TIME: Duration = Duration::from_secs(25);
 /// How long traffic is counted for each share of loss.
 const WINDOW: Duration = Duration::from_secs(30);
 /// Changes of the catalogue and restarts within the window: at 4,000 instances
@@ -99,11 +99,15 @@
     for database in 0..DATABASES.min(nodes) {
         world.write(&[(&format!("primary/{database}"), Some(&[7; 90]))]);
     }
-    world.warm_up(WARM_UP);
-    let seal = seal_cost();
-    let full = full_bytes(&world);
+    world.warm_up(WARM_UP_TIME);
+    let seal_time = measure_seal_time();
+    let target_bytes = target_bytes(&world);
     let mut rows = Vec::new();
-    let mut bench = Bench { world, seal, full };
+    let mut benchmark = Benchmark {
+        world,
+        seal_time,
+        target_bytes,
+    };
     for (loss, scenario) in [
         (0.0, Scenario::Ordinary),
         (0.01, Scenario::Ordinary),
@@ -114,23 +118,23 @@
         (0.01, Scenario::RegionCut),
         (0.01, Scenario::RegionHealed),
     ] {
-        bench.world.loss = loss;
-        let mut row = bench.measure(scenario);
+        benchmark.world.loss = loss;
+        let mut row = benchmark.measure(scenario);
         row.heap_per_node = heap().saturating_sub(before) / nodes;
         rows.push(row);
     }
     rows
 }
 
-struct Bench {
+struct Benchmark {
     world: World,
     /// What sealing or opening a frame takes.
-    seal: Duration,
+    seal_time: Duration,
     /// The bytes of the target's keys and duties.
-    full: usize,
+    target_bytes: usize,
 }
 
-impl Bench {
+impl Benchmark {
     fn measure(&mut self, scenario: Scenario) -> Row {
         let world = &mut self.world;
         world.reset_counts();
@@ -163,7 +167,7 @@
             restart_one(world, change as usize);
         }
         spreads.push(time_change(world, change));
-        wait_for_turn(world, start, change);
+        wait_for_change(world, start, change);
     }
     spreads
 }
@@ -180,13 +184,13 @@
         for slot in victims {
             world.start(slot);
         }
-        wait_for_turn(world, start, change);
+        wait_for_change(world, start, change);
     }
     spreads
 }
 
 /// Changes come at even distances within the window.
-fn wait_for_turn(world: &mut World, start: Instant, change: u32) {
+fn wait_for_change(world: &mut World, start: Instant, change: u32) {
     let spent = world.now().since(start);
     world.run((WINDOW / CHANGES * (change + 1)).saturating_sub(spent));
 }
@@ -210,15 +214,15 @@
         world.start(slot);
     }
     let newest = newest(world);
-    let all = |world: &World| slots.iter().all(|&slot| has(world, slot, newest));
+    let all = |world: &World| slots.iter().all(|&slot| has_applied(world, slot, newest));
     world.run_until(SPREAD_MAX, all);
-    vec![taken(world, start, newest, &slots)]
+    vec![spread_times(world, start, newest, &slots)]
 }
 
 /// Puts the last three of ten zones, or the last of fewer, on an island.
-fn set_region(world: &mut World, island: u8) {
+fn set_region(world: &mut World, partition: u8) {
     for slot in region(world) {
-        world.set_partition(slot, island);
+        world.set_partition(slot, partition);
     }
 }
 
@@ -252,9 +256,9 @@
     let start = world.now();
     let newest = newest(world);
     let slots = region(world);
-    let all = |world: &World| slots.iter().all(|&slot| has(world, slot, newest));
+    let all = |world: &World| slots.iter().all(|&slot| has_applied(world, slot, newest));
     world.run_until(SPREAD_MAX, all);
-    vec![taken(world, start, newest, &slots)]
+    vec![spread_times(world, start, newest, &slots)]
 }
 
 fn newest(world: &World) -> Revision {
@@ -263,7 +267,7 @@
 }
 
 /// Instances spread over the fleet, a relay first: its death costs most.
-fn choose_victims(world: &World, killed: usize) -> Vec<usize> {
+fn choose_victims(world: &World, count: usize) -> Vec<usize> {
     let mut running: Vec<_> = world.running().collect();
     let watches = |slot: &usize| {
         let watch = world.fleet(*slot).map(fleet::Fleet::watch);
@@ -271,8 +275,8 @@
     };
     let relay = running.iter().position(watches).unwrap_or(0);
     running.rotate_left(relay);
-    let step = (running.len() / killed.max(1)).max(1);
-    running.into_iter().step_by(step).take(killed).collect()
+    let step = (running.len() / count.max(1)).max(1);
+    running.into_iter().step_by(step).take(count).collect()
 }
 
 fn restart_one(world: &mut World, turn: usize) {
@@ -289,28 +293,32 @@
     let revision = world.apply(&[("catalog/entry/first", Some(text.as_bytes()))]);
     let running = world.running();
     let reached: Vec<_> = running.filter(|&slot| world.reaches_store(slot)).collect();
-    let all = |world: &World| reached.iter().all(|&slot| has(world, slot, revision));
+    let all = |world: &World| {
+        reached
+            .iter()
+            .all(|&slot| has_applied(world, slot, revision))
+    };
     world.run_until(SPREAD_MAX, all);
-    taken(world, start, revision, &reached)
+    spread_times(world, start, revision, &reached)
 }
 
 /// How long each of `slots` took to have `revision`, in milliseconds, sorted.
-fn taken(world: &World, start: Instant, revision: Revision, slots: &[usize]) -> Vec<f64> {
-    let taken = slots.iter().map(|&slot| {
+fn spread_times(world: &World, start: Instant, revision: Revision, slots: &[usize]) -> Vec<f64> {
+    let times = slots.iter().map(|&slot| {
         let (applied, at) = world.applied(slot);
         let late = if applied >= revision { at } else { world.now() };
         late.since(start).as_secs_f64() * 1e3
     });
-    let mut taken: Vec<_> = taken.collect();
-    taken.sort_by(f64::total_cmp);
-    taken
+    let mut times: Vec<_> = times.collect();
+    times.sort_by(f64::total_cmp);
+    times
 }
 
-fn has(world: &World, slot: usize, revision: Revision) -> bool {
+fn has_applied(world: &World, slot: usize, revision: Revision) -> bool {
     world.applied(slot).0 >= revision
 }
 
-impl Bench {
+impl Benchmark {
     fn row(&self, scenario: Scenario, span: Duration, spreads: &[Vec<f64>]) -> Row {
         let world = &self.world;
         let nodes = world.len();
@@ -320,19 +328,19 @@
         let bytes = counts.iter().map(|count| count.bytes()).sum();
         let most = counts.iter().map(|count| count.bytes()).max();
         let messages: u64 = counts.iter().map(|count| count.messages()).sum();
-        let sealing = self.seal.as_secs_f64() * messages as f64;
+        let sealing = self.seal_time.as_secs_f64() * messages as f64;
         let worst =
-            |at: fn(&[f64]) -> f64| spreads.iter().map(|taken| at(taken)).fold(0.0, f64::max);
+            |at: fn(&[f64]) -> f64| spreads.iter().map(|times| at(times)).fold(0.0, f64::max);
         Row {
             scenario,
             nodes,
             loss: world.loss,
-            spread_p100_ms: worst(|taken| taken.last().copied().unwrap_or(0.0)),
-            spread_p50_ms: worst(|taken| taken.get(taken.len() / 2).copied().unwrap_or(0.0)),
+            spread_p100_ms: worst(|times| times.last().copied().unwrap_or(0.0)),
+            spread_p50_ms: worst(|times| times.get(times.len() / 2).copied().unwrap_or(0.0)),
             bytes_per_node_s: per_node(bytes),
             bytes_per_node_s_max: most.unwrap_or(0) as f64 / seconds,
             messages_per_node_s: per_node(messages),
-            state_bytes: own_bytes(world) + self.full,
+            state_bytes: bytes_without_mirror(world) + self.target_bytes,
             table_bytes: table_bytes(world),
             heap_per_node: 0,
             store_calls_s: world.store.calls as f64 / seconds + world.watches() as f64,
@@ -368,7 +376,7 @@
 }
 
 /// The largest state of an instance, but for its mirror.
-fn own_bytes(world: &World) -> usize {
+fn bytes_without_mirror(world: &World) -> usize {
     let fleets = world.running().filter_map(|slot| world.fleet(slot));
     let bytes = fleets.map(|fleet| fleet.state_bytes() - fleet.mirror().state_bytes());
     bytes.max().unwrap_or(0)
@@ -376,7 +384,7 @@
 
 /// The state that holds the target's keys and duties: too large to build once
 /// for each of 4,000 instances in one process, and the same in all of them.
-fn full_bytes(world: &World) -> usize {
+fn target_bytes(world: &World) -> usize {
     let keys = |prefix: &str, count: usize, len: usize| -> Vec<Change> {
         let key = |number| format!("{prefix}{number:08}").as_str().into();
         let change = |number| Change {
@@ -394,25 +402,25 @@
         epoch: 0,
         number: 1,
     };
-    let taken = mirror.replace(to, None, &changes);
-    let mut duties = Assignments::open(PROBERS);
+    let replaced = mirror.replace(to, None, &changes);
+    let mut assignments = Assignments::open(PROBERS);
     let nodes: Vec<Node> = world
         .running()
         .filter_map(|slot| world.fleet(slot))
         .map(fleet::Fleet::node)
         .collect();
     for number in 0..DATABASES {
-        duties.add(&format!("database-{number:08}"), &nodes);
+        assignments.add(&format!("database-{number:08}"), &nodes);
     }
-    match taken {
-        Ok(_) => mirror.state_bytes() + duties.state_bytes(),
+    match replaced {
+        Ok(_) => mirror.state_bytes() + assignments.state_bytes(),
         Err(error) => unreachable!("keys made in order are taken: {error}"),
     }
 }
 
 /// What sealing or opening one heartbeat takes, measured.
-fn seal_cost() -> Duration {
-    const TURNS: u32 = 20_000;
+fn measure_seal_time() -> Duration {
+    const ROUNDS: u32 = 20_000;
     let ring = Ring::parse("1:00112233445566778899aabbccddeeff").expect("a well-formed ring");
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let mut ours = Endpoint::open(Node([1; 8]), 1 << 50, address, ring.clone());
@@ -428,11 +436,11 @@
         updates: vec![Update::Mark(mark); 4],
     };
     let start = std::time::Instant::now();
-    for _ in 0..TURNS {
+    for _ in 0..ROUNDS {
         let bytes = ours.seal(address, &ping).expect("a ping is small");
         theirs
             .receive(address, &bytes)
             .expect("our own frame is authentic");
     }
-    start.elapsed() / TURNS / 2
+    start.elapsed() / ROUNDS / 2
 }
--- a/crates/slopes/src/count.rs
+++ b/crates/slopes/src/count.rs
@@ -7,9 +7,9 @@
 /// An IPv4 and a TCP header without options.
 const TCP_HEADERS: usize = 40;
 /// The payload of a full TCP segment.
-const SEGMENT: usize = 1_448;
+const SEGMENT_PAYLOAD: usize = 1_448;
 /// Handshake and teardown, the nonce, and the acknowledgement of the request.
-const CONNECTION: usize = 8 * TCP_HEADERS + 16;
+const CONNECTION_OVERHEAD: usize = 8 * TCP_HEADERS + 16;
 
 /// Messages and bytes, each counted once where sent and once where received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -35,12 +35,12 @@
         self.messages_sent + self.messages_received
     }
 
-    pub(crate) fn sent(&mut self, bytes: u64) {
+    pub(crate) fn add_sent(&mut self, bytes: u64) {
         self.messages_sent += 1;
         self.bytes_sent += bytes;
     }
 
-    pub(crate) fn received(&mut self, bytes: u64) {
+    pub(crate) fn add_received(&mut self, bytes: u64) {
         self.messages_received += 1;
         self.bytes_received += bytes;
     }
@@ -53,12 +53,12 @@
 
 /// The bytes of a request on a new connection, with the connection's own.
 pub(crate) fn request(message: &Message) -> u64 {
-    stream(message) + CONNECTION as u64
+    stream(message) + CONNECTION_OVERHEAD as u64
 }
 
 /// The bytes of a frame on a stream, with one acknowledgement for two segments.
 pub(crate) fn stream(message: &Message) -> u64 {
     let len = wire::len(message) + FRAME_LEN + wire::Stream::LENGTH_LEN;
-    let segments = len.div_ceil(SEGMENT);
+    let segments = len.div_ceil(SEGMENT_PAYLOAD);
     (len + segments * TCP_HEADERS + segments.div_ceil(2) * TCP_HEADERS) as u64
 }
--- a/crates/slopes/src/delay.rs
+++ b/crates/slopes/src/delay.rs
@@ -5,12 +5,12 @@
 use crate::{World, setup::ZONES};
 
 /// One-way delays in microseconds.
-const SAME_ZONE: u64 = 250;
-const SAME_REGION: u64 = 1_500;
-const OTHER_REGION: u64 = 40_000;
-const STORE: u64 = 3_000;
+const SAME_ZONE_US: u64 = 250;
+const SAME_REGION_US: u64 = 1_500;
+const OTHER_REGION_US: u64 = 40_000;
+const STORE_US: u64 = 3_000;
 /// What a lost segment of a stream costs.
-const RETRANSMIT: u64 = 200_000;
+const RETRANSMIT_US: u64 = 200_000;
 /// Into how many regions the zones are divided.
 const REGIONS: usize = 3;
 
@@ -19,11 +19,11 @@
         let [a, b] = [a, b].map(|slot| self.slots[slot].zone);
         let region = |zone| zone * REGIONS / ZONES;
         let base = if a == b {
-            SAME_ZONE
+            SAME_ZONE_US
         } else if region(a) == region(b) {
-            SAME_REGION
+            SAME_REGION_US
         } else {
-            OTHER_REGION
+            OTHER_REGION_US
         };
         base + self.rng.random_range(0..=base / 2)
     }
@@ -31,13 +31,17 @@
     /// The store answers in order, so its delay does not vary.
     pub(crate) fn store_delay(&self, slot: usize) -> u64 {
         let region = self.slots[slot].zone * REGIONS / ZONES;
-        if region == 0 { STORE } else { OTHER_REGION }
+        if region == 0 {
+            STORE_US
+        } else {
+            OTHER_REGION_US
+        }
     }
 
-    pub(crate) fn retransmit(&mut self) -> u64 {
+    pub(crate) fn retransmit_delay(&mut self) -> u64 {
         let lost = 1.0 - (1.0 - self.loss).powi(2);
         if lost > 0.0 && self.rng.random_bool(lost) {
-            RETRANSMIT
+            RETRANSMIT_US
         } else {
             0
         }
--- a/crates/slopes/src/edge.rs
+++ b/crates/slopes/src/edge.rs
@@ -27,14 +27,14 @@
         if self.slots.len() <= 100 {
             self.monitor.note_write(revision, catalog.collect());
         }
-        self.tell_watches(number);
+        self.notify_watches(number);
         revision
     }
 
     /// Writes keys that are not of the catalogue, such as a primary's record.
     pub fn write(&mut self, changes: &[(&str, Option<&[u8]>)]) -> u64 {
         let number = self.store.write(changes);
-        self.tell_watches(number);
+        self.notify_watches(number);
         number
     }
 
@@ -45,27 +45,33 @@
             return;
         }
         for ((slot, call), generation) in std::mem::take(&mut self.watches) {
-            self.answer_store(slot, generation, call, Answer::Down);
+            self.queue_store_answer(slot, generation, call, Answer::Down);
         }
     }
 
-    pub(crate) fn serve(&mut self, slot: usize, generation: u32, call: Call, request: Request) {
-        if self.slots[slot].island != self.store_partition {
+    pub(crate) fn serve_store(
+        &mut self,
+        slot: usize,
+        generation: u32,
+        call: Call,
+        request: Request,
+    ) {
+        if self.slots[slot].partition != self.store_partition {
             return;
         }
         self.store.calls += 1;
         if self.store_down {
-            self.answer_store(slot, generation, call, Answer::Down);
+            self.queue_store_answer(slot, generation, call, Answer::Down);
             return;
         }
         match request {
             Request::Range => {
                 let answer = self.store.range();
-                self.answer_store(slot, generation, call, answer);
+                self.queue_store_answer(slot, generation, call, answer);
             }
             Request::Head => {
                 let answer = self.store.head();
-                self.answer_store(slot, generation, call, answer);
+                self.queue_store_answer(slot, generation, call, answer);
             }
             Request::Unwatch => {
                 self.watches.remove(&(slot, call));
@@ -81,24 +87,24 @@
         }
     }
 
-    fn tell_watches(&mut self, revision: u64) {
+    fn notify_watches(&mut self, revision: u64) {
         if self.store_down {
             return;
         }
         let watches: Vec<_> = self.watches.iter().map(|(key, at)| (*key, *at)).collect();
         for ((slot, call), generation) in watches {
-            if self.slots[slot].island != self.store_partition {
+            if self.slots[slot].partition != self.store_partition {
                 continue;
             }
             self.store.calls += 1;
             let answers: Vec<_> = self.store.changes_from(revision).collect();
             for answer in answers {
-                self.answer_store(slot, generation, call, answer);
+                self.queue_store_answer(slot, generation, call, answer);
             }
         }
     }
 
-    fn answer_store(&mut self, slot: usize, generation: u32, call: Call, answer: Answer) {
+    fn queue_store_answer(&mut self, slot: usize, generation: u32, call: Call, answer: Answer) {
         let delay = self.store_delay(slot);
         self.queue_in(delay, Item::Store(slot, generation, call, answer));
     }
--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -23,15 +23,15 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if points.len() < 2 || spread == 0.0 {
+    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if points.len() < 2 || variance == 0.0 {
         return None;
     }
-    let joint: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = joint / spread;
+    let slope = covariance / variance;
     let intercept = mean_y - slope * mean_x;
     let residual = points
         .iter()
--- a/crates/slopes/src/monitor.rs
+++ b/crates/slopes/src/monitor.rs
@@ -39,7 +39,7 @@
 type Catalog = BTreeMap<Arc<str>, Bytes>;
 
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct State {
     applied: Revision,
     /// The least that any peer within reach had when the process started.
     floor: Revision,
@@ -49,8 +49,8 @@
 /// Watches the catalogues that instances put in force.
 #[derive(Debug, Default)]
 pub struct Monitor {
-    seen: Vec<Seen>,
-    truth: BTreeMap<Revision, Catalog>,
+    states: Vec<State>,
+    written: BTreeMap<Revision, Catalog>,
     violations: Vec<Violation>,
 }
 
@@ -62,26 +62,26 @@
 
     /// The catalogue revision in force at a slot.
     pub fn applied(&self, slot: usize) -> Revision {
-        self.seen
+        self.states
             .get(slot)
-            .map_or(Revision::NONE, |seen| seen.applied)
+            .map_or(Revision::NONE, |state| state.applied)
     }
 
     /// A process started at a slot, while the peers it reaches had at least
     /// `floor` in force.
     pub fn note_start(&mut self, slot: usize, floor: Revision) {
-        if self.seen.len() <= slot {
-            self.seen.resize(slot + 1, Seen::default());
+        if self.states.len() <= slot {
+            self.states.resize(slot + 1, State::default());
         }
-        self.seen[slot] = Seen {
+        self.states[slot] = State {
             floor,
-            ..Seen::default()
+            ..State::default()
         };
     }
 
     /// The store holds this catalogue at `revision`.
     pub fn note_write(&mut self, revision: Revision, catalog: BTreeMap<Arc<str>, Bytes>) {
-        self.truth.insert(revision, catalog);
+        self.written.insert(revision, catalog);
     }
 
     /// A process took an action.
@@ -92,33 +92,33 @@
             changes,
         } = action
         {
-            self.applied_at(slot, *revision, *scope, changes);
+            self.check_applied(slot, *revision, *scope, changes);
         }
     }
 
-    fn applied_at(&mut self, slot: usize, to: Revision, scope: Scope, changes: &[Change]) {
-        let seen = &mut self.seen[slot];
-        let (from, peers) = (seen.applied, seen.floor);
+    fn check_applied(&mut self, slot: usize, to: Revision, scope: Scope, changes: &[Change]) {
+        let state = &mut self.states[slot];
+        let (from, peers) = (state.applied, state.floor);
         if to <= from {
             self.violations.push(Violation::Reverted { slot, from, to });
         } else if from == Revision::NONE && to < peers {
             let violation = Violation::StartedBehind { slot, peers, to };
             self.violations.push(violation);
         }
-        seen.applied = to;
-        if self.truth.is_empty() {
+        state.applied = to;
+        if self.written.is_empty() {
             return;
         }
         if scope == Scope::Whole {
-            seen.catalog.clear();
+            state.catalog.clear();
         }
         for change in changes {
             match &change.value {
-                Some(value) => seen.catalog.insert(change.key.clone(), value.clone()),
-                None => seen.catalog.remove(&change.key),
+                Some(value) => state.catalog.insert(change.key.clone(), value.clone()),
+                None => state.catalog.remove(&change.key),
             };
         }
-        if self.truth.get(&to) != Some(&seen.catalog) {
+        if self.written.get(&to) != Some(&state.catalog) {
             let violation = Violation::Inconsistent { slot, revision: to };
             self.violations.push(violation);
         }
--- a/crates/slopes/src/world.rs
+++ b/crates/slopes/src/world.rs
@@ -15,7 +15,7 @@
 };
 
 /// How long an instance waits for a connection that nobody answers.
-const CONNECT_WAIT: u64 = 1_000_000;
+const CONNECT_TIMEOUT_US: u64 = 1_000_000;
 const PORT: u16 = 7_000;
 
 /// A hook that changes the actions of an instance, to break it on purpose.
@@ -25,12 +25,12 @@
 #[derive(Debug)]
 pub(crate) struct Slot {
     pub(crate) zone: usize,
-    pub(crate) island: u8,
+    pub(crate) partition: u8,
     /// Counts the processes that ran here.
     generation: u32,
     fleet: Option<Fleet>,
     /// Until then the process is stopped by its machine; events wait.
-    paused: Option<Instant>,
+    paused_until: Option<Instant>,
     /// The revision that it put in force last, and when.
     applied: (Revision, Instant),
     count: Count,
@@ -45,7 +45,7 @@
     queue: Queue,
     pub(crate) slots: Vec<Slot>,
     streams: BTreeMap<u64, (usize, u32, Call)>,
-    stream: u64,
+    last_stream: u64,
     pub(crate) watches: BTreeMap<(usize, Call), u32>,
     /// The platform's store.
     pub store: Store,
@@ -67,7 +67,7 @@
     pub steps: u64,
     counted_since: Instant,
     /// While set, whoever asks for all members is told all that run.
-    warm: bool,
+    is_warming_up: bool,
 }
 
 impl World {
@@ -75,10 +75,10 @@
     pub fn open(setup: Setup) -> Self {
         let slots = (0..setup.nodes).map(|slot| Slot {
             zone: slot % setup.zones,
-            island: 0,
+            partition: 0,
             generation: 0,
             fleet: None,
-            paused: None,
+            paused_until: None,
             applied: (Revision::NONE, Instant::ZERO),
             count: Count::default(),
         });
@@ -89,7 +89,7 @@
             queue: Queue::default(),
             slots: slots.collect(),
             streams: BTreeMap::new(),
-            stream: 0,
+            last_stream: 0,
             watches: BTreeMap::new(),
             store: Store::default(),
             store_down: false,
@@ -101,19 +101,19 @@
             step_time: Duration::ZERO,
             steps: 0,
             counted_since: Instant::ZERO,
-            warm: false,
+            is_warming_up: false,
         }
     }
 
     /// Starts all instances, which then know each other from the start, and
     /// runs until rumours of the start are over.
     pub fn warm_up(&mut self, span: Duration) {
-        self.warm = true;
+        self.is_warming_up = true;
         for slot in 0..self.slots.len() {
             self.start(slot);
         }
         self.run(Duration::from_secs(3));
-        self.warm = false;
+        self.is_warming_up = false;
         self.run(span);
     }
 
@@ -183,7 +183,7 @@
         let zone = format!("zone-{}", self.slots[slot].zone);
         let seeds = [1, self.setup.zones, 2 * self.setup.zones + 1];
         Conf {
-            name: instance(slot),
+            name: instance_name(slot),
             zone: name::Zone::new(&zone).expect("a zone's number makes a name"),
             address: address(slot),
             started_ms: 1_790_000_000_000 + self.now.as_micros() / 1_000,
@@ -205,13 +205,13 @@
 
     /// Starts a new process at a slot with settings of the test's choice.
     pub fn start_with(&mut self, slot: usize, conf: Conf) {
-        let floor = self.least_within_reach(slot);
+        let floor = self.lowest_reachable_revision(slot);
         self.monitor.note_start(slot, floor);
         self.slots[slot].generation += 1;
         let (fleet, actions) = Fleet::open(conf, self.now);
         self.slots[slot].fleet = Some(fleet);
         self.slots[slot].applied = (Revision::NONE, self.now);
-        self.act(slot, actions);
+        self.apply_actions(slot, actions);
     }
 
     /// Ends the process at a slot without a word.
@@ -223,17 +223,17 @@
     /// Stops the process at a slot for a time, as a machine may; what comes
     /// meanwhile waits.
     pub fn pause(&mut self, slot: usize, span: Duration) {
-        self.slots[slot].paused = Some(self.now + span);
+        self.slots[slot].paused_until = Some(self.now + span);
     }
 
     /// Puts a slot on an island; messages only pass within one.
-    pub fn set_partition(&mut self, slot: usize, island: u8) {
-        self.slots[slot].island = island;
+    pub fn set_partition(&mut self, slot: usize, partition: u8) {
+        self.slots[slot].partition = partition;
     }
 
     /// Whether a slot is on the store's side.
     pub fn reaches_store(&self, slot: usize) -> bool {
-        self.slots[slot].island == self.store_partition
+        self.slots[slot].partition == self.store_partition
     }
 
     /// Hands an event to the instance at a slot.
@@ -246,7 +246,7 @@
         let end = self.now + span;
         while let Some((at, item)) = self.queue.pop(end) {
             self.now = at;
-            self.pass(item);
+            self.dispatch(item);
         }
         self.now = end;
     }
@@ -255,11 +255,11 @@
     /// the time is over; tells how long it took.
     pub fn run_until(
         &mut self,
-        most: Duration,
+        timeout: Duration,
         mut done: impl FnMut(&Self) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
-        while self.now.since(start) < most {
+        while self.now.since(start) < timeout {
             if done(self) {
                 return Some(self.now.since(start));
             }
@@ -268,74 +268,81 @@
         done(self).then(|| self.now.since(start))
     }
 
-    fn pass(&mut self, item: Item) {
+    fn dispatch(&mut self, item: Item) {
         match item {
             Item::Wake(slot, generation) => {
-                if self.runs(slot, generation) {
+                if self.is_running(slot, generation) {
                     self.step(slot, Event::Wake);
                 }
             }
             Item::Datagram(from, to, message) => self.deliver(from, to, message),
             Item::Ask(from, generation, call, to, message) => {
-                self.deliver_ask(from, generation, call, to, message);
+                self.deliver_request(from, generation, call, to, message);
             }
             Item::Answer(slot, generation, call, messages) => {
                 for message in messages {
-                    if self.runs(slot, generation) {
+                    if self.is_running(slot, generation) {
                         let bytes = count::stream(&message);
-                        self.slots[slot].count.received(bytes);
+                        self.slots[slot].count.add_received(bytes);
                         self.step(slot, Event::Answer { call, message });
                     }
                 }
             }
             Item::Failed(slot, generation, call) => {
-                if self.runs(slot, generation) {
+                if self.is_running(slot, generation) {
                     self.step(slot, Event::Failed(call));
                 }
             }
             Item::Call(slot, generation, call, request) => {
-                self.serve(slot, generation, call, request);
+                self.serve_store(slot, generation, call, request);
             }
             Item::Store(slot, generation, call, answer) => {
-                if self.runs(slot, generation) {
+                if self.is_running(slot, generation) {
                     self.step(slot, Event::Store { call, answer });
                 }
             }
         }
     }
 
-    fn runs(&self, slot: usize, generation: u32) -> bool {
+    fn is_running(&self, slot: usize, generation: u32) -> bool {
         self.slots[slot].fleet.is_some() && self.slots[slot].generation == generation
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
-        if self.slots[to].fleet.is_none() || !self.joined(from, to) {
+        if self.slots[to].fleet.is_none() || !self.is_connected(from, to) {
             return;
         }
-        self.slots[to].count.received(count::datagram(&message));
+        self.slots[to].count.add_received(count::datagram(&message));
         let event = Event::Message {
-            from: wire::Node::of(&instance(from)),
+            from: wire::Node::of(&instance_name(from)),
             address: address(from),
             message,
         };
         self.step(to, event);
     }
 
-    fn deliver_ask(&mut self, from: usize, generation: u32, call: Call, to: usize, ask: Message) {
-        if self.slots[to].fleet.is_none() || !self.joined(from, to) {
-            let at = self.now + Duration::from_micros(CONNECT_WAIT);
+    fn deliver_request(
+        &mut self,
+        from: usize,
+        generation: u32,
+        call: Call,
+        to: usize,
+        ask: Message,
+    ) {
+        if self.slots[to].fleet.is_none() || !self.is_connected(from, to) {
+            let at = self.now + Duration::from_micros(CONNECT_TIMEOUT_US);
             self.queue_at(at, Item::Failed(from, generation, call));
             return;
         }
-        self.slots[to].count.received(count::request(&ask));
-        if self.warm && matches!(ask, Message::Members { .. }) {
+        self.slots[to].count.add_received(count::request(&ask));
+        if self.is_warming_up && matches!(ask, Message::Members { .. }) {
             let table = Message::Table(self.records());
             let item = Item::Answer(from, generation, call, vec![table]);
             self.queue_at(self.now + Duration::from_millis(1), item);
             return;
         }
-        self.stream += 1;
-        let stream = self.stream;
+        self.last_stream += 1;
+        let stream = self.last_stream;
         self.streams.insert(stream, (from, generation, call));
         let message = ask;
         self.step(to, Event::Asked { stream, message });
@@ -348,12 +355,12 @@
     }
 
     fn step(&mut self, slot: usize, event: Event) {
-        if let Some(until) = self.slots[slot].paused {
+        if let Some(until) = self.slots[slot].paused_until {
             if self.now < until {
                 self.postpone(slot, until, event);
                 return;
             }
-            self.slots[slot].paused = None;
+            self.slots[slot].paused_until = None;
         }
         let Some(fleet) = self.slots[slot].fleet.as_mut() else {
             return;
@@ -362,7 +369,7 @@
         let actions = fleet.step(self.now, event);
         self.step_time += start.elapsed();
         self.steps += 1;
-        self.act(slot, actions);
+        self.apply_actions(slot, actions);
     }
 
     fn postpone(&mut self, slot: usize, until: Instant, event: Event) {
@@ -377,24 +384,24 @@
         self.queue_at(until, item);
     }
 
-    fn act(&mut self, slot: usize, mut actions: Vec<Action>) {
+    fn apply_actions(&mut self, slot: usize, mut actions: Vec<Action>) {
         if let Some(tamper) = self.tamper {
             tamper(slot, &mut actions);
         }
         for action in actions {
             self.monitor.note_action(slot, &action);
-            self.act_once(slot, action);
+            self.apply_action(slot, action);
         }
     }
 
-    fn act_once(&mut self, slot: usize, action: Action) {
+    fn apply_action(&mut self, slot: usize, action: Action) {
         let generation = self.slots[slot].generation;
         match action {
             Action::Send { to, message } => self.send(slot, to, message),
             Action::Ask { call, to, message } => {
                 let to = slot_at(to);
-                self.slots[slot].count.sent(count::request(&message));
-                let delay = self.delay(slot, to) * 2 + self.retransmit();
+                self.slots[slot].count.add_sent(count::request(&message));
+                let delay = self.delay(slot, to) * 2 + self.retransmit_delay();
                 let item = Item::Ask(slot, generation, call, to, message);
                 self.queue_in(delay, item);
             }
@@ -415,7 +422,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let to = slot_at(to);
-        self.slots[from].count.sent(count::datagram(&message));
+        self.slots[from].count.add_sent(count::datagram(&message));
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
         }
@@ -428,15 +435,15 @@
             return;
         };
         for message in &messages {
-            self.slots[from].count.sent(count::stream(message));
+            self.slots[from].count.add_sent(count::stream(message));
         }
-        let delay = self.delay(from, to) + self.retransmit();
+        let delay = self.delay(from, to) + self.retransmit_delay();
         self.queue_in(delay, Item::Answer(to, generation, call, messages));
     }
 
-    fn least_within_reach(&self, slot: usize) -> Revision {
+    fn lowest_reachable_revision(&self, slot: usize) -> Revision {
         let peers = self.running().filter(|&peer| {
-            peer != slot && self.joined(slot, peer) && self.slots[peer].paused.is_none()
+            peer != slot && self.is_connected(slot, peer) && self.slots[peer].paused_until.is_none()
         });
         peers
             .map(|peer| self.slots[peer].applied.0)
@@ -444,8 +451,8 @@
             .unwrap_or(Revision::NONE)
     }
 
-    fn joined(&self, a: usize, b: usize) -> bool {
-        self.slots[a].island == self.slots[b].island
+    fn is_connected(&self, a: usize, b: usize) -> bool {
+        self.slots[a].partition == self.slots[b].partition
     }
 
     pub(crate) fn queue_in(&mut self, micros: u64, item: Item) {
@@ -458,7 +465,7 @@
 }
 
 /// The name of the instance at a slot.
-fn instance(slot: usize) -> name::Instance {
+fn instance_name(slot: usize) -> name::Instance {
     name::Instance::new(&format!("instance-{slot}")).expect("a slot's number makes a name")
 }
 
--- a/crates/slopes/tests/counts.rs
+++ b/crates/slopes/tests/counts.rs
@@ -14,8 +14,8 @@
     store_calls_s: f64,
 }
 
-fn bound(scenario: Scenario, loss: f64, at_most: [f64; 4]) -> Bound {
-    let [spread_ms, bytes_s, messages_s, store_calls_s] = at_most;
+fn bound(scenario: Scenario, loss: f64, limits: [f64; 4]) -> Bound {
+    let [spread_ms, bytes_s, messages_s, store_calls_s] = limits;
     Bound {
         scenario,
         loss,
@@ -29,10 +29,10 @@
 /// The middle one of a figure over the seeds. A single seed stands for its luck
 /// as much as for the costs: 5.60 messages a second for a bound of 5.6 is one
 /// datagram that was lost at another moment.
-fn middle(rows: &[&Row], figure: impl Fn(&Row) -> f64) -> f64 {
-    let mut figures: Vec<_> = rows.iter().map(|row| figure(row)).collect();
-    figures.sort_by(f64::total_cmp);
-    figures[figures.len() / 2]
+fn median(rows: &[&Row], metric: impl Fn(&Row) -> f64) -> f64 {
+    let mut values: Vec<_> = rows.iter().map(|row| metric(row)).collect();
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
 
 fn assert_within(nodes: usize, bounds: &[Bound]) {
@@ -40,23 +40,25 @@
         .flat_map(|seed| measure(nodes, seed, || 0))
         .collect();
     for bound in bounds {
-        let same = |row: &&Row| row.scenario == bound.scenario && row.loss == bound.loss;
-        let rows: Vec<_> = rows.iter().filter(same).collect();
+        let is_measured = |row: &&Row| row.scenario == bound.scenario && row.loss == bound.loss;
+        let rows: Vec<_> = rows.iter().filter(is_measured).collect();
         assert_eq!(rows.len(), 5);
         assert!(rows.iter().all(|row| row.violations == 0), "{rows:?}");
-        let spread_ms = middle(&rows, |row| row.spread_p100_ms);
-        let bytes_s = middle(&rows, |row| row.bytes_per_node_s);
-        let messages_s = middle(&rows, |row| row.messages_per_node_s);
-        let calls_s = middle(&rows, |row| row.store_calls_s);
-        let what = format!("{:?} at a loss of {}", bound.scenario, bound.loss);
-        println!("{what}: {spread_ms} ms, {bytes_s} bytes, {messages_s} messages, {calls_s} calls");
-        assert!(spread_ms <= bound.spread_ms, "{what}: {spread_ms} ms");
-        assert!(bytes_s <= bound.bytes_s, "{what}: {bytes_s} bytes");
+        let spread_ms = median(&rows, |row| row.spread_p100_ms);
+        let bytes_s = median(&rows, |row| row.bytes_per_node_s);
+        let messages_s = median(&rows, |row| row.messages_per_node_s);
+        let calls_s = median(&rows, |row| row.store_calls_s);
+        let label = format!("{:?} at a loss of {}", bound.scenario, bound.loss);
+        println!(
+            "{label}: {spread_ms} ms, {bytes_s} bytes, {messages_s} messages, {calls_s} calls"
+        );
+        assert!(spread_ms <= bound.spread_ms, "{label}: {spread_ms} ms");
+        assert!(bytes_s <= bound.bytes_s, "{label}: {bytes_s} bytes");
         assert!(
             messages_s <= bound.messages_s,
-            "{what}: {messages_s} messages"
+            "{label}: {messages_s} messages"
         );
-        assert!(calls_s <= bound.store_calls_s, "{what}: {calls_s} calls");
+        assert!(calls_s <= bound.store_calls_s, "{label}: {calls_s} calls");
     }
 }
 
