--- a/crates/fake/src/group.rs
+++ b/crates/fake/src/group.rs
@@ -1,4 +1,4 @@
-//! A replicated group of upstreams with terms, lag and faults.
+//! A replicated group of fake upstreams with terms, replication lag and faults.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,37 +16,37 @@
     table::{Log, RowKey, Write},
 };
 
-/// What can be wrong with an upstream.
+/// A fault of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Nothing is wrong.
+    /// No fault.
     #[default]
     None,
-    /// The process is gone: its connections break and new ones are refused.
+    /// The process has crashed: its connections break and new ones are refused.
     Crashed,
-    /// The network to callers and to the group is cut; packets vanish.
+    /// The network to callers and to the group is cut; packets are dropped.
     CutOff,
-    /// Connections are taken and nothing is answered.
+    /// Connections are accepted and no request is answered.
     Hang,
-    /// It serves callers, but the rest of the group can't reach it.
+    /// Callers are served, but the rest of the group can't reach the upstream.
     ReplicationCut,
 }
 
 /// The settings of one upstream.
 #[derive(Debug, Clone)]
 pub struct Conf {
-    /// Statements that run at once.
+    /// Maximum number of statements that run concurrently.
     pub slots: usize,
-    /// Connections that it takes.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// How long a new connection takes.
+    /// Time that a new connection takes.
     pub connect_time: Duration,
-    /// How long a statement holds a slot.
+    /// Time that a statement holds a slot.
     pub statement_time: Duration,
 }
 
 impl Default for Conf {
-    /// The sizes of the brief, and statements that take no time of their own.
+    /// Two slots, 16 connections, and statements that take no time.
     fn default() -> Self {
         Self {
             slots: 2,
@@ -60,34 +60,35 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) fault: Fault,
-    /// How much later than received a replica shows an entry.
+    /// Replication lag: the time from the receipt of an entry to its replay.
     pub(crate) lag: Duration,
-    /// How much later answers leave.
+    /// Delay of each answer.
     pub(crate) answer_delay: Duration,
     pub(crate) role: Role,
-    /// The highest term it was ordered to.
+    /// The highest term that an order has set; orders with a lower term are refused.
     pub(crate) fenced: Term,
-    /// Which session raised the term last: only that one's orders are taken.
+    /// Session that set `fenced` last; orders of other sessions are refused.
     pub(crate) fenced_by: u64,
-    /// The term it writes in when it is primary.
+    /// Term of the entries that the upstream writes as primary.
     pub(crate) term: Term,
     pub(crate) read_only: bool,
     pub(crate) follows: Option<SocketAddr>,
     pub(crate) log: Log,
-    /// When each entry not yet shown arrived.
+    /// Arrival time of each entry that is not yet replayed.
     pub(crate) arrivals: Vec<Instant>,
-    /// Rows that an open transaction has written, and by which session.
+    /// Row locks: each row that an open transaction has locked, with its session.
     pub(crate) locks: HashMap<RowKey, u64>,
-    /// Counts up when the process crashes, so that old connections break.
+    /// Incremented when the process crashes or is rewound, so that old connections
+    /// break.
     pub(crate) generation: u64,
     pub(crate) connections: usize,
-    /// The most connections that were ever open at once.
+    /// The highest number of connections that were open at one time.
     pub(crate) peak_connections: usize,
-    /// Statements run, for tests that count work.
+    /// Number of statements run.
     pub(crate) statements: u64,
-    /// Those of them that read a table.
+    /// Number of statements run that read a table.
     pub(crate) selects: u64,
-    /// How often a statement began to wait for a row.
+    /// Number of waits for a row lock.
     pub(crate) lock_waits: u64,
 }
 
@@ -96,11 +97,11 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) sessions: u64,
-    /// Sessions that a cancel request has named and that have not seen it yet.
+    /// Sessions with a cancel request that is not yet handled.
     pub(crate) cancels: HashSet<u64>,
 }
 
-/// What the group's servers share.
+/// The state that the servers of a group share.
 pub(crate) type Shared = Arc<Mutex<State>>;
 
 pub(crate) fn lock(shared: &Shared) -> MutexGuard<'_, State> {
@@ -108,7 +109,8 @@
 }
 
 impl State {
-    /// Moves the log from primaries to the replicas that follow them.
+    /// Copies log entries from primaries to their replicas and replays the entries
+    /// whose lag is over.
     pub(crate) fn replicate(&mut self) {
         let now = Instant::now();
         for index in 0..self.nodes.len() {
@@ -151,7 +153,7 @@
 }
 
 impl Node {
-    /// Whether the rest of the group can't reach it.
+    /// Returns true if the rest of the group can't reach this upstream.
     fn is_isolated(&self) -> bool {
         matches!(
             self.fault,
@@ -159,9 +161,9 @@
         )
     }
 
-    /// Drops what it holds beyond the log that it now follows.
+    /// Drops the entries that are not in the log of the new primary.
     ///
-    /// A server that is rewound restarts, which breaks its connections.
+    /// A server restarts for a rewind, which breaks its connections.
     fn rewind(&mut self, leader: &Log) {
         self.generation += 1;
         self.log.rewind(leader);
@@ -182,7 +184,7 @@
         self.log.replay(self.log.replayed + due);
     }
 
-    /// What it tells of itself.
+    /// Returns the report that a health check reads.
     pub(crate) fn report(&self) -> Report {
         Report {
             role: self.role,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Commits a transaction's writes and gives the log's end.
+    /// Commits the writes of a transaction and returns the end of the log.
     pub(crate) fn commit(&mut self, writes: Vec<Write>) -> Position {
         if !writes.is_empty() {
             self.log.append(self.term, writes);
@@ -201,7 +203,7 @@
     }
 }
 
-/// A running group; dropping it stops its servers.
+/// A running group of upstreams; dropping the group stops its servers.
 #[derive(Debug)]
 pub struct Group {
     shared: Shared,
@@ -247,12 +249,12 @@
         Ok(Self { shared, servers })
     }
 
-    /// Where each upstream listens.
+    /// Listen addresses of the upstreams.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.servers.iter().map(|it| it.address).collect()
     }
 
-    /// Sets what is wrong with an upstream.
+    /// Sets the fault of an upstream.
     pub fn set_fault(&self, index: usize, fault: Fault) {
         let mut state = lock(&self.shared);
         let node = &mut state.nodes[index];
@@ -263,24 +265,24 @@
         node.fault = fault;
     }
 
-    /// Sets how much later than received a replica shows what it received.
+    /// Sets the replication lag of a replica.
     pub fn set_lag(&self, index: usize, lag: Duration) {
         lock(&self.shared).nodes[index].lag = lag;
     }
 
-    /// Sets how much later than made the answers of an upstream leave.
+    /// Sets the delay of an upstream's answers.
     pub fn set_answer_delay(&self, index: usize, delay: Duration) {
         lock(&self.shared).nodes[index].answer_delay = delay;
     }
 
-    /// What an upstream would tell of itself.
+    /// Returns the report that a health check of an upstream would read.
     pub fn report(&self, index: usize) -> Report {
         let mut state = lock(&self.shared);
         state.replicate();
         state.nodes[index].report()
     }
 
-    /// Reads a row of `kv` as an upstream shows it.
+    /// Reads a row of the table `kv` at an upstream.
     pub fn value(&self, index: usize, key: &str) -> Option<String> {
         let mut state = lock(&self.shared);
         state.replicate();
@@ -291,32 +293,32 @@
             .cloned()
     }
 
-    /// How many statements an upstream has run.
+    /// Number of statements that an upstream has run.
     pub fn statements(&self, index: usize) -> u64 {
         lock(&self.shared).nodes[index].statements
     }
 
-    /// How often a statement of an upstream began to wait for a row.
+    /// Number of waits for a row lock at an upstream.
     pub fn lock_waits(&self, index: usize) -> u64 {
         lock(&self.shared).nodes[index].lock_waits
     }
 
-    /// How many statements that read a table an upstream has run.
+    /// Number of statements at an upstream that read a table.
     pub fn selects(&self, index: usize) -> u64 {
         lock(&self.shared).nodes[index].selects
     }
 
-    /// The most connections that an upstream ever had at once.
+    /// The highest number of connections that an upstream had at one time.
     pub fn peak_connections(&self, index: usize) -> usize {
         lock(&self.shared).nodes[index].peak_connections
     }
 
-    /// How many connections an upstream has now.
+    /// Number of connections that an upstream has now.
     pub fn connections(&self, index: usize) -> usize {
         lock(&self.shared).nodes[index].connections
     }
 
-    /// The last position that an upstream holds.
+    /// Position of the last log entry that an upstream has received.
     pub fn received(&self, index: usize) -> Position {
         self.report(index).received
     }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what the proxy stands between, for tests and the
+//! Fakes of the upstreams and of the key-value store, for tests and the
 //! quickstart only.
 //!
-//! They speak the published protocols on ephemeral loopback ports, run in
-//! threads of the process that opens them, and have switches for faults.
+//! The fakes speak the published protocols on ephemeral loopback ports, run in
+//! threads of the process that opens them, and can inject faults.
 
 pub mod group;
 mod serve;
--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -1,4 +1,4 @@
-//! A thread that serves one listener with a task for each connection.
+//! A thread that serves one listener, with one task per connection.
 
 use std::{
     io,
@@ -10,17 +10,16 @@
 use ntex::{SharedCfg, io::Io, rt::System};
 use tokio::sync::oneshot;
 
-/// A listener on loopback that serves until it is dropped.
+/// A loopback listener that serves connections until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Listener {
-    /// Where it listens.
     pub(crate) address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Listener {
-    /// Binds an ephemeral port and handles each connection with `handle`.
+    /// Binds an ephemeral port and runs `handle` for each connection.
     pub(crate) fn spawn<F>(
         name: &str,
         handle: impl Fn(Io) -> F + Send + 'static,
--- a/crates/fake/src/server.rs
+++ b/crates/fake/src/server.rs
@@ -1,4 +1,4 @@
-//! An upstream's side of one connection.
+//! The server side of one connection to a fake upstream.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -23,15 +23,15 @@
 
 use exec::Session;
 
-/// PostgreSQL's type numbers.
+/// Type OIDs of PostgreSQL.
 const INT4: u32 = 23;
 const INT8: u32 = 20;
 const TEXT: u32 = 25;
 
-/// A statement's place in the text or binary format.
+/// The format code of binary values; 0 is text.
 const BINARY: i16 = 1;
 
-/// A cell of an answer.
+/// One value of a result row.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Cell {
     Int(i32),
@@ -39,14 +39,14 @@
     Text(String),
 }
 
-/// What a statement brought.
+/// The result of a statement.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) rows: Vec<Vec<Cell>>,
     pub(crate) tag: String,
 }
 
-/// Why a connection ends.
+/// Reason for the end of a connection.
 enum End {
     Closed,
 }
@@ -69,11 +69,11 @@
     plans: Vec<Plan>,
     parameters: Vec<Option<String>>,
     formats: Vec<i16>,
-    /// What is left of an answer that an execute did not take whole.
+    /// The rows that are left after an `Execute` with a row limit.
     rest: Option<Outcome>,
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until the client or a fault closes it.
 pub(crate) async fn serve(io: Io, index: usize, shared: Shared, conf: Conf, slots: Arc<Semaphore>) {
     let (session, generation) = {
         let mut state = lock(&shared);
@@ -116,7 +116,7 @@
             let mut buf = BytesMut::new();
             pg::error(&mut buf, "53300", "sorry, too many clients already", None);
             self.send(buf).await?;
-            // Closed at once, the connection would take the words with it.
+            // Shut down gracefully: an immediate close would lose the error.
             self.io.shutdown().await?;
             return Ok(());
         }
@@ -185,7 +185,7 @@
                 Frontend::Sync => {
                     skipping = false;
                     self.session.end_batch();
-                    // Portals live as long as their transaction.
+                    // Portals end with their transaction.
                     if self.session.status() == b'I' {
                         self.portals.clear();
                     }
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Behaves as the faults that are switched on say.
+    /// Applies the current fault: breaks the connection, waits until the fault is
+    /// over, or delays the answer.
     async fn apply_fault(&self) -> Result<(), End> {
         loop {
             let (fault, generation, answer_delay) = self.session.fault();
@@ -236,7 +237,8 @@
         Ok(())
     }
 
-    /// An answer made before a fault began does not leave during it.
+    /// Holds an answer back while a fault is set, also if the answer was made
+    /// before the fault began.
     async fn hold_answer(&self) -> Result<(), End> {
         let (fault, generation, _) = self.session.fault();
         if generation != self.generation || fault != Fault::None {
@@ -312,7 +314,7 @@
                 }
                 put(buf, &CloseComplete::new());
             }
-            _ => return Err(("0A000", "the stand-in takes no COPY".to_owned())),
+            _ => return Err(("0A000", "COPY is not supported".to_owned())),
         }
         Ok(())
     }
@@ -408,7 +410,8 @@
     (state, format!("\"{name}\" does not exist"))
 }
 
-/// Appends `message` to `buf`; the stand-in's messages are all short enough.
+/// Appends `message` to `buf`; encoding does not fail, since all messages of the
+/// fake are short enough.
 fn put(buf: &mut BytesMut, message: &impl Message) {
     let _ = message.encode(buf);
 }
@@ -444,7 +447,7 @@
     );
 }
 
-/// Reads a parameter in text or binary form.
+/// Decodes a parameter in text or binary format.
 fn decode_parameter(bytes: &Bytes, format: i16, oid: u32) -> Result<String, Refusal> {
     let malformed = || ("22P03", "a parameter is malformed".to_owned());
     let mut rest = bytes.clone();
@@ -456,7 +459,7 @@
     }
 }
 
-/// How many parameters a statement has.
+/// Number of parameters of a statement.
 fn parameter_count(plan: &Plan) -> usize {
     let operand_count = |term: &sql::Operand| match term {
         sql::Operand::Parameter(index) => index + 1,
@@ -493,7 +496,8 @@
     }
 }
 
-/// The shape of a statement's rows; `None` when it has none.
+/// Describes the result columns of a statement; `None` if the statement returns
+/// no rows.
 fn fields(plan: &Plan, formats: &[i16]) -> Option<Vec<FieldDescription>> {
     let field = |(index, (name, oid)): (usize, (&str, u32))| {
         let format = formats.get(index).or(formats.first()).copied().unwrap_or(0);
--- a/crates/fake/src/server/exec.rs
+++ b/crates/fake/src/server/exec.rs
@@ -1,4 +1,4 @@
-//! Running statements: transactions, locks, and the orders to the group.
+//! Executes statements: transactions, row locks, and orders such as promotion.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,19 +14,20 @@
     table::{RowKey, Write},
 };
 
-/// How long a statement waits for a row that another transaction has written.
+/// Maximum time that a statement waits for a row lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often it looks again.
+/// Interval at which a waiting statement checks the row lock again.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A connection's session at an upstream.
+/// The session of one connection at an upstream.
 pub(super) struct Session {
     node: usize,
     pub(super) id: u64,
     shared: Shared,
     slots: Arc<Semaphore>,
     statement_time: Duration,
-    /// Begun by `BEGIN`, as against the transaction that a batch makes.
+    /// True in a transaction that `BEGIN` opened, false in the implicit
+    /// transaction of a batch.
     explicit: bool,
     failed: bool,
     admitted: bool,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Counts the connection in, if there is room for it.
+    /// Counts the connection and returns true, unless the limit is reached.
     pub(super) fn admit(&mut self, limit: usize) -> bool {
         let mut state = lock(&self.shared);
         let node = &mut state.nodes[self.node];
@@ -69,7 +70,7 @@
         true
     }
 
-    /// Counts the connection out.
+    /// Releases the connection's place under the limit.
     pub(super) fn leave(&mut self) {
         if self.admitted {
             lock(&self.shared).nodes[self.node].connections -= 1;
@@ -83,7 +84,7 @@
         (node.fault, node.generation, node.answer_delay)
     }
 
-    /// The transaction's state, as `ReadyForQuery` tells it.
+    /// The transaction status byte of `ReadyForQuery`.
     pub(super) fn status(&self) -> u8 {
         match (self.explicit, self.failed) {
             (false, _) => b'I',
@@ -97,7 +98,8 @@
         self.failed = true;
     }
 
-    /// Ends the transaction that a batch outside `BEGIN` makes.
+    /// Ends the implicit transaction of a batch: commits, or rolls back after an
+    /// error.
     pub(super) fn end_batch(&mut self) {
         if self.explicit {
             return;
@@ -110,7 +112,7 @@
         self.failed = false;
     }
 
-    /// Forgets what the transaction wrote.
+    /// Discards the writes of the transaction and releases its row locks.
     pub(super) fn rollback(&mut self) {
         self.writes.clear();
         self.unlock();
@@ -135,7 +137,7 @@
         position
     }
 
-    /// Runs one statement in a slot.
+    /// Waits for a slot and runs one statement in it.
     pub(super) async fn run(
         &mut self,
         plan: &Plan,
@@ -143,7 +145,7 @@
     ) -> Result<Outcome, Refusal> {
         let slots = Arc::clone(&self.slots);
         let slot = slots.acquire().await;
-        // A cancel that comes between two statements hits nothing.
+        // A cancel request that arrived between two statements has no effect.
         self.take_cancel();
         if self.statement_time > Duration::ZERO && !matches!(plan, Plan::Probe) {
             sleep(self.statement_time).await;
@@ -227,7 +229,7 @@
         }
     }
 
-    /// A setting's value, or its default.
+    /// Returns the value of a setting, or its default.
     fn setting(&self, name: &str) -> &str {
         let default = match name {
             "transaction isolation level" | "default_transaction_isolation" => "read committed",
@@ -238,7 +240,8 @@
         self.settings.get(name).map_or(default, String::as_str)
     }
 
-    /// Takes another connection's cancel request; the key is the process number.
+    /// Accepts a cancel request from another connection; the secret key is the
+    /// process id.
     pub(super) fn cancel(&self, pid: i32, key: &SecretKey) {
         let id = u64::try_from(pid).unwrap_or(0);
         if key.as_i32() == Some(pid) {
@@ -246,13 +249,14 @@
         }
     }
 
-    /// Whether a cancel request has named this session; asked once.
+    /// Consumes a pending cancel request of this session; returns true if there
+    /// was one.
     fn take_cancel(&self) -> bool {
         lock(&self.shared).cancels.remove(&self.id)
     }
 
     async fn clean(&mut self, below: &str, limit: usize) -> Result<Outcome, Refusal> {
-        /// The ledger's place among the tables.
+        /// Index of `dandelionlink_request` in `TABLES`.
         const REQUEST_TABLE: usize = 1;
         let old = self
             .keys(REQUEST_TABLE)
@@ -335,7 +339,7 @@
         Ok(tagged("ALTER SYSTEM"))
     }
 
-    /// Refuses the order of a session that another has raised the term after.
+    /// Refuses an order if another session has set the term since.
     fn check_fencing(&self, node: &Node) -> Result<(), Refusal> {
         if node.fenced_by == self.id {
             return Ok(());
@@ -357,7 +361,7 @@
         Ok(single_row("SELECT 1", "t"))
     }
 
-    /// Refuses writes on a replica, and on a primary that was fenced.
+    /// Refuses writes on a replica and on a fenced primary.
     fn check_writable(&self) -> Result<(), Refusal> {
         let state = lock(&self.shared);
         let node = &state.nodes[self.node];
@@ -370,7 +374,8 @@
         Ok(())
     }
 
-    /// Waits until no other transaction has written the row, then takes it.
+    /// Locks a row; waits while another transaction holds the lock, at most
+    /// [`LOCK_TIMEOUT`].
     async fn lock_row(&self, row_key: &RowKey) -> Result<(), Refusal> {
         let mut waited = Duration::ZERO;
         loop {
@@ -517,7 +522,8 @@
         Ok(tagged(&format!("INSERT 0 {count}")))
     }
 
-    /// Updates or removes the rows that are there.
+    /// Updates the existing rows, or deletes them if `value` is `None`; returns
+    /// their number.
     async fn write_rows(
         &mut self,
         table: usize,
@@ -563,7 +569,7 @@
     }
 }
 
-/// The value of a term, once the parameters are known.
+/// Resolves an operand with the parameters of the statement.
 fn bind_value(term: &sql::Operand, parameters: &[Option<String>]) -> Result<String, Refusal> {
     match term {
         sql::Operand::Text(text) => Ok(text.clone()),
--- a/crates/fake/src/sql.rs
+++ b/crates/fake/src/sql.rs
@@ -1,4 +1,4 @@
-//! The statements that the stand-in takes, read by the `sqlparser` library.
+//! Parses the statements that the fake upstream supports, with `sqlparser`.
 
 use sqlparser::{
     ast::{
@@ -12,19 +12,19 @@
 
 use crate::table::TABLES;
 
-/// A refusal: its SQLSTATE and text.
+/// A refusal: SQLSTATE and message.
 pub(crate) type Refusal = (&'static str, String);
 
-/// A value: given in the text, or the parameter of that number from 0.
+/// An operand: a value in the statement's text, or a parameter by index from 0.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Operand {
     Text(String),
     Parameter(usize),
-    /// The value that an insert would have written.
+    /// `EXCLUDED`: the value that the conflicting insert would have written.
     Excluded,
 }
 
-/// A column of an answer.
+/// A column of a result.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Column {
     Key,
@@ -41,7 +41,7 @@
     Parameter(usize),
 }
 
-/// What to do when an insert meets its key.
+/// Action of an insert whose key exists already.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Conflict {
     Refuse,
@@ -49,7 +49,7 @@
     Update(Operand),
 }
 
-/// What a statement does.
+/// The parsed form of a statement.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Plan {
     Empty,
@@ -71,7 +71,7 @@
     Show {
         name: String,
     },
-    /// `RESET name`, or of all settings.
+    /// `RESET name`, or `RESET ALL` without a name.
     Reset {
         name: Option<String>,
     },
@@ -97,7 +97,7 @@
         table: usize,
         key: Option<Operand>,
     },
-    /// Deletes the ledger's rows whose ids are below a bound, up to a limit.
+    /// Deletes up to `limit` rows of `dandelionlink_request` with ids below `below`.
     Clean {
         below: String,
         limit: usize,
@@ -105,10 +105,13 @@
 }
 
 fn unsupported(what: &str) -> Refusal {
-    ("0A000", format!("the stand-in does not take {what}"))
+    (
+        "0A000",
+        format!("the fake upstream does not support {what}"),
+    )
 }
 
-/// Reads a text of one or more statements.
+/// Parses a text of one or more statements.
 pub(crate) fn parse(text: &str) -> Result<Vec<Plan>, Refusal> {
     if let Some(plan) = parse_admin(text) {
         return Ok(vec![plan]);
@@ -118,11 +121,12 @@
     statements.iter().map(plan).collect()
 }
 
-/// How the cleaning of the ledger begins.
+/// First words of the statement that deletes old rows of `dandelionlink_request`.
 const CLEAN_PREFIX: &str = "DELETE FROM dandelionlink_request WHERE id IN (\
     SELECT id FROM dandelionlink_request WHERE id < '";
 
-/// The statements of an operator of the group, by their first words.
+/// Parses health checks, orders and settings by their first words, without
+/// `sqlparser`.
 fn parse_admin(text: &str) -> Option<Plan> {
     let text = text.trim().trim_end_matches(';');
     if text.is_empty() {
@@ -290,7 +294,7 @@
     Ok(())
 }
 
-/// What drivers ask of a server that they have connected to.
+/// Functions that drivers call after connecting.
 fn driver_function(name: &str) -> Result<(String, Column), Refusal> {
     let value = match name.to_ascii_lowercase().as_str() {
         "version" => "PostgreSQL 15.0 (stand-in)",
@@ -356,7 +360,7 @@
     }
 }
 
-/// The key that a condition `key = …` asks for.
+/// Returns the operand of a condition `key = …`.
 fn key(expr: &Expr, table: usize) -> Result<Operand, Refusal> {
     match expr {
         Expr::BinaryOp {
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -1,4 +1,5 @@
-//! The platform's key-value service, as far as the proxy uses its JSON form.
+//! A fake of the platform's key-value store: the part of its JSON API that the
+//! proxy uses.
 
 mod db;
 
@@ -25,19 +26,19 @@
 
 use db::Db;
 
-/// What can be wrong with the store.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Nothing is wrong.
+    /// No fault.
     #[default]
     None,
     /// Connections break before a call takes effect.
     Down,
-    /// Each call takes this much longer.
+    /// Each call is delayed by this time.
     Slow(Duration),
     /// The next calls take effect and their answers are lost.
     LoseAnswers {
-        /// How many answers.
+        /// Number of answers to lose.
         count: u32,
     },
 }
@@ -56,7 +57,7 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A running store; dropping it stops it.
+/// A running store; dropping the value stops the server.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -91,27 +92,27 @@
         })
     }
 
-    /// Where it listens.
+    /// Listen address of the store.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what is wrong with it.
+    /// Sets the fault of the store.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.shared).fault = fault;
     }
 
-    /// How many calls were made; a waiting watch counts as one.
+    /// Number of calls so far; an open watch counts as one.
     pub fn calls(&self) -> u64 {
         lock(&self.shared).calls
     }
 
-    /// How many calls changed something.
+    /// Number of calls that changed a key.
     pub fn writes(&self) -> u64 {
         lock(&self.shared).writes
     }
 
-    /// The store's revision.
+    /// The current revision of the store.
     pub fn revision(&self) -> u64 {
         lock(&self.shared).db.revision()
     }
@@ -131,7 +132,7 @@
         lock(&self.shared).db.value(key.as_bytes())
     }
 
-    /// Forgets the history before the present revision.
+    /// Compacts the history up to the current revision.
     pub fn compact(&self) {
         lock(&self.shared).db.compact();
     }
@@ -213,7 +214,7 @@
     }
 }
 
-/// Whether the answer just made is to be lost.
+/// Returns true if the current answer is to be lost, and counts it.
 fn take_lost_answer(shared: &Shared) -> bool {
     let mut state = lock(shared);
     let Fault::LoseAnswers { count } = state.fault else {
@@ -232,7 +233,7 @@
     HttpResponse::build(StatusCode::BAD_REQUEST).json(refusal)
 }
 
-/// An answer that breaks the connection in the middle.
+/// An answer that breaks the connection within the body.
 fn broken_answer() -> HttpResponse {
     let error = io::Error::from(io::ErrorKind::ConnectionReset);
     let stream = futures_util::stream::once(std::future::ready(Err::<Bytes, _>(error)));
@@ -247,7 +248,7 @@
     }
 }
 
-/// A watch's lines, as a stream of bytes.
+/// The lines of a watch as a byte stream.
 struct Lines {
     lines: UnboundedReceiver<String>,
 }
--- a/crates/fake/src/store/db.rs
+++ b/crates/fake/src/store/db.rs
@@ -1,4 +1,4 @@
-//! The store's keys, leases, history and watches.
+//! Keys, leases, history and watches of the store.
 
 use std::{
     collections::BTreeMap,
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// A refusal in the gateway's form.
+/// A refusal in the JSON form of the store's gateway.
 type Refusal = Value;
 
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
     lines: UnboundedSender<String>,
 }
 
-/// All that the store keeps.
+/// The data of the store.
 #[derive(Debug, Default)]
 pub(super) struct Db {
     revision: u64,
@@ -64,7 +64,7 @@
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The range of keys a request names; a missing end means the one key.
+/// Returns the key range of a request; a request without an end means one key.
 fn range(request: &Value) -> Result<(Vec<u8>, Vec<u8>), Refusal> {
     let from = bytes(&request["key"])?;
     let mut to = bytes(&request["range_end"])?;
@@ -89,7 +89,7 @@
         self.history.clear();
     }
 
-    /// Carries out one call.
+    /// Executes one call.
     pub(super) fn call(&mut self, path: &str, call: &Value) -> Result<Value, Refusal> {
         self.expire_leases();
         match path {
@@ -130,7 +130,7 @@
         };
         let writes =
             |it: &Value| !it["request_put"].is_null() || !it["request_delete_range"].is_null();
-        // Everything that a transaction writes has one revision.
+        // All writes of a transaction share one revision.
         let revision = self.revision + u64::from(list(operations).iter().any(writes));
         let mut responses = Vec::new();
         for operation in list(operations) {
@@ -163,14 +163,14 @@
         Ok(json!({ "response_delete_range": {} }))
     }
 
-    /// Writes one key in a revision of its own.
+    /// Writes one key as a new revision.
     pub(super) fn put(&mut self, key: &[u8], value: &[u8], lease: u64) {
         self.write(key, value, lease, self.revision + 1);
         self.revision += 1;
         self.notify_watchers();
     }
 
-    /// Removes one key in a revision of its own.
+    /// Removes one key as a new revision.
     pub(super) fn delete(&mut self, key: &[u8]) {
         self.remove(key, self.revision + 1);
         self.revision += 1;
@@ -200,7 +200,7 @@
         self.history.push((revision, key.to_vec(), event));
     }
 
-    /// Tells the watches what the newest revision changed, in one line each.
+    /// Sends the changes of the newest revision to the watches, as one line each.
     fn notify_watchers(&mut self) {
         let revision = self.revision;
         let changed = self.history.iter().rev().take_while(|it| it.0 == revision);
@@ -242,7 +242,7 @@
         json!({ "result": { "header": header, "ID": id.to_string(), "TTL": ttl } })
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the leases that have expired.
     fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired: Vec<_> = self
@@ -270,7 +270,7 @@
         self.notify_watchers();
     }
 
-    /// Opens a watch, first with what the history has for it.
+    /// Opens a watch and sends the matching changes of the history first.
     pub(super) fn watch(&mut self, request: &Value) -> Result<UnboundedReceiver<String>, Refusal> {
         let (from, to) = range(request)?;
         let start = number(&request["start_revision"]);
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -1,39 +1,40 @@
-//! The tables of an upstream and the log that makes them.
+//! The tables of an upstream and the log that is replayed into them.
 
 use std::collections::BTreeMap;
 
 use model::{Lsn, Position, Term};
 
-/// The tables that exist; each maps a text to a text.
+/// The tables and their columns: a text key and a text value each.
 pub(crate) const TABLES: [(&str, [&str; 2]); 2] = [
     ("kv", ["key", "value"]),
     ("dandelionlink_request", ["id", "tag"]),
 ];
 
-/// A row's place: the table and the primary key.
+/// Identifies a row: index in [`TABLES`] and primary key.
 pub(crate) type RowKey = (usize, String);
 
 /// Rows by table and key.
 pub(crate) type Rows = BTreeMap<RowKey, String>;
 
-/// A change of one row; `None` removes it.
+/// A change of one row; `None` removes the row.
 pub(crate) type Write = (RowKey, Option<String>);
 
 /// One committed transaction in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Entry {
-    /// The term of the primary that wrote it, and the log's end after it.
+    /// Term of the primary that wrote the entry, and end of the log after the
+    /// entry.
     pub(crate) position: Position,
-    /// What it changed.
+    /// The changed rows.
     pub(crate) writes: Vec<Write>,
 }
 
-/// A log, and the tables as far as it was replayed.
+/// A log with the tables at its replayed position.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Log {
-    /// All that was received.
+    /// All received entries.
     pub(crate) entries: Vec<Entry>,
-    /// How many of the entries the tables show.
+    /// Number of entries that are replayed into the tables.
     pub(crate) replayed: usize,
     /// The tables.
     pub(crate) rows: Rows,
@@ -47,13 +48,13 @@
             .map_or(Position::default(), |it| it.position)
     }
 
-    /// The position that the tables show.
+    /// The position of the last replayed entry.
     pub(crate) fn replayed_position(&self) -> Position {
         let last = self.replayed.checked_sub(1);
         last.map_or(Position::default(), |last| self.entries[last].position)
     }
 
-    /// Writes an entry at the end, in `term`, and shows it at once.
+    /// Appends an entry of `term` and replays the log to its end.
     pub(crate) fn append(&mut self, term: Term, writes: Vec<Write>) {
         let size = 24 + 16 * writes.len() as u64;
         let lsn = Lsn(self.received().lsn.0 + size);
@@ -64,7 +65,7 @@
         self.replay(self.entries.len());
     }
 
-    /// Shows the entries up to the first `count`.
+    /// Replays the log up to the first `count` entries.
     pub(crate) fn replay(&mut self, count: usize) {
         let count = count.min(self.entries.len());
         for entry in &self.entries[self.replayed.min(count)..count] {
@@ -78,7 +79,8 @@
         self.replayed = self.replayed.max(count);
     }
 
-    /// Makes this log begin as `leader`'s does, dropping what is not in it.
+    /// Truncates this log to its common prefix with `leader`'s and rebuilds the
+    /// tables.
     pub(crate) fn rewind(&mut self, leader: &Self) {
         let common = self
             .entries
