--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -1,4 +1,4 @@
-//! What is measured at one size of the fleet.
+//! Measures the costs of one fleet size in each scenario.
 
 use std::time::Duration;
 
@@ -10,88 +10,91 @@
 
 use crate::{Setup, World};
 
-/// How long rumours of the start are given to end.
+/// Warm-up time, in which the rumours of the start end.
 const WARM_UP_TIME: Duration = Duration::from_secs(25);
-/// How long traffic is counted for each share of loss.
+/// Time in which the traffic of a scenario is counted.
 const WINDOW: Duration = Duration::from_secs(30);
-/// Changes of the catalogue and restarts within the window: at 4,000 instances
-/// twice the target's 4,200 changes and three times its 1,651 restarts a day.
+/// Catalogue changes and restarts within the window. At 4,000 instances these
+/// are twice the target's 4,200 changes and three times its 1,651 restarts a day.
 const CHANGES: u32 = 3;
 const RESTARTS: usize = 2;
-/// The target's 175 changes in an hour, put together into fewer revisions: what
-/// healing costs depends on the keys that differ.
+/// The target's 175 changes in an hour, in fewer revisions: the cost of healing a
+/// partition depends on the number of keys that differ.
 const HOUR_REVISIONS: usize = 7;
 const HOUR_KEYS: usize = 25;
-/// How long a change may take to be in force everywhere.
+/// Maximum time until a change is in force at all instances.
 const SPREAD_MAX: Duration = Duration::from_secs(60);
-/// The target's databases, and entries reckoned at two for each.
+/// The target's databases, and its entries, estimated at two for each database.
 const DATABASES: usize = 6_600;
 const ENTRIES: usize = 13_200;
-/// How many probers each database has.
+/// Number of instances that probe each database.
 const PROBERS: usize = 3;
 
-/// What happens while a row is measured.
+/// The failures and changes while a row is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Changes of the catalogue and restarts.
+    /// Catalogue changes and restarts.
     Ordinary,
-    /// One instance in a hundred, a relay among them, dies without a word right
-    /// before each change, and is started again after it.
+    /// One instance in a hundred, one relay included, is killed right before each
+    /// change and started again after the change.
     Killed,
-    /// A zone dies right before the change.
+    /// All instances of a zone are killed right before the change.
     ZoneLost,
-    /// All of that zone's instances start again at once; what is timed is how
-    /// long until the last of them has the catalogue.
+    /// All instances of that zone start at once; the time is measured until the
+    /// last one has the catalogue.
     ZoneStarted,
-    /// A region is cut off from the others and the store.
+    /// A region is cut off from the other regions and from the store.
     RegionCut,
-    /// That region is joined again, after as many changes as the target has in
-    /// an hour; what is timed is how long until its last instance has them.
+    /// The partition of that region heals after as many changes as the target has
+    /// in an hour; the time is measured until the region's last instance has them.
     RegionHealed,
 }
 
-/// What was measured at one size, in one scenario.
+/// The results of one fleet size in one scenario.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// What happened meanwhile.
+    /// The scenario.
     pub scenario: Scenario,
-    /// How many instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// The share of datagrams lost.
+    /// Share of datagrams lost.
     pub loss: f64,
-    /// Until the last reachable instance had a change in force, the slowest of
-    /// several changes.
+    /// Time until the last reachable instance had a change in force, for the
+    /// slowest change.
     pub spread_p100_ms: f64,
-    /// Until half of the instances had it, likewise.
+    /// Time until half of the instances had a change in force, for the slowest
+    /// change.
     pub spread_p50_ms: f64,
-    /// Bytes sent and received, headers and seals included; mean of instances.
+    /// Bytes sent and received, with headers and signatures; mean per instance.
     pub bytes_per_node_s: f64,
-    /// The same of the instance that has most.
+    /// Bytes sent and received by the instance with the most traffic.
     pub bytes_per_node_s_max: f64,
-    /// Messages sent and received; mean of instances.
+    /// Messages sent and received; mean per instance.
     pub messages_per_node_s: f64,
-    /// Control state of one instance with the target's catalogue.
+    /// Size of the control state of one instance with the target's catalogue.
     pub state_bytes: usize,
-    /// The part of it that is the table of members.
+    /// Size of the member table, which is part of the control state.
     pub table_bytes: usize,
-    /// Heap of the whole process by instance, its queue and small catalogue
-    /// included: a check on the reckoned state.
+    /// Heap of the whole process per instance, with the queue and a small
+    /// catalogue, as a check of the computed state size.
     pub heap_per_node: usize,
-    /// Requests to the store and answers to watches, and each waiting watch
-    /// once a second.
+    /// Requests to the store, events sent to watches, and each open watch once a
+    /// second.
     pub store_calls_s: f64,
-    /// Watches that wait at the store.
+    /// Number of open watches at the store.
     pub watches: usize,
-    /// Share of a core: steps as measured, and seals as measured a message.
+    /// Share of a processor core: measured time of the steps, plus the measured
+    /// time of sealing or opening each message.
     pub cpu_share: f64,
-    /// Members suspected at the end that run.
+    /// Running members that are suspected at the end.
     pub wrong_suspects: usize,
-    /// Promises broken, which must be none.
+    /// Number of invariant violations, which must be 0.
     pub violations: usize,
 }
 
-/// Measures one size in every scenario; `heap` tells the bytes allocated in the process.
+/// Measures one fleet size in every scenario; `heap` returns the bytes that the
+/// process has allocated.
 pub fn measure(nodes: usize, seed: u64, heap: impl Fn() -> usize) -> Vec<Row> {
     let before = heap();
     let mut world = World::open(Setup::sized(nodes, seed));
@@ -128,9 +131,9 @@
 
 struct Benchmark {
     world: World,
-    /// What sealing or opening a frame takes.
+    /// Time to seal or to open one frame.
     seal_time: Duration,
-    /// The bytes of the target's keys and duties.
+    /// Size of the target's keys and probe assignments.
     target_bytes: usize,
 }
 
@@ -189,7 +192,7 @@
     spreads
 }
 
-/// Changes come at even distances within the window.
+/// Runs until the next change is due; changes are evenly spaced in the window.
 fn wait_for_change(world: &mut World, start: Instant, change: u32) {
     let spent = world.now().since(start);
     world.run((WINDOW / CHANGES * (change + 1)).saturating_sub(spent));
@@ -219,7 +222,8 @@
     vec![spread_times(world, start, newest, &slots)]
 }
 
-/// Puts the last three of ten zones, or the last of fewer, on an island.
+/// Puts the last quarter of the zones, rounded up, in a network partition: three
+/// of ten.
 fn set_region(world: &mut World, partition: u8) {
     for slot in region(world) {
         world.set_partition(slot, partition);
@@ -266,7 +270,8 @@
     applied.max().unwrap_or(Revision::NONE)
 }
 
-/// Instances spread over the fleet, a relay first: its death costs most.
+/// Returns instances spread over the fleet, a relay first: killing a relay costs
+/// most.
 fn choose_victims(world: &World, count: usize) -> Vec<usize> {
     let mut running: Vec<_> = world.running().collect();
     let watches = |slot: &usize| {
@@ -286,7 +291,7 @@
     world.start(slot);
 }
 
-/// Applies a change, and tells how long each instance within reach took.
+/// Applies a change and returns the time that each reachable instance took.
 fn time_change(world: &mut World, change: u32) -> Vec<f64> {
     let text = format!("limits {change} {}", "x".repeat(200));
     let start = world.now();
@@ -302,12 +307,12 @@
     spread_times(world, start, revision, &reached)
 }
 
-/// How long each of `slots` took to have `revision`, in milliseconds, sorted.
+/// Returns the sorted times in milliseconds in which `slots` applied `revision`.
 fn spread_times(world: &World, start: Instant, revision: Revision, slots: &[usize]) -> Vec<f64> {
     let times = slots.iter().map(|&slot| {
         let (applied, at) = world.applied(slot);
-        let late = if applied >= revision { at } else { world.now() };
-        late.since(start).as_secs_f64() * 1e3
+        let applied_at = if applied >= revision { at } else { world.now() };
+        applied_at.since(start).as_secs_f64() * 1e3
     });
     let mut times: Vec<_> = times.collect();
     times.sort_by(f64::total_cmp);
@@ -352,7 +357,8 @@
     }
 }
 
-/// Suspicions held, by one instance as a sample, of members that run.
+/// Number of running members that are suspected, in the table of one instance as
+/// a sample.
 fn wrong_suspects(world: &World) -> usize {
     let Some(fleet) = world.running().next().and_then(|slot| world.fleet(slot)) else {
         return 0;
@@ -375,15 +381,15 @@
     bytes.max().unwrap_or(0)
 }
 
-/// The largest state of an instance, but for its mirror.
+/// The largest state of an instance, without its mirror.
 fn bytes_without_mirror(world: &World) -> usize {
     let fleets = world.running().filter_map(|slot| world.fleet(slot));
     let bytes = fleets.map(|fleet| fleet.state_bytes() - fleet.mirror().state_bytes());
     bytes.max().unwrap_or(0)
 }
 
-/// The state that holds the target's keys and duties: too large to build once
-/// for each of 4,000 instances in one process, and the same in all of them.
+/// Size of the target's keys and probe assignments. They are the same in all
+/// instances and too large to be built for each of 4,000 in one process.
 fn target_bytes(world: &World) -> usize {
     let keys = |prefix: &str, count: usize, len: usize| -> Vec<Change> {
         let key = |number| format!("{prefix}{number:08}").as_str().into();
@@ -414,11 +420,11 @@
     }
     match replaced {
         Ok(_) => mirror.state_bytes() + assignments.state_bytes(),
-        Err(error) => unreachable!("keys made in order are taken: {error}"),
+        Err(error) => unreachable!("keys in ascending order were refused: {error}"),
     }
 }
 
-/// What sealing or opening one heartbeat takes, measured.
+/// Measures the mean time to seal or to open one ping.
 fn measure_seal_time() -> Duration {
     const ROUNDS: u32 = 20_000;
     let ring = Ring::parse("1:00112233445566778899aabbccddeeff").expect("a well-formed ring");
--- a/crates/slopes/src/count.rs
+++ b/crates/slopes/src/count.rs
@@ -1,26 +1,27 @@
-//! What crossed the wire, counted in bytes as an Ethernet's IP layer sees them.
+//! Counts messages and bytes on the wire, in bytes of the IP layer on Ethernet.
 
 use wire::{FRAME_LEN, Message};
 
-/// An IPv4 and a UDP header.
+/// Length of an IPv4 and a UDP header.
 const UDP_HEADERS: usize = 28;
-/// An IPv4 and a TCP header without options.
+/// Length of an IPv4 and a TCP header without options.
 const TCP_HEADERS: usize = 40;
-/// The payload of a full TCP segment.
+/// Payload of a full TCP segment, in bytes.
 const SEGMENT_PAYLOAD: usize = 1_448;
-/// Handshake and teardown, the nonce, and the acknowledgement of the request.
+/// Bytes of a connection's handshake and teardown, its nonce, and the
+/// acknowledgement of the request.
 const CONNECTION_OVERHEAD: usize = 8 * TCP_HEADERS + 16;
 
-/// Messages and bytes, each counted once where sent and once where received.
+/// Messages and bytes, counted at the sender and again at the receiver.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
     /// Datagrams and stream frames sent.
     pub messages_sent: u64,
-    /// Bytes sent, headers and seals included.
+    /// Bytes sent, with headers and signatures.
     pub bytes_sent: u64,
     /// Datagrams and stream frames received.
     pub messages_received: u64,
-    /// Bytes received, headers and seals included.
+    /// Bytes received, with headers and signatures.
     pub bytes_received: u64,
 }
 
@@ -46,17 +47,17 @@
     }
 }
 
-/// The bytes of a datagram. The frame is reckoned at its longest.
+/// Length of a datagram; the frame counts at its maximum length.
 pub(crate) fn datagram(message: &Message) -> u64 {
     (wire::len(message) + FRAME_LEN + UDP_HEADERS) as u64
 }
 
-/// The bytes of a request on a new connection, with the connection's own.
+/// Bytes of a request on a new connection, with those of the connection.
 pub(crate) fn request(message: &Message) -> u64 {
     stream(message) + CONNECTION_OVERHEAD as u64
 }
 
-/// The bytes of a frame on a stream, with one acknowledgement for two segments.
+/// Bytes of a frame on a stream, with one acknowledgement per two segments.
 pub(crate) fn stream(message: &Message) -> u64 {
     let len = wire::len(message) + FRAME_LEN + wire::Stream::LENGTH_LEN;
     let segments = len.div_ceil(SEGMENT_PAYLOAD);
--- a/crates/slopes/src/delay.rs
+++ b/crates/slopes/src/delay.rs
@@ -1,17 +1,17 @@
-//! How long messages take.
+//! Delays of messages.
 
 use rand::Rng;
 
 use crate::{World, setup::ZONES};
 
-/// One-way delays in microseconds.
+/// One-way delays.
 const SAME_ZONE_US: u64 = 250;
 const SAME_REGION_US: u64 = 1_500;
 const OTHER_REGION_US: u64 = 40_000;
 const STORE_US: u64 = 3_000;
-/// What a lost segment of a stream costs.
+/// Delay of a stream by a lost segment.
 const RETRANSMIT_US: u64 = 200_000;
-/// Into how many regions the zones are divided.
+/// Number of regions into which the zones are divided.
 const REGIONS: usize = 3;
 
 impl World {
@@ -28,7 +28,7 @@
         base + self.rng.random_range(0..=base / 2)
     }
 
-    /// The store answers in order, so its delay does not vary.
+    /// One-way delay to the store; without jitter, since the store answers in order.
     pub(crate) fn store_delay(&self, slot: usize) -> u64 {
         let region = self.slots[slot].zone * REGIONS / ZONES;
         if region == 0 {
--- a/crates/slopes/src/edge.rs
+++ b/crates/slopes/src/edge.rs
@@ -1,4 +1,4 @@
-//! The store's edge of a world: operators' writes, and instances' calls.
+//! The store in a world: writes of operators and calls of instances.
 
 use fleet::{Answer, Call, Request};
 use wire::Revision;
@@ -6,12 +6,12 @@
 use crate::{World, queue::Item};
 
 impl World {
-    /// Applies a change of the catalogue, as the operators' tool does.
+    /// Applies a catalogue change, as the operators' tool does.
     pub fn apply(&mut self, changes: &[(&str, Option<&[u8]>)]) -> Revision {
         self.apply_as(1, 0, changes)
     }
 
-    /// Applies a change of the catalogue under another format or epoch.
+    /// Applies a catalogue change with the given format and epoch.
     pub fn apply_as(
         &mut self,
         format: u16,
@@ -31,14 +31,14 @@
         revision
     }
 
-    /// Writes keys that are not of the catalogue, such as a primary's record.
+    /// Writes keys outside the catalogue, such as a primary's record.
     pub fn write(&mut self, changes: &[(&str, Option<&[u8]>)]) -> u64 {
         let number = self.store.write(changes);
         self.notify_watches(number);
         number
     }
 
-    /// Makes the store fail or answer again.
+    /// Makes the store fail all calls, or answer again.
     pub fn set_store_down(&mut self, down: bool) {
         self.store_down = down;
         if !down {
@@ -78,7 +78,7 @@
             }
             Request::Watch { from } => {
                 self.watches.insert((slot, call), generation);
-                // A stream: its answers arrive in order, so one delay for all.
+                // All answers have one delay: a stream keeps their order.
                 let delay = self.store_delay(slot);
                 for answer in self.store.watch(from) {
                     self.queue_in(delay, Item::Store(slot, generation, call, answer));
--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -1,15 +1,15 @@
-//! A straight line through measured points.
+//! Linear regression through measured points.
 
 use serde::Serialize;
 
 /// A straight line through measured points.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// Where the line stands at zero.
+    /// Value of the line at zero.
     pub intercept: f64,
-    /// What one instance more adds.
+    /// Increase per instance.
     pub slope: f64,
-    /// The largest distance of a point from the line.
+    /// The largest vertical distance of a point from the line.
     pub residual: f64,
 }
 
--- a/crates/slopes/src/lib.rs
+++ b/crates/slopes/src/lib.rs
@@ -1,10 +1,10 @@
 //! Measures how the fleet's costs grow with its size, in virtual time.
 //!
 //! A [`World`] passes the messages of many [`fleet::Fleet`]s through one seeded
-//! queue with delay and loss, before a stand-in of the platform's store. It is a
-//! fake at the peer and store edges, not a simulator: three constants make up
-//! its latencies, and its failures are a killed slot, an island and a lost
-//! datagram.
+//! queue with delay and loss, with a fake of the platform's store. It is
+//! not a full simulator: one-way delays are constants, with jitter between
+//! instances, and the failures are a killed or paused instance, a network
+//! partition, a lost datagram and a store that is down.
 
 mod bench;
 mod count;
--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -18,10 +18,10 @@
     /// print JSON instead of a table
     #[argh(switch)]
     json: bool,
-    /// where random choices start (default 1)
+    /// seed of the random choices (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// sizes to measure, as in 9,90,900,4000
+    /// fleet sizes to measure, such as 9,90,900,4000
     #[argh(option, default = "Sizes(vec![9, 90, 900, 4000])")]
     nodes: Sizes,
 }
@@ -29,12 +29,12 @@
 #[derive(Debug)]
 struct Sizes(Vec<usize>);
 
-/// Why a text is not a list of sizes.
+/// Error in a list of fleet sizes.
 #[derive(Debug, thiserror::Error)]
 enum SizesError {
     #[error("{0:?} is not a number of instances")]
     Number(String),
-    #[error("{0} instances are outside of {NODES_MIN} to {NODES_MAX}")]
+    #[error("{0} instances are outside the range {NODES_MIN} to {NODES_MAX}")]
     Range(usize),
 }
 
--- a/crates/slopes/src/monitor.rs
+++ b/crates/slopes/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Checks that the configuration in force is whole and never reverts.
+//! Checks that the catalogue in force matches a written revision and never reverts.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,32 +6,32 @@
 use fleet::{Action, Scope};
 use wire::{Change, Revision};
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// An instance put a revision in force that is not newer than its last.
+    /// An instance applied a revision that is not newer than its last one.
     Reverted {
         /// The instance's slot.
         slot: usize,
-        /// What was in force.
+        /// The revision that was in force.
         from: Revision,
-        /// What was put in force.
+        /// The revision that was applied.
         to: Revision,
     },
-    /// An instance started with less than every peer it could reach had.
+    /// An instance started with a revision older than that of every reachable peer.
     StartedBehind {
         /// The instance's slot.
         slot: usize,
-        /// The least that any peer had.
+        /// The lowest revision of the reachable peers.
         peers: Revision,
-        /// What was put in force.
+        /// The revision that was applied.
         to: Revision,
     },
     /// The catalogue in force is not that of any one revision of the store.
     Inconsistent {
         /// The instance's slot.
         slot: usize,
-        /// The revision it was put in force under.
+        /// The revision under which the instance applied the catalogue.
         revision: Revision,
     },
 }
@@ -41,12 +41,12 @@
 #[derive(Debug, Clone, Default)]
 struct State {
     applied: Revision,
-    /// The least that any peer within reach had when the process started.
+    /// The lowest revision of the reachable peers when the process started.
     floor: Revision,
     catalog: Catalog,
 }
 
-/// Watches the catalogues that instances put in force.
+/// Checks the catalogues that instances apply.
 #[derive(Debug, Default)]
 pub struct Monitor {
     states: Vec<State>,
@@ -55,7 +55,7 @@
 }
 
 impl Monitor {
-    /// What was broken so far.
+    /// Violations so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
@@ -67,8 +67,8 @@
             .map_or(Revision::NONE, |state| state.applied)
     }
 
-    /// A process started at a slot, while the peers it reaches had at least
-    /// `floor` in force.
+    /// Records that a process started at a slot, while `floor` was the lowest
+    /// revision of the reachable peers.
     pub fn note_start(&mut self, slot: usize, floor: Revision) {
         if self.states.len() <= slot {
             self.states.resize(slot + 1, State::default());
@@ -79,12 +79,12 @@
         };
     }
 
-    /// The store holds this catalogue at `revision`.
+    /// Records the catalogue that the store holds at `revision`.
     pub fn note_write(&mut self, revision: Revision, catalog: BTreeMap<Arc<str>, Bytes>) {
         self.written.insert(revision, catalog);
     }
 
-    /// A process took an action.
+    /// Records an action of a process.
     pub fn note_action(&mut self, slot: usize, action: &Action) {
         if let Action::Catalog {
             revision,
--- a/crates/slopes/src/queue.rs
+++ b/crates/slopes/src/queue.rs
@@ -1,4 +1,4 @@
-//! What is on its way, in the order it arrives.
+//! Messages and events in transit, ordered by arrival time.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -6,7 +6,7 @@
 use fleet::{Answer, Call, Request};
 use wire::Message;
 
-/// Something on its way to a slot, for a process by its generation.
+/// An item in transit to a slot; a generation names the process at the slot.
 #[derive(Debug)]
 pub(crate) enum Item {
     Wake(usize, u32),
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is on its way; what arrives at one moment does so in the order sent.
+/// The items in transit; items with equal arrival times keep the order of sending.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     heap: BinaryHeap<Reverse<Queued>>,
@@ -62,7 +62,7 @@
         }));
     }
 
-    /// Takes out the next that arrives no later than `end`.
+    /// Removes the next item that arrives no later than `end`.
     pub(crate) fn pop(&mut self, end: Instant) -> Option<(Instant, Item)> {
         if self.heap.peek()?.0.at > end {
             return None;
--- a/crates/slopes/src/report.rs
+++ b/crates/slopes/src/report.rs
@@ -1,4 +1,4 @@
-//! The table that docs/CAPACITY.md quotes.
+//! The text table that `docs/CAPACITY.md` quotes.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
     ("share of a core, millionths", |row| row.cpu_share * 1e6),
 ];
 
-/// Writes rows and fits as text.
+/// Formats rows and linear fits as text.
 pub fn table(rows: &[Row]) -> String {
     let mut buf = String::new();
     let head = "scenario        nodes  loss  p50 ms p100 ms    B/s  max B/s  msg/s  state kB  table kB \
--- a/crates/slopes/src/setup.rs
+++ b/crates/slopes/src/setup.rs
@@ -1,24 +1,23 @@
-//! What a world is opened with.
+//! Settings of a world.
 
-/// The most zones.
+/// Maximum number of zones.
 pub(crate) const ZONES: usize = 10;
 
-/// What a world is opened with.
+/// Settings of a world.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
-    /// How many instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// Over how many zones; at most one per three instances is used by
-    /// [`Setup::sized`].
+    /// Number of zones; [`Setup::sized`] uses at most one per three instances.
     pub zones: usize,
-    /// Where its random choices start.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams lost.
     pub loss: f64,
 }
 
 impl Setup {
-    /// A world of `nodes` instances over up to ten zones.
+    /// Settings of a world of `nodes` instances in up to ten zones.
     pub fn sized(nodes: usize, seed: u64) -> Self {
         Self {
             nodes,
--- a/crates/slopes/src/store.rs
+++ b/crates/slopes/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store: revisions, a range, and watches.
+//! A fake of the platform's store: revisions, range reads and watches.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,16 +6,16 @@
 use fleet::{Answer, HEAD};
 use wire::Change;
 
-/// A stand-in for the platform's store, of the keys that the fleet mirrors.
+/// A fake of the platform's store, limited to the keys that the fleet mirrors.
 ///
-/// It answers at once; the [`crate::World`] adds the delay.
+/// The store answers at once; the [`crate::World`] adds the delay.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     revision: u64,
     values: BTreeMap<Arc<str>, (u64, Bytes)>,
     history: Vec<(u64, Vec<Change>)>,
     compacted: u64,
-    /// Requests, and answers told to watches, since the start.
+    /// Requests, and events sent to watches, since the counts were reset.
     pub calls: u64,
 }
 
@@ -25,7 +25,7 @@
         self.revision
     }
 
-    /// Writes keys in one transaction; `None` removes.
+    /// Writes keys in one transaction; `None` removes a key.
     pub fn write(&mut self, changes: &[(&str, Option<&[u8]>)]) -> u64 {
         self.revision += 1;
         let mut written = Vec::new();
@@ -51,7 +51,7 @@
         self.revision
     }
 
-    /// Writes keys of the catalogue and its head, as the operators' tool does.
+    /// Writes catalogue keys and the catalogue's head, as the operators' tool does.
     pub fn apply(&mut self, format: u16, epoch: u32, changes: &[(&str, Option<&[u8]>)]) -> u64 {
         let head = fleet::Head {
             format,
@@ -64,7 +64,7 @@
         self.write(&all)
     }
 
-    /// Goes back to what it held at `revision`, as from a backup.
+    /// Restores the state at `revision`, as from a backup.
     pub fn restore(&mut self, revision: u64) {
         let history = std::mem::take(&mut self.history);
         self.values.clear();
@@ -88,13 +88,13 @@
         self.revision = revision;
     }
 
-    /// Forgets the history up to `revision`.
+    /// Compacts the history up to `revision`.
     pub fn compact(&mut self, revision: u64) {
         self.compacted = revision;
         self.history.retain(|&(at, _)| at > revision);
     }
 
-    /// The keys with their values at the last write.
+    /// The current keys, with the revision of the last write and the value of each.
     pub fn values(&self) -> &BTreeMap<Arc<str>, (u64, Bytes)> {
         &self.values
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What a watch from `from` is told at once.
+    /// Answers that a watch from revision `from` gets at once.
     pub(crate) fn watch(&self, from: u64) -> Vec<Answer> {
         if from <= self.compacted {
             return vec![Answer::Compacted];
--- a/crates/slopes/src/world.rs
+++ b/crates/slopes/src/world.rs
@@ -1,4 +1,4 @@
-//! A plain seeded queue that passes messages with delay and loss.
+//! A fleet in virtual time: passes messages in a seeded queue with delay and loss.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -14,29 +14,30 @@
     queue::{Item, Queue},
 };
 
-/// How long an instance waits for a connection that nobody answers.
+/// Connect timeout of an instance.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
 const PORT: u16 = 7_000;
 
-/// A hook that changes the actions of an instance, to break it on purpose.
+/// A hook that changes the actions of an instance, to inject a defect.
 pub type Tamper = fn(usize, &mut Vec<Action>);
 
-/// One place where an instance runs.
+/// A place at which one instance runs, one process after another.
 #[derive(Debug)]
 pub(crate) struct Slot {
     pub(crate) zone: usize,
     pub(crate) partition: u8,
-    /// Counts the processes that ran here.
+    /// Number of processes started at this slot.
     generation: u32,
     fleet: Option<Fleet>,
-    /// Until then the process is stopped by its machine; events wait.
+    /// End of a pause of the process by its machine; timers and answers wait until
+    /// then.
     paused_until: Option<Instant>,
-    /// The revision that it put in force last, and when.
+    /// The catalogue revision in force, and the time at which it was applied.
     applied: (Revision, Instant),
     count: Count,
 }
 
-/// Many instances, a queue between them, and the store.
+/// Many instances, the queue of their messages, and the store.
 #[derive(Debug)]
 pub struct World {
     setup: Setup,
@@ -49,29 +50,29 @@
     pub(crate) watches: BTreeMap<(usize, Call), u32>,
     /// The platform's store.
     pub store: Store,
-    /// Whether the store answers nobody.
+    /// If true, the store fails all calls.
     pub store_down: bool,
-    /// Which island the store is on.
+    /// Network partition of the store.
     pub store_partition: u8,
-    /// Checks the configuration of all instances.
+    /// Checks the catalogues that instances apply.
     pub monitor: Monitor,
-    /// What operators were told, with the slot that told it.
+    /// Notices to operators, each with the slot of its instance.
     pub notices: Vec<(usize, Notice)>,
-    /// Breaks instances on purpose.
+    /// Hook that injects defects into instances.
     pub tamper: Option<Tamper>,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams lost.
     pub loss: f64,
-    /// Processor time spent in steps, by the machine's clock.
+    /// Wall-clock time spent in steps.
     pub step_time: Duration,
-    /// How many steps were taken.
+    /// Number of steps.
     pub steps: u64,
     counted_since: Instant,
-    /// While set, whoever asks for all members is told all that run.
+    /// While true, a request for the member table returns all running instances.
     is_warming_up: bool,
 }
 
 impl World {
-    /// Opens a world whose instances are not started yet.
+    /// Creates a world without running instances.
     pub fn open(setup: Setup) -> Self {
         let slots = (0..setup.nodes).map(|slot| Slot {
             zone: slot % setup.zones,
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Starts all instances, which then know each other from the start, and
-    /// runs until rumours of the start are over.
+    /// Starts all instances with the full member table, and runs for `span` so
+    /// that the rumours of the start end.
     pub fn warm_up(&mut self, span: Duration) {
         self.is_warming_up = true;
         for slot in 0..self.slots.len() {
@@ -117,57 +118,58 @@
         self.run(span);
     }
 
-    /// The moment it is.
+    /// Current virtual time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// How many places there are.
+    /// Number of slots.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there is no place at all.
+    /// Returns true if the world has no slot.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The instance that runs at a slot.
+    /// The instance that runs at a slot, if any.
     pub fn fleet(&self, slot: usize) -> Option<&Fleet> {
         self.slots[slot].fleet.as_ref()
     }
 
-    /// The zone of a slot, by number.
+    /// Zone number of a slot.
     pub fn zone(&self, slot: usize) -> usize {
         self.slots[slot].zone
     }
 
-    /// The catalogue revision in force at a slot, and since when.
+    /// The catalogue revision in force at a slot, and the time at which it was
+    /// applied.
     pub fn applied(&self, slot: usize) -> (Revision, Instant) {
         self.slots[slot].applied
     }
 
-    /// The slots whose instance runs.
+    /// The slots with a running instance.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.slots.len()).filter(|&slot| self.slots[slot].fleet.is_some())
     }
 
-    /// What an instance sent and received since the counts were reset.
+    /// Traffic of an instance since the counts were reset.
     pub fn count(&self, slot: usize) -> Count {
         self.slots[slot].count
     }
 
-    /// How many watches wait at the store.
+    /// Number of open watches at the store.
     pub fn watches(&self) -> usize {
         self.watches.len()
     }
 
-    /// Since when is counted.
+    /// Time of the last reset of the counts.
     pub fn counted_since(&self) -> Instant {
         self.counted_since
     }
 
-    /// Starts counting anew.
+    /// Resets the counts of messages, bytes, store calls and steps.
     pub fn reset_counts(&mut self) {
         self.counted_since = self.now;
         for slot in &mut self.slots {
@@ -178,7 +180,7 @@
         self.steps = 0;
     }
 
-    /// The settings of the process that starts at `slot` now.
+    /// Settings of a process that starts at `slot` now.
     pub fn conf(&self, slot: usize) -> Conf {
         let zone = format!("zone-{}", self.slots[slot].zone);
         let seeds = [1, self.setup.zones, 2 * self.setup.zones + 1];
@@ -203,7 +205,7 @@
         self.start_with(slot, conf);
     }
 
-    /// Starts a new process at a slot with settings of the test's choice.
+    /// Starts a new process at a slot with the given settings.
     pub fn start_with(&mut self, slot: usize, conf: Conf) {
         let floor = self.lowest_reachable_revision(slot);
         self.monitor.note_start(slot, floor);
@@ -214,34 +216,34 @@
         self.apply_actions(slot, actions);
     }
 
-    /// Ends the process at a slot without a word.
+    /// Kills the process at a slot, without messages to its peers.
     pub fn kill(&mut self, slot: usize) {
         self.slots[slot].fleet = None;
         self.watches.retain(|&(owner, _), _| owner != slot);
     }
 
-    /// Stops the process at a slot for a time, as a machine may; what comes
-    /// meanwhile waits.
+    /// Pauses the process at a slot, as a machine may; timers and answers wait
+    /// until the end of the pause, other events are lost.
     pub fn pause(&mut self, slot: usize, span: Duration) {
         self.slots[slot].paused_until = Some(self.now + span);
     }
 
-    /// Puts a slot on an island; messages only pass within one.
+    /// Puts a slot in a network partition; messages pass only within a partition.
     pub fn set_partition(&mut self, slot: usize, partition: u8) {
         self.slots[slot].partition = partition;
     }
 
-    /// Whether a slot is on the store's side.
+    /// Returns true if a slot is in the store's partition.
     pub fn reaches_store(&self, slot: usize) -> bool {
         self.slots[slot].partition == self.store_partition
     }
 
-    /// Hands an event to the instance at a slot.
+    /// Delivers an event to the instance at a slot.
     pub fn deliver_event(&mut self, slot: usize, event: Event) {
         self.step(slot, event);
     }
 
-    /// Passes messages for a time.
+    /// Processes all items that arrive within `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((at, item)) = self.queue.pop(end) {
@@ -251,8 +253,8 @@
         self.now = end;
     }
 
-    /// Passes messages until `done`, looked at every few milliseconds, or until
-    /// the time is over; tells how long it took.
+    /// Runs until `done`, which is checked every 5 ms, or until `timeout`; returns
+    /// the time that passed, or `None` after a timeout.
     pub fn run_until(
         &mut self,
         timeout: Duration,
@@ -378,7 +380,7 @@
             Event::Wake => Item::Wake(slot, generation),
             Event::Store { call, answer } => Item::Store(slot, generation, call, answer),
             Event::Answer { call, message } => Item::Answer(slot, generation, call, vec![message]),
-            // Its socket's buffer overflows; its peers give up.
+            // The socket buffer of a paused process overflows, and peers time out.
             _ => return,
         };
         self.queue_at(until, item);
@@ -464,7 +466,7 @@
     }
 }
 
-/// The name of the instance at a slot.
+/// Name of the instance at a slot.
 fn instance_name(slot: usize) -> name::Instance {
     name::Instance::new(&format!("instance-{slot}")).expect("a slot's number makes a name")
 }
--- a/crates/slopes/tests/counts.rs
+++ b/crates/slopes/tests/counts.rs
@@ -1,7 +1,7 @@
-//! Regression bounds on exact counts in virtual time, at small sizes.
+//! Regression bounds on counts in virtual time, at small fleet sizes.
 //!
-//! The counts are the same on every machine. A bound that is passed means that
-//! the fleet's costs have grown: look for the cause before raising it.
+//! The counts are the same on every machine. A count above its bound means that
+//! the fleet's costs have grown: find the cause before raising the bound.
 
 use slopes::{Row, Scenario, measure};
 
@@ -26,9 +26,9 @@
     }
 }
 
-/// The middle one of a figure over the seeds. A single seed stands for its luck
-/// as much as for the costs: 5.60 messages a second for a bound of 5.6 is one
-/// datagram that was lost at another moment.
+/// Median of a metric over the seeds. A single seed can exceed a bound by chance:
+/// one datagram lost at another time gives 5.60 messages per second for a bound
+/// of 5.6.
 fn median(rows: &[&Row], metric: impl Fn(&Row) -> f64) -> f64 {
     let mut values: Vec<_> = rows.iter().map(|row| metric(row)).collect();
     values.sort_by(f64::total_cmp);
@@ -40,8 +40,8 @@
         .flat_map(|seed| measure(nodes, seed, || 0))
         .collect();
     for bound in bounds {
-        let is_measured = |row: &&Row| row.scenario == bound.scenario && row.loss == bound.loss;
-        let rows: Vec<_> = rows.iter().filter(is_measured).collect();
+        let matches_bound = |row: &&Row| row.scenario == bound.scenario && row.loss == bound.loss;
+        let rows: Vec<_> = rows.iter().filter(matches_bound).collect();
         assert_eq!(rows.len(), 5);
         assert!(rows.iter().all(|row| row.violations == 0), "{rows:?}");
         let spread_ms = median(&rows, |row| row.spread_p100_ms);
