--- a/crates/policy/src/gap.rs
+++ b/crates/policy/src/gap.rs
@@ -15,13 +15,13 @@
 };
 
 /// When the callers begin; by then the views of the upstreams have settled.
-const BEGIN: Instant = Instant::from_millis(1_500);
+const LOAD_START: Instant = Instant::from_millis(1_500);
 /// The earliest moment of the failure; it comes within 500 ms of it.
-const FAIL: u64 = 2_000_000;
+const EARLIEST_FAILURE_US: u64 = 2_000_000;
 /// How long it goes on once what was broken is back.
-const REST: Duration = Duration::from_secs(2);
+const RECOVERY_TIME: Duration = Duration::from_secs(2);
 /// The last requests' deadline and what the answers travel.
-const DRAIN: Duration = Duration::from_millis(1_500);
+const DRAIN_TIME: Duration = Duration::from_millis(1_500);
 
 /// A kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -51,7 +51,7 @@
 
 impl Kind {
     /// How long a trial goes on before what was broken comes back.
-    fn back(self) -> Duration {
+    fn time_to_heal(self) -> Duration {
         match self {
             Self::Stall | Self::StoreDown => Duration::from_secs(5),
             _ => Duration::from_secs(3),
@@ -103,27 +103,27 @@
         read_percent: 30,
         roam_percent: 10,
     };
-    world.start_load(BEGIN, load);
-    let fail = Instant::from_micros(FAIL + rng.random_range(0..500_000));
-    plan(&mut world, &mut rng, kind, fail);
+    world.start_load(LOAD_START, load);
+    let fail = Instant::from_micros(EARLIEST_FAILURE_US + rng.random_range(0..500_000));
+    schedule_faults(&mut world, &mut rng, kind, fail);
     if kind == Kind::CrashTwice {
-        crash_next(&mut world, fail);
+        crash_second_primary(&mut world, fail);
     }
-    let back = fail + kind.back();
-    world.run(back);
-    world.schedule(back, Fault::Heal);
-    world.schedule(back, Fault::StoreUp);
+    let heal = fail + kind.time_to_heal();
+    world.run(heal);
+    world.schedule(heal, Fault::Heal);
+    world.schedule(heal, Fault::StoreUp);
     for server in 0..site.upstreams {
-        world.schedule(back, Fault::Restart(server));
+        world.schedule(heal, Fault::Restart(server));
     }
-    world.run(back + REST);
+    world.run(heal + RECOVERY_TIME);
     world.stop_load();
-    world.run(back + REST + DRAIN);
+    world.run(heal + RECOVERY_TIME + DRAIN_TIME);
     world.finish();
     (world, fail)
 }
 
-fn plan(world: &mut World, rng: &mut ChaCha8Rng, kind: Kind, fail: Instant) {
+fn schedule_faults(world: &mut World, rng: &mut ChaCha8Rng, kind: Kind, fail: Instant) {
     match kind {
         Kind::Crash | Kind::CrashTwice => world.schedule(fail, Fault::Crash(0)),
         Kind::Silence => world.schedule(fail, Fault::Silence(0)),
@@ -158,7 +158,7 @@
 
 /// Crashes the second primary once it leads, and brings back the first, so
 /// that a majority is left.
-fn crash_next(world: &mut World, fail: Instant) {
+fn crash_second_primary(world: &mut World, fail: Instant) {
     let mut at = fail;
     while at < fail + Duration::from_secs(2) {
         at = at + Duration::from_millis(1);
@@ -204,14 +204,18 @@
     }
 }
 
-fn phases(fail: Instant, milestones: &Milestones, landed: Instant) -> Option<[Duration; 5]> {
+fn phases(
+    fail: Instant,
+    milestones: &Milestones,
+    acknowledged_at: Instant,
+) -> Option<[Duration; 5]> {
     let moments = [
         fail,
         milestones.claim_sent?,
         milestones.claimed?,
         milestones.ordered?,
         milestones.promoted?,
-        landed,
+        acknowledged_at,
     ];
     let mut spans = [Duration::ZERO; 5];
     for (span, pair) in spans.iter_mut().zip(moments.windows(2)) {
--- a/crates/policy/src/jitter.rs
+++ b/crates/policy/src/jitter.rs
@@ -13,17 +13,17 @@
 };
 
 /// The mean time between two stalls of one upstream.
-const STALLS: f64 = 20.0;
+const STALL_INTERVAL_S: f64 = 20.0;
 /// The longest stall: a checkpoint or a neighbour on the host.
 const MAX_STALL: Duration = Duration::from_millis(200);
 /// The mean time between two pauses of one instance.
-const PAUSES: f64 = 30.0;
+const PAUSE_INTERVAL_S: f64 = 30.0;
 /// The longest pause.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// The mean time between two restarts of an instance.
-const RESTARTS: f64 = 600.0;
+const RESTART_INTERVAL_S: f64 = 600.0;
 /// The mean time between two slow spells of the store.
-const SLOW: f64 = 300.0;
+const SLOW_STORE_INTERVAL_S: f64 = 300.0;
 
 /// What an ordinary time showed.
 #[derive(Debug, Clone, Copy)]
@@ -55,21 +55,21 @@
     world.start_load(Instant::from_millis(1_000), load);
     let end = Instant::from_millis(1_000) + span;
     for server in 0..site.upstreams {
-        every(&mut rng, STALLS, end, |rng, at| {
+        schedule_repeatedly(&mut rng, STALL_INTERVAL_S, end, |rng, at| {
             let stall = MAX_STALL.mul_f64(rng.random());
             world.schedule(at, Fault::Stall(server, stall));
         });
     }
     for instance in 0..site.instances {
-        every(&mut rng, PAUSES, end, |rng, at| {
+        schedule_repeatedly(&mut rng, PAUSE_INTERVAL_S, end, |rng, at| {
             let pause = MAX_PAUSE.mul_f64(rng.random());
             world.schedule(at, Fault::Pause(instance, pause));
         });
-        every(&mut rng, RESTARTS, end, |_, at| {
+        schedule_repeatedly(&mut rng, RESTART_INTERVAL_S, end, |_, at| {
             world.schedule(at, Fault::Kill(instance))
         });
     }
-    every(&mut rng, SLOW, end, |rng, at| {
+    schedule_repeatedly(&mut rng, SLOW_STORE_INTERVAL_S, end, |rng, at| {
         let extra = Duration::from_millis(rng.random_range(10..200));
         world.schedule(at, Fault::StoreSlow(extra));
         world.schedule(at + Duration::from_secs(5), Fault::StoreUp);
@@ -93,11 +93,11 @@
     }
 }
 
-fn every(
+fn schedule_repeatedly(
     rng: &mut ChaCha8Rng,
     mean: f64,
     end: Instant,
-    mut plan: impl FnMut(&mut ChaCha8Rng, Instant),
+    mut schedule: impl FnMut(&mut ChaCha8Rng, Instant),
 ) {
     let mut at = Instant::from_millis(1_500);
     loop {
@@ -105,6 +105,6 @@
         if at >= end {
             return;
         }
-        plan(rng, at);
+        schedule(rng, at);
     }
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -19,7 +19,7 @@
     stat::{Quantiles, parallel},
 };
 
-use bench::Bench;
+use bench::Simulation;
 
 /// The loads that are measured, as multiples of the capacity.
 pub const LEVELS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 5.0];
@@ -65,7 +65,7 @@
         Self::Calendar
     }
 
-    fn writes(self) -> bool {
+    fn is_write(self) -> bool {
         matches!(self, Self::Reservation | Self::Payment)
     }
 
@@ -93,7 +93,7 @@
             Self::Desk => "desk",
             Self::Calendar => "calendar",
         };
-        name::Entry::new(text).expect("it is a name")
+        name::Entry::new(text).expect("a generated name is valid")
     }
 }
 
@@ -164,9 +164,9 @@
 
 /// Runs one level for `span`.
 pub fn run(site: Site, load: f64, span: Duration, seed: u64) -> Level {
-    let mut bench = Bench::open(site, load, span, seed);
-    bench.run();
-    bench.level()
+    let mut simulation = Simulation::open(site, load, span, seed);
+    simulation.run();
+    simulation.level()
 }
 
 /// Runs all levels.
@@ -192,11 +192,11 @@
 }
 
 /// The weight of each tenant.
-const WEIGHT: NonZeroU32 = NonZeroU32::MIN;
+const TENANT_WEIGHT: NonZeroU32 = NonZeroU32::MIN;
 /// How many tenants there are; the first sends half of the requests.
 const TENANTS: usize = 20;
 
-fn tenant(rng: &mut ChaCha8Rng) -> usize {
+fn random_tenant(rng: &mut ChaCha8Rng) -> usize {
     match rng.random_bool(0.5) {
         true => 0,
         false => rng.random_range(1..TENANTS),
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -19,7 +19,7 @@
 use route::{Choice, Read, Router};
 use session::Floor;
 
-use super::{Count, Kind, Level, TENANTS, WEIGHT, capacity, tenant};
+use super::{Count, Kind, Level, TENANT_WEIGHT, TENANTS, capacity, random_tenant};
 use crate::{
     net::{Net, Place, Transport, exponential},
     site::Site,
@@ -27,26 +27,26 @@
 };
 
 /// How often a caller repeats a request that was refused.
-const REPEATS: u32 = 2;
+const MAX_REPEATS: u32 = 2;
 /// A caller waits at least this long before it repeats.
-const MIN_REPEAT: Duration = Duration::from_millis(10);
+const MIN_REPEAT_DELAY: Duration = Duration::from_millis(10);
 /// When the measurement begins; the pools have learned the service times.
-const BEGIN: Instant = Instant::from_millis(1_000);
+const MEASURE_START: Instant = Instant::from_millis(1_000);
 /// How often the routers hear of the upstreams' positions and loads.
-const OBSERVE: Duration = Duration::from_millis(10);
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(10);
 /// How many requests of an entry may wait at a pool.
-const QUEUE: u32 = 256;
+const QUEUE_LIMIT: u32 = 256;
 /// Connections that a pool keeps open.
-const WARM: u16 = 2;
+const WARM_CONNECTIONS: u16 = 2;
 /// Statements that a pool sends beyond its slots, so that a slot has its next
 /// one at hand while an answer travels.
-const AHEAD: u16 = 1;
+const EXTRA_SLOTS: u16 = 1;
 
 #[derive(Debug)]
-enum Happening {
+enum Occurrence {
     Arrive,
     Observe,
-    Ask(check::Request),
+    Route(check::Request),
     Submit {
         seat: usize,
         request: check::Request,
@@ -55,7 +55,7 @@
         seat: usize,
         generation: Generation,
     },
-    Reach {
+    Execute {
         seat: usize,
         handle: Handle,
     },
@@ -63,7 +63,7 @@
         seat: usize,
         handle: Handle,
     },
-    Read {
+    Received {
         seat: usize,
         handle: Handle,
     },
@@ -86,7 +86,7 @@
     limits: Limits,
     wake: Option<(Instant, Token)>,
     running: HashMap<Handle, check::Request>,
-    ran: HashMap<Handle, Ticket>,
+    finished: HashMap<Handle, Ticket>,
 }
 
 /// What an upstream has to do.
@@ -98,22 +98,22 @@
 
 /// One request of a caller, with its repeats.
 #[derive(Debug)]
-struct Open {
+struct Pending {
     kind: Kind,
     tenant: usize,
     began: Instant,
     operation: Operation,
     instance: usize,
-    left: u32,
+    repeats_left: u32,
 }
 
 #[derive(Debug)]
-pub(super) struct Bench {
+pub(super) struct Simulation {
     site: Site,
     load: f64,
     now: Instant,
     end: Instant,
-    timer: Timer<Happening>,
+    timer: Timer<Occurrence>,
     net: Net,
     rng: ChaCha8Rng,
     seats: Vec<Seat>,
@@ -121,7 +121,7 @@
     routers: Vec<Router>,
     names: Vec<name::Upstream>,
     tenants: Vec<name::Tenant>,
-    open: HashMap<check::Request, Open>,
+    pending: HashMap<check::Request, Pending>,
     requests: u64,
     operations: u64,
     log: u64,
@@ -142,17 +142,19 @@
     high: Spans,
 }
 
-impl Bench {
+impl Simulation {
     pub(super) fn open(site: Site, load: f64, span: Duration, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let net = Net::open(site, ChaCha8Rng::seed_from_u64(rng.random()));
-        let upstream = |u: usize| name::Upstream::new(&format!("u{u}")).expect("it is a name");
-        let tenant = |t: usize| name::Tenant::new(&format!("t{t}")).expect("it is a name");
-        let mut bench = Self {
+        let upstream =
+            |u: usize| name::Upstream::new(&format!("u{u}")).expect("a generated name is valid");
+        let tenant =
+            |t: usize| name::Tenant::new(&format!("t{t}")).expect("a generated name is valid");
+        let mut simulation = Self {
             site,
             load,
             now: Instant::ZERO,
-            end: BEGIN + span,
+            end: MEASURE_START + span,
             timer: Timer::default(),
             net,
             rng,
@@ -161,25 +163,25 @@
             routers: Vec::new(),
             names: (0..site.upstreams).map(upstream).collect(),
             tenants: (0..TENANTS).map(tenant).collect(),
-            open: HashMap::new(),
+            pending: HashMap::new(),
             requests: 0,
             operations: 0,
             log: 0,
             suite: Suite::default(),
             tally: Tally::default(),
         };
-        bench.take_seats();
-        bench.open_routers();
-        bench.after(Duration::from_millis(100), Happening::Arrive);
-        bench.after(Duration::ZERO, Happening::Observe);
-        bench
+        simulation.open_pools();
+        simulation.open_routers();
+        simulation.schedule_after(Duration::from_millis(100), Occurrence::Arrive);
+        simulation.schedule_after(Duration::ZERO, Occurrence::Observe);
+        simulation
     }
 
-    fn take_seats(&mut self) {
+    fn open_pools(&mut self) {
         let site = self.site;
         let seats = holder::seats(site.slots);
         for upstream in 0..site.upstreams {
-            self.tell(Event::Limited {
+            self.record(Event::Limited {
                 holder: Holder::Upstream(self.names[upstream].clone()),
                 connections: site.connections.into(),
             });
@@ -187,14 +189,14 @@
                 let share = holder::share(site.connections, site.slots, seats, index);
                 let conf = Conf {
                     connections: share.connections,
-                    slots: share.slots + AHEAD,
-                    warm: WARM,
+                    slots: share.slots + EXTRA_SLOTS,
+                    warm: WARM_CONNECTIONS,
                     idle_timeout: Duration::from_secs(30),
                     transaction_idle_timeout: Duration::from_secs(10),
                 };
                 let limits = Limits {
                     connections: share.connections,
-                    queue: QUEUE,
+                    queue: QUEUE_LIMIT,
                 };
                 self.seats.push(Seat {
                     upstream,
@@ -203,7 +205,7 @@
                     limits,
                     wake: None,
                     running: HashMap::new(),
-                    ran: HashMap::new(),
+                    finished: HashMap::new(),
                 });
                 self.step(self.seats.len() - 1, pool::Event::Tick);
             }
@@ -211,7 +213,7 @@
     }
 
     fn open_routers(&mut self) {
-        let zone = |z: usize| name::Zone::new(&format!("z{z}")).expect("it is a name");
+        let zone = |z: usize| name::Zone::new(&format!("z{z}")).expect("a generated name is valid");
         let members = self.names.iter().enumerate();
         let members = members.map(|(u, name)| route::Member {
             upstream: name.clone(),
@@ -232,29 +234,29 @@
         let last = self.end + Duration::from_secs(2);
         while let Some(at) = self.timer.next().filter(|&at| at < last) {
             self.now = at;
-            for happening in self.timer.expired(at) {
-                self.happen(happening);
+            for occurrence in self.timer.expired(at) {
+                self.process(occurrence);
             }
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive => self.arrive(),
-            Happening::Observe => self.observe(),
-            Happening::Ask(request) => self.ask(request),
-            Happening::Submit { seat, request } => self.submit(seat, request),
-            Happening::Opened { seat, generation } => {
+    fn process(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrive => self.arrive(),
+            Occurrence::Observe => self.observe(),
+            Occurrence::Route(request) => self.route(request),
+            Occurrence::Submit { seat, request } => self.submit(seat, request),
+            Occurrence::Opened { seat, generation } => {
                 self.step(seat, pool::Event::Opened(generation));
             }
-            Happening::Reach { seat, handle } => self.reach(seat, handle),
-            Happening::Ran { seat, handle } => self.ran(seat, handle),
-            Happening::Read { seat, handle } => self.read(seat, handle),
-            Happening::Tick { seat } => {
+            Occurrence::Execute { seat, handle } => self.execute(seat, handle),
+            Occurrence::Ran { seat, handle } => self.ran(seat, handle),
+            Occurrence::Received { seat, handle } => self.receive(seat, handle),
+            Occurrence::Tick { seat } => {
                 self.seats[seat].wake = None;
                 self.step(seat, pool::Event::Tick);
             }
-            Happening::Answer {
+            Occurrence::Answer {
                 request,
                 answer,
                 retry_after,
@@ -262,11 +264,11 @@
         }
     }
 
-    fn after(&mut self, span: Duration, happening: Happening) {
-        self.timer.subscribe(self.now + span, happening);
+    fn schedule_after(&mut self, span: Duration, occurrence: Occurrence) {
+        self.timer.subscribe(self.now + span, occurrence);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn record(&mut self, event: Event) {
         self.suite.observe(self.now, &event);
     }
 
@@ -276,49 +278,50 @@
         }
         let rate = capacity(self.site) * self.load;
         let gap = Duration::from_secs_f64(exponential(&mut self.rng, 1.0 / rate));
-        self.after(gap, Happening::Arrive);
+        self.schedule_after(gap, Occurrence::Arrive);
         self.operations += 1;
-        let open = Open {
+        let pending = Pending {
             kind: Kind::draw(&mut self.rng),
-            tenant: tenant(&mut self.rng),
+            tenant: random_tenant(&mut self.rng),
             began: self.now,
             operation: Operation(self.operations),
             instance: self.rng.random_range(0..self.site.instances),
-            left: REPEATS,
+            repeats_left: MAX_REPEATS,
         };
-        if self.now >= BEGIN {
-            self.tally.kinds.entry(open.kind).or_default().asked += 1;
-            self.tally.tenants.entry(open.tenant).or_default().asked += 1;
+        if self.now >= MEASURE_START {
+            self.tally.kinds.entry(pending.kind).or_default().asked += 1;
+            self.tally.tenants.entry(pending.tenant).or_default().asked += 1;
         }
-        self.send(open);
+        self.send(pending);
     }
 
-    fn send(&mut self, open: Open) {
+    fn send(&mut self, pending: Pending) {
         self.requests += 1;
         let request = check::Request(self.requests);
-        let repeat = match open.kind {
+        let repeat = match pending.kind {
             Kind::Payment => Repeat::Once,
             _ => Repeat::Idempotent,
         };
-        self.tell(Event::Asked {
+        self.record(Event::Asked {
             request,
-            operation: open.operation,
-            session: check::Session(open.operation.0),
-            instance: name::Instance::new(&format!("i{}", open.instance)).expect("it is a name"),
-            database: name::Database::new("booking").expect("it is a name"),
+            operation: pending.operation,
+            session: check::Session(pending.operation.0),
+            instance: name::Instance::new(&format!("i{}", pending.instance))
+                .expect("a generated name is valid"),
+            database: name::Database::new("booking").expect("a generated name is valid"),
             freshness: Freshness::Session,
             repeat,
         });
-        self.open.insert(request, open);
-        self.after(self.site.caller_latency, Happening::Ask(request));
+        self.pending.insert(request, pending);
+        self.schedule_after(self.site.caller_latency, Occurrence::Route(request));
     }
 
     /// A request reached its instance, which chooses the upstream.
-    fn ask(&mut self, request: check::Request) {
-        let Some(open) = self.open.get(&request) else {
+    fn route(&mut self, request: check::Request) {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        let upstream = match open.kind.writes() {
+        let upstream = match pending.kind.is_write() {
             true => Some(0),
             false => self.choose(request),
         };
@@ -326,19 +329,19 @@
             let outcome = Outcome::NotRun(Cause::NoUpstream);
             return self.answer(request, Answer::without_rows(outcome), Duration::ZERO);
         };
-        let entry = self.open[&request].kind.entry();
-        let mine = (0..self.seats.len()).filter(|&s| self.seats[s].upstream == upstream);
-        let seat = mine.min_by_key(|&s| self.seats[s].pool.expected(self.now, &entry));
-        let seat = seat.expect("each upstream has seats");
-        let span = self.travel(request, seat);
-        self.after(span, Happening::Submit { seat, request });
+        let entry = self.pending[&request].kind.entry();
+        let seats = (0..self.seats.len()).filter(|&s| self.seats[s].upstream == upstream);
+        let seat = seats.min_by_key(|&s| self.seats[s].pool.expected(self.now, &entry));
+        let seat = seat.expect("each upstream has a pool");
+        let span = self.travel_time(request, seat);
+        self.schedule_after(span, Occurrence::Submit { seat, request });
     }
 
     fn choose(&mut self, request: check::Request) -> Option<usize> {
-        let open = &self.open[&request];
-        let deadline = open.began + open.kind.deadline();
+        let pending = &self.pending[&request];
+        let deadline = pending.began + pending.kind.deadline();
         let read = Read::new(self.now, deadline).floor(Floor::Known(Position::new(1, 0)));
-        let router = &mut self.routers[open.instance];
+        let router = &mut self.routers[pending.instance];
         let upstream = match router.choose(self.now, &read, &mut self.rng) {
             Choice::Replica(upstream) | Choice::Primary(upstream) => upstream,
             Choice::Confirmed(upstream) => upstream,
@@ -348,28 +351,31 @@
         self.names.iter().position(|name| *name == upstream)
     }
 
-    fn travel(&mut self, request: check::Request, seat: usize) -> Duration {
-        let instance = self.open.get(&request).map_or(0, |open| open.instance);
-        let here = Place::Zone(instance % self.site.zones);
-        let there = Place::Zone(self.seats[seat].zone);
-        let span = self.net.send(here, there, Transport::Stream);
-        span.expect("this bench parts no zones")
+    fn travel_time(&mut self, request: check::Request, seat: usize) -> Duration {
+        let instance = self
+            .pending
+            .get(&request)
+            .map_or(0, |pending| pending.instance);
+        let source = Place::Zone(instance % self.site.zones);
+        let target = Place::Zone(self.seats[seat].zone);
+        let span = self.net.send(source, target, Transport::Stream);
+        span.expect("no zones are partitioned")
     }
 
     fn submit(&mut self, seat: usize, request: check::Request) {
-        let Some(open) = self.open.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
         // The answer must still travel to the instance and to the caller.
-        let way = self.site.caller_latency + self.site.inter_zone_latency;
+        let return_time = self.site.caller_latency + self.site.inter_zone_latency;
         let submitted = Request {
             ticket: Ticket(request.0),
-            entry: open.kind.entry(),
+            entry: pending.kind.entry(),
             limits: self.seats[seat].limits,
-            tenant: self.tenants[open.tenant].clone(),
-            weight: WEIGHT,
-            priority: open.kind.priority(),
-            deadline: open.began + open.kind.deadline() - way,
+            tenant: self.tenants[pending.tenant].clone(),
+            weight: TENANT_WEIGHT,
+            priority: pending.kind.priority(),
+            deadline: pending.began + pending.kind.deadline() - return_time,
         };
         self.step(seat, pool::Event::Submit(submitted));
     }
@@ -393,7 +399,7 @@
         }
         if let Some(at) = at {
             let due = at.max(self.now + Duration::from_micros(1));
-            let token = self.timer.subscribe(due, Happening::Tick { seat });
+            let token = self.timer.subscribe(due, Occurrence::Tick { seat });
             self.seats[seat].wake = Some((at, token));
         }
     }
@@ -401,13 +407,13 @@
     fn carry_out(&mut self, seat: usize, action: Action) {
         match action {
             Action::Open(generation) => {
-                self.tell(Event::Opened {
+                self.record(Event::Opened {
                     connection: connection(seat, generation),
                     upstream: self.names[self.seats[seat].upstream].clone(),
                     entry: None,
                 });
                 let connect = self.site.connect_time;
-                self.after(connect, Happening::Opened { seat, generation });
+                self.schedule_after(connect, Occurrence::Opened { seat, generation });
             }
             Action::Close(generation) => self.close(seat, generation),
             Action::Run(ticket, handle) => self.start(seat, ticket, handle),
@@ -431,28 +437,28 @@
 
     fn close(&mut self, seat: usize, generation: Generation) {
         let connection = connection(seat, generation);
-        self.tell(Event::Closed { connection });
+        self.record(Event::Closed { connection });
         let running = &mut self.seats[seat].running;
         running.retain(|handle, _| handle.generation != generation);
     }
 
     fn start(&mut self, seat: usize, ticket: Ticket, handle: Handle) {
         let request = check::Request(ticket.0);
-        self.tell(Event::Sent {
+        self.record(Event::Sent {
             request,
             upstream: self.names[self.seats[seat].upstream].clone(),
             transaction: None,
         });
         self.seats[seat].running.insert(handle, request);
-        self.after(
+        self.schedule_after(
             self.site.intra_zone_latency,
-            Happening::Reach { seat, handle },
+            Occurrence::Execute { seat, handle },
         );
     }
 
     /// A statement reached its upstream, which runs as many as it has slots and
     /// lets the others wait.
-    fn reach(&mut self, seat: usize, handle: Handle) {
+    fn execute(&mut self, seat: usize, handle: Handle) {
         let upstream = &mut self.upstreams[self.seats[seat].upstream];
         if upstream.busy >= self.site.slots {
             upstream.waiting.push_back((seat, handle));
@@ -461,7 +467,7 @@
         upstream.busy += 1;
         let mean = self.site.service_time.as_secs_f64();
         let service = Duration::from_secs_f64(exponential(&mut self.rng, mean));
-        self.after(service, Happening::Ran { seat, handle });
+        self.schedule_after(service, Occurrence::Ran { seat, handle });
     }
 
     fn ran(&mut self, seat: usize, handle: Handle) {
@@ -470,14 +476,17 @@
         while let Some((seat, handle)) = upstream.waiting.pop_front() {
             // What was cancelled while it waited is dropped.
             if self.seats[seat].running.contains_key(&handle) {
-                self.reach(seat, handle);
+                self.execute(seat, handle);
                 break;
             }
         }
         let Some(request) = self.seats[seat].running.remove(&handle) else {
             return;
         };
-        let writes = self.open.get(&request).is_some_and(|o| o.kind.writes());
+        let writes = self
+            .pending
+            .get(&request)
+            .is_some_and(|o| o.kind.is_write());
         self.log += u64::from(writes);
         let at = Position::new(1, self.log);
         let age = Duration::ZERO;
@@ -485,21 +494,21 @@
             true => Effect::Write { at },
             false => Effect::Read { seen: at, age },
         };
-        self.tell(Event::Ran {
+        self.record(Event::Ran {
             request,
             connection: connection(seat, handle.generation),
             transaction: None,
             effect,
         });
-        self.seats[seat].ran.insert(handle, Ticket(request.0));
-        self.after(
+        self.seats[seat].finished.insert(handle, Ticket(request.0));
+        self.schedule_after(
             self.site.intra_zone_latency,
-            Happening::Read { seat, handle },
+            Occurrence::Received { seat, handle },
         );
     }
 
-    fn read(&mut self, seat: usize, handle: Handle) {
-        let Some(ticket) = self.seats[seat].ran.remove(&handle) else {
+    fn receive(&mut self, seat: usize, handle: Handle) {
+        let Some(ticket) = self.seats[seat].finished.remove(&handle) else {
             return;
         };
         let in_flight = self.seats[seat].pool.in_flight(handle);
@@ -512,102 +521,103 @@
 
     fn reply(&mut self, seat: usize, ticket: Ticket, answer: Answer, retry_after: Duration) {
         let request = check::Request(ticket.0);
-        let span = self.travel(request, seat) + self.site.caller_latency;
-        let happening = Happening::Answer {
+        let span = self.travel_time(request, seat) + self.site.caller_latency;
+        let occurrence = Occurrence::Answer {
             request,
             answer,
             retry_after,
         };
-        self.after(span, happening);
+        self.schedule_after(span, occurrence);
     }
 
     fn answer(&mut self, request: check::Request, answer: Answer, retry_after: Duration) {
-        let happening = Happening::Answer {
+        let occurrence = Occurrence::Answer {
             request,
             answer,
             retry_after,
         };
-        self.after(self.site.caller_latency, happening);
+        self.schedule_after(self.site.caller_latency, occurrence);
     }
 
     fn answered(&mut self, request: check::Request, answer: Answer, retry_after: Duration) {
-        let Some(open) = self.open.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        self.tell(Event::Answered {
+        self.record(Event::Answered {
             request,
-            session: check::Session(open.operation.0),
+            session: check::Session(pending.operation.0),
             answer,
         });
-        let took = self.now.since(open.began);
-        let counts = open.began >= BEGIN;
+        let took = self.now.since(pending.began);
+        let is_measured = pending.began >= MEASURE_START;
         match answer.outcome {
-            Outcome::Done if counts => self.done(&open, took),
+            Outcome::Done if is_measured => self.done(&pending, took),
             Outcome::Done => {}
-            Outcome::NotRun(_) => self.refused(open, took, retry_after),
-            Outcome::Unknown(_) => self.tally.unknown += u64::from(counts),
+            Outcome::NotRun(_) => self.refused(pending, took, retry_after),
+            Outcome::Unknown(_) => self.tally.unknown += u64::from(is_measured),
         }
     }
 
-    fn done(&mut self, open: &Open, took: Duration) {
-        if open.kind.writes() {
+    fn done(&mut self, pending: &Pending, took: Duration) {
+        if pending.kind.is_write() {
             self.tally.high.add(took);
         }
-        if took > open.kind.deadline() {
+        if took > pending.kind.deadline() {
             self.tally.late += 1;
             return;
         }
         self.tally.met += 1;
-        self.tally.kinds.entry(open.kind).or_default().met += 1;
-        self.tally.tenants.entry(open.tenant).or_default().met += 1;
+        self.tally.kinds.entry(pending.kind).or_default().met += 1;
+        self.tally.tenants.entry(pending.tenant).or_default().met += 1;
     }
 
     /// A caller that was refused asks again while its deadline lasts.
-    fn refused(&mut self, open: Open, took: Duration, retry_after: Duration) {
-        let counts = open.began >= BEGIN;
-        if counts {
+    fn refused(&mut self, pending: Pending, took: Duration, retry_after: Duration) {
+        let is_measured = pending.began >= MEASURE_START;
+        if is_measured {
             self.tally.refusal.add(took);
         }
-        let wait = retry_after.max(MIN_REPEAT);
-        if open.left == 0 || took + wait >= open.kind.deadline() {
-            self.tally.refused += u64::from(counts);
+        let wait = retry_after.max(MIN_REPEAT_DELAY);
+        if pending.repeats_left == 0 || took + wait >= pending.kind.deadline() {
+            self.tally.refused += u64::from(is_measured);
             return;
         }
-        self.tally.repeats += u64::from(counts);
+        self.tally.repeats += u64::from(is_measured);
         let instance = self.rng.random_range(0..self.site.instances);
-        let again = Open {
+        let repeated = Pending {
             instance,
-            left: open.left - 1,
-            ..open
+            repeats_left: pending.repeats_left - 1,
+            ..pending
         };
         self.requests += 1;
         let request = check::Request(self.requests);
-        self.tell_again(request, &again);
-        self.open.insert(request, again);
-        self.after(wait + self.site.caller_latency, Happening::Ask(request));
+        self.record_repeat(request, &repeated);
+        self.pending.insert(request, repeated);
+        self.schedule_after(wait + self.site.caller_latency, Occurrence::Route(request));
     }
 
-    fn tell_again(&mut self, request: check::Request, open: &Open) {
-        let repeat = match open.kind {
+    fn record_repeat(&mut self, request: check::Request, pending: &Pending) {
+        let repeat = match pending.kind {
             Kind::Payment => Repeat::Once,
             _ => Repeat::Idempotent,
         };
-        self.tell(Event::Asked {
+        self.record(Event::Asked {
             request,
-            operation: open.operation,
-            session: check::Session(open.operation.0),
-            instance: name::Instance::new(&format!("i{}", open.instance)).expect("it is a name"),
-            database: name::Database::new("booking").expect("it is a name"),
+            operation: pending.operation,
+            session: check::Session(pending.operation.0),
+            instance: name::Instance::new(&format!("i{}", pending.instance))
+                .expect("a generated name is valid"),
+            database: name::Database::new("booking").expect("a generated name is valid"),
             freshness: Freshness::Session,
             repeat,
         });
     }
 
     fn observe(&mut self) {
-        self.after(OBSERVE, Happening::Observe);
+        self.schedule_after(OBSERVE_INTERVAL, Occurrence::Observe);
         for upstream in 0..self.names.len() {
-            let mine = self.seats.iter().filter(|s| s.upstream == upstream);
-            let (running, queued) = mine.fold((0, 0), |(r, q), s| {
+            let seats = self.seats.iter().filter(|s| s.upstream == upstream);
+            let (running, queued) = seats.fold((0, 0), |(r, q), s| {
                 (r + s.pool.running(), q + s.pool.waiting())
             });
             let load = route::Load {
@@ -638,7 +648,7 @@
     }
 
     pub(super) fn level(self) -> Level {
-        let span = self.end.since(BEGIN).as_secs_f64();
+        let span = self.end.since(MEASURE_START).as_secs_f64();
         let tally = &self.tally;
         let asked: u64 = tally.kinds.values().map(|p| p.asked).sum();
         let met = |kinds: &[Kind]| {
--- a/crates/policy/src/load/naive.rs
+++ b/crates/policy/src/load/naive.rs
@@ -20,7 +20,7 @@
     while now < Instant::ZERO + span {
         now = now + Duration::from_secs_f64(exponential(&mut rng, mean));
         let kind = Kind::draw(&mut rng);
-        let upstream = match kind.writes() {
+        let upstream = match kind.is_write() {
             true => 0,
             false => rng.random_range(0..site.upstreams),
         };
--- a/crates/policy/src/main.rs
+++ b/crates/policy/src/main.rs
@@ -22,7 +22,7 @@
         print!("{report}");
         return Ok(());
     }
-    let json = serde_json::to_string_pretty(&report).context("the figures as JSON")?;
+    let json = serde_json::to_string_pretty(&report).context("encoding the report as JSON")?;
     println!("{json}");
     Ok(())
 }
--- a/crates/policy/src/net.rs
+++ b/crates/policy/src/net.rs
@@ -39,7 +39,7 @@
 pub struct Net {
     site: Site,
     rng: ChaCha8Rng,
-    cut: HashSet<(Place, Place)>,
+    partitions: HashSet<(Place, Place)>,
 }
 
 impl Net {
@@ -48,13 +48,13 @@
         Self {
             site,
             rng,
-            cut: HashSet::new(),
+            partitions: HashSet::new(),
         }
     }
 
     /// Parts two places, in both directions.
     pub fn partition(&mut self, a: Place, b: Place) {
-        self.cut.insert((a.min(b), a.max(b)));
+        self.partitions.insert((a.min(b), a.max(b)));
     }
 
     /// Parts a zone from every other place.
@@ -67,27 +67,27 @@
 
     /// Ends all partitions.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitions.clear();
     }
 
     /// Whether messages pass between two places.
     pub fn is_reachable(&self, a: Place, b: Place) -> bool {
-        !self.cut.contains(&(a.min(b), a.max(b)))
+        !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
     /// How long a message takes, or `None` if it is lost.
-    pub fn send(&mut self, from: Place, to: Place, carrier: Transport) -> Option<Duration> {
+    pub fn send(&mut self, from: Place, to: Place, transport: Transport) -> Option<Duration> {
         if !self.is_reachable(from, to) {
             return None;
         }
-        let span = self.latency(from, to);
+        let latency = self.latency(from, to);
         if self.rng.random_ratio(1, LOST_ONE_IN) {
-            return match carrier {
+            return match transport {
                 Transport::Datagram => None,
-                Transport::Stream => Some(span + RETRANSMIT),
+                Transport::Stream => Some(latency + RETRANSMIT),
             };
         }
-        Some(span)
+        Some(latency)
     }
 
     /// The latency between two places, without jitter.
--- a/crates/policy/src/reads.rs
+++ b/crates/policy/src/reads.rs
@@ -17,7 +17,7 @@
     stat::{Quantiles, Spans, parallel},
 };
 
-use bench::Bench;
+use bench::Simulation;
 
 /// What is measured of one class of reads.
 #[derive(Debug, Default)]
@@ -80,9 +80,9 @@
 
 /// Runs one database's reads for `span`.
 pub fn run(site: Site, span: Duration, seed: u64) -> Outcome {
-    let mut bench = Bench::open(site, span, seed);
-    bench.run();
-    bench.outcome()
+    let mut simulation = Simulation::open(site, span, seed);
+    simulation.run();
+    simulation.outcome()
 }
 
 /// Runs the reads of all databases, `rounds` times each.
--- a/crates/policy/src/reads/baseline.rs
+++ b/crates/policy/src/reads/baseline.rs
@@ -6,42 +6,46 @@
 use clock::Instant;
 use model::Freshness;
 
-use super::bench::{Bench, Open, PRIMARY};
+use super::bench::{PRIMARY, Pending, Simulation};
 
 /// How long the oracle may wait for a replica: as long as the router may.
-const STEP: Duration = Duration::from_millis(1);
+const ORACLE_STEP: Duration = Duration::from_millis(1);
 
-impl Bench {
+impl Simulation {
     /// Asks both, without sending anything.
-    pub(super) fn baselines(&mut self, request: Request) {
+    pub(super) fn count_baselines(&mut self, request: Request) {
         let replicas: Vec<_> = (0..self.servers.len()).filter(|&u| u != PRIMARY).collect();
-        let drawn = replicas[self.draw(replicas.len())];
-        let Some(open) = self.open.remove(&request) else {
+        let replica = replicas[self.draw(replicas.len())];
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        let naive = u64::from(self.naive(&open, drawn));
-        let oracle = u64::from(self.oracle(&open, &replicas));
-        let class = self.class(&open);
+        let naive = u64::from(self.naive(&pending, replica));
+        let oracle = u64::from(self.oracle(&pending, &replicas));
+        let class = self.class(&pending);
         class.naive += naive;
         class.oracle += oracle;
-        self.open.insert(request, open);
+        self.pending.insert(request, pending);
     }
 
     /// A replica drawn at random, if what it said last shows that it will do;
     /// else the primary. What it says of its own age is believed.
-    fn naive(&self, open: &Open, drawn: usize) -> bool {
-        let here = &self.instances[open.instance];
-        let Some((at, report, age)) = here.heard.get(&drawn) else {
+    fn naive(&self, pending: &Pending, replica: usize) -> bool {
+        let node = &self.instances[pending.instance];
+        let Some((at, report, age)) = node.reports.get(&replica) else {
             return false;
         };
-        let Some(floor) = here.sessions.get(&open.caller).and_then(|s| s.position()) else {
+        let Some(floor) = node
+            .sessions
+            .get(&pending.caller)
+            .and_then(|s| s.position())
+        else {
             return false;
         };
         let shown = route::position(report);
         if !shown.covers(floor) {
             return false;
         }
-        match open.read.freshness {
+        match pending.read.freshness {
             Freshness::Age(bound) => *age + self.now.since(*at) <= bound,
             Freshness::Session | Freshness::Current => true,
         }
@@ -49,31 +53,31 @@
 
     /// Any replica that will do when the read gets there, or within the time
     /// that the router may wait for one.
-    fn oracle(&self, open: &Open, replicas: &[usize]) -> bool {
-        let patience = route::Conf::default().max_replica_wait;
+    fn oracle(&self, pending: &Pending, replicas: &[usize]) -> bool {
+        let max_wait = route::Conf::default().max_replica_wait;
         let mut wait = Duration::ZERO;
-        while wait <= patience {
+        while wait <= max_wait {
             let at = self.now + self.site.intra_zone_latency + wait;
-            if replicas.iter().any(|&u| self.will_do(open, u, at)) {
+            if replicas.iter().any(|&u| self.can_serve(pending, u, at)) {
                 return true;
             }
-            wait += STEP;
+            wait += ORACLE_STEP;
         }
         false
     }
 
-    fn will_do(&self, open: &Open, server: usize, at: Instant) -> bool {
+    fn can_serve(&self, pending: &Pending, server: usize, at: Instant) -> bool {
         let Some(lag) = &self.servers[server].lag else {
             return false;
         };
         let shown = self.commits_until(lag.shown(at));
-        let floor = self.callers[open.caller]
+        let floor = self.callers[pending.caller]
             .token
             .map_or(0, |token| token.lsn.0);
         if shown < floor {
             return false;
         }
-        match open.read.freshness {
+        match pending.read.freshness {
             Freshness::Age(bound) => self.age(shown, at) <= bound,
             Freshness::Session | Freshness::Current => true,
         }
--- a/crates/policy/src/reads/bench.rs
+++ b/crates/policy/src/reads/bench.rs
@@ -21,31 +21,31 @@
 };
 
 /// How old a calendar view may be.
-pub(super) const CALENDAR: Duration = Duration::from_secs(2);
+pub(super) const CALENDAR_STALENESS: Duration = Duration::from_secs(2);
 /// How often an instance asks each upstream for its position.
-const OBSERVE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a read may take.
 const DEADLINE: Duration = Duration::from_secs(1);
 /// Sessions of one database.
 const SESSIONS: usize = 300;
 /// Requests a second of one database.
-const RATE: f64 = 500.0;
+const REQUESTS_PER_S: f64 = 500.0;
 /// How many of a hundred requests are writes.
-const WRITES: u32 = 6;
+const WRITE_PERCENT: u32 = 6;
 /// How many of a hundred requests follow the session's own writes; what is
 /// left are calendar views.
-const OWN: u32 = 14;
+const OWN_READ_PERCENT: u32 = 14;
 /// How many of a hundred requests come to another instance than the last.
-const ROAMS: u32 = 10;
+const ROAM_PERCENT: u32 = 10;
 /// How many of a hundred sessions that roam come without a token.
-const BARE: u32 = 20;
+const TOKENLESS_PERCENT: u32 = 20;
 /// When the measurement begins; the routers know the replicas by then.
-const BEGIN: Instant = Instant::from_millis(2_000);
+const MEASURE_START: Instant = Instant::from_millis(2_000);
 /// The primary, by its number in the group.
 pub(super) const PRIMARY: usize = 0;
 
 #[derive(Debug)]
-pub(super) enum Happening {
+pub(super) enum Occurrence {
     Arrive,
     Observe(usize),
     Poll {
@@ -93,7 +93,7 @@
     pub(super) router: Router,
     pub(super) sessions: HashMap<usize, Session>,
     /// What was last heard of each upstream, for the naive router.
-    pub(super) heard: HashMap<usize, (Instant, Report, Duration)>,
+    pub(super) reports: HashMap<usize, (Instant, Report, Duration)>,
 }
 
 #[derive(Debug)]
@@ -112,7 +112,7 @@
 
 /// A read under way.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct Pending {
     pub(super) caller: usize,
     pub(super) instance: usize,
     pub(super) read: Read,
@@ -124,19 +124,19 @@
 pub(super) enum Stage {
     Waiting,
     Discovering,
-    Sent(Proof),
+    Sent(Check),
     Confirming(Report, usize),
 }
 
 /// What an answer must pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Proof {
+pub(super) enum Check {
     Verified(Target),
     Confirmed,
 }
 
 #[derive(Debug)]
-pub(super) struct Bench {
+pub(super) struct Simulation {
     pub(super) site: Site,
     pub(super) now: Instant,
     pub(super) rng: ChaCha8Rng,
@@ -144,21 +144,21 @@
     pub(super) names: Vec<name::Upstream>,
     pub(super) instances: Vec<Instance>,
     pub(super) callers: Vec<Caller>,
-    pub(super) open: HashMap<Request, Open>,
+    pub(super) pending: HashMap<Request, Pending>,
     pub(super) outcome: Outcome,
     pub(super) commits: Vec<Instant>,
     end: Instant,
-    timer: Timer<Happening>,
+    timer: Timer<Occurrence>,
     net: Net,
     requests: u64,
     suite: Suite,
     database: name::Database,
 }
 
-impl Bench {
+impl Simulation {
     pub(super) fn open(site: Site, span: Duration, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let end = BEGIN + span;
+        let end = MEASURE_START + span;
         let net = Net::open(site, ChaCha8Rng::seed_from_u64(rng.random()));
         let servers = (0..site.upstreams).map(|u| Server {
             zone: u % site.zones,
@@ -167,14 +167,14 @@
             lag: (u != PRIMARY).then(|| Lag::new(&mut rng, span + DEADLINE * 4)),
         });
         let servers: Vec<_> = servers.collect();
-        let mut bench = Self {
+        let mut simulation = Self {
             site,
             now: Instant::ZERO,
             servers,
             names: (0..site.upstreams).map(upstream).collect(),
             instances: Vec::new(),
             callers: Vec::new(),
-            open: HashMap::new(),
+            pending: HashMap::new(),
             outcome: Outcome::default(),
             commits: vec![Instant::ZERO],
             end,
@@ -182,14 +182,14 @@
             net,
             requests: 0,
             suite: Suite::default(),
-            database: name::Database::new("booking").expect("it is a name"),
+            database: name::Database::new("booking").expect("a generated name is valid"),
             rng,
         };
-        bench.people();
-        bench
+        simulation.populate();
+        simulation
     }
 
-    fn people(&mut self) {
+    fn populate(&mut self) {
         let members: Vec<_> = self.names.iter().zip(&self.servers).collect();
         let members = members.into_iter().map(|(name, server)| route::Member {
             upstream: name.clone(),
@@ -206,25 +206,25 @@
                 zone: home,
                 router,
                 sessions: HashMap::new(),
-                heard: HashMap::new(),
+                reports: HashMap::new(),
             });
-            let offset = OBSERVE.mul_f64(self.rng.random());
-            self.after(offset, Happening::Observe(instance));
+            let offset = POLL_INTERVAL.mul_f64(self.rng.random());
+            self.schedule_after(offset, Occurrence::Observe(instance));
         }
         for _ in 0..SESSIONS {
             let instance = self.rng.random_range(0..self.site.instances);
             let token = None;
             self.callers.push(Caller { instance, token });
         }
-        self.after(Duration::from_millis(500), Happening::Arrive);
+        self.schedule_after(Duration::from_millis(500), Occurrence::Arrive);
     }
 
     pub(super) fn run(&mut self) {
         let last = self.end + DEADLINE * 2;
         while let Some(at) = self.timer.next().filter(|&at| at < last) {
             self.now = at;
-            for happening in self.timer.expired(at) {
-                self.happen(happening);
+            for occurrence in self.timer.expired(at) {
+                self.process(occurrence);
             }
         }
     }
@@ -234,68 +234,68 @@
         self.outcome
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive => self.arrive(),
-            Happening::Observe(instance) => self.observe(instance),
-            Happening::Poll {
+    fn process(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrive => self.arrive(),
+            Occurrence::Observe(instance) => self.observe(instance),
+            Occurrence::Poll {
                 instance,
                 server,
                 sent,
             } => self.poll_arrived(instance, server, sent),
-            Happening::Polled {
+            Occurrence::Polled {
                 instance,
                 server,
                 sent,
                 report,
             } => self.reported(instance, server, sent, report),
-            Happening::Choose(request) => self.choose(request),
-            Happening::Queue { request, server } => self.queue(request, server),
-            Happening::Served {
+            Occurrence::Choose(request) => self.choose(request),
+            Occurrence::Queue { request, server } => self.enqueue(request, server),
+            Occurrence::Served {
                 request,
                 server,
                 report,
                 took,
             } => self.served(request, server, report, took),
-            Happening::Answered {
+            Occurrence::Answered {
                 request,
                 server,
                 report,
             } => self.answered(request, server, report),
-            Happening::Commit { caller, instance } => self.commit(caller, instance),
-            Happening::Acknowledged {
+            Occurrence::Commit { caller, instance } => self.commit(caller, instance),
+            Occurrence::Acknowledged {
                 caller,
                 instance,
                 at,
             } => self.acknowledged(caller, instance, at),
-            Happening::Expired(request) => self.expired(request),
+            Occurrence::Expired(request) => self.expired(request),
         }
     }
 
-    pub(super) fn after(&mut self, span: Duration, happening: Happening) {
-        self.timer.subscribe(self.now + span, happening);
+    pub(super) fn schedule_after(&mut self, span: Duration, occurrence: Occurrence) {
+        self.timer.subscribe(self.now + span, occurrence);
     }
 
-    pub(super) fn tell(&mut self, event: &Event) {
+    pub(super) fn record(&mut self, event: &Event) {
         self.suite.observe(self.now, event);
     }
 
     /// How long a message takes between an instance and an upstream.
-    pub(super) fn travel(&mut self, instance: usize, server: usize) -> Duration {
-        let here = Place::Zone(self.instances[instance].zone);
-        let there = Place::Zone(self.servers[server].zone);
-        let span = self.net.send(here, there, Transport::Stream);
-        span.expect("this bench parts no zones")
+    pub(super) fn travel_time(&mut self, instance: usize, server: usize) -> Duration {
+        let source = Place::Zone(self.instances[instance].zone);
+        let target = Place::Zone(self.servers[server].zone);
+        let span = self.net.send(source, target, Transport::Stream);
+        span.expect("no zones are partitioned")
     }
 
     fn arrive(&mut self) {
         if self.now >= self.end {
             return;
         }
-        let gap = Duration::from_secs_f64(exponential(&mut self.rng, 1.0 / RATE));
-        self.after(gap, Happening::Arrive);
+        let gap = Duration::from_secs_f64(exponential(&mut self.rng, 1.0 / REQUESTS_PER_S));
+        self.schedule_after(gap, Occurrence::Arrive);
         let caller = self.rng.random_range(0..SESSIONS);
-        if self.rng.random_range(0..100) < ROAMS {
+        if self.rng.random_range(0..100) < ROAM_PERCENT {
             self.roam(caller);
         }
         let instance = self.callers[caller].instance;
@@ -304,12 +304,12 @@
             .entry(caller)
             .or_insert_with(|| Session::open(self.now));
         match self.rng.random_range(0..100) {
-            draw if draw < WRITES => {
-                let span = self.travel(instance, PRIMARY) + self.site.service_time;
-                self.after(span, Happening::Commit { caller, instance });
+            draw if draw < WRITE_PERCENT => {
+                let span = self.travel_time(instance, PRIMARY) + self.site.service_time;
+                self.schedule_after(span, Occurrence::Commit { caller, instance });
             }
-            draw if draw < WRITES + OWN => self.ask(caller, Freshness::Session),
-            _ => self.ask(caller, Freshness::Age(CALENDAR)),
+            draw if draw < WRITE_PERCENT + OWN_READ_PERCENT => self.ask(caller, Freshness::Session),
+            _ => self.ask(caller, Freshness::Age(CALENDAR_STALENESS)),
         }
     }
 
@@ -322,8 +322,8 @@
         self.instances[before].sessions.remove(&caller);
         self.callers[caller].instance = instance;
         let mut session = Session::open(self.now);
-        let bare = self.rng.random_range(0..100) < BARE;
-        if let Some(token) = self.callers[caller].token.filter(|_| !bare) {
+        let is_tokenless = self.rng.random_range(0..100) < TOKENLESS_PERCENT;
+        if let Some(token) = self.callers[caller].token.filter(|_| !is_tokenless) {
             session.step(self.now, session::Event::Presented(token));
         }
         self.instances[instance].sessions.insert(caller, session);
@@ -337,43 +337,44 @@
             request,
             operation: Operation(request.0),
             session: check::Session(caller as u64),
-            instance: name::Instance::new(&format!("i{instance}")).expect("it is a name"),
+            instance: name::Instance::new(&format!("i{instance}"))
+                .expect("a generated name is valid"),
             database: self.database.clone(),
             freshness,
             repeat: Repeat::Idempotent,
         };
-        self.tell(&asked);
-        let open = Open {
+        self.record(&asked);
+        let pending = Pending {
             caller,
             instance,
             read: Read::new(self.now, self.now + DEADLINE).freshness(freshness),
             stage: Stage::Waiting,
             sent: self.now,
         };
-        self.open.insert(request, open);
-        self.after(DEADLINE, Happening::Expired(request));
-        if self.now >= BEGIN {
-            self.baselines(request);
+        self.pending.insert(request, pending);
+        self.schedule_after(DEADLINE, Occurrence::Expired(request));
+        if self.now >= MEASURE_START {
+            self.count_baselines(request);
         }
         self.choose(request);
     }
 
     /// Whether a read counts: it came after the routers knew the replicas.
-    pub(super) fn counts(&self, open: &Open) -> bool {
-        open.read.began >= BEGIN
+    pub(super) fn is_measured(&self, pending: &Pending) -> bool {
+        pending.read.began >= MEASURE_START
     }
 
     fn commit(&mut self, caller: usize, instance: usize) {
         self.commits.push(self.now);
         let at = Position::new(1, self.commits.len() as u64);
         // The nearest replica has it and says so, and the instance hears it.
-        let span = self.site.inter_zone_latency * 2 + self.travel(instance, PRIMARY);
-        let acknowledged = Happening::Acknowledged {
+        let span = self.site.inter_zone_latency * 2 + self.travel_time(instance, PRIMARY);
+        let acknowledged = Occurrence::Acknowledged {
             caller,
             instance,
             at,
         };
-        self.after(span, acknowledged);
+        self.schedule_after(span, acknowledged);
     }
 
     fn acknowledged(&mut self, caller: usize, instance: usize, at: Position) {
@@ -381,15 +382,15 @@
         if let Some(session) = self.instances[instance].sessions.get_mut(&caller) {
             session.step(now, session::Event::Acknowledged(at));
         }
-        let here = self.callers[caller].instance;
-        if let Some(session) = self.instances[here].sessions.get_mut(&caller) {
+        let current = self.callers[caller].instance;
+        if let Some(session) = self.instances[current].sessions.get_mut(&caller) {
             session.step(now, session::Event::Presented(at));
         }
-        self.hand_token(caller, Some(at));
-        self.tell_write(caller, at);
+        self.update_token(caller, Some(at));
+        self.record_write(caller, at);
     }
 
-    fn tell_write(&mut self, caller: usize, at: Position) {
+    fn record_write(&mut self, caller: usize, at: Position) {
         self.requests += 1;
         let request = Request(self.requests);
         let instance = self.callers[caller].instance;
@@ -399,7 +400,8 @@
                 request,
                 operation: Operation(request.0),
                 session,
-                instance: name::Instance::new(&format!("i{instance}")).expect("it is a name"),
+                instance: name::Instance::new(&format!("i{instance}"))
+                    .expect("a generated name is valid"),
                 database: self.database.clone(),
                 freshness: Freshness::Session,
                 repeat: Repeat::Once,
@@ -417,12 +419,12 @@
             },
         ];
         for event in &events {
-            self.tell(event);
+            self.record(event);
         }
     }
 
     /// Gives a caller the token of its session.
-    pub(super) fn hand_token(&mut self, caller: usize, token: Option<Position>) {
+    pub(super) fn update_token(&mut self, caller: usize, token: Option<Position>) {
         let caller = &mut self.callers[caller];
         if let Some(token) = token {
             caller.token = Some(caller.token.map_or(token, |t| session::join(t, token)));
@@ -430,46 +432,46 @@
     }
 
     fn observe(&mut self, instance: usize) {
-        self.after(OBSERVE, Happening::Observe(instance));
+        self.schedule_after(POLL_INTERVAL, Occurrence::Observe(instance));
         self.poll_all(instance);
     }
 
     pub(super) fn poll_all(&mut self, instance: usize) {
         for server in 0..self.servers.len() {
-            let span = self.travel(instance, server);
+            let span = self.travel_time(instance, server);
             let sent = self.now;
-            let poll = Happening::Poll {
+            let poll = Occurrence::Poll {
                 instance,
                 server,
                 sent,
             };
-            self.after(span, poll);
+            self.schedule_after(span, poll);
         }
     }
 
     fn poll_arrived(&mut self, instance: usize, server: usize, sent: Instant) {
         let report = self.report(server);
-        let span = self.travel(instance, server);
-        let polled = Happening::Polled {
+        let span = self.travel_time(instance, server);
+        let polled = Occurrence::Polled {
             instance,
             server,
             sent,
             report,
         };
-        self.after(span, polled);
+        self.schedule_after(span, polled);
     }
 
     /// What an upstream says of itself now.
     pub(super) fn report(&self, server: usize) -> Report {
-        let whole = self.commits.len() as u64;
+        let committed = self.commits.len() as u64;
         let (role, replayed) = match &self.servers[server].lag {
-            None => (Role::Primary, whole),
+            None => (Role::Primary, committed),
             Some(lag) => (Role::Replica, self.commits_until(lag.shown(self.now))),
         };
         Report {
             role,
             fenced: Term(1),
-            received: Position::new(1, whole),
+            received: Position::new(1, committed),
             replayed: Lsn(replayed),
         }
     }
@@ -479,16 +481,16 @@
     }
 
     /// How long ago the primary went past a place.
-    pub(super) fn age(&self, place: u64, now: Instant) -> Duration {
-        let next = self.commits.get(place as usize);
+    pub(super) fn age(&self, lsn: u64, now: Instant) -> Duration {
+        let next = self.commits.get(lsn as usize);
         next.map_or(Duration::ZERO, |&at| now.since(at))
     }
 }
 
 fn upstream(number: usize) -> name::Upstream {
-    name::Upstream::new(&format!("u{number}")).expect("it is a name")
+    name::Upstream::new(&format!("u{number}")).expect("a generated name is valid")
 }
 
 fn zone(number: usize) -> name::Zone {
-    name::Zone::new(&format!("z{number}")).expect("it is a name")
+    name::Zone::new(&format!("z{number}")).expect("a generated name is valid")
 }
--- a/crates/policy/src/reads/serve.rs
+++ b/crates/policy/src/reads/serve.rs
@@ -11,63 +11,65 @@
 
 use super::{
     Class,
-    bench::{Bench, Happening, Open, PRIMARY, Proof, Stage},
+    bench::{Check, Occurrence, PRIMARY, Pending, Simulation, Stage},
 };
 use crate::net::exponential;
 
 /// How often a read that nothing can serve now is tried again.
-const HOLD: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Bench {
+impl Simulation {
     pub(super) fn choose(&mut self, request: Request) {
         let now = self.now;
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        if !matches!(open.stage, Stage::Waiting | Stage::Discovering) {
+        if !matches!(pending.stage, Stage::Waiting | Stage::Discovering) {
             return;
         }
-        open.stage = Stage::Waiting;
-        let instance = open.instance;
-        let here = &mut self.instances[instance];
-        if let Some(session) = here.sessions.get(&open.caller) {
-            open.read = open.read.floor(session.floor());
-            open.read.seen = session.seen();
+        pending.stage = Stage::Waiting;
+        let instance = pending.instance;
+        let node = &mut self.instances[instance];
+        if let Some(session) = node.sessions.get(&pending.caller) {
+            pending.read = pending.read.floor(session.floor());
+            pending.read.seen = session.seen();
         }
-        let choice = here.router.choose(now, &open.read, &mut self.rng);
-        let verified = Proof::Verified;
+        let choice = node.router.choose(now, &pending.read, &mut self.rng);
+        let verified = Check::Verified;
         match choice {
             Choice::Replica(u) => self.send(request, &u, verified(Target::Replica)),
             Choice::Primary(u) => self.send(request, &u, verified(Target::Primary)),
             Choice::Confirmed(u) => {
-                self.send(request, &u, Proof::Confirmed);
+                self.send(request, &u, Check::Confirmed);
                 self.poll_all(instance);
             }
-            Choice::Wait { until, .. } => self.after(until.since(now), Happening::Choose(request)),
+            Choice::Wait { until, .. } => {
+                self.schedule_after(until.since(now), Occurrence::Choose(request))
+            }
             Choice::AwaitRound => {
-                open.stage = Stage::Discovering;
+                pending.stage = Stage::Discovering;
                 self.poll_all(instance);
             }
-            Choice::Hold { .. } => self.after(HOLD, Happening::Choose(request)),
+            Choice::Hold { .. } => self.schedule_after(RETRY_INTERVAL, Occurrence::Choose(request)),
             Choice::Refuse(_) => self.expired(request),
         }
     }
 
-    fn send(&mut self, request: Request, upstream: &model::name::Upstream, proof: Proof) {
+    fn send(&mut self, request: Request, upstream: &model::name::Upstream, check: Check) {
         let server = self.names.iter().position(|name| name == upstream);
-        let server = server.expect("the router was told these names");
+        let server = server.expect("the router chooses a known upstream");
         let now = self.now;
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        open.stage = Stage::Sent(proof);
-        open.sent = now;
-        let instance = open.instance;
-        let span = self.travel(instance, server);
-        self.after(span, Happening::Queue { request, server });
+        pending.stage = Stage::Sent(check);
+        pending.sent = now;
+        let instance = pending.instance;
+        let span = self.travel_time(instance, server);
+        self.schedule_after(span, Occurrence::Queue { request, server });
     }
 
-    pub(super) fn queue(&mut self, request: Request, server: usize) {
+    pub(super) fn enqueue(&mut self, request: Request, server: usize) {
         self.servers[server].queue.push_back(request);
         self.start(server);
     }
@@ -83,19 +85,19 @@
             let took = Duration::from_secs_f64(exponential(&mut self.rng, mean));
             let seen = route::position(&report);
             let age = self.age(seen.lsn.0, self.now);
-            self.tell(&Event::Ran {
+            self.record(&Event::Ran {
                 request,
                 connection: Connection(server as u64),
                 transaction: None,
                 effect: Effect::Read { seen, age },
             });
-            let served = Happening::Served {
+            let served = Occurrence::Served {
                 request,
                 server,
                 report,
                 took,
             };
-            self.after(took, served);
+            self.schedule_after(took, served);
         }
     }
 
@@ -108,45 +110,45 @@
     ) {
         self.servers[server].running -= 1;
         self.start(server);
-        let Some(instance) = self.open.get(&request).map(|open| open.instance) else {
+        let Some(instance) = self.pending.get(&request).map(|pending| pending.instance) else {
             return;
         };
         let name = self.names[server].clone();
         let event = route::Event::Served(&name, took);
         self.instances[instance].router.step(self.now, event);
-        let span = self.travel(instance, server);
-        let answered = Happening::Answered {
+        let span = self.travel_time(instance, server);
+        let answered = Occurrence::Answered {
             request,
             server,
             report,
         };
-        self.after(span, answered);
+        self.schedule_after(span, answered);
     }
 
     pub(super) fn answered(&mut self, request: Request, server: usize, report: Report) {
-        let Some(open) = self.open.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        let (instance, sent, stage) = (open.instance, open.sent, open.stage);
+        let (instance, sent, stage) = (pending.instance, pending.sent, pending.stage);
         self.reported(instance, server, sent, report);
         let target = match stage {
-            Stage::Sent(Proof::Verified(target)) => target,
-            Stage::Sent(Proof::Confirmed) => return self.confirm(request, report, server),
+            Stage::Sent(Check::Verified(target)) => target,
+            Stage::Sent(Check::Confirmed) => return self.confirm(request, report, server),
             _ => return,
         };
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        let here = &mut self.instances[instance];
-        if here.router.verify(self.now, &report, &open.read, target) != Verdict::Fresh {
+        let node = &mut self.instances[instance];
+        if node.router.verify(self.now, &report, &pending.read, target) != Verdict::Fresh {
             self.outcome.discarded += 1;
-            open.stage = Stage::Waiting;
-            open.read.trust = Trust::Proved;
+            pending.stage = Stage::Waiting;
+            pending.read.trust = Trust::Proved;
             return self.choose(request);
         }
         let upto = route::position(&report);
-        let confirmed = here.router.confirmed();
-        if let Some(session) = here.sessions.get_mut(&open.caller) {
+        let confirmed = node.router.confirmed();
+        if let Some(session) = node.sessions.get_mut(&pending.caller) {
             session.step(self.now, session::Event::Read { upto, confirmed });
         }
         self.finish(request, server);
@@ -167,24 +169,24 @@
             queued: self.servers[server].queue.len() as u32,
         };
         let age = self.age(report.replayed.0, sent);
-        let here = &mut self.instances[instance];
-        here.heard.insert(server, (sent, report, age));
-        here.router.step(now, route::Event::Load(&upstream, load));
+        let node = &mut self.instances[instance];
+        node.reports.insert(server, (sent, report, age));
+        node.router.step(now, route::Event::Load(&upstream, load));
         let event = route::Event::Report {
             upstream: &upstream,
             sent,
             report,
         };
-        let Some(round) = here.router.step(now, event) else {
+        let Some(round) = node.router.step(now, event) else {
             return;
         };
-        for session in here.sessions.values_mut() {
+        for session in node.sessions.values_mut() {
             session.step(now, session::Event::Round(round));
         }
-        let waits = |o: &Open| matches!(o.stage, Stage::Discovering | Stage::Confirming(..));
-        let waiting = self.open.iter();
-        let waiting = waiting.filter(|(_, open)| open.instance == instance && waits(open));
-        let mut waiting: Vec<_> = waiting.map(|(r, open)| (*r, open.stage)).collect();
+        let waits = |o: &Pending| matches!(o.stage, Stage::Discovering | Stage::Confirming(..));
+        let waiting = self.pending.iter();
+        let waiting = waiting.filter(|(_, pending)| pending.instance == instance && waits(pending));
+        let mut waiting: Vec<_> = waiting.map(|(r, pending)| (*r, pending.stage)).collect();
         waiting.sort_unstable_by_key(|(request, _)| *request);
         for (request, stage) in waiting {
             match stage {
@@ -195,68 +197,68 @@
     }
 
     fn confirm(&mut self, request: Request, report: Report, server: usize) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        let here = &mut self.instances[open.instance];
-        let Some(round) = here.router.first_round_since(open.read.began) else {
-            open.stage = Stage::Confirming(report, server);
+        let node = &mut self.instances[pending.instance];
+        let Some(round) = node.router.first_round_since(pending.read.began) else {
+            pending.stage = Stage::Confirming(report, server);
             return;
         };
         if !route::position(&report).covers(round.position) {
-            open.stage = Stage::Waiting;
+            pending.stage = Stage::Waiting;
             return self.choose(request);
         }
-        if let Some(session) = here.sessions.get_mut(&open.caller) {
+        if let Some(session) = node.sessions.get_mut(&pending.caller) {
             session.step(self.now, session::Event::ReadConfirmed(round));
             let upto = route::position(&report);
-            let confirmed = here.router.confirmed();
+            let confirmed = node.router.confirmed();
             session.step(self.now, session::Event::Read { upto, confirmed });
         }
         self.finish(request, server);
     }
 
     fn finish(&mut self, request: Request, server: usize) {
-        let Some(open) = self.open.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        let counts = self.counts(&open);
-        let took = self.now.since(open.read.began);
-        let class = self.class(&open);
-        if counts {
+        let is_measured = self.is_measured(&pending);
+        let took = self.now.since(pending.read.began);
+        let class = self.class(&pending);
+        if is_measured {
             class.reads += 1;
             class.replica += u64::from(server != PRIMARY);
             class.took.add(took);
         }
-        let sessions = &self.instances[open.instance].sessions;
-        let token = sessions.get(&open.caller).and_then(Session::position);
-        self.hand_token(open.caller, token);
-        self.tell(&Event::Answered {
+        let sessions = &self.instances[pending.instance].sessions;
+        let token = sessions.get(&pending.caller).and_then(Session::position);
+        self.update_token(pending.caller, token);
+        self.record(&Event::Answered {
             request,
-            session: check::Session(open.caller as u64),
+            session: check::Session(pending.caller as u64),
             answer: Answer::done(request),
         });
     }
 
     pub(super) fn expired(&mut self, request: Request) {
-        let Some(open) = self.open.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        if self.counts(&open) {
-            let class = self.class(&open);
+        if self.is_measured(&pending) {
+            let class = self.class(&pending);
             class.reads += 1;
             class.unserved += 1;
         }
         let outcome = Outcome::Unknown(Cause::Deadline);
-        self.tell(&Event::Answered {
+        self.record(&Event::Answered {
             request,
-            session: check::Session(open.caller as u64),
+            session: check::Session(pending.caller as u64),
             answer: Answer::without_rows(outcome),
         });
     }
 
-    pub(super) fn class(&mut self, open: &Open) -> &mut Class {
-        match open.read.freshness {
+    pub(super) fn class(&mut self, pending: &Pending) -> &mut Class {
+        match pending.read.freshness {
             Freshness::Age(_) => &mut self.outcome.calendar,
             Freshness::Session | Freshness::Current => &mut self.outcome.own,
         }
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -13,7 +13,7 @@
 
 /// How much is run.
 #[derive(Debug, Clone, Copy)]
-pub struct Effort {
+pub struct Scale {
     /// Failures of each kind.
     pub trials: u64,
     /// Virtual time of reads, for each database and round.
@@ -21,17 +21,17 @@
     /// Rounds of reads for each database.
     pub rounds: u64,
     /// Virtual time of ordinary jitter.
-    pub quiet: Duration,
+    pub jitter: Duration,
     /// Virtual time of each level of load.
     pub load: Duration,
 }
 
 /// The effort of the whole bench.
-pub const FULL: Effort = Effort {
+pub const FULL: Scale = Scale {
     trials: 300,
     reads: Duration::from_secs(120),
     rounds: 4,
-    quiet: Duration::from_secs(3_600),
+    jitter: Duration::from_secs(3_600),
     load: Duration::from_secs(20),
 };
 
@@ -89,8 +89,8 @@
 
 impl Report {
     /// Runs all of it.
-    pub fn measure(effort: Effort, seed: u64) -> Self {
-        let [stalgenoot, umurage] = SITES.map(|site| Deployment::measure(site, effort, seed));
+    pub fn measure(scale: Scale, seed: u64) -> Self {
+        let [stalgenoot, umurage] = SITES.map(|site| Deployment::measure(site, scale, seed));
         Self {
             stalgenoot,
             umurage,
@@ -100,17 +100,17 @@
 
 impl Deployment {
     /// Runs all of one deployment.
-    pub fn measure(site: Site, effort: Effort, seed: u64) -> Self {
-        let reads = reads::measure(site, effort.reads, effort.rounds, seed);
-        let trials = trials(site, effort.trials, seed);
+    pub fn measure(site: Site, scale: Scale, seed: u64) -> Self {
+        let reads = reads::measure(site, scale.reads, scale.rounds, seed);
+        let trials = trials(site, scale.trials, seed);
         let crash = [Kind::Crash, Kind::Silence].into_iter();
         let crash = gap::summary(crash.flat_map(|kind| &trials[&kind])).gap;
         let gaps: BTreeMap<_, _> = trials
             .iter()
             .map(|(kind, trials)| (*kind, gap::summary(trials.iter())))
             .collect();
-        let quiet = jitter::run(site, effort.quiet, seed);
-        let load = load::measure(site, effort.load, seed);
+        let jitter = jitter::run(site, scale.jitter, seed);
+        let load = load::measure(site, scale.load, seed);
         let trials = || trials.values().flatten();
         Self {
             replica_share: reads.calendar.replica,
@@ -121,17 +121,17 @@
             gap_crash_p50_ms: crash.p50_ms,
             gap_crash_p99_ms: crash.p99_ms,
             gap_cut_p99_ms: gaps[&Kind::Cut].gap.p99_ms,
-            false_promotions: quiet.promotions,
+            false_promotions: jitter.promotions,
             goodput_5x: load.goodput_5x,
             naive_goodput_5x: load.naive_goodput_5x,
             high_deadline_met_5x: load.high_deadline_met_5x,
-            lost: quiet.lost + trials().map(|t| t.lost).sum::<usize>(),
-            violations: quiet.violations
+            lost: jitter.lost + trials().map(|t| t.lost).sum::<usize>(),
+            violations: jitter.violations
                 + reads.violations
                 + load.violations
                 + trials().map(|t| t.violations).sum::<usize>(),
-            store_calls_quiet: quiet.store_calls,
-            failed_quiet: quiet.failed as f64 / (quiet.failed + quiet.done).max(1) as f64,
+            store_calls_quiet: jitter.store_calls,
+            failed_quiet: jitter.failed as f64 / (jitter.failed + jitter.done).max(1) as f64,
             reads,
             gaps,
             load,
@@ -142,40 +142,40 @@
 fn trials(site: Site, count: u64, seed: u64) -> BTreeMap<Kind, Vec<gap::Trial>> {
     let seeds = |n: u64| seed.wrapping_mul(1_000_003).wrapping_add(n);
     let all = Kind::ALL.into_iter();
-    let played = all.map(|kind| (kind, parallel(count, |n| gap::trial(site, kind, seeds(n)))));
-    played.collect()
+    let results = all.map(|kind| (kind, parallel(count, |n| gap::trial(site, kind, seeds(n)))));
+    results.collect()
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (s, u) = (&self.stalgenoot, &self.umurage);
         writeln!(f, "{:34} {:>12} {:>12}", "", "stalgenoot", "umurage")?;
-        let mut line = |name: &str, figure: &dyn Fn(&Deployment) -> String| {
-            writeln!(f, "{name:34} {:>12} {:>12}", figure(s), figure(u))
+        let mut row = |name: &str, value: &dyn Fn(&Deployment) -> String| {
+            writeln!(f, "{name:34} {:>12} {:>12}", value(s), value(u))
         };
         let share = |x: f64| format!("{x:.4}");
         let ms = |x: f64| format!("{x:.0} ms");
-        line("replica share, calendar", &|d| share(d.replica_share))?;
-        line("  naive", &|d| share(d.naive_share))?;
-        line("  oracle", &|d| share(d.oracle_share))?;
-        line("  all to primary", &|d| share(d.all_primary_share))?;
-        line("  of the oracle's", &|d| share(d.replica_share_of_oracle))?;
-        line("replica share, own writes", &|d| share(d.reads.own.replica))?;
-        line("  naive", &|d| share(d.reads.own.naive))?;
-        line("  oracle", &|d| share(d.reads.own.oracle))?;
-        line("gap after a crash, median", &|d| ms(d.gap_crash_p50_ms))?;
-        line("gap after a crash, p99", &|d| ms(d.gap_crash_p99_ms))?;
-        line("gap when cut off, p99", &|d| ms(d.gap_cut_p99_ms))?;
-        line("false promotions in the hour", &|d| {
+        row("replica share, calendar", &|d| share(d.replica_share))?;
+        row("  naive", &|d| share(d.naive_share))?;
+        row("  oracle", &|d| share(d.oracle_share))?;
+        row("  all to primary", &|d| share(d.all_primary_share))?;
+        row("  of the oracle's", &|d| share(d.replica_share_of_oracle))?;
+        row("replica share, own writes", &|d| share(d.reads.own.replica))?;
+        row("  naive", &|d| share(d.reads.own.naive))?;
+        row("  oracle", &|d| share(d.reads.own.oracle))?;
+        row("gap after a crash, median", &|d| ms(d.gap_crash_p50_ms))?;
+        row("gap after a crash, p99", &|d| ms(d.gap_crash_p99_ms))?;
+        row("gap when cut off, p99", &|d| ms(d.gap_cut_p99_ms))?;
+        row("false promotions in the hour", &|d| {
             d.false_promotions.to_string()
         })?;
-        line("goodput at 5x, of peak", &|d| share(d.goodput_5x))?;
-        line("  naive", &|d| share(d.naive_goodput_5x))?;
-        line("high priority in time at 5x", &|d| {
+        row("goodput at 5x, of peak", &|d| share(d.goodput_5x))?;
+        row("  naive", &|d| share(d.naive_goodput_5x))?;
+        row("high priority in time at 5x", &|d| {
             share(d.high_deadline_met_5x)
         })?;
-        line("acknowledged writes lost", &|d| d.lost.to_string())?;
-        line("violations", &|d| d.violations.to_string())?;
+        row("acknowledged writes lost", &|d| d.lost.to_string())?;
+        row("violations", &|d| d.violations.to_string())?;
         for (name, deployment) in [("stalgenoot", s), ("umurage", u)] {
             writeln!(f, "\n{name}: gap in ms, median/p99")?;
             deployment.gaps_table(f)?;
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -211,16 +211,16 @@
     }
 
     /// Takes in what comes next in the followed primary's log.
-    pub fn receive(&mut self, news: &[Entry]) {
-        for &entry in news {
+    pub fn receive(&mut self, entries: &[Entry]) {
+        for &entry in entries {
             self.push(entry);
         }
     }
 
     /// Whether it runs and takes writes in `term`.
     pub fn is_primary_in(&self, term: Term) -> bool {
-        let runs = self.condition == Condition::Up;
-        runs && self.role == Role::Primary && self.position().term == term
+        let is_up = self.condition == Condition::Up;
+        is_up && self.role == Role::Primary && self.position().term == term
     }
 
     fn push(&mut self, entry: Entry) {
--- a/crates/policy/src/stat.rs
+++ b/crates/policy/src/stat.rs
@@ -17,7 +17,7 @@
 impl Default for Spans {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, LONGEST, 3);
-        let histogram = histogram.expect("three digits are within its range");
+        let histogram = histogram.expect("three significant digits are supported");
         Self { histogram }
     }
 }
--- a/crates/policy/src/world.rs
+++ b/crates/policy/src/world.rs
@@ -30,31 +30,31 @@
 pub use instance::Instance;
 pub use platform::Store;
 
-use caller::Desk;
+use caller::Clients;
 use instance::Arrival;
-use upstream::Ask;
+use upstream::Message;
 
 /// Something that happens at its moment.
 #[derive(Debug)]
-enum Happening {
+enum Occurrence {
     Tick {
         instance: usize,
-        epoch: u32,
+        incarnation: u32,
     },
     AtServer {
         server: usize,
         from: usize,
-        ask: Ask,
+        message: Message,
     },
     AtInstance {
         instance: usize,
-        epoch: u32,
+        incarnation: u32,
         arrival: Arrival,
     },
     AtStore {
         from: usize,
         call: Call,
-        ask: platform::Ask,
+        message: platform::Message,
     },
     Stream {
         follower: usize,
@@ -68,13 +68,13 @@
     Repeat {
         caller: usize,
         operation: check::Operation,
-        left: u32,
+        repeats_left: u32,
     },
     Answer {
         request: check::Request,
         answer: check::Answer,
         token: Option<Position>,
-        end: End,
+        detail: Detail,
     },
     Start {
         instance: usize,
@@ -140,7 +140,7 @@
 
 /// How a request ended, beyond its outcome.
 #[derive(Debug, Clone, Copy, Default)]
-struct End {
+struct Detail {
     term: Option<Term>,
     found: Option<check::Operation>,
 }
@@ -187,21 +187,21 @@
     /// The steps of each term's change of primary.
     pub milestones: HashMap<Term, Milestones>,
     now: Instant,
-    timer: Timer<Happening>,
+    timer: Timer<Occurrence>,
     net: Net,
     rng: ChaCha8Rng,
     names: Vec<name::Upstream>,
     database: name::Database,
-    tails: HashMap<usize, Instant>,
-    desk: Desk,
+    stream_ends: HashMap<usize, Instant>,
+    clients: Clients,
     timing: Timing,
     connecting: HashSet<usize>,
-    trap: Option<(Step, Option<Duration>)>,
+    step_fault: Option<(Step, Option<Duration>)>,
     logic: Logic,
 }
 
 fn numbered<T>(prefix: &str, number: usize, make: fn(&str) -> Result<T, name::Error>) -> T {
-    make(&format!("{prefix}{number}")).expect("a short lower-case word is a name")
+    make(&format!("{prefix}{number}")).expect("a generated name is valid")
 }
 
 impl World {
@@ -246,17 +246,17 @@
             rng,
             names,
             database: numbered("db", 0, name::Database::new),
-            tails: HashMap::new(),
-            desk: Desk::default(),
+            stream_ends: HashMap::new(),
+            clients: Clients::default(),
             timing: Timing::default(),
             connecting: HashSet::new(),
-            trap: None,
+            step_fault: None,
             logic,
         };
         for instance in 0..site.instances {
             world.start(instance);
         }
-        world.resume();
+        world.resume_watches();
         world
     }
 
@@ -267,15 +267,15 @@
 
     /// Lets a fault happen at a moment.
     pub fn schedule(&mut self, at: Instant, fault: Fault) {
-        self.timer.subscribe(at, Happening::Fault(fault));
+        self.timer.subscribe(at, Occurrence::Fault(fault));
     }
 
     /// Runs to a moment.
     pub fn run(&mut self, until: Instant) {
         while let Some(at) = self.timer.next().filter(|&at| at <= until) {
             self.now = at;
-            for happening in self.timer.expired(at) {
-                self.happen(happening);
+            for occurrence in self.timer.expired(at) {
+                self.process(occurrence);
             }
         }
         self.now = until;
@@ -287,11 +287,11 @@
         let Some(leader) = leaders.max_by_key(|s| s.position()) else {
             return;
         };
-        let kept: Vec<_> = leader.log().iter().filter_map(|e| e.operation).collect();
-        for operation in kept {
-            self.tell(Event::Persisted { operation });
+        let persisted: Vec<_> = leader.log().iter().filter_map(|e| e.operation).collect();
+        for operation in persisted {
+            self.record(Event::Persisted { operation });
         }
-        self.tell(Event::LogComplete);
+        self.record(Event::LogComplete);
     }
 
     /// The upstream that leads by its own word, in the highest term.
@@ -302,41 +302,52 @@
             .max_by_key(|&u| self.servers[u].position().term)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { instance, epoch } => self.tick(instance, epoch),
-            Happening::AtServer { server, from, ask } => self.at_server(server, from, ask),
-            Happening::AtInstance {
+    fn process(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Tick {
                 instance,
-                epoch,
+                incarnation,
+            } => self.tick(instance, incarnation),
+            Occurrence::AtServer {
+                server,
+                from,
+                message,
+            } => self.at_server(server, from, message),
+            Occurrence::AtInstance {
+                instance,
+                incarnation,
                 arrival,
-            } => self.at_instance(instance, epoch, arrival),
-            Happening::AtStore { from, call, ask } => self.at_store(from, call, ask),
-            Happening::Stream {
+            } => self.at_instance(instance, incarnation, arrival),
+            Occurrence::AtStore {
+                from,
+                call,
+                message,
+            } => self.at_store(from, call, message),
+            Occurrence::Stream {
                 follower,
                 follow,
                 upto,
             } => self.streamed(follower, follow, upto),
-            Happening::Connect { follower } => self.connect(follower),
-            Happening::Caller(caller) => self.call(caller),
-            Happening::Repeat {
+            Occurrence::Connect { follower } => self.connect(follower),
+            Occurrence::Caller(caller) => self.send_next(caller),
+            Occurrence::Repeat {
                 caller,
                 operation,
-                left,
-            } => self.repeat(caller, operation, left),
-            Happening::Answer {
+                repeats_left,
+            } => self.repeat(caller, operation, repeats_left),
+            Occurrence::Answer {
                 request,
                 answer,
                 token,
-                end,
-            } => self.answered(request, answer, token, end),
-            Happening::Resume => self.resume(),
-            Happening::Start { instance } => self.start(instance),
-            Happening::Fault(fault) => self.fault(fault),
+                detail,
+            } => self.answered(request, answer, token, detail),
+            Occurrence::Resume => self.resume_watches(),
+            Occurrence::Start { instance } => self.start(instance),
+            Occurrence::Fault(fault) => self.apply_fault(fault),
         }
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash(u) => self.crash(u),
             Fault::Silence(u) => self.servers[u].condition = Condition::Silent,
@@ -350,24 +361,30 @@
             Fault::StoreUp => self.store.recover(),
             Fault::Kill(i) => self.kill(i),
             Fault::Pause(i, span) => self.instances[i].paused_until = self.now + span,
-            Fault::KillOn(step) => self.trap = Some((step, None)),
-            Fault::PauseOn(step, span) => self.trap = Some((step, Some(span))),
+            Fault::KillOn(step) => self.step_fault = Some((step, None)),
+            Fault::PauseOn(step, span) => self.step_fault = Some((step, Some(span))),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn record(&mut self, event: Event) {
         self.suite.observe(self.now, &event);
     }
 
-    fn after(&mut self, span: Duration, happening: Happening) {
-        self.timer.subscribe(self.now + span, happening);
+    fn schedule_after(&mut self, span: Duration, occurrence: Occurrence) {
+        self.timer.subscribe(self.now + span, occurrence);
     }
 
     /// Sends over the network; nothing comes of it if it is lost.
-    fn send(&mut self, from: Place, to: Place, carrier: Transport, happening: Happening) -> bool {
-        match self.net.send(from, to, carrier) {
+    fn send(
+        &mut self,
+        from: Place,
+        to: Place,
+        transport: Transport,
+        occurrence: Occurrence,
+    ) -> bool {
+        match self.net.send(from, to, transport) {
             Some(span) => {
-                self.after(span, happening);
+                self.schedule_after(span, occurrence);
                 true
             }
             None => false,
@@ -382,7 +399,7 @@
         Place::Zone(self.instances[instance].zone)
     }
 
-    fn index(&self, upstream: &name::Upstream) -> usize {
+    fn upstream_index(&self, upstream: &name::Upstream) -> usize {
         let found = self.names.iter().position(|name| name == upstream);
         found.expect("the group was opened with these names")
     }
--- a/crates/policy/src/world/caller.rs
+++ b/crates/policy/src/world/caller.rs
@@ -7,12 +7,12 @@
 use model::{Freshness, Outcome, Position, Repeat, Term, name};
 use rand::Rng;
 
-use super::{End, Happening, Logic, World, instance::Arrival, numbered};
+use super::{Detail, Logic, Occurrence, World, instance::Arrival, numbered};
 
 /// How long a caller waits before it repeats a write with an unknown outcome.
-const REPEAT: Duration = Duration::from_millis(20);
+const REPEAT_DELAY: Duration = Duration::from_millis(20);
 /// How often it does so.
-const REPEATS: u32 = 8;
+const MAX_REPEATS: u32 = 8;
 
 /// How the callers behave.
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
 
 /// A request on its way to an instance.
 #[derive(Debug, Clone)]
-pub(super) struct Errand {
+pub(super) struct Submission {
     pub(super) caller: usize,
     pub(super) request: Request,
     pub(super) operation: Operation,
@@ -47,7 +47,7 @@
     pub(super) token: Option<Position>,
     pub(super) roamed: bool,
     /// What a read looks for.
-    pub(super) look: Option<Operation>,
+    pub(super) lookup: Option<Operation>,
 }
 
 /// One line of a script, which a caller says after the one before is answered.
@@ -79,7 +79,7 @@
     token: Option<Position>,
     script: Vec<Command>,
     results: Vec<CommandResult>,
-    pace: Duration,
+    think_time: Duration,
 }
 
 /// A write that was acknowledged to its caller.
@@ -107,20 +107,20 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct Pending {
     caller: usize,
     operation: Operation,
     kind: Kind,
     asked: Instant,
-    left: u32,
+    repeats_left: u32,
 }
 
 /// All that the callers remember.
 #[derive(Debug, Default)]
-pub(super) struct Desk {
+pub(super) struct Clients {
     load: Option<Load>,
     callers: Vec<Caller>,
-    open: HashMap<Request, Open>,
+    pending: HashMap<Request, Pending>,
     requests: u64,
     operations: u64,
     acknowledgements: Vec<Acknowledgement>,
@@ -130,172 +130,185 @@
 impl World {
     /// Lets callers ask from `from` on.
     pub fn start_load(&mut self, from: Instant, load: Load) {
-        self.desk.load = Some(load);
+        self.clients.load = Some(load);
         for zone in 0..self.site.zones {
             for _ in 0..load.callers {
-                let instance = self.instance_near(zone);
-                let caller = self.desk.callers.len();
-                self.desk.callers.push(Caller {
+                let instance = self.pick_instance(zone);
+                let caller = self.clients.callers.len();
+                self.clients.callers.push(Caller {
                     zone,
                     instance,
                     token: None,
                     script: Vec::new(),
                     results: Vec::new(),
-                    pace: load.interval,
+                    think_time: load.interval,
                 });
                 let offset = load.interval.mul_f64(self.rng.random());
                 let at = from + offset;
-                self.timer.subscribe(at, Happening::Caller(caller));
+                self.timer.subscribe(at, Occurrence::Caller(caller));
             }
         }
     }
 
     /// Lets a caller in a zone say a script from `from` on, roaming at each
     /// line, with `pace` between an answer and the next line.
-    pub fn run_script(&mut self, from: Instant, zone: usize, pace: Duration, script: &[Command]) {
-        let instance = self.instance_near(zone);
-        let caller = self.desk.callers.len();
+    pub fn run_script(
+        &mut self,
+        from: Instant,
+        zone: usize,
+        think_time: Duration,
+        script: &[Command],
+    ) {
+        let instance = self.pick_instance(zone);
+        let caller = self.clients.callers.len();
         let script = script.iter().rev().copied().collect();
-        self.desk.callers.push(Caller {
+        self.clients.callers.push(Caller {
             zone,
             instance,
             token: None,
             script,
             results: Vec::new(),
-            pace,
+            think_time,
         });
-        self.timer.subscribe(from, Happening::Caller(caller));
+        self.timer.subscribe(from, Occurrence::Caller(caller));
     }
 
     /// What the callers with scripts were told.
     pub fn results(&self) -> Vec<&[CommandResult]> {
-        let scripted = self.desk.callers.iter().map(|c| &c.results[..]);
+        let scripted = self.clients.callers.iter().map(|c| &c.results[..]);
         scripted.collect()
     }
 
-    fn next_line(&mut self, caller: usize) -> bool {
-        let Some(line) = self.desk.callers[caller].script.last() else {
+    fn next_command(&mut self, caller: usize) -> bool {
+        let Some(command) = self.clients.callers[caller].script.last() else {
             return false;
         };
-        match *line {
+        match *command {
             Command::Write(number) => {
-                self.ask(caller, Operation(number), Kind::Write, REPEATS, true);
+                self.send_request(caller, Operation(number), Kind::Write, MAX_REPEATS, true);
             }
             Command::Read(number) => {
                 let kind = Kind::Read(Freshness::Session);
-                self.ask(caller, Operation(number), kind, 0, true);
+                self.send_request(caller, Operation(number), kind, 0, true);
             }
         }
         true
     }
 
     /// Notes the answer to a caller's line, and goes on to the next.
-    fn line_answered(&mut self, open: &Open, outcome: Outcome, end: End) {
-        let repeats = matches!(outcome, Outcome::Unknown(_)) && open.kind == Kind::Write;
-        if repeats && open.left > 0 && self.logic != Logic::Naive {
+    fn record_result(&mut self, pending: &Pending, outcome: Outcome, detail: Detail) {
+        let repeats = matches!(outcome, Outcome::Unknown(_)) && pending.kind == Kind::Write;
+        if repeats && pending.repeats_left > 0 && self.logic != Logic::Naive {
             return;
         }
-        let caller = &mut self.desk.callers[open.caller];
-        let Some(line) = caller.script.pop() else {
+        let caller = &mut self.clients.callers[pending.caller];
+        let Some(command) = caller.script.pop() else {
             return;
         };
         caller.results.push(CommandResult {
-            command: line,
+            command,
             outcome,
-            found: end.found.is_some(),
+            found: detail.found.is_some(),
         });
-        let pace = caller.pace;
-        self.after(pace, Happening::Caller(open.caller));
+        let think_time = caller.think_time;
+        self.schedule_after(think_time, Occurrence::Caller(pending.caller));
     }
 
     /// Lets no caller ask anything new.
     pub fn stop_load(&mut self) {
-        self.desk.load = None;
+        self.clients.load = None;
     }
 
     /// The writes that were acknowledged.
     pub fn acknowledgements(&self) -> &[Acknowledgement] {
-        &self.desk.acknowledgements
+        &self.clients.acknowledgements
     }
 
     /// How many requests ended how.
     pub fn tally(&self) -> Tally {
-        self.desk.tally
+        self.clients.tally
     }
 
-    fn instance_near(&mut self, zone: usize) -> usize {
+    fn pick_instance(&mut self, zone: usize) -> usize {
         let all = 0..self.instances.len();
-        let live: Vec<_> = all.filter(|&i| self.instances[i].up).collect();
-        let near: Vec<_> = live
+        let running: Vec<_> = all.filter(|&i| self.instances[i].up).collect();
+        let near: Vec<_> = running
             .iter()
             .copied()
             .filter(|&i| self.instances[i].zone == zone)
             .collect();
-        let choice = if near.is_empty() { &live } else { &near };
+        let choice = if near.is_empty() { &running } else { &near };
         choice[self.rng.random_range(0..choice.len())]
     }
 
-    pub(super) fn call(&mut self, caller: usize) {
-        if self.next_line(caller) {
+    pub(super) fn send_next(&mut self, caller: usize) {
+        if self.next_command(caller) {
             return;
         }
-        let Some(load) = self.desk.load else {
+        let Some(load) = self.clients.load else {
             return;
         };
-        self.after(load.interval, Happening::Caller(caller));
+        self.schedule_after(load.interval, Occurrence::Caller(caller));
         let kind = match self.rng.random_range(0..100) < load.read_percent {
             false => Kind::Write,
             true if self.rng.random_ratio(1, 4) => Kind::Read(Freshness::Current),
             true => Kind::Read(Freshness::Session),
         };
-        self.desk.operations += 1;
-        let operation = Operation(self.desk.operations);
+        self.clients.operations += 1;
+        let operation = Operation(self.clients.operations);
         let roams = self.rng.random_range(0..100) < load.roam_percent;
-        self.ask(caller, operation, kind, REPEATS, roams);
+        self.send_request(caller, operation, kind, MAX_REPEATS, roams);
     }
 
-    pub(super) fn repeat(&mut self, caller: usize, operation: Operation, left: u32) {
-        self.ask(caller, operation, Kind::Write, left, true);
+    pub(super) fn repeat(&mut self, caller: usize, operation: Operation, repeats_left: u32) {
+        self.send_request(caller, operation, Kind::Write, repeats_left, true);
     }
 
-    fn ask(&mut self, caller: usize, operation: Operation, kind: Kind, left: u32, roams: bool) {
-        let zone = self.desk.callers[caller].zone;
-        let before = self.desk.callers[caller].instance;
+    fn send_request(
+        &mut self,
+        caller: usize,
+        operation: Operation,
+        kind: Kind,
+        repeats_left: u32,
+        roams: bool,
+    ) {
+        let zone = self.clients.callers[caller].zone;
+        let before = self.clients.callers[caller].instance;
         let stays = !roams && self.instances[before].up;
         let instance = match stays {
             true => before,
-            false => self.instance_near(zone),
+            false => self.pick_instance(zone),
         };
         let stays = instance == before;
-        self.desk.callers[caller].instance = instance;
-        self.desk.requests += 1;
-        let request = Request(self.desk.requests);
-        let open = Open {
+        self.clients.callers[caller].instance = instance;
+        self.clients.requests += 1;
+        let request = Request(self.clients.requests);
+        let pending = Pending {
             caller,
             operation,
             kind,
             asked: self.now,
-            left,
+            repeats_left,
         };
-        self.desk.open.insert(request, open);
-        self.tell_asked(caller, request, operation, kind, instance);
+        self.clients.pending.insert(request, pending);
+        self.record_asked(caller, request, operation, kind, instance);
         // One in four that roam come with nothing but their name.
-        let bare = !stays && self.rng.random_ratio(1, 4);
-        let token = self.desk.callers[caller].token.filter(|_| !bare);
-        let errand = Errand {
+        let is_tokenless = !stays && self.rng.random_ratio(1, 4);
+        let token = self.clients.callers[caller].token.filter(|_| !is_tokenless);
+        let submission = Submission {
             caller,
             request,
             operation,
             kind,
             token,
             roamed: !stays,
-            look: (kind != Kind::Write).then_some(operation),
+            lookup: (kind != Kind::Write).then_some(operation),
         };
         let span = self.site.caller_latency;
-        self.later(instance, span, Arrival::Errand(errand));
+        self.deliver_after(instance, span, Arrival::Submission(submission));
     }
 
-    fn tell_asked(
+    fn record_asked(
         &mut self,
         caller: usize,
         request: Request,
@@ -307,7 +320,7 @@
             Kind::Write => Freshness::Session,
             Kind::Read(freshness) => freshness,
         };
-        self.tell(Event::Asked {
+        self.record(Event::Asked {
             request,
             operation,
             session: check::Session(caller as u64),
@@ -323,52 +336,52 @@
         request: Request,
         answer: Answer,
         token: Option<Position>,
-        end: End,
+        detail: Detail,
     ) {
-        let Some(open) = self.desk.open.remove(&request) else {
+        let Some(pending) = self.clients.pending.remove(&request) else {
             return;
         };
-        let session = check::Session(open.caller as u64);
-        self.tell(Event::Answered {
+        let session = check::Session(pending.caller as u64);
+        self.record(Event::Answered {
             request,
             session,
             answer,
         });
-        let caller = &mut self.desk.callers[open.caller];
+        let caller = &mut self.clients.callers[pending.caller];
         if let Some(token) = token {
             caller.token = Some(caller.token.map_or(token, |t| session::join(t, token)));
         }
         let zone = caller.zone;
         match answer.outcome {
             Outcome::Done => {
-                self.desk.tally.done += 1;
-                if let (Kind::Write, Some(term)) = (open.kind, end.term) {
-                    self.desk.acknowledgements.push(Acknowledgement {
-                        asked: open.asked,
+                self.clients.tally.done += 1;
+                if let (Kind::Write, Some(term)) = (pending.kind, detail.term) {
+                    self.clients.acknowledgements.push(Acknowledgement {
+                        asked: pending.asked,
                         at: self.now,
                         term,
                         zone,
                     });
                 }
             }
-            Outcome::NotRun(_) => self.desk.tally.not_run += 1,
+            Outcome::NotRun(_) => self.clients.tally.not_run += 1,
             Outcome::Unknown(_) => {
-                self.desk.tally.unknown += 1;
-                self.repeat_later(&open);
+                self.clients.tally.unknown += 1;
+                self.schedule_repeat(&pending);
             }
         }
-        self.line_answered(&open, answer.outcome, end);
+        self.record_result(&pending, answer.outcome, detail);
     }
 
-    fn repeat_later(&mut self, open: &Open) {
-        if open.kind != Kind::Write || open.left == 0 || self.logic == Logic::Naive {
+    fn schedule_repeat(&mut self, pending: &Pending) {
+        if pending.kind != Kind::Write || pending.repeats_left == 0 || self.logic == Logic::Naive {
             return;
         }
-        let happening = Happening::Repeat {
-            caller: open.caller,
-            operation: open.operation,
-            left: open.left - 1,
+        let occurrence = Occurrence::Repeat {
+            caller: pending.caller,
+            operation: pending.operation,
+            repeats_left: pending.repeats_left - 1,
         };
-        self.after(REPEAT, happening);
+        self.schedule_after(REPEAT_DELAY, occurrence);
     }
 }
--- a/crates/policy/src/world/instance.rs
+++ b/crates/policy/src/world/instance.rs
@@ -22,8 +22,8 @@
 use crate::net::Transport;
 
 use super::{
-    Fault, Happening, Logic, Step, World,
-    caller::Errand,
+    Fault, Logic, Occurrence, Step, World,
+    caller::Submission,
     numbered, platform,
     upstream::{self, Reply},
 };
@@ -31,13 +31,13 @@
 use work::Work;
 
 /// How often an instance asks each upstream for its position.
-const OBSERVE: Duration = Duration::from_millis(50);
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long it waits for such an answer before it asks again.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a confirmation round may take.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
 /// How long a killed instance is gone.
-const REPLACED: Duration = Duration::from_secs(3);
+const RESTART_DELAY: Duration = Duration::from_secs(3);
 
 /// What reaches an instance.
 #[derive(Debug, Clone)]
@@ -53,13 +53,13 @@
     /// An upstream's position, asked at this moment.
     Polled(usize, Instant, Report),
     /// A caller's request.
-    Errand(Errand),
+    Submission(Submission),
     /// An instance that starts asks who leads.
-    WhoLeads(usize),
+    PrimaryQuery(usize),
     /// The time to ask the upstreams for their positions.
     Observe,
     /// A read is to choose anew.
-    Again(Request),
+    Retry(Request),
     /// A request's deadline.
     Expired(Request),
 }
@@ -72,7 +72,7 @@
     /// Whether it runs.
     pub up: bool,
     /// How often it was started.
-    pub epoch: u32,
+    pub incarnation: u32,
     /// Until when it does nothing at all.
     pub paused_until: Instant,
     /// Its failover.
@@ -91,13 +91,13 @@
 impl Instance {
     /// Who leads, as the failover knows it.
     fn record(&self) -> Option<Record> {
-        let lead = self.group.primary()?;
+        let primary = self.group.primary()?;
         Some(Record {
-            term: lead.term,
+            term: primary.term,
             phase: Phase::Led {
-                upstream: lead.upstream.clone(),
+                upstream: primary.upstream.clone(),
             },
-            fork: lead.fork,
+            fork: primary.fork,
             attempt: 0,
         })
     }
@@ -119,14 +119,14 @@
             seed: self.rng.random(),
             timing: self.timing.clone(),
         };
-        let group = Group::open(conf, self.now).expect("the crate's chart is sound");
+        let group = Group::open(conf, self.now).expect("the built-in chart is valid");
         let mut router = Router::new(&zone_name, route::Conf::default());
         router.step(self.now, route::Event::Group(self.route_members()));
-        let epoch = self.instances.get(instance).map_or(0, |i| i.epoch);
+        let incarnation = self.instances.get(instance).map_or(0, |i| i.incarnation);
         let fresh = Instance {
             zone,
             up: true,
-            epoch,
+            incarnation,
             paused_until: Instant::ZERO,
             group,
             name,
@@ -144,9 +144,9 @@
         } else {
             self.instances.push(fresh);
         }
-        self.decide(instance, Decision::Members(members));
-        let offset = OBSERVE.mul_f64(self.rng.random());
-        self.later(instance, offset, Arrival::Observe);
+        self.step_group(instance, Decision::Members(members));
+        let offset = OBSERVE_INTERVAL.mul_f64(self.rng.random());
+        self.deliver_after(instance, offset, Arrival::Observe);
     }
 
     fn members(&self) -> BTreeMap<name::Instance, name::Zone> {
@@ -182,64 +182,71 @@
 
     /// An instance dies; another takes its place a while later.
     pub(super) fn kill(&mut self, instance: usize) {
-        let here = &mut self.instances[instance];
-        here.up = false;
-        here.epoch += 1;
-        let gone: Vec<_> = here.work.keys().copied().collect();
-        here.work.clear();
-        here.sessions.clear();
-        let name = here.name.clone();
-        self.tell(Event::Crashed { instance: name });
-        for request in gone {
-            self.hang_up(request);
+        let node = &mut self.instances[instance];
+        node.up = false;
+        node.incarnation += 1;
+        let requests: Vec<_> = node.work.keys().copied().collect();
+        node.work.clear();
+        node.sessions.clear();
+        let name = node.name.clone();
+        self.record(Event::Crashed { instance: name });
+        for request in requests {
+            self.drop_connection(request);
         }
-        self.after(REPLACED, Happening::Start { instance });
+        self.schedule_after(RESTART_DELAY, Occurrence::Start { instance });
     }
 
-    pub(super) fn later(&mut self, instance: usize, span: Duration, arrival: Arrival) {
-        let epoch = self.instances[instance].epoch;
-        let happening = Happening::AtInstance {
+    pub(super) fn deliver_after(&mut self, instance: usize, span: Duration, arrival: Arrival) {
+        let incarnation = self.instances[instance].incarnation;
+        let occurrence = Occurrence::AtInstance {
             instance,
-            epoch,
+            incarnation,
             arrival,
         };
-        self.after(span, happening);
+        self.schedule_after(span, occurrence);
     }
 
-    pub(super) fn tick(&mut self, instance: usize, epoch: u32) {
-        let here = &mut self.instances[instance];
-        if here.epoch != epoch || !here.up {
+    pub(super) fn tick(&mut self, instance: usize, incarnation: u32) {
+        let node = &mut self.instances[instance];
+        if node.incarnation != incarnation || !node.up {
             return;
         }
-        here.wake = None;
-        if here.paused_until > self.now {
-            let at = here.paused_until;
-            let tick = Happening::Tick { instance, epoch };
+        node.wake = None;
+        if node.paused_until > self.now {
+            let at = node.paused_until;
+            let tick = Occurrence::Tick {
+                instance,
+                incarnation,
+            };
             self.instances[instance].wake = Some(self.timer.subscribe(at, tick));
             return;
         }
-        self.decide(instance, Decision::Tick);
+        self.step_group(instance, Decision::Tick);
     }
 
-    pub(super) fn at_instance(&mut self, instance: usize, epoch: u32, arrival: Arrival) {
-        let here = &self.instances[instance];
-        if here.epoch != epoch || !here.up {
+    pub(super) fn at_instance(&mut self, instance: usize, incarnation: u32, arrival: Arrival) {
+        let node = &self.instances[instance];
+        if node.incarnation != incarnation || !node.up {
             return;
         }
-        if here.paused_until > self.now {
-            let wait = here.paused_until.since(self.now);
-            return self.later(instance, wait, arrival);
+        if node.paused_until > self.now {
+            let wait = node.paused_until.since(self.now);
+            return self.deliver_after(instance, wait, arrival);
         }
         match arrival {
-            Arrival::Group(decision) => self.decide(instance, decision),
+            Arrival::Group(decision) => self.step_group(instance, decision),
             Arrival::Watched(entry) => self.watched(instance, entry),
-            Arrival::Wrote(server, request, reply) => self.wrote(instance, server, request, reply),
-            Arrival::Read(server, request, answer) => self.read(instance, server, request, answer),
+            Arrival::Wrote(server, request, reply) => {
+                self.write_answered(instance, server, request, reply)
+            }
+            Arrival::Read(server, request, answer) => {
+                self.read_answered(instance, server, request, answer)
+            }
             Arrival::Polled(server, asked, report) => self.polled(instance, server, asked, report),
-            Arrival::Errand(errand) => self.take(instance, errand),
-            Arrival::WhoLeads(from) => self.who_leads(instance, from),
+            Arrival::Submission(submission) => self.accept(instance, submission),
+            Arrival::PrimaryQuery(from) => self.answer_primary_query(instance, from),
             Arrival::Observe => self.observe(instance),
-            Arrival::Again(request) => self.choose(instance, request),
+            Arrival::Retry(request) => self.choose(instance, request),
             Arrival::Expired(request) => self.expired(instance, request),
         }
     }
@@ -250,25 +257,25 @@
         for other in 0..self.instances.len() {
             if other != instance && self.instances[other].zone == zone {
                 let arrival = Arrival::Group(Decision::Watched(entry.clone()));
-                self.pass(instance, other, arrival);
+                self.send_to_peer(instance, other, arrival);
             }
         }
-        self.decide(instance, Decision::Watched(entry));
+        self.step_group(instance, Decision::Watched(entry));
     }
 
-    fn pass(&mut self, from: usize, to: usize, arrival: Arrival) {
-        let (here, there) = (self.instance_place(from), self.instance_place(to));
-        let epoch = self.instances[to].epoch;
-        let happening = Happening::AtInstance {
+    fn send_to_peer(&mut self, from: usize, to: usize, arrival: Arrival) {
+        let (source, target) = (self.instance_place(from), self.instance_place(to));
+        let incarnation = self.instances[to].incarnation;
+        let occurrence = Occurrence::AtInstance {
             instance: to,
-            epoch,
+            incarnation,
             arrival,
         };
-        self.send(here, there, Transport::Datagram, happening);
+        self.send(source, target, Transport::Datagram, occurrence);
     }
 
     /// Lets the failover decide, and carries out what it asks for.
-    pub(super) fn decide(&mut self, instance: usize, decision: Decision) {
+    pub(super) fn step_group(&mut self, instance: usize, decision: Decision) {
         if self.logic == Logic::Naive {
             return;
         }
@@ -279,35 +286,39 @@
             }
             self.carry_out(instance, action);
         }
-        self.follow_lead(instance);
+        self.adopt_primary(instance);
     }
 
     fn carry_out(&mut self, instance: usize, action: Action) {
-        let step = self.mark(&action);
+        let step = self.note_step(&action);
         match action {
             Action::Probe { call, upstream } => {
-                self.ask_server(instance, &upstream, upstream::Ask::Group(call, None));
+                self.ask_server(instance, &upstream, upstream::Message::Group(call, None));
             }
             Action::Order {
                 call,
                 upstream,
                 order,
-            } => self.ask_server(instance, &upstream, upstream::Ask::Group(call, Some(order))),
-            Action::SendEvidence { to, evidence } => self.tell_peer(instance, &to, evidence),
-            Action::Read { call } => self.ask_store(instance, call, platform::Ask::Read),
+            } => self.ask_server(
+                instance,
+                &upstream,
+                upstream::Message::Group(call, Some(order)),
+            ),
+            Action::SendEvidence { to, evidence } => self.send_evidence(instance, &to, evidence),
+            Action::Read { call } => self.ask_store(instance, call, platform::Message::Read),
             Action::Swap {
                 call,
                 expected,
                 record,
-            } => self.ask_store(instance, call, platform::Ask::Swap(expected, record)),
+            } => self.ask_store(instance, call, platform::Message::Swap(expected, record)),
             Action::Announce(entry) => self.announce(instance, &entry),
-            Action::Wake { at } => self.wake(instance, at),
+            Action::Wake { at } => self.set_timer(instance, at),
         }
-        if let (Some(step), Some((on, pause))) = (step, self.trap)
+        if let (Some(step), Some((on, pause))) = (step, self.step_fault)
             && step == on
         {
-            self.trap = None;
-            self.fault(match pause {
+            self.step_fault = None;
+            self.apply_fault(match pause {
                 Some(span) => Fault::Pause(instance, span),
                 None => Fault::Kill(instance),
             });
@@ -315,14 +326,14 @@
     }
 
     /// Notes when a change of primary reached its steps.
-    fn mark(&mut self, action: &Action) -> Option<Step> {
+    fn note_step(&mut self, action: &Action) -> Option<Step> {
         let now = self.now;
         match action {
             Action::Swap { record, .. } => {
-                let mark = self.milestones.entry(record.term).or_default();
+                let milestones = self.milestones.entry(record.term).or_default();
                 match record.phase {
                     Phase::Claimed { .. } => {
-                        mark.claim_sent.get_or_insert(now);
+                        milestones.claim_sent.get_or_insert(now);
                         Some(Step::Claim)
                     }
                     Phase::Led { .. } => Some(Step::Record),
@@ -330,13 +341,13 @@
             }
             Action::Order { order, .. } => match order {
                 failover::Order::Fence { term } => {
-                    let mark = self.milestones.entry(*term).or_default();
-                    mark.claimed.get_or_insert(now);
+                    let milestones = self.milestones.entry(*term).or_default();
+                    milestones.claimed.get_or_insert(now);
                     Some(Step::Fence)
                 }
                 failover::Order::Promote { term } => {
-                    let mark = self.milestones.entry(*term).or_default();
-                    mark.ordered.get_or_insert(now);
+                    let milestones = self.milestones.entry(*term).or_default();
+                    milestones.ordered.get_or_insert(now);
                     Some(Step::Promote)
                 }
                 failover::Order::Follow { .. } => None,
@@ -345,18 +356,23 @@
         }
     }
 
-    pub(super) fn ask_server(&mut self, instance: usize, to: &name::Upstream, ask: upstream::Ask) {
-        let server = self.index(to);
-        let (here, there) = (self.instance_place(instance), self.server_place(server));
-        let happening = Happening::AtServer {
+    pub(super) fn ask_server(
+        &mut self,
+        instance: usize,
+        to: &name::Upstream,
+        message: upstream::Message,
+    ) {
+        let server = self.upstream_index(to);
+        let (source, target) = (self.instance_place(instance), self.server_place(server));
+        let occurrence = Occurrence::AtServer {
             server,
             from: instance,
-            ask,
+            message,
         };
-        self.send(here, there, Transport::Stream, happening);
+        self.send(source, target, Transport::Stream, occurrence);
     }
 
-    fn tell_peer(&mut self, from: usize, to: &name::Instance, evidence: failover::Evidence) {
+    fn send_evidence(&mut self, from: usize, to: &name::Instance, evidence: failover::Evidence) {
         let Some(to) = self.instances.iter().position(|i| i.name == *to) else {
             return;
         };
@@ -366,43 +382,46 @@
             zone,
             evidence,
         };
-        self.pass(from, to, Arrival::Group(heard));
+        self.send_to_peer(from, to, Arrival::Group(heard));
     }
 
     fn announce(&mut self, from: usize, entry: &Entry) {
         for to in (0..self.instances.len()).filter(|&to| to != from) {
             let arrival = Arrival::Group(Decision::Announced(entry.clone()));
-            self.pass(from, to, arrival);
+            self.send_to_peer(from, to, arrival);
         }
     }
 
-    fn wake(&mut self, instance: usize, at: Instant) {
+    fn set_timer(&mut self, instance: usize, at: Instant) {
         if let Some(token) = self.instances[instance].wake.take() {
             self.timer.cancel(token);
         }
-        let epoch = self.instances[instance].epoch;
-        let tick = Happening::Tick { instance, epoch };
+        let incarnation = self.instances[instance].incarnation;
+        let tick = Occurrence::Tick {
+            instance,
+            incarnation,
+        };
         let token = self.timer.subscribe(at.max(self.now), tick);
         self.instances[instance].wake = Some(token);
     }
 
     /// Puts a new primary in force for writes and reads.
-    fn follow_lead(&mut self, instance: usize) {
-        let here = &mut self.instances[instance];
-        let lead = here.group.primary().map_or(Term(0), |lead| lead.term);
-        if lead <= here.quorum.term() {
+    fn adopt_primary(&mut self, instance: usize) {
+        let node = &mut self.instances[instance];
+        let term = node.group.primary().map_or(Term(0), |primary| primary.term);
+        if term <= node.quorum.term() {
             return;
         }
-        let Some(record) = here.record() else {
+        let Some(record) = node.record() else {
             return;
         };
-        here.router.step(self.now, route::Event::Record(&record));
+        node.router.step(self.now, route::Event::Record(&record));
         let Some(primary) = record.leader().cloned() else {
             return;
         };
-        let given_up = here.quorum.replace_primary(record.term, primary);
-        for Id(request) in given_up {
-            self.replaced(instance, Request(request));
+        let unconfirmed = node.quorum.replace_primary(record.term, primary);
+        for Id(request) in unconfirmed {
+            self.primary_replaced(instance, Request(request));
         }
     }
 }
--- a/crates/policy/src/world/platform.rs
+++ b/crates/policy/src/world/platform.rs
@@ -7,17 +7,17 @@
 
 use crate::net::{Place, Transport};
 
-use super::{Happening, World, instance::Arrival};
+use super::{Occurrence, World, instance::Arrival};
 
 /// How long the store takes over a call.
-const SERVICE: Duration = Duration::from_millis(1);
+const SERVICE_TIME: Duration = Duration::from_millis(1);
 
 /// How often a watch that broke off is tried again.
-const RESUME: Duration = Duration::from_secs(1);
+const WATCH_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the store is asked.
 #[derive(Debug, Clone)]
-pub(super) enum Ask {
+pub(super) enum Message {
     /// The record.
     Read,
     /// The record as a watch begins with it.
@@ -78,24 +78,28 @@
 }
 
 impl World {
-    pub(super) fn ask_store(&mut self, from: usize, call: Call, ask: Ask) {
+    pub(super) fn ask_store(&mut self, from: usize, call: Call, message: Message) {
         let place = self.instance_place(from);
-        let happening = Happening::AtStore { from, call, ask };
-        self.send(place, Place::Platform, Transport::Stream, happening);
+        let occurrence = Occurrence::AtStore {
+            from,
+            call,
+            message,
+        };
+        self.send(place, Place::Platform, Transport::Stream, occurrence);
     }
 
-    pub(super) fn at_store(&mut self, from: usize, call: Call, ask: Ask) {
+    pub(super) fn at_store(&mut self, from: usize, call: Call, message: Message) {
         if self.store.down {
             return;
         }
         self.store.calls += 1;
-        let decision = match ask {
-            Ask::Read => {
+        let decision = match message {
+            Message::Read => {
                 let result = Ok(Some(self.store.entry.clone()));
                 Decision::Read { call, result }
             }
-            Ask::Watch => Decision::Watched(self.store.entry.clone()),
-            Ask::Swap(expected, record) => {
+            Message::Watch => Decision::Watched(self.store.entry.clone()),
+            Message::Swap(expected, record) => {
                 let result = self.store.swap(expected, record);
                 if result.is_ok() {
                     self.notify();
@@ -107,14 +111,14 @@
             self.store.answers_to_lose -= 1;
             return;
         }
-        let span = SERVICE + self.store.extra_latency;
-        self.store_answers(from, span, Arrival::Group(decision));
+        let span = SERVICE_TIME + self.store.extra_latency;
+        self.answer_from_store(from, span, Arrival::Group(decision));
     }
 
     /// Watches go on where they broke off, as soon as the store is reached
     /// again: what changed meanwhile is shown then.
-    pub(super) fn resume(&mut self) {
-        self.after(RESUME, Happening::Resume);
+    pub(super) fn resume_watches(&mut self) {
+        self.schedule_after(WATCH_RETRY_INTERVAL, Occurrence::Resume);
         if !self.store.down {
             self.notify();
         }
@@ -123,27 +127,27 @@
     /// Tells the watchers: one instance of each zone, which tells the others.
     fn notify(&mut self) {
         let entry = self.store.entry.clone();
-        let span = SERVICE + self.store.extra_latency;
+        let span = SERVICE_TIME + self.store.extra_latency;
         for zone in 0..self.site.zones {
-            let here = |i: &usize| self.instances[*i].zone == zone && self.instances[*i].up;
-            let Some(relay) = (0..self.instances.len()).find(here) else {
+            let is_in_zone = |i: &usize| self.instances[*i].zone == zone && self.instances[*i].up;
+            let Some(relay) = (0..self.instances.len()).find(is_in_zone) else {
                 continue;
             };
-            self.store_answers(relay, span, Arrival::Watched(entry.clone()));
+            self.answer_from_store(relay, span, Arrival::Watched(entry.clone()));
         }
     }
 
-    fn store_answers(&mut self, to: usize, span: Duration, arrival: Arrival) {
+    fn answer_from_store(&mut self, to: usize, span: Duration, arrival: Arrival) {
         let place = self.instance_place(to);
         let Some(travel) = self.net.send(Place::Platform, place, Transport::Stream) else {
             return;
         };
-        let epoch = self.instances[to].epoch;
-        let happening = Happening::AtInstance {
+        let incarnation = self.instances[to].incarnation;
+        let occurrence = Occurrence::AtInstance {
             instance: to,
-            epoch,
+            incarnation,
             arrival,
         };
-        self.after(span + travel, happening);
+        self.schedule_after(span + travel, occurrence);
     }
 }
--- a/crates/policy/src/world/upstream.rs
+++ b/crates/policy/src/world/upstream.rs
@@ -12,22 +12,22 @@
     server::{Condition, Follow, Refusal, Written},
 };
 
-use super::{Happening, Kind, Logic, World, instance::Arrival};
+use super::{Kind, Logic, Occurrence, World, instance::Arrival};
 
 /// How long an upstream takes to answer a probe.
-const PROBE: Duration = Duration::from_micros(100);
+const PROBE_TIME: Duration = Duration::from_micros(100);
 /// How long it takes to change its settings and leave its primary.
-const FENCE: Duration = Duration::from_millis(5);
+const FENCE_TIME: Duration = Duration::from_millis(5);
 /// How long it takes from the order to lead to its first write.
-const PROMOTE: Duration = Duration::from_millis(50);
+const PROMOTE_TIME: Duration = Duration::from_millis(50);
 /// How long a replica waits before it connects to its primary again.
-const RECONNECT: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// How long a replica takes to flush what it received.
-const FLUSH: Duration = Duration::from_micros(300);
+const FLUSH_TIME: Duration = Duration::from_micros(300);
 
 /// What an upstream is asked.
 #[derive(Debug, Clone)]
-pub(super) enum Ask {
+pub(super) enum Message {
     /// The group's question or order, with the moment it was sent.
     Group(Call, Option<Order>),
     /// A write.
@@ -52,43 +52,50 @@
 }
 
 impl World {
-    pub(super) fn at_server(&mut self, server: usize, from: usize, ask: Ask) {
+    pub(super) fn at_server(&mut self, server: usize, from: usize, message: Message) {
         let now = self.now;
         match self.servers[server].condition {
             Condition::Silent => return,
-            Condition::Crashed => return self.refuse(server, from, &ask),
+            Condition::Crashed => return self.refuse(server, from, &message),
             Condition::Up => {}
         }
         if self.servers[server].stalled_until > now {
             let wait = self.servers[server].stalled_until.since(now);
-            return self.after(wait, Happening::AtServer { server, from, ask });
+            return self.schedule_after(
+                wait,
+                Occurrence::AtServer {
+                    server,
+                    from,
+                    message,
+                },
+            );
         }
-        match ask {
-            Ask::Group(call, order) => self.order(server, from, call, order),
-            Ask::Write(request, operation) => self.write(server, from, request, operation),
-            Ask::Read(request, look) => {
-                let found = look.filter(|it| self.servers[server].contains(*it));
+        match message {
+            Message::Group(call, order) => self.order(server, from, call, order),
+            Message::Write(request, operation) => self.write(server, from, request, operation),
+            Message::Read(request, lookup) => {
+                let found = lookup.filter(|it| self.servers[server].contains(*it));
                 let report = self.servers[server].report();
                 let seen = route::position(&report);
                 let age = Duration::ZERO;
-                self.ran(server, request, Effect::Read { seen, age });
+                self.record_ran(server, request, Effect::Read { seen, age });
                 let arrival = Arrival::Read(server, request, Some((report, found)));
                 self.reply(server, from, self.site.service_time, arrival);
             }
-            Ask::Poll(asked) => {
+            Message::Poll(asked) => {
                 let report = self.servers[server].report();
                 let arrival = Arrival::Polled(server, asked, report);
-                self.reply(server, from, PROBE, arrival);
+                self.reply(server, from, PROBE_TIME, arrival);
             }
         }
     }
 
-    fn refuse(&mut self, server: usize, from: usize, ask: &Ask) {
-        let arrival = match ask {
-            Ask::Group(call, _) => self.answer(server, *call, Err(Fault::Refused)),
-            Ask::Write(request, _) => Arrival::Wrote(server, *request, Reply::Unreachable),
-            Ask::Read(request, _) => Arrival::Read(server, *request, None),
-            Ask::Poll(_) => return,
+    fn refuse(&mut self, server: usize, from: usize, message: &Message) {
+        let arrival = match message {
+            Message::Group(call, _) => self.answer(server, *call, Err(Fault::Refused)),
+            Message::Write(request, _) => Arrival::Wrote(server, *request, Reply::Unreachable),
+            Message::Read(request, _) => Arrival::Read(server, *request, None),
+            Message::Poll(_) => return,
         };
         self.reply(server, from, Duration::ZERO, arrival);
     }
@@ -107,23 +114,23 @@
         let Some(travel) = self.net.send(from, place, Transport::Stream) else {
             return;
         };
-        let epoch = self.instances[to].epoch;
-        let happening = Happening::AtInstance {
+        let incarnation = self.instances[to].incarnation;
+        let occurrence = Occurrence::AtInstance {
             instance: to,
-            epoch,
+            incarnation,
             arrival,
         };
-        self.after(span + travel, happening);
+        self.schedule_after(span + travel, occurrence);
     }
 
     fn order(&mut self, server: usize, from: usize, call: Call, order: Option<Order>) {
         let (span, result) = match order {
-            None => (PROBE, Ok(self.servers[server].report())),
-            Some(Order::Fence { term }) => (FENCE, self.servers[server].fence(term)),
-            Some(Order::Promote { term }) => (PROMOTE, self.promote(server, term)),
+            None => (PROBE_TIME, Ok(self.servers[server].report())),
+            Some(Order::Fence { term }) => (FENCE_TIME, self.servers[server].fence(term)),
+            Some(Order::Promote { term }) => (PROMOTE_TIME, self.promote(server, term)),
             Some(Order::Follow { term, upstream }) => {
-                let leader = self.index(&upstream);
-                (FENCE, self.follow(server, Follow { leader, term }))
+                let leader = self.upstream_index(&upstream);
+                (FENCE_TIME, self.follow(server, Follow { leader, term }))
             }
         };
         let result = result.map_err(|refusal| match refusal {
@@ -144,10 +151,10 @@
     }
 
     fn promoted(&mut self, server: usize, term: Term, fork: Lsn) {
-        let at = self.now + PROMOTE;
+        let at = self.now + PROMOTE_TIME;
         self.servers[server].stalled_until = at;
         self.milestones.entry(term).or_default().promoted = Some(at);
-        self.tell(Event::Promoted {
+        self.record(Event::Promoted {
             database: self.database.clone(),
             term,
             fork,
@@ -158,7 +165,7 @@
         let known = self.servers[server].follow;
         self.servers[server].follow(follow)?;
         if known != Some(follow) {
-            self.after(Duration::ZERO, Happening::Connect { follower: server });
+            self.schedule_after(Duration::ZERO, Occurrence::Connect { follower: server });
         }
         Ok(self.servers[server].report())
     }
@@ -187,7 +194,7 @@
 
     fn connect_later(&mut self, follower: usize) {
         if self.connecting.insert(follower) {
-            self.after(RECONNECT, Happening::Connect { follower });
+            self.schedule_after(RECONNECT_DELAY, Occurrence::Connect { follower });
         }
     }
 
@@ -200,34 +207,34 @@
         let Some(span) = self.net.send(from, to, Transport::Stream) else {
             return self.connect_later(follower);
         };
-        let tail = self.tails.get(&follower).copied().unwrap_or_default();
-        let at = tail.max(self.now + span + FLUSH);
-        self.tails.insert(follower, at);
-        let happening = Happening::Stream {
+        let tail = self.stream_ends.get(&follower).copied().unwrap_or_default();
+        let at = tail.max(self.now + span + FLUSH_TIME);
+        self.stream_ends.insert(follower, at);
+        let occurrence = Occurrence::Stream {
             follower,
             follow,
             upto,
         };
-        self.timer.subscribe(at, happening);
+        self.timer.subscribe(at, occurrence);
     }
 
     pub(super) fn streamed(&mut self, follower: usize, follow: Follow, upto: usize) {
-        let here = &self.servers[follower];
-        if here.follow != Some(follow) || here.condition != Condition::Up {
+        let replica = &self.servers[follower];
+        if replica.follow != Some(follow) || replica.condition != Condition::Up {
             return;
         }
-        if here.stalled_until > self.now {
-            let happening = Happening::Stream {
+        if replica.stalled_until > self.now {
+            let occurrence = Occurrence::Stream {
                 follower,
                 follow,
                 upto,
             };
-            return self.after(here.stalled_until.since(self.now), happening);
+            return self.schedule_after(replica.stalled_until.since(self.now), occurrence);
         }
-        let have = here.log().len();
+        let have = replica.log().len();
         let leader = self.servers[follow.leader].log();
-        let news = leader.get(have..upto).unwrap_or_default().to_vec();
-        self.servers[follower].receive(&news);
+        let entries = leader.get(have..upto).unwrap_or_default().to_vec();
+        self.servers[follower].receive(&entries);
     }
 
     fn write(
@@ -242,12 +249,12 @@
         }
         let reply = match self.servers[server].write(operation) {
             Ok(Written::Added(at)) => {
-                self.ran(server, request, Effect::Write { at });
+                self.record_ran(server, request, Effect::Write { at });
                 self.replicate(server);
                 Reply::Ran(at, self.servers[server].report())
             }
             Ok(Written::Found(at)) => {
-                self.ran(server, request, Effect::AlreadyRun { at });
+                self.record_ran(server, request, Effect::AlreadyRun { at });
                 Reply::Ran(
                     self.servers[server].position(),
                     self.servers[server].report(),
@@ -259,8 +266,8 @@
         self.reply(server, from, span, Arrival::Wrote(server, request, reply));
     }
 
-    fn ran(&mut self, server: usize, request: check::Request, effect: Effect) {
-        self.tell(Event::Ran {
+    fn record_ran(&mut self, server: usize, request: check::Request, effect: Effect) {
+        self.record(Event::Ran {
             request,
             connection: Connection(server as u64),
             transaction: None,
@@ -281,14 +288,14 @@
     /// An upstream starts again with the disk it had.
     pub(super) fn restart(&mut self, server: usize) {
         self.servers[server].condition = Condition::Up;
-        self.after(Duration::ZERO, Happening::Connect { follower: server });
+        self.schedule_after(Duration::ZERO, Occurrence::Connect { follower: server });
     }
 
     /// An upstream's process dies, and with it the connections to it.
     pub(super) fn crash(&mut self, server: usize) {
         self.servers[server].condition = Condition::Crashed;
         for instance in 0..self.instances.len() {
-            for (request, kind) in self.instances[instance].under_way(server) {
+            for (request, kind) in self.instances[instance].in_flight(server) {
                 let arrival = match kind {
                     Kind::Write => Arrival::Wrote(server, request, Reply::Broken),
                     Kind::Read(_) => Arrival::Read(server, request, None),
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn quiet_time_changes_nothing() {
+fn jitter_causes_no_promotion() {
     for site in SITES {
-        let quiet = jitter::run(site, Duration::from_secs(30), SEED);
-        let broken = (quiet.promotions, quiet.lost, quiet.violations);
+        let outcome = jitter::run(site, Duration::from_secs(30), SEED);
+        let broken = (outcome.promotions, outcome.lost, outcome.violations);
         assert_eq!(broken, (0, 0, 0), "{}", site.name);
     }
 }
--- a/crates/policy/tests/broken.rs
+++ b/crates/policy/tests/broken.rs
@@ -35,7 +35,7 @@
     world.suite.violations().to_vec()
 }
 
-fn assert_told(broken: Logic, faults: &[Fault], expected: impl Fn(&Violation) -> bool) {
+fn assert_detected(broken: Logic, faults: &[Fault], expected: impl Fn(&Violation) -> bool) {
     assert_eq!(violations(Logic::Real, faults), []);
     let found = violations(broken, faults);
     assert!(found.iter().any(expected), "not told: {found:?}");
@@ -45,28 +45,28 @@
 /// with callers beside it, who go on booking there; another primary takes over.
 /// Cause: the broken logic acknowledges what the primary alone holds.
 #[test]
-fn acknowledged_at_once_is_lost() {
+fn unreplicated_acknowledgement_is_lost() {
     let cut = [Fault::Isolate(0)];
-    let lost = |v: &Violation| matches!(v, Violation::Lost { .. });
-    assert_told(Logic::AcknowledgeUnreplicated, &cut, lost);
+    let is_loss = |v: &Violation| matches!(v, Violation::Lost { .. });
+    assert_detected(Logic::AcknowledgeUnreplicated, &cut, is_loss);
 }
 
 /// Symptom and events as above; the checker of replaced primaries tells it too.
 #[test]
 fn acknowledged_by_replaced() {
     let cut = [Fault::Isolate(0)];
-    let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_told(Logic::AcknowledgeUnreplicated, &cut, told);
+    let is_violation = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
+    assert_detected(Logic::AcknowledgeUnreplicated, &cut, is_violation);
 }
 
 /// Symptom: a rider does not see the booking just made. Events: a replica
 /// stands still for a second. Cause: the broken logic ignores tokens.
 #[test]
-fn forgotten_token() {
+fn ignored_token() {
     let behind = [Fault::Stall(2, Duration::from_millis(900))];
     let slow = [Fault::Stall(1, Duration::from_millis(900)), behind[0]];
-    let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_told(Logic::IgnoreTokens, &slow, told);
+    let is_violation = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
+    assert_detected(Logic::IgnoreTokens, &slow, is_violation);
 }
 
 /// Symptom: a current read misses what another caller was told is done. Events:
@@ -75,13 +75,13 @@
 #[test]
 fn unverified_answer() {
     let cut = [Fault::Isolate(0)];
-    let told = |v: &Violation| {
+    let is_violation = |v: &Violation| {
         matches!(
             v,
             Violation::NotCurrent { .. } | Violation::OwnWriteUnseen { .. }
         )
     };
-    assert_told(Logic::Unverified, &cut, told);
+    assert_detected(Logic::Unverified, &cut, is_violation);
 }
 
 /// Symptom: a payment that was refused as not run is booked. Events: the
@@ -90,8 +90,8 @@
 #[test]
 fn false_not_run() {
     let crash = [Fault::Crash(0)];
-    let told = |v: &Violation| matches!(v, Violation::RanAfterAll { .. });
-    assert_told(Logic::ClaimNotRun, &crash, told);
+    let is_violation = |v: &Violation| matches!(v, Violation::RanAfterAll { .. });
+    assert_detected(Logic::ClaimNotRun, &crash, is_violation);
 }
 
 /// Symptom: an order reaches the stacks staff twice. Events: an instance dies
@@ -99,16 +99,16 @@
 /// broken upstream keeps no ledger of request ids.
 #[test]
 fn no_ledger() {
-    let deaths = [Fault::Kill(0), Fault::Kill(1), Fault::Kill(2)];
-    let told = |v: &Violation| matches!(v, Violation::Twice { .. });
-    assert_told(Logic::NoLedger, &deaths, told);
+    let kills = [Fault::Kill(0), Fault::Kill(1), Fault::Kill(2)];
+    let is_violation = |v: &Violation| matches!(v, Violation::Twice { .. });
+    assert_detected(Logic::NoLedger, &kills, is_violation);
 }
 
 /// Symptom: as for the first. Events: the primary crashes and the promoter dies
 /// on ordering the promotion. Cause: as for the first.
 #[test]
-fn acknowledged_at_once_with_dying_promoter() {
+fn unreplicated_acknowledgement_with_dying_promoter() {
     let faults = [Fault::KillOn(Step::Promote), Fault::Isolate(0)];
-    let lost = |v: &Violation| matches!(v, Violation::Lost { .. });
-    assert_told(Logic::AcknowledgeUnreplicated, &faults, lost);
+    let is_loss = |v: &Violation| matches!(v, Violation::Lost { .. });
+    assert_detected(Logic::AcknowledgeUnreplicated, &faults, is_loss);
 }
--- a/crates/policy/tests/differential.rs
+++ b/crates/policy/tests/differential.rs
@@ -16,11 +16,11 @@
 
 const CASES: u32 = 24;
 const BEGIN: Instant = Instant::from_millis(1_200);
-const FAULTS: u64 = 3_000;
+const FAULT_SPAN_MS: u64 = 3_000;
 
 fn conf() -> ProptestConfig {
-    let hunt = std::env::var("DANDELIONLINK_HUNT").ok();
-    let cases: Option<u32> = hunt.and_then(|text| text.parse().ok());
+    let requested = std::env::var("DANDELIONLINK_HUNT").ok();
+    let cases: Option<u32> = requested.and_then(|text| text.parse().ok());
     let fixed = ProptestConfig {
         cases: CASES,
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -65,20 +65,20 @@
 /// Scripts of three callers: each writes numbers of its own, and looks for its
 /// own numbers, written before or never.
 fn scripts() -> impl Strategy<Value = Vec<Vec<Command>>> {
-    let line = (any::<bool>(), 0u64..40);
-    let script = prop::collection::vec(line, 20..60);
+    let command = (any::<bool>(), 0u64..40);
+    let script = prop::collection::vec(command, 20..60);
     prop::collection::vec(script, 3).prop_map(|scripts| {
         let numbered = scripts.into_iter().enumerate();
         numbered
-            .map(|(caller, lines)| own(caller, &lines))
+            .map(|(caller, draws)| commands(caller, &draws))
             .collect()
     })
 }
 
-fn own(caller: usize, lines: &[(bool, u64)]) -> Vec<Command> {
+fn commands(caller: usize, draws: &[(bool, u64)]) -> Vec<Command> {
     let base = (caller as u64 + 1) * 1_000_000;
     let mut written = 0;
-    let lines = lines.iter().map(|&(writes, back)| {
+    let commands = draws.iter().map(|&(writes, back)| {
         if writes {
             written += 1;
             return Command::Write(base + written);
@@ -86,10 +86,10 @@
         // Looks for one of the last writes, or for one that was never written.
         Command::Read(base + (written + 2).saturating_sub(back % 8))
     });
-    lines.collect()
+    commands.collect()
 }
 
-fn play(
+fn simulate(
     site: Site,
     logic: Logic,
     seed: u64,
@@ -103,7 +103,7 @@
     for &(after, fault) in faults {
         world.schedule(BEGIN + Duration::from_millis(after), fault);
     }
-    let heal = BEGIN + Duration::from_millis(FAULTS);
+    let heal = BEGIN + Duration::from_millis(FAULT_SPAN_MS);
     world.run(heal);
     for fault in [Fault::Heal, Fault::StoreUp] {
         world.schedule(heal, fault);
@@ -115,17 +115,18 @@
 }
 
 /// What a caller was told of each line, by the line's place in its script.
-fn answers(said: &[CommandResult]) -> HashMap<usize, CommandResult> {
-    said.iter().copied().enumerate().collect()
+fn by_index(results: &[CommandResult]) -> HashMap<usize, CommandResult> {
+    results.iter().copied().enumerate().collect()
 }
 
-fn done(said: &[CommandResult], line: Command) -> bool {
-    said.iter()
-        .any(|s| s.command == line && s.outcome == Outcome::Done)
+fn done(results: &[CommandResult], command: Command) -> bool {
+    results
+        .iter()
+        .any(|s| s.command == command && s.outcome == Outcome::Done)
 }
 
-fn written(said: &[CommandResult], upto: usize, number: u64) -> Option<bool> {
-    let before = said[..upto].iter().rev();
+fn written(results: &[CommandResult], upto: usize, number: u64) -> Option<bool> {
+    let before = results[..upto].iter().rev();
     let mut before = before.filter(|s| s.command == Command::Write(number));
     match before.next()?.outcome {
         Outcome::Done => Some(true),
@@ -137,27 +138,28 @@
 /// Whether the two agree on every look that both answered, about a write that
 /// both were told the same of.
 fn assert_agree(real: &[CommandResult], naive: &[CommandResult]) -> Result<(), TestCaseError> {
-    let naively = answers(naive);
-    for (place, said) in real.iter().enumerate() {
-        let (Command::Read(number), Some(other)) = (said.command, naively.get(&place)) else {
+    let naive_results = by_index(naive);
+    for (index, result) in real.iter().enumerate() {
+        let (Command::Read(number), Some(other)) = (result.command, naive_results.get(&index))
+        else {
             continue;
         };
-        if said.outcome != Outcome::Done || other.outcome != Outcome::Done {
+        if result.outcome != Outcome::Done || other.outcome != Outcome::Done {
             continue;
         }
         let never = !done(real, Command::Write(number))
             && !real.iter().any(|s| s.command == Command::Write(number));
-        let ours = written(real, place, number);
-        let theirs = written(naive, place, number);
+        let ours = written(real, index, number);
+        let theirs = written(naive, index, number);
         if never || (ours.is_some() && ours == theirs) {
             prop_assert_eq!(
-                said.found,
+                result.found,
                 other.found,
                 "line {} looks for {}",
-                place,
+                index,
                 number
             );
-            prop_assert_eq!(said.found, !never && ours == Some(true));
+            prop_assert_eq!(result.found, !never && ours == Some(true));
         }
     }
     Ok(())
@@ -171,10 +173,10 @@
         site in prop::sample::select(SITES.to_vec()),
         seed in any::<u64>(),
         scripts in scripts(),
-        faults in prop::collection::vec((0..FAULTS, fault()), 0..6),
+        faults in prop::collection::vec((0..FAULT_SPAN_MS, fault()), 0..6),
     ) {
-        let mut real = play(site, Logic::Real, seed, &scripts, &faults);
-        let heal = BEGIN + Duration::from_millis(FAULTS);
+        let mut real = simulate(site, Logic::Real, seed, &scripts, &faults);
+        let heal = BEGIN + Duration::from_millis(FAULT_SPAN_MS);
         let load = Load { callers: 1, interval: Duration::from_millis(50), read_percent: 30, roam_percent: 20 };
         real.start_load(heal, load);
         let end = heal + Duration::from_millis(6_000);
@@ -186,7 +188,7 @@
         let late = real.acknowledgements().iter().filter(|l| l.asked > end - Duration::from_millis(1_000));
         prop_assert!(late.count() > 5, "service is not back");
 
-        let mut naive = play(site, Logic::Naive, seed, &scripts, &faults);
+        let mut naive = simulate(site, Logic::Naive, seed, &scripts, &faults);
         naive.run(end);
         for (ours, theirs) in real.results().iter().zip(naive.results()) {
             assert_agree(ours, theirs)?;
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -18,7 +18,7 @@
 };
 
 /// When the faults come.
-const FAIL: Instant = Instant::from_millis(2_000);
+const FAULT_TIME: Instant = Instant::from_millis(2_000);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -35,15 +35,15 @@
     let mut world = World::open(site, seed);
     world.start_load(Instant::from_millis(1_000), LOAD);
     for &(after, fault) in faults {
-        world.schedule(FAIL + ms(after), fault);
+        world.schedule(FAULT_TIME + ms(after), fault);
     }
     world
 }
 
 /// Heals all at `after`, lets the callers go on, and checks that service is
 /// back, that no promise was broken and that nothing is lost.
-fn assert_whole(world: &mut World, after: u64) {
-    let heal = FAIL + ms(after);
+fn assert_recovers(world: &mut World, after: u64) {
+    let heal = FAULT_TIME + ms(after);
     world.run(heal);
     for fault in [Fault::Heal, Fault::StoreUp] {
         world.schedule(heal, fault);
@@ -67,9 +67,12 @@
 /// The first acknowledgement of a write that was asked after the fault, of a
 /// term after `term`, from the fault on.
 fn gap(world: &World, term: u64) -> Option<Duration> {
-    let after = world.acknowledgements().iter().filter(|l| l.asked >= FAIL);
+    let after = world
+        .acknowledgements()
+        .iter()
+        .filter(|l| l.asked >= FAULT_TIME);
     let after = after.filter(|l| l.term > Term(term));
-    after.map(|l| l.at.since(FAIL)).min()
+    after.map(|l| l.at.since(FAULT_TIME)).min()
 }
 
 /// Symptom: two riders in one arena. Events: a partition cuts the primary off
@@ -79,16 +82,16 @@
 #[test]
 fn primary_cut_off() {
     let mut world = world(UMURAGE, 1, &[(0, Fault::Isolate(0))]);
-    world.run(FAIL + ms(2_000));
+    world.run(FAULT_TIME + ms(2_000));
     assert!(gap(&world, 1).unwrap() < ms(2_000));
-    let zombie = &world.servers[0];
+    let former = &world.servers[0];
     assert_eq!(
-        (zombie.role(), zombie.position().term),
+        (former.role(), former.position().term),
         (Role::Primary, Term(1))
     );
-    let beside = world.acknowledgements().iter().filter(|l| l.zone == 0);
-    assert!(beside.filter(|l| l.at > FAIL + ms(20)).count() == 0);
-    assert_whole(&mut world, 2_500);
+    let in_zone = world.acknowledgements().iter().filter(|l| l.zone == 0);
+    assert!(in_zone.filter(|l| l.at > FAULT_TIME + ms(20)).count() == 0);
+    assert_recovers(&mut world, 2_500);
     assert_eq!(world.servers[0].role(), Role::Replica);
 }
 
@@ -98,8 +101,8 @@
 #[test]
 fn replica_far_behind() {
     let mut world = world(STALGENOOT, 2, &[(0, Fault::Silence(0))]);
-    world.schedule(FAIL - ms(700), Fault::Stall(2, ms(650)));
-    assert_whole(&mut world, 2_000);
+    world.schedule(FAULT_TIME - ms(700), Fault::Stall(2, ms(650)));
+    assert_recovers(&mut world, 2_000);
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
@@ -115,7 +118,7 @@
     ];
     let mut world = world(UMURAGE, 3, &deaths);
     world.start_load(Instant::from_millis(1_000), DENSE);
-    assert_whole(&mut world, 1_000);
+    assert_recovers(&mut world, 1_000);
     assert_eq!(world.leader(), Some(0));
     assert!(world.tally().unknown > 0);
 }
@@ -126,10 +129,10 @@
 #[test]
 fn store_down() {
     let mut world = world(STALGENOOT, 4, &[(0, Fault::StoreDown)]);
-    world.run(FAIL + ms(10_000));
+    world.run(FAULT_TIME + ms(10_000));
     assert_eq!(world.tally().not_run, 0);
     assert_eq!(world.tally().unknown, 0);
-    assert_whole(&mut world, 10_000);
+    assert_recovers(&mut world, 10_000);
 }
 
 /// Symptom: two primaries, or none. Events: the primary crashes while the store
@@ -139,7 +142,7 @@
 fn store_slow_and_crash() {
     let slow = Fault::StoreSlow(ms(500));
     let mut world = world(UMURAGE, 5, &[(0, slow), (0, Fault::Crash(0))]);
-    assert_whole(&mut world, 4_000);
+    assert_recovers(&mut world, 4_000);
     assert!(gap(&world, 1).unwrap() < ms(3_000));
 }
 
@@ -154,7 +157,7 @@
         (3_000, Fault::StoreUp),
     ];
     let mut world = world(UMURAGE, 6, &faults);
-    assert_whole(&mut world, 5_000);
+    assert_recovers(&mut world, 5_000);
     assert!(gap(&world, 1).unwrap() < ms(4_500));
 }
 
@@ -166,7 +169,7 @@
 fn store_answer_lost() {
     let faults = [(0, Fault::LoseAnswers(2)), (0, Fault::Crash(0))];
     let mut world = world(UMURAGE, 7, &faults);
-    assert_whole(&mut world, 2_000);
+    assert_recovers(&mut world, 2_000);
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
@@ -179,7 +182,7 @@
     for step in [Step::Claim, Step::Fence, Step::Promote, Step::Record] {
         let pause = Fault::PauseOn(step, ms(2_000));
         let mut world = world(UMURAGE, 8, &[(0, pause), (0, Fault::Crash(0))]);
-        assert_whole(&mut world, 4_000);
+        assert_recovers(&mut world, 4_000);
         assert!(gap(&world, 1).unwrap() < ms(1_500), "{step:?}");
     }
 }
@@ -192,7 +195,7 @@
     for step in [Step::Claim, Step::Fence, Step::Promote, Step::Record] {
         let faults = [(0, Fault::KillOn(step)), (0, Fault::Crash(0))];
         let mut world = world(STALGENOOT, 9, &faults);
-        assert_whole(&mut world, 3_000);
+        assert_recovers(&mut world, 3_000);
         assert!(gap(&world, 1).unwrap() < ms(1_500), "{step:?}");
     }
 }
@@ -203,7 +206,7 @@
 #[test]
 fn primary_paused_and_unaware() {
     let mut world = world(STALGENOOT, 10, &[(0, Fault::Stall(0, ms(3_000)))]);
-    assert_whole(&mut world, 3_500);
+    assert_recovers(&mut world, 3_500);
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
@@ -213,13 +216,16 @@
 #[test]
 fn cut_off_twice() {
     let mut world = world(UMURAGE, 11, &[(0, Fault::Isolate(0)), (1_500, Fault::Heal)]);
-    world.run(FAIL + ms(3_000));
+    world.run(FAULT_TIME + ms(3_000));
     let second = world.leader().unwrap();
     assert_ne!(second, 0);
-    world.schedule(FAIL + ms(3_000), Fault::Isolate(world.servers[second].zone));
-    world.run(FAIL + ms(5_500));
+    world.schedule(
+        FAULT_TIME + ms(3_000),
+        Fault::Isolate(world.servers[second].zone),
+    );
+    world.run(FAULT_TIME + ms(5_500));
     assert!(gap(&world, 2).unwrap() < ms(5_500));
-    assert_whole(&mut world, 6_000);
+    assert_recovers(&mut world, 6_000);
 }
 
 /// Symptom: a primary without a majority. Events: the primary crashes and the
@@ -228,7 +234,7 @@
 #[test]
 fn crash_without_a_majority() {
     let mut world = world(UMURAGE, 12, &[(0, Fault::Crash(0)), (0, Fault::Isolate(1))]);
-    world.run(FAIL + ms(2_500));
+    world.run(FAULT_TIME + ms(2_500));
     assert_eq!(gap(&world, 1), None);
     assert!(
         world
@@ -236,7 +242,7 @@
             .values()
             .all(|milestones| milestones.promoted.is_none())
     );
-    assert_whole(&mut world, 2_500);
+    assert_recovers(&mut world, 2_500);
 }
 
 /// Symptom: a cut off zone stops serving reads that it could serve, or serves
@@ -245,9 +251,9 @@
 #[test]
 fn replica_zone_cut_off() {
     let mut world = world(STALGENOOT, 13, &[(0, Fault::Isolate(1))]);
-    world.run(FAIL + ms(2_000));
+    world.run(FAULT_TIME + ms(2_000));
     assert_eq!(world.leader(), Some(0));
-    assert_whole(&mut world, 2_500);
+    assert_recovers(&mut world, 2_500);
 }
 
 /// Symptom: none may show. Events: every zone is parted from every other and
@@ -257,10 +263,13 @@
 fn all_zones_apart() {
     let faults = [0, 1, 2].map(|zone| (0, Fault::Isolate(zone)));
     let mut world = world(UMURAGE, 14, &faults);
-    world.run(FAIL + ms(2_000));
-    let during = world.acknowledgements().iter().filter(|l| l.asked > FAIL);
+    world.run(FAULT_TIME + ms(2_000));
+    let during = world
+        .acknowledgements()
+        .iter()
+        .filter(|l| l.asked > FAULT_TIME);
     assert_eq!(during.count(), 0);
-    assert_whole(&mut world, 2_000);
+    assert_recovers(&mut world, 2_000);
 }
 
 /// Symptom: two primaries in one term. Events: the primary is cut off, and the
@@ -273,7 +282,7 @@
         (0, Fault::KillOn(Step::Fence)),
     ];
     let mut world = world(UMURAGE, 15, &faults);
-    assert_whole(&mut world, 4_000);
+    assert_recovers(&mut world, 4_000);
     assert!(gap(&world, 1).unwrap() < ms(2_500));
 }
 
--- a/crates/policy/tests/seats.rs
+++ b/crates/policy/tests/seats.rs
@@ -26,7 +26,7 @@
     lease: Lease,
     seat: Seat,
     pool: Option<Pool>,
-    paused: Instant,
+    paused_until: Instant,
 }
 
 /// A store with one key under leases, an upstream, and two instances.
@@ -37,7 +37,7 @@
     key: Option<(usize, Epoch, Id)>,
     revision: u64,
     open: BTreeMap<u64, usize>,
-    made: u64,
+    last_id: u64,
     fencing: Fencing,
     suite: Suite,
 }
@@ -52,7 +52,7 @@
             lease: Lease::open(9),
             seat: Seat::default(),
             pool: None,
-            paused: Instant::ZERO,
+            paused_until: Instant::ZERO,
         };
         let mut suite = Suite::default();
         let limited = Event::Limited {
@@ -67,7 +67,7 @@
             key: None,
             revision: 0,
             open: BTreeMap::new(),
-            made: 0,
+            last_id: 0,
             fencing,
             suite,
         }
@@ -81,7 +81,7 @@
             let leases = &self.leases;
             self.key = self.key.filter(|(_, _, id)| leases.contains_key(&id.0));
             for i in 0..2 {
-                if self.instances[i].paused <= now {
+                if self.instances[i].paused_until <= now {
                     self.step(i);
                 }
             }
@@ -92,7 +92,7 @@
         let now = self.now;
         let actions = self.instances[i].lease.step(now, lease::Event::Tick);
         for action in actions {
-            let answer = self.keep(action);
+            let answer = self.answer_lease(action);
             self.instances[i].lease.step(now, answer);
         }
         let status = self.instances[i].lease.status(now);
@@ -103,11 +103,11 @@
         self.use_seat(i);
     }
 
-    fn keep(&mut self, action: lease::Action) -> lease::Event {
+    fn answer_lease(&mut self, action: lease::Action) -> lease::Event {
         match action {
             lease::Action::Grant(attempt, ttl) => {
-                self.made += 1;
-                let id = Id(self.made as i64);
+                self.last_id += 1;
+                let id = Id(self.last_id as i64);
                 self.leases.insert(id.0, self.now + ttl);
                 lease::Event::Granted(attempt, id)
             }
@@ -205,10 +205,10 @@
                 continue;
             };
             pool.step(now, pool::Event::Opened(generation));
-            self.made += 1;
-            self.open.insert(self.made, i);
+            self.last_id += 1;
+            self.open.insert(self.last_id, i);
             let opened = Event::Opened {
-                connection: Connection(self.made),
+                connection: Connection(self.last_id),
                 upstream: upstream(),
                 entry: None,
             };
@@ -216,7 +216,7 @@
         }
     }
 
-    fn held(&self, i: usize) -> usize {
+    fn open_connections(&self, i: usize) -> usize {
         self.open.values().filter(|&&holder| holder == i).count()
     }
 }
@@ -226,8 +226,8 @@
     let mut world = World::open(fencing);
     world.seat(0, seat::Event::Wanted);
     world.run(Instant::from_millis(2_000));
-    assert_eq!(world.held(0), 15);
-    world.instances[0].paused = Instant::from_millis(14_000);
+    assert_eq!(world.open_connections(0), 15);
+    world.instances[0].paused_until = Instant::from_millis(14_000);
     world.seat(1, seat::Event::Wanted);
     world.run(Instant::from_millis(20_000));
     world
@@ -241,13 +241,16 @@
 fn holder_paused_past_its_lease() {
     let world = pause_holder(Fencing::Done);
     assert_eq!(world.suite.violations(), []);
-    assert_eq!((world.held(0), world.held(1)), (0, 15));
+    assert_eq!(
+        (world.open_connections(0), world.open_connections(1)),
+        (0, 15)
+    );
 }
 
 /// The same without fencing: the checker tells that the limit is exceeded.
 #[test]
 fn unfenced_holder_exceeds_the_limit() {
     let world = pause_holder(Fencing::Skipped);
-    let told = |v: &Violation| matches!(v, Violation::LimitExceeded { .. });
-    assert!(world.suite.violations().iter().any(told));
+    let is_violation = |v: &Violation| matches!(v, Violation::LimitExceeded { .. });
+    assert!(world.suite.violations().iter().any(is_violation));
 }
