--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -1,8 +1,9 @@
-//! Regression bounds on the bench's figures, which a seed fixes exactly.
+//! Regression bounds on the simulations' results, which are deterministic for a
+//! seed.
 //!
-//! Run small, so that they end in seconds without optimisation; the whole
-//! bench is `cargo run --release --bin policy`. A bound leaves room for what a
-//! change of draws moves, not for a change of policy.
+//! The runs are small enough to end in seconds without optimisation; `cargo run
+//! --release --bin policy` does a full run. The bounds allow for different
+//! random draws but not for a change of policy.
 
 use std::time::Duration;
 
@@ -21,7 +22,8 @@
     gap::summary(trials.iter())
 }
 
-/// No trial may lose a write, break a promise or end without a primary.
+/// Asserts that no trial loses a write, violates consistency or stays without a
+/// primary, and that the longest gap is within the bound.
 fn assert_gap(site: Site, kind: Kind, longest_ms: f64) {
     let found = summary(site, kind);
     let broken = (found.lost, found.violations, found.never);
@@ -47,7 +49,7 @@
 fn gap_with_a_bad_store() {
     assert_gap(UMURAGE, Kind::StoreSlow, 1_000.0);
     assert_gap(UMURAGE, Kind::StoreLost, 500.0);
-    // The store is back after three seconds; nobody may lead before that.
+    // The store recovers after three seconds; no promotion may happen before.
     assert_gap(UMURAGE, Kind::StoreDown, 3_600.0);
 }
 
@@ -91,6 +93,9 @@
         assert_eq!(found.violations, 0);
         assert!(found.goodput_5x >= 0.95, "{found:?}");
         assert!(found.high_deadline_met_5x >= 0.99, "{found:?}");
-        assert!(found.naive_goodput_5x < 0.5, "the baseline shows nothing");
+        assert!(
+            found.naive_goodput_5x < 0.5,
+            "the baseline keeps its goodput"
+        );
     }
 }
--- a/crates/policy/tests/broken.rs
+++ b/crates/policy/tests/broken.rs
@@ -1,5 +1,6 @@
-//! The checkers over the whole chain: each deliberately broken logic is told,
-//! under a fault that makes it show, and the real logic is silent there.
+//! Tests of the checkers over the whole chain: each deliberately broken logic
+//! must be detected under a suitable fault, and the real logic must pass under
+//! the same fault.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
     world::{Fault, Load, Logic, Step, World},
 };
 
-/// Dense enough that a fault always finds requests under way.
+/// Load dense enough that requests are always in flight when a fault occurs.
 const LOAD: Load = Load {
     callers: 10,
     interval: Duration::from_millis(10),
@@ -18,7 +19,7 @@
     roam_percent: 20,
 };
 
-/// Runs a logic through faults at two seconds, and heals all at three.
+/// Runs a logic with faults at two seconds, which are healed at three seconds.
 fn violations(logic: Logic, faults: &[Fault]) -> Vec<Violation> {
     let mut world = World::open_with(STALGENOOT, 11, logic);
     world.start_load(Instant::from_millis(1_000), LOAD);
@@ -38,12 +39,13 @@
 fn assert_detected(broken: Logic, faults: &[Fault], expected: impl Fn(&Violation) -> bool) {
     assert_eq!(violations(Logic::Real, faults), []);
     let found = violations(broken, faults);
-    assert!(found.iter().any(expected), "not told: {found:?}");
+    assert!(found.iter().any(expected), "not detected: {found:?}");
 }
 
-/// Symptom: a confirmed booking is gone. Events: the primary's zone is cut off
-/// with callers beside it, who go on booking there; another primary takes over.
-/// Cause: the broken logic acknowledges what the primary alone holds.
+/// Guards against a checker that misses a lost acknowledged write: the
+/// primary's zone is partitioned off with callers in it, another primary takes
+/// over, and the broken logic has acknowledged writes that only the old primary
+/// has.
 #[test]
 fn unreplicated_acknowledgement_is_lost() {
     let cut = [Fault::Isolate(0)];
@@ -51,7 +53,8 @@
     assert_detected(Logic::AcknowledgeUnreplicated, &cut, is_loss);
 }
 
-/// Symptom and events as above; the checker of replaced primaries tells it too.
+/// Like the test above, but the write must also be reported by the checker for
+/// acknowledgements by a replaced primary.
 #[test]
 fn acknowledged_by_replaced() {
     let cut = [Fault::Isolate(0)];
@@ -59,8 +62,8 @@
     assert_detected(Logic::AcknowledgeUnreplicated, &cut, is_violation);
 }
 
-/// Symptom: a rider does not see the booking just made. Events: a replica
-/// stands still for a second. Cause: the broken logic ignores tokens.
+/// Guards against a checker that misses a read without the session's own write:
+/// two replicas stall for almost a second and the broken logic ignores tokens.
 #[test]
 fn ignored_token() {
     let behind = [Fault::Stall(2, Duration::from_millis(900))];
@@ -69,9 +72,9 @@
     assert_detected(Logic::IgnoreTokens, &slow, is_violation);
 }
 
-/// Symptom: a current read misses what another caller was told is done. Events:
-/// the primary's zone is cut off. Cause: the broken logic believes whoever
-/// answers, also a primary that was replaced, and asks no majority.
+/// Guards against a checker that misses stale current reads: the primary's zone
+/// is partitioned off and the broken logic trusts the answer of a replaced
+/// primary without asking a majority.
 #[test]
 fn unverified_answer() {
     let cut = [Fault::Isolate(0)];
@@ -84,9 +87,9 @@
     assert_detected(Logic::Unverified, &cut, is_violation);
 }
 
-/// Symptom: a payment that was refused as not run is booked. Events: the
-/// primary crashes with writes under way. Cause: the broken logic takes a
-/// broken connection for a request that did not run.
+/// Guards against a checker that misses a write reported as not run that did
+/// run: the primary crashes with writes in flight and the broken logic takes a
+/// lost connection for a request that did not run.
 #[test]
 fn false_not_run() {
     let crash = [Fault::Crash(0)];
@@ -94,8 +97,8 @@
     assert_detected(Logic::ClaimNotRun, &crash, is_violation);
 }
 
-/// Symptom: an order reaches the stacks staff twice. Events: an instance dies
-/// with orders under way, whose callers repeat them elsewhere. Cause: the
+/// Guards against a checker that misses a write executed twice: instances die
+/// with writes in flight, callers repeat them at other instances, and the
 /// broken upstream keeps no ledger of request ids.
 #[test]
 fn no_ledger() {
@@ -104,8 +107,8 @@
     assert_detected(Logic::NoLedger, &kills, is_violation);
 }
 
-/// Symptom: as for the first. Events: the primary crashes and the promoter dies
-/// on ordering the promotion. Cause: as for the first.
+/// Guards against a checker that misses a lost acknowledged write when, in
+/// addition to the partition, the promoter dies on ordering the promotion.
 #[test]
 fn unreplicated_acknowledgement_with_dying_promoter() {
     let faults = [Fault::KillOn(Step::Promote), Fault::Isolate(0)];
--- a/crates/policy/tests/differential.rs
+++ b/crates/policy/tests/differential.rs
@@ -1,8 +1,9 @@
-//! The real logic against a naive one on the same fakes, under seeded faults.
+//! Differential test of the real logic against a naive one on the same fakes,
+//! under seeded faults.
 //!
-//! The naive one sends all to upstream 0 and passes its answers on. Wherever
-//! both answered, they must agree. `DANDELIONLINK_HUNT` asks for that many
-//! cases from a fresh seed instead of the fixed ones.
+//! The naive logic sends all requests to upstream 0 and passes its answers on.
+//! Wherever both give an answer, the answers must agree. `DANDELIONLINK_HUNT`
+//! sets the number of cases and uses a fresh seed instead of the fixed one.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -62,8 +63,8 @@
     ]
 }
 
-/// Scripts of three callers: each writes numbers of its own, and looks for its
-/// own numbers, written before or never.
+/// Generates scripts of three callers. Each caller writes numbers of its own
+/// and reads its own numbers, whether written before or never.
 fn scripts() -> impl Strategy<Value = Vec<Vec<Command>>> {
     let command = (any::<bool>(), 0u64..40);
     let script = prop::collection::vec(command, 20..60);
@@ -83,7 +84,7 @@
             written += 1;
             return Command::Write(base + written);
         }
-        // Looks for one of the last writes, or for one that was never written.
+        // Reads one of the last writes or one that was never written.
         Command::Read(base + (written + 2).saturating_sub(back % 8))
     });
     commands.collect()
@@ -114,7 +115,7 @@
     world
 }
 
-/// What a caller was told of each line, by the line's place in its script.
+/// Returns the results of a caller by the index of their commands.
 fn by_index(results: &[CommandResult]) -> HashMap<usize, CommandResult> {
     results.iter().copied().enumerate().collect()
 }
@@ -135,8 +136,8 @@
     }
 }
 
-/// Whether the two agree on every look that both answered, about a write that
-/// both were told the same of.
+/// Asserts that both logics agree on every read that both answered about a
+/// write with the same outcome in both.
 fn assert_agree(real: &[CommandResult], naive: &[CommandResult]) -> Result<(), TestCaseError> {
     let naive_results = by_index(naive);
     for (index, result) in real.iter().enumerate() {
@@ -155,7 +156,7 @@
             prop_assert_eq!(
                 result.found,
                 other.found,
-                "line {} looks for {}",
+                "command {} reads {}",
                 index,
                 number
             );
@@ -177,7 +178,12 @@
     ) {
         let mut real = simulate(site, Logic::Real, seed, &scripts, &faults);
         let heal = BEGIN + Duration::from_millis(FAULT_SPAN_MS);
-        let load = Load { callers: 1, interval: Duration::from_millis(50), read_percent: 30, roam_percent: 20 };
+        let load = Load {
+            callers: 1,
+            interval: Duration::from_millis(50),
+            read_percent: 30,
+            roam_percent: 20,
+        };
         real.start_load(heal, load);
         let end = heal + Duration::from_millis(6_000);
         real.run(end);
@@ -185,7 +191,10 @@
         real.run(end + Duration::from_millis(1_500));
         real.finish();
         prop_assert_eq!(real.suite.violations(), &[]);
-        let late = real.acknowledgements().iter().filter(|l| l.asked > end - Duration::from_millis(1_000));
+        let late = real
+            .acknowledgements()
+            .iter()
+            .filter(|l| l.asked > end - Duration::from_millis(1_000));
         prop_assert!(late.count() > 5, "service is not back");
 
         let mut naive = simulate(site, Logic::Naive, seed, &scripts, &faults);
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What fails, one test for each line and for pairs that come together.
+//! Tests of single failures and of pairs of failures that occur together.
 
 use std::time::Duration;
 
@@ -17,20 +17,21 @@
     roam_percent: 20,
 };
 
-/// When the faults come.
+/// Time of the faults.
 const FAULT_TIME: Instant = Instant::from_millis(2_000);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Dense enough that a death always finds requests under way.
+/// Load dense enough that requests are always in flight when an instance dies.
 const DENSE: Load = Load {
     callers: 10,
     ..LOAD
 };
 
-/// A world whose callers are at work when the faults come.
+/// Opens a world under load with the given faults, in milliseconds after
+/// [`FAULT_TIME`].
 fn world(site: Site, seed: u64, faults: &[(u64, Fault)]) -> World {
     let mut world = World::open(site, seed);
     world.start_load(Instant::from_millis(1_000), LOAD);
@@ -40,8 +41,9 @@
     world
 }
 
-/// Heals all at `after`, lets the callers go on, and checks that service is
-/// back, that no promise was broken and that nothing is lost.
+/// Heals all faults `after` milliseconds past [`FAULT_TIME`], keeps the load
+/// up, and asserts that service is back, consistency holds and no write is
+/// lost.
 fn assert_recovers(world: &mut World, after: u64) {
     let heal = FAULT_TIME + ms(after);
     world.run(heal);
@@ -64,8 +66,8 @@
     assert!(late.count() > 20, "service is not back");
 }
 
-/// The first acknowledgement of a write that was asked after the fault, of a
-/// term after `term`, from the fault on.
+/// Returns the time from the fault to the first acknowledgement, in a term
+/// after `term`, of a write sent after the fault.
 fn gap(world: &World, term: u64) -> Option<Duration> {
     let after = world
         .acknowledgements()
@@ -75,10 +77,9 @@
     after.map(|l| l.at.since(FAULT_TIME)).min()
 }
 
-/// Symptom: two riders in one arena. Events: a partition cuts the primary off
-/// with its zone, where callers and instances go on asking it; it believes that
-/// it leads and runs their bookings. Cause to rule out: an acknowledgement that
-/// rests on the primary's own word.
+/// Guards against split brain: the primary's zone is partitioned off with
+/// callers and instances in it, and the old primary goes on running their
+/// writes. Its word alone must not acknowledge them.
 #[test]
 fn primary_cut_off() {
     let mut world = world(UMURAGE, 1, &[(0, Fault::Isolate(0))]);
@@ -95,9 +96,8 @@
     assert_eq!(world.servers[0].role(), Role::Replica);
 }
 
-/// Symptom: the group stands still, or an old state leads. Events: one replica
-/// stands far behind when the primary's host goes silent. Cause to rule out:
-/// promoting whichever replica answers first.
+/// Guards against promoting whichever replica answers first: one replica lags
+/// far behind when the primary's host goes silent.
 #[test]
 fn replica_far_behind() {
     let mut world = world(STALGENOOT, 2, &[(0, Fault::Silence(0))]);
@@ -106,26 +106,25 @@
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
-/// Symptom: an order is lost or doubled. Events: instances die with requests
-/// under way; their callers repeat the unknown ones at other instances. Cause
-/// to rule out: an outcome that lived in the instance only.
+/// Guards against lost or doubled writes: instances die with requests in flight
+/// and callers repeat those with an unknown outcome at other instances.
 #[test]
 fn instance_dies_amid_requests() {
-    let deaths = [
+    let kills = [
         (0, Fault::Kill(0)),
         (0, Fault::Kill(4)),
         (300, Fault::Kill(1)),
     ];
-    let mut world = world(UMURAGE, 3, &deaths);
+    let mut world = world(UMURAGE, 3, &kills);
     world.start_load(Instant::from_millis(1_000), DENSE);
     assert_recovers(&mut world, 1_000);
     assert_eq!(world.leader(), Some(0));
     assert!(world.tally().unknown > 0);
 }
 
-/// Symptom: bookings stop although every upstream runs. Events: the store is
-/// down for ten seconds, nothing else fails. Cause to rule out: a primary that
-/// counts only while the store says so.
+/// Guards against writes that stop because of the store alone: the store is
+/// down for ten seconds while every upstream runs. The known primary must stay
+/// valid.
 #[test]
 fn store_down() {
     let mut world = world(STALGENOOT, 4, &[(0, Fault::StoreDown)]);
@@ -135,9 +134,9 @@
     assert_recovers(&mut world, 10_000);
 }
 
-/// Symptom: two primaries, or none. Events: the primary crashes while the store
-/// answers each call half a second late, far over the call's timeout. Cause to
-/// rule out: a swap that was given up and took effect all the same.
+/// Guards against two primaries, or none: the primary crashes while each call
+/// to the store takes half a second longer, far beyond the call's timeout, so
+/// that an abandoned swap may still take effect.
 #[test]
 fn store_slow_and_crash() {
     let slow = Fault::StoreSlow(ms(500));
@@ -146,9 +145,8 @@
     assert!(gap(&world, 1).unwrap() < ms(3_000));
 }
 
-/// Symptom: bookings stop until somebody comes. Events: the primary crashes
-/// while the store is down; three seconds later the store is back. Cause to
-/// rule out: a claimant that gave up for good.
+/// Guards against a claimant that gives up for good: the primary crashes while
+/// the store is down, and the store is back three seconds later.
 #[test]
 fn store_down_and_crash() {
     let faults = [
@@ -161,10 +159,9 @@
     assert!(gap(&world, 1).unwrap() < ms(4_500));
 }
 
-/// Symptom: the claimant waits for a claim that it has. Events: the primary
-/// crashes and the store's answer to the claim is lost after the claim took
-/// effect; the next answer, to the look whether it did, is lost as well.
-/// Cause to rule out: an own claim taken for a stranger's.
+/// Guards against a claimant that takes its own claim for another one's: the
+/// primary crashes and the store's answer to the claim is lost after the claim
+/// took effect, as is the answer to the read that follows.
 #[test]
 fn store_answer_lost() {
     let faults = [(0, Fault::LoseAnswers(2)), (0, Fault::Crash(0))];
@@ -173,10 +170,9 @@
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
-/// Symptom: a stale order undoes a change of primary. Events: the primary
-/// crashes; the promoter is paused for two seconds as soon as its claim has
-/// left, is overtaken, and goes on as if nothing were. Cause to rule out: a
-/// holder that trusts what it held before its pause.
+/// Guards against a stale order that undoes a takeover: the primary crashes;
+/// the promoter is paused for two seconds right after sending a step's message,
+/// is overtaken, and then continues with the state from before its pause.
 #[test]
 fn promoter_paused_past_its_claim() {
     for step in [Step::Claim, Step::Fence, Step::Promote, Step::Record] {
@@ -187,9 +183,8 @@
     }
 }
 
-/// Symptom: the group stays without a primary. Events: the primary crashes and
-/// the promoter dies, at each of its steps in turn. Cause to rule out: a claim
-/// that nobody overtakes.
+/// Guards against a claim that no other instance overtakes: the primary crashes
+/// and the promoter dies, at each step in turn.
 #[test]
 fn promoter_dies_at_each_step() {
     for step in [Step::Claim, Step::Fence, Step::Promote, Step::Record] {
@@ -200,9 +195,9 @@
     }
 }
 
-/// Symptom: bookings made in the last moment before a pause are doubled or
-/// lost. Events: the primary stands still for three seconds; when it wakes, it
-/// runs what waited at its door. Cause to rule out: as for the cut off primary.
+/// Guards against lost or doubled writes around a pause: the primary stalls for
+/// three seconds, then runs the queued statements unaware of its successor. Its
+/// word alone must not acknowledge them.
 #[test]
 fn primary_paused_and_unaware() {
     let mut world = world(STALGENOOT, 10, &[(0, Fault::Stall(0, ms(3_000)))]);
@@ -210,9 +205,9 @@
     assert!(gap(&world, 1).unwrap() < ms(1_000));
 }
 
-/// Symptom: the first change of primary works, the second does not. Events: the
-/// zone of the primary is cut off, heals, and then the zone of its successor is
-/// cut off. Cause to rule out: state left over from the first time.
+/// Guards against state left over from the first takeover: the primary's zone
+/// is partitioned off and heals, and then the successor's zone is partitioned
+/// off.
 #[test]
 fn cut_off_twice() {
     let mut world = world(UMURAGE, 11, &[(0, Fault::Isolate(0)), (1_500, Fault::Heal)]);
@@ -228,9 +223,9 @@
     assert_recovers(&mut world, 6_000);
 }
 
-/// Symptom: a primary without a majority. Events: the primary crashes and the
-/// zone of one replica is cut off, so that no majority is left. Nobody may be
-/// promoted; when the zone is back, the change of primary must come at once.
+/// Guards against a primary without a majority: the primary crashes and one
+/// replica's zone is partitioned off. No promotion may happen until the zone is
+/// back.
 #[test]
 fn crash_without_a_majority() {
     let mut world = world(UMURAGE, 12, &[(0, Fault::Crash(0)), (0, Fault::Isolate(1))]);
@@ -245,9 +240,9 @@
     assert_recovers(&mut world, 2_500);
 }
 
-/// Symptom: a cut off zone stops serving reads that it could serve, or serves
-/// them stale. Events: a zone with a replica is cut off; its callers read and
-/// write on. What it can't do it must refuse in time; nothing may be stale.
+/// Guards against a partitioned zone that serves stale reads or stops serving
+/// reads that it could serve: a replica's zone is cut off while its callers go
+/// on. Requests that can't be served must be refused in time.
 #[test]
 fn replica_zone_cut_off() {
     let mut world = world(STALGENOOT, 13, &[(0, Fault::Isolate(1))]);
@@ -256,9 +251,9 @@
     assert_recovers(&mut world, 2_500);
 }
 
-/// Symptom: none may show. Events: every zone is parted from every other and
-/// from the store for two seconds. No write can have a majority then; none may
-/// be acknowledged, and none lost.
+/// Guards against acknowledgements without a majority: every zone is
+/// partitioned from the others and from the store for two seconds. No write may
+/// be acknowledged meanwhile, and none may be lost.
 #[test]
 fn all_zones_apart() {
     let faults = [0, 1, 2].map(|zone| (0, Fault::Isolate(zone)));
@@ -272,8 +267,9 @@
     assert_recovers(&mut world, 2_000);
 }
 
-/// Symptom: two primaries in one term. Events: the primary is cut off, and the
-/// promoter's answer about its claim is lost, and it dies on fencing.
+/// Guards against two primaries in one term: the primary is partitioned off,
+/// the answer to the promoter's claim is lost, and the promoter dies on
+/// fencing.
 #[test]
 fn cut_off_and_lost_answer_and_dying_promoter() {
     let faults = [
@@ -286,12 +282,10 @@
     assert!(gap(&world, 1).unwrap() < ms(2_500));
 }
 
-/// Symptom: a session's entry comes and goes: a current read shows it, the next
-/// read does not. Events: while replication stands still, the primary answers a
-/// current read with more than the round that confirms its term; the next read
-/// goes to a replica that has reached the round, but not the answer. Cause: the
-/// session noted the round and forgot what the read had shown. Found by seed 7
-/// of the bench, once in 3,000 failures at each deployment.
+/// Guards against a session that sees a write once and then not: a current read
+/// shows more than its confirmation round, and the next read goes to a replica
+/// stalled at the round. About one in 3,000 failures hits this, hence the
+/// seeds.
 #[test]
 fn confirmed_read_shows_more_than_its_round() {
     let stalled = gap::trial(STALGENOOT, Kind::Stall, 7_000_030);
--- a/crates/policy/tests/seats.rs
+++ b/crates/policy/tests/seats.rs
@@ -1,4 +1,4 @@
-//! A seat's holder is paused past its lease: limits hold through the change.
+//! Connection limits hold when a seat's holder is paused past its lease.
 
 use std::{collections::BTreeMap, num::NonZeroU16, time::Duration};
 
@@ -16,9 +16,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fencing {
-    /// The upstream ends the connections of the former holder.
+    /// The upstream closes the connections of the former holder.
     Done,
-    /// Broken: it is taken for done.
+    /// Broken: fencing is reported as done but nothing is closed.
     Skipped,
 }
 
@@ -29,7 +29,7 @@
     paused_until: Instant,
 }
 
-/// A store with one key under leases, an upstream, and two instances.
+/// A store with one key under leases, an upstream and two instances.
 struct World {
     now: Instant,
     instances: [Instance; 2],
@@ -170,20 +170,25 @@
         }
     }
 
-    fn close(&mut self, whose: impl Fn(usize) -> bool) {
-        let gone: Vec<_> = self.open.iter().filter(|(_, h)| whose(**h)).collect();
-        let gone: Vec<_> = gone
+    fn close(&mut self, should_close: impl Fn(usize) -> bool) {
+        let closed: Vec<_> = self
+            .open
+            .iter()
+            .filter(|(_, h)| should_close(**h))
+            .collect();
+        let closed: Vec<_> = closed
             .into_iter()
             .map(|(connection, _)| *connection)
             .collect();
-        for connection in gone {
+        for connection in closed {
             self.open.remove(&connection);
             let connection = Connection(connection);
             self.suite.observe(self.now, &Event::Closed { connection });
         }
     }
 
-    /// Opens what the pool wants, if the seat permits it at this moment.
+    /// Opens the connections that the pool asks for, if the seat permits it
+    /// now.
     fn use_seat(&mut self, i: usize) {
         let now = self.now;
         if self.instances[i].seat.permit(now) != Permit::Full {
@@ -221,7 +226,7 @@
     }
 }
 
-/// Instance 0 holds the seat, is paused for twelve seconds and wakes unaware.
+/// Instance 0 holds the seat, is paused for twelve seconds and does not notice.
 fn pause_holder(fencing: Fencing) -> World {
     let mut world = World::open(fencing);
     world.seat(0, seat::Event::Wanted);
@@ -233,10 +238,9 @@
     world
 }
 
-/// Symptom: an upstream refuses connections, and two holders believe in one
-/// seat. Events: the holder is paused past its lease; the next one takes the
-/// seat; the first wakes and goes on. Cause to rule out: trust in a clock that
-/// stood still, and connections that outlive their holder's right to them.
+/// Guards against two holders of one seat that exceed the upstream's limit: the
+/// holder is paused past its lease, the next one takes the seat, and the first
+/// one resumes with a stalled clock and open connections.
 #[test]
 fn holder_paused_past_its_lease() {
     let world = pause_holder(Fencing::Done);
@@ -247,7 +251,8 @@
     );
 }
 
-/// The same without fencing: the checker tells that the limit is exceeded.
+/// Guards against a checker that misses an exceeded limit: the same pause
+/// without fencing.
 #[test]
 fn unfenced_holder_exceeds_the_limit() {
     let world = pause_holder(Fencing::Skipped);
