--- a/crates/policy/src/gap.rs
+++ b/crates/policy/src/gap.rs
@@ -1,4 +1,5 @@
-//! The failover gap: from a failure to the first write acknowledged after it.
+//! Failover gap: the time from a failure to the first write acknowledged after
+//! it.
 
 use std::time::Duration;
 
@@ -14,43 +15,47 @@
     world::{Fault, Load, Milestones, Step, World},
 };
 
-/// When the callers begin; by then the views of the upstreams have settled.
+/// Start of the callers' load; the upstream monitors have settled by then.
 const LOAD_START: Instant = Instant::from_millis(1_500);
-/// The earliest moment of the failure; it comes within 500 ms of it.
+/// Earliest time of the failure; up to 500 ms are added at random.
 const EARLIEST_FAILURE_US: u64 = 2_000_000;
-/// How long it goes on once what was broken is back.
+/// Simulated time after all faults are healed.
 const RECOVERY_TIME: Duration = Duration::from_secs(2);
-/// The last requests' deadline and what the answers travel.
+/// Time for the last requests to reach their deadline and for their answers to
+/// arrive.
 const DRAIN_TIME: Duration = Duration::from_millis(1_500);
 
-/// A kind of failure.
+/// Kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The primary's process dies; its host refuses connections.
+    /// The primary's process crashes; its host refuses connections.
     Crash,
-    /// The primary's host goes silent.
+    /// The primary's host stops answering.
     Silence,
-    /// The primary's zone is cut off, with callers and instances beside it.
+    /// The primary's zone is partitioned off, together with the callers and
+    /// instances in it.
     Cut,
-    /// The primary stands still for four seconds and does not know it.
+    /// The primary stalls for four seconds without noticing.
     Stall,
-    /// It crashes while each call to the store takes 50 to 400 ms longer.
+    /// The primary crashes while each call to the store takes 50 to 400 ms
+    /// longer.
     StoreSlow,
-    /// It crashes and the store's next two answers are lost.
+    /// The primary crashes and the store's next two answers are lost.
     StoreLost,
-    /// It crashes two seconds into an outage of the store of five.
+    /// The primary crashes two seconds into a store outage of five seconds.
     StoreDown,
-    /// It crashes, and the promoter dies at one of its steps.
+    /// The primary crashes and the promoter dies at a random step.
     PromoterDies,
-    /// It goes silent, and the promoter dies at one of its steps.
+    /// The primary's host stops answering and the promoter dies at a random
+    /// step.
     PromoterDiesSilence,
-    /// The primary crashes, and the next one as soon as it leads.
+    /// The primary crashes, and its successor one second after promotion.
     CrashTwice,
 }
 
 impl Kind {
-    /// How long a trial goes on before what was broken comes back.
+    /// Time from the failure until all faults are healed.
     fn time_to_heal(self) -> Duration {
         match self {
             Self::Stall | Self::StoreDown => Duration::from_secs(5),
@@ -58,7 +63,7 @@
         }
     }
 
-    /// All of them.
+    /// All kinds of failure.
     pub const ALL: [Self; 10] = [
         Self::Crash,
         Self::Silence,
@@ -73,27 +78,29 @@
     ];
 }
 
-/// What one trial showed.
+/// Result of one trial.
 #[derive(Debug, Clone, Copy)]
 pub struct Trial {
-    /// From the failure to the first acknowledged write that was asked after it.
+    /// Time from the failure to the first acknowledgement of a write sent after
+    /// it.
     pub gap: Option<Duration>,
-    /// The same in the zone that came last, the cut off one left out.
+    /// The gap of the zone served last, without a partitioned zone.
     pub everywhere: Option<Duration>,
-    /// Where the gap went: detect, claim, fence, promote, spread.
+    /// Durations of the phases of the gap, in the order of [`PHASES`].
     pub phases: Option<[Duration; 5]>,
-    /// Acknowledged writes that are gone.
+    /// Acknowledged writes that were lost.
     pub lost: usize,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
-    /// Changes of primary.
+    /// Number of promotions.
     pub promotions: usize,
 }
 
-/// The names of a gap's phases.
+/// Phases of the gap.
 pub const PHASES: [&str; 5] = ["detect", "claim", "fence", "promote", "spread"];
 
-/// Runs one trial to its end and gives the world, for tests that look closer.
+/// Runs one trial to its end and returns the world with the time of the
+/// failure.
 pub fn simulate(site: Site, kind: Kind, seed: u64) -> (World, Instant) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0005_eedf_a117);
     let mut world = World::open(site, seed);
@@ -156,8 +163,8 @@
     }
 }
 
-/// Crashes the second primary once it leads, and brings back the first, so
-/// that a majority is left.
+/// Crashes the second primary after its promotion and restarts the first one,
+/// so that a majority stays available.
 fn crash_second_primary(world: &mut World, fail: Instant) {
     let mut at = fail;
     while at < fail + Duration::from_secs(2) {
@@ -174,7 +181,7 @@
     }
 }
 
-/// Runs one trial and measures it.
+/// Runs one trial and returns its result.
 pub fn trial(site: Site, kind: Kind, seed: u64) -> Trial {
     let (world, fail) = simulate(site, kind, seed);
     let cut = (kind == Kind::Cut).then(|| world.servers[0].zone);
@@ -224,32 +231,32 @@
     Some(spans)
 }
 
-/// What the trials of some kinds showed together.
+/// Aggregated results of trials.
 #[derive(Debug, Serialize)]
 pub struct Summary {
-    /// To the first acknowledged write.
+    /// Time to the first acknowledged write.
     pub gap: Quantiles,
-    /// To the first acknowledged write in the last zone.
+    /// Time to the first acknowledged write in the zone served last.
     pub everywhere: Quantiles,
-    /// The phases of the gap.
+    /// From the failure to the sending of the claim.
     pub detect: Quantiles,
-    /// From the claim's sending to its grant.
+    /// From the sending of the claim to its grant.
     pub claim: Quantiles,
-    /// From there to the order to lead.
+    /// From the grant to the promotion order.
     pub fence: Quantiles,
-    /// From there until the upstream leads.
+    /// From the promotion order until the upstream is primary.
     pub promote: Quantiles,
-    /// From there to the first acknowledged write.
+    /// From the promotion to the first acknowledged write.
     pub spread: Quantiles,
     /// Trials in which no write was acknowledged after the failure.
     pub never: u64,
-    /// Acknowledged writes that are gone.
+    /// Acknowledged writes that were lost.
     pub lost: usize,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
 }
 
-/// Adds up trials.
+/// Aggregates trials.
 pub fn summary<'a>(trials: impl Iterator<Item = &'a Trial>) -> Summary {
     let mut gap = Spans::default();
     let mut everywhere = Spans::default();
--- a/crates/policy/src/jitter.rs
+++ b/crates/policy/src/jitter.rs
@@ -1,4 +1,4 @@
-//! Ordinary days: changes of primary that nothing called for.
+//! Ordinary jitter (stalls, pauses, restarts) that must not cause a failover.
 
 use std::time::Duration;
 
@@ -12,37 +12,37 @@
     world::{Fault, Load, World},
 };
 
-/// The mean time between two stalls of one upstream.
+/// Mean time between two stalls of an upstream.
 const STALL_INTERVAL_S: f64 = 20.0;
-/// The longest stall: a checkpoint or a neighbour on the host.
+/// Longest stall, as caused by a checkpoint or a noisy neighbour on the host.
 const MAX_STALL: Duration = Duration::from_millis(200);
-/// The mean time between two pauses of one instance.
+/// Mean time between two pauses of an instance.
 const PAUSE_INTERVAL_S: f64 = 30.0;
-/// The longest pause.
+/// Longest pause.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// The mean time between two restarts of an instance.
+/// Mean time between two restarts of an instance.
 const RESTART_INTERVAL_S: f64 = 600.0;
-/// The mean time between two slow spells of the store.
+/// Mean time between two slow periods of the store.
 const SLOW_STORE_INTERVAL_S: f64 = 300.0;
 
-/// What an ordinary time showed.
+/// Result of a period of ordinary jitter.
 #[derive(Debug, Clone, Copy)]
 pub struct Outcome {
-    /// Changes of primary.
+    /// Number of promotions.
     pub promotions: usize,
-    /// Acknowledged writes that are gone.
+    /// Acknowledged writes that were lost.
     pub lost: usize,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
-    /// Calls to the store, over all instances, by the failover of one group.
+    /// Calls to the store by the failover of one group, over all instances.
     pub store_calls: u64,
-    /// Requests that were done, and all requests.
+    /// Requests that were done.
     pub done: u64,
-    /// Requests that were refused or ended unknown.
+    /// Requests that were refused or whose outcome is unknown.
     pub failed: u64,
 }
 
-/// Runs `span` of ordinary time.
+/// Simulates `span` of ordinary jitter.
 pub fn run(site: Site, span: Duration, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0071_7e12);
     let mut world = World::open(site, seed);
--- a/crates/policy/src/lag.rs
+++ b/crates/policy/src/lag.rs
@@ -1,4 +1,4 @@
-//! How far a replica's replay is behind, as a trace over time.
+//! Replication lag of a replica as a function of time.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use crate::net::exponential;
 
-/// The usual delay from a commit to its replay.
+/// Normal delay from a commit to its replay.
 const BASE_LAG: Duration = Duration::from_millis(4);
-/// The mean time between two short stalls: a vacuum, a long query.
+/// Mean time between two short stalls, as caused by a vacuum or a long query.
 const STALL_INTERVAL_S: f64 = 10.0;
-/// The longest short stall.
+/// Longest short stall.
 const MAX_STALL_S: f64 = 0.8;
-/// The mean time between two long spells of slow replay.
+/// Mean time between two long periods of slow replay.
 const SLOW_INTERVAL_S: f64 = 60.0;
-/// The longest slow spell.
+/// Longest period of slow replay.
 const MAX_SLOW_S: f64 = 25.0;
-/// How fast replay goes in a slow spell.
+/// Replay rate in a slow period, relative to the primary's write rate.
 const SLOW_PACE: f64 = 0.2;
-/// How fast it catches up.
+/// Replay rate while catching up, relative to the primary's write rate.
 const CATCH_UP_PACE: f64 = 4.0;
 
-/// A piece of the trace: from `at` on, replay stands at `shown` and moves on at
-/// `pace` times the primary's.
+/// Segment of the trace: from `at` on, replay starts at `shown` and advances at
+/// `pace` times the primary's rate.
 #[derive(Debug, Clone, Copy)]
 struct Segment {
     at: f64,
@@ -32,14 +32,14 @@
     pace: f64,
 }
 
-/// The trace of one replica.
+/// Replication lag trace of one replica.
 #[derive(Debug)]
 pub struct Lag {
     segments: Vec<Segment>,
 }
 
 impl Lag {
-    /// Makes the trace of a replica up to `end`.
+    /// Generates the trace of a replica up to `end`.
     pub fn new(rng: &mut ChaCha8Rng, end: Duration) -> Self {
         let base = BASE_LAG.as_secs_f64();
         let mut lag = Self {
@@ -61,7 +61,8 @@
         lag
     }
 
-    /// Replays slowly for `span`, then catches up; returns when it has.
+    /// Adds `span` of slow replay and the catch-up after it; returns when the
+    /// replica has caught up.
     fn add_lag(&mut self, at: f64, pace: f64, span: f64) -> f64 {
         let base = BASE_LAG.as_secs_f64();
         let shown = at - base;
@@ -81,7 +82,7 @@
         caught_up
     }
 
-    /// The moment of the primary whose state the replica shows at `now`.
+    /// Returns the time whose primary state the replica shows at `now`.
     pub fn shown(&self, now: Instant) -> Instant {
         let now = now.as_micros() as f64 / 1e6;
         let next = self.segments.partition_point(|segment| segment.at <= now);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Measures the decisions in virtual time, on the operators' sizes.
+//! Simulates failover, routing and admission in virtual time, with the
+//! operators' sizes.
 
 pub mod gap;
 pub mod jitter;
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,8 +1,8 @@
 //! Goodput and refusals under load, up to five times the capacity.
 //!
-//! The real pools admit, queue and refuse, two seats to each upstream; the
-//! real router chooses between upstreams. Callers whose request was refused
-//! ask again, as callers do, so that refusals bring more load.
+//! The real pools admit, queue and refuse, with two seats per upstream; the
+//! real router chooses the upstream. Callers repeat refused requests, so that
+//! refusals add load.
 
 mod bench;
 mod naive;
@@ -21,30 +21,30 @@
 
 use bench::Simulation;
 
-/// The loads that are measured, as multiples of the capacity.
+/// Simulated loads, as multiples of the capacity.
 pub const LEVELS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 5.0];
 
-/// What a request asks for.
+/// Kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A slot reservation: it writes.
+    /// A slot reservation, which writes.
     Reservation,
-    /// A payment: it writes, and may not be repeated.
+    /// A payment, which writes and must not be repeated.
     Payment,
-    /// The desk's own views.
+    /// A view of the front desk.
     Desk,
     /// A calendar view.
     Calendar,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds of request.
     pub const ALL: [Self; 4] = [Self::Reservation, Self::Payment, Self::Desk, Self::Calendar];
 
-    /// The kind's share of the requests, in hundredths.
+    /// Share of the requests, in percent.
     ///
-    /// At five times the capacity the writes alone are three quarters of what
-    /// the primary can do; with more, no policy could keep their deadlines.
+    /// At five times the capacity the writes alone use three quarters of the
+    /// primary; with more, no policy could meet their deadlines.
     fn percent(self) -> u32 {
         match self {
             Self::Reservation => 4,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// How long a caller waits for it.
+    /// Time until the caller gives up.
     fn deadline(self) -> Duration {
         match self {
             Self::Reservation | Self::Payment => Duration::from_millis(250),
@@ -97,79 +97,80 @@
     }
 }
 
-/// What one tenant got of one level.
+/// Requests of one kind or tenant at one load level.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Count {
-    /// Requests it sent, repeats left out.
+    /// Requests sent, without repeats.
     pub asked: u64,
-    /// Those that were done in time.
+    /// Requests done in time.
     pub met: u64,
 }
 
-/// What one level of load showed.
+/// Result of one load level.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Level {
-    /// The load as a multiple of the capacity.
+    /// Load as a multiple of the capacity.
     pub load: f64,
-    /// Requests a second, repeats left out.
+    /// Requests per second, without repeats.
     pub offered: f64,
-    /// Requests a second that were done in time.
+    /// Requests per second done in time.
     pub goodput: f64,
-    /// Requests a second that were refused as not run, for good.
+    /// Requests per second refused as not run, after all repeats.
     pub refused: f64,
-    /// Requests a second that were done too late.
+    /// Requests per second done too late.
     pub late: f64,
-    /// Requests a second whose outcome is unknown.
+    /// Requests per second whose outcome is unknown.
     pub unknown: f64,
-    /// Repeats a second by callers.
+    /// Repeats per second by callers.
     pub repeats: f64,
-    /// The share of reservations and payments that were done in time.
+    /// Share of reservations and payments done in time.
     pub high_met: f64,
-    /// The share of the desk's views that were done in time.
+    /// Share of desk views done in time.
     pub normal_met: f64,
-    /// The share of calendar views that were done in time.
+    /// Share of calendar views done in time.
     pub low_met: f64,
-    /// How long refusals took.
+    /// Time until a refusal.
     pub refusal: Quantiles,
-    /// How long reservations and payments took.
+    /// Duration of reservations and payments.
     pub high: Quantiles,
-    /// The share that the worst served small tenant got, against the mean of
-    /// the small tenants.
+    /// Share of requests done in time for the worst served small tenant,
+    /// divided by the mean of the small tenants.
     pub fairness: f64,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
 }
 
-/// What all levels showed.
+/// Result of all load levels.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// Statements a second that the upstreams can run.
+    /// Statements per second that the upstreams can run.
     pub capacity: f64,
-    /// Each level.
+    /// Result of each level.
     pub levels: Vec<Level>,
     /// Goodput at five times the capacity as a share of the highest goodput.
     pub goodput_5x: f64,
-    /// The same for queues without limits, deadlines and priorities.
+    /// `goodput_5x` of queues without limits, deadlines and priorities.
     pub naive_goodput_5x: f64,
-    /// The share of reservations and payments done in time at that load.
+    /// Share of reservations and payments done in time at five times the
+    /// capacity.
     pub high_deadline_met_5x: f64,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
 }
 
-/// The statements a second that a group can run.
+/// Returns the statements per second that a group can run.
 pub fn capacity(site: Site) -> f64 {
     site.upstreams as f64 * f64::from(site.slots) / site.service_time.as_secs_f64()
 }
 
-/// Runs one level for `span`.
+/// Simulates one load level for `span`.
 pub fn run(site: Site, load: f64, span: Duration, seed: u64) -> Level {
     let mut simulation = Simulation::open(site, load, span, seed);
     simulation.run();
     simulation.level()
 }
 
-/// Runs all levels.
+/// Simulates all load levels.
 pub fn measure(site: Site, span: Duration, seed: u64) -> Summary {
     let job = |n: u64| {
         let load = LEVELS[n as usize];
@@ -191,9 +192,9 @@
     }
 }
 
-/// The weight of each tenant.
+/// Weight of each tenant.
 const TENANT_WEIGHT: NonZeroU32 = NonZeroU32::MIN;
-/// How many tenants there are; the first sends half of the requests.
+/// Number of tenants; the first one sends half of the requests.
 const TENANTS: usize = 20;
 
 fn random_tenant(rng: &mut ChaCha8Rng) -> usize {
--- a/crates/policy/src/load/bench.rs
+++ b/crates/policy/src/load/bench.rs
@@ -1,4 +1,5 @@
-//! One group under load: pools, instances that forward, callers that repeat.
+//! Simulation of one group under load: pools, forwarding instances and callers
+//! that repeat refused requests.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -26,20 +27,21 @@
     stat::Spans,
 };
 
-/// How often a caller repeats a request that was refused.
+/// How often a caller repeats a refused request.
 const MAX_REPEATS: u32 = 2;
-/// A caller waits at least this long before it repeats.
+/// Minimum delay before a caller repeats a request.
 const MIN_REPEAT_DELAY: Duration = Duration::from_millis(10);
-/// When the measurement begins; the pools have learned the service times.
+/// Start of the measurement; the pools have estimated the service times by
+/// then.
 const MEASURE_START: Instant = Instant::from_millis(1_000);
-/// How often the routers hear of the upstreams' positions and loads.
+/// Interval at which the routers receive the upstreams' positions and loads.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(10);
-/// How many requests of an entry may wait at a pool.
+/// Maximum number of requests of an entry that wait at a pool.
 const QUEUE_LIMIT: u32 = 256;
-/// Connections that a pool keeps open.
+/// Idle connections that a pool keeps open.
 const WARM_CONNECTIONS: u16 = 2;
 /// Statements that a pool sends beyond its slots, so that a slot has its next
-/// one at hand while an answer travels.
+/// statement ready while an answer travels.
 const EXTRA_SLOTS: u16 = 1;
 
 #[derive(Debug)]
@@ -77,7 +79,7 @@
     },
 }
 
-/// One holder's pool.
+/// Pool of one seat's holder.
 #[derive(Debug)]
 struct Seat {
     upstream: usize,
@@ -89,14 +91,14 @@
     finished: HashMap<Handle, Ticket>,
 }
 
-/// What an upstream has to do.
+/// Statements running and queued at an upstream.
 #[derive(Debug, Default)]
 struct Upstream {
     busy: u16,
     waiting: VecDeque<(usize, Handle)>,
 }
 
-/// One request of a caller, with its repeats.
+/// Request of a caller that is not answered yet, with its remaining repeats.
 #[derive(Debug)]
 struct Pending {
     kind: Kind,
@@ -316,7 +318,8 @@
         self.schedule_after(self.site.caller_latency, Occurrence::Route(request));
     }
 
-    /// A request reached its instance, which chooses the upstream.
+    /// Chooses the upstream and the seat for a request that reached its
+    /// instance.
     fn route(&mut self, request: check::Request) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -366,7 +369,7 @@
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        // The answer must still travel to the instance and to the caller.
+        // The answer still has to travel to the instance and to the caller.
         let return_time = self.site.caller_latency + self.site.inter_zone_latency;
         let submitted = Request {
             ticket: Ticket(request.0),
@@ -456,8 +459,8 @@
         );
     }
 
-    /// A statement reached its upstream, which runs as many as it has slots and
-    /// lets the others wait.
+    /// Runs a statement that reached its upstream, or queues it if no slot is
+    /// free.
     fn execute(&mut self, seat: usize, handle: Handle) {
         let upstream = &mut self.upstreams[self.seats[seat].upstream];
         if upstream.busy >= self.site.slots {
@@ -474,7 +477,7 @@
         let upstream = &mut self.upstreams[self.seats[seat].upstream];
         upstream.busy -= 1;
         while let Some((seat, handle)) = upstream.waiting.pop_front() {
-            // What was cancelled while it waited is dropped.
+            // Statements cancelled while queued are dropped.
             if self.seats[seat].running.contains_key(&handle) {
                 self.execute(seat, handle);
                 break;
@@ -571,7 +574,8 @@
         self.tally.tenants.entry(pending.tenant).or_default().met += 1;
     }
 
-    /// A caller that was refused asks again while its deadline lasts.
+    /// Repeats a refused request if its deadline and the limit of repeats allow
+    /// another attempt.
     fn refused(&mut self, pending: Pending, took: Duration, retry_after: Duration) {
         let is_measured = pending.began >= MEASURE_START;
         if is_measured {
@@ -675,7 +679,8 @@
     }
 }
 
-/// The worst small tenant's share of its requests against their mean share.
+/// Share of requests done in time for the worst served small tenant, divided by
+/// the mean of the small tenants.
 fn fairness(tally: &Tally) -> f64 {
     let small = tally.tenants.iter().filter(|(tenant, _)| **tenant != 0);
     let shares: Vec<_> = small
--- a/crates/policy/src/load/naive.rs
+++ b/crates/policy/src/load/naive.rs
@@ -1,4 +1,4 @@
-//! The baseline: one queue for each upstream, first in, first out.
+//! Baseline: one unbounded FIFO queue per upstream.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::{Kind, capacity};
 use crate::{net::exponential, site::Site};
 
-/// The requests a second that are done in time.
+/// Returns the requests per second that are done in time.
 pub(super) fn goodput(site: Site, load: f64, span: Duration, seed: u64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let slots = usize::from(site.slots);
--- a/crates/policy/src/main.rs
+++ b/crates/policy/src/main.rs
@@ -1,16 +1,16 @@
-//! Measures the decisions in virtual time and prints the figures.
+//! Simulates the policies in virtual time and prints a report.
 
 use anyhow::Context;
 use argh::FromArgs;
 use policy::report::{FULL, Report};
 
-/// Measure the decisions in virtual time, on both deployments' sizes.
+/// Simulate the policies in virtual time with the sizes of both deployments.
 #[derive(Debug, FromArgs)]
 struct Args {
     /// print JSON instead of tables
     #[argh(switch)]
     json: bool,
-    /// the seed of all that is drawn; any number runs
+    /// seed of the random number generators
     #[argh(option, default = "1")]
     seed: u64,
 }
--- a/crates/policy/src/net.rs
+++ b/crates/policy/src/net.rs
@@ -1,4 +1,4 @@
-//! Latency, jitter, loss and partitions between zones.
+//! Network latency, jitter, loss and partitions between zones.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -7,34 +7,34 @@
 
 use crate::site::Site;
 
-/// How long a lost segment takes to be sent again on a stream.
+/// Delay until a lost segment of a stream is retransmitted.
 const RETRANSMIT: Duration = Duration::from_millis(200);
-/// One message in this many is delayed by a full queue on its way.
+/// One message in this many is delayed by a full queue on its path.
 const DELAYED_ONE_IN: u32 = 1_000;
-/// The longest such delay.
+/// Longest delay by a full queue.
 const MAX_DELAY: Duration = Duration::from_millis(40);
 /// One message in this many is lost.
 const LOST_ONE_IN: u32 = 5_000;
 
-/// Where a message starts or ends.
+/// Endpoint of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Place {
     /// An availability zone.
     Zone(usize),
-    /// The platform, whose store is in no zone.
+    /// The platform; its store is in no zone.
     Platform,
 }
 
-/// How a message travels.
+/// Transport of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
-    /// A datagram: lost for good.
+    /// Datagrams, which may be lost.
     Datagram,
-    /// A stream: a lost segment comes late.
+    /// A stream; lost segments are retransmitted.
     Stream,
 }
 
-/// The network of one deployment.
+/// Network of one deployment.
 #[derive(Debug)]
 pub struct Net {
     site: Site,
@@ -43,7 +43,7 @@
 }
 
 impl Net {
-    /// Opens the network without partitions.
+    /// Opens a network without partitions.
     pub fn open(site: Site, rng: ChaCha8Rng) -> Self {
         Self {
             site,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Parts two places, in both directions.
+    /// Blocks traffic between two places in both directions.
     pub fn partition(&mut self, a: Place, b: Place) {
         self.partitions.insert((a.min(b), a.max(b)));
     }
 
-    /// Parts a zone from every other place.
+    /// Partitions a zone from every other place.
     pub fn isolate(&mut self, zone: usize) {
         for other in (0..self.site.zones).filter(|&other| other != zone) {
             self.partition(Place::Zone(zone), Place::Zone(other));
@@ -65,17 +65,17 @@
         self.partition(Place::Zone(zone), Place::Platform);
     }
 
-    /// Ends all partitions.
+    /// Removes all partitions.
     pub fn heal(&mut self) {
         self.partitions.clear();
     }
 
-    /// Whether messages pass between two places.
+    /// Returns true if no partition blocks messages between two places.
     pub fn is_reachable(&self, a: Place, b: Place) -> bool {
         !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
-    /// How long a message takes, or `None` if it is lost.
+    /// Returns the time that a message takes, or `None` if the message is lost.
     pub fn send(&mut self, from: Place, to: Place, transport: Transport) -> Option<Duration> {
         if !self.is_reachable(from, to) {
             return None;
@@ -90,7 +90,7 @@
         Some(latency)
     }
 
-    /// The latency between two places, without jitter.
+    /// Returns the latency between two places without jitter.
     pub fn base_latency(&self, from: Place, to: Place) -> Duration {
         match (from, to) {
             (Place::Platform, _) | (_, Place::Platform) => self.site.store_latency,
@@ -109,7 +109,7 @@
     }
 }
 
-/// A number of the exponential distribution.
+/// Draws a sample of the exponential distribution.
 pub fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
--- a/crates/policy/src/reads.rs
+++ b/crates/policy/src/reads.rs
@@ -1,8 +1,8 @@
-//! The share of reads that replicas serve.
+//! Share of the reads that replicas serve.
 //!
 //! The real router and sessions run against replicas whose replay follows a
-//! [`Lag`] trace. For each read it is also asked where a naive router and an
-//! oracle would have sent it.
+//! [`Lag`](crate::lag::Lag) trace. Each read is also evaluated for a naive router and for an
+//! oracle.
 
 mod baseline;
 mod bench;
@@ -19,73 +19,75 @@
 
 use bench::Simulation;
 
-/// What is measured of one class of reads.
+/// Counts of one class of reads.
 #[derive(Debug, Default)]
 pub struct Class {
     /// All reads.
     pub reads: u64,
-    /// Served by replicas.
+    /// Reads served by replicas.
     pub replica: u64,
-    /// Served by replicas under the naive router.
+    /// Reads that a naive router would send to replicas.
     pub naive: u64,
-    /// Served by replicas under the oracle.
+    /// Reads that an oracle would send to replicas.
     pub oracle: u64,
-    /// Served by nobody in time.
+    /// Reads not served before their deadline.
     pub unserved: u64,
     took: Spans,
 }
 
-/// What the reads of one database showed.
+/// Result of the reads of one database.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Calendar views, which may lag.
+    /// Calendar views, which may be stale within a bound.
     pub calendar: Class,
-    /// Reads of what the session wrote.
+    /// Reads of the session's own writes.
     pub own: Class,
-    /// Answers that were discarded because they proved too old.
+    /// Answers discarded because they turned out too old.
     pub discarded: u64,
-    /// Promises broken.
+    /// Consistency violations found by the checkers.
     pub violations: usize,
 }
 
-/// What the reads of all databases showed, each share out of all reads.
+/// Result of one class of reads over all databases; shares are relative to all
+/// reads.
 #[derive(Debug, Clone, Serialize)]
 pub struct Share {
     /// All reads of the class.
     pub reads: u64,
-    /// Served by replicas.
+    /// Share served by replicas.
     pub replica: f64,
-    /// Served by replicas under the naive router.
+    /// Share that a naive router would send to replicas.
     pub naive: f64,
-    /// Served by replicas under an oracle that knows every position.
+    /// Share that an oracle, which knows every position, would send to
+    /// replicas.
     pub oracle: f64,
-    /// Served by nobody in time.
+    /// Number of reads not served before their deadline.
     pub unserved: u64,
-    /// How long the reads took, without the way to the caller.
+    /// Duration of the reads, without the latency to the caller.
     pub took: Quantiles,
 }
 
-/// What the reads of all databases showed.
+/// Result of the reads of all databases.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// Calendar views, which may lag.
+    /// Calendar views, which may be stale within a bound.
     pub calendar: Share,
-    /// Reads of what the session wrote.
+    /// Reads of the session's own writes.
     pub own: Share,
-    /// Answers that were discarded because they proved too old.
+    /// Answers discarded because they turned out too old.
     pub discarded: u64,
-    /// Promises broken, stale answers among them.
+    /// Consistency violations found by the checkers, including stale answers.
     pub violations: usize,
 }
 
-/// Runs one database's reads for `span`.
+/// Simulates the reads of one database for `span`.
 pub fn run(site: Site, span: Duration, seed: u64) -> Outcome {
     let mut simulation = Simulation::open(site, span, seed);
     simulation.run();
     simulation.outcome()
 }
 
-/// Runs the reads of all databases, `rounds` times each.
+/// Simulates the reads of all databases, `rounds` times each.
 pub fn measure(site: Site, span: Duration, rounds: u64, seed: u64) -> Summary {
     let count = site.databases as u64 * rounds;
     let seeds = |n: u64| seed.wrapping_mul(1_000).wrapping_add(n);
--- a/crates/policy/src/reads/baseline.rs
+++ b/crates/policy/src/reads/baseline.rs
@@ -1,4 +1,4 @@
-//! Where a naive router and an oracle would have sent a read.
+//! Baselines for a read: a naive router and an oracle.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 
 use super::bench::{PRIMARY, Pending, Simulation};
 
-/// How long the oracle may wait for a replica: as long as the router may.
+/// Step in which the oracle tries later times, up to the router's maximum wait.
 const ORACLE_STEP: Duration = Duration::from_millis(1);
 
 impl Simulation {
-    /// Asks both, without sending anything.
+    /// Counts where both baselines would send a read; nothing is sent.
     pub(super) fn count_baselines(&mut self, request: Request) {
         let replicas: Vec<_> = (0..self.servers.len()).filter(|&u| u != PRIMARY).collect();
         let replica = replicas[self.draw(replicas.len())];
@@ -27,8 +27,9 @@
         self.pending.insert(request, pending);
     }
 
-    /// A replica drawn at random, if what it said last shows that it will do;
-    /// else the primary. What it says of its own age is believed.
+    /// Returns true if the last report of `replica`, chosen at random,
+    /// satisfies the read; the naive router uses the primary otherwise. The age
+    /// that the replica reports is trusted.
     fn naive(&self, pending: &Pending, replica: usize) -> bool {
         let node = &self.instances[pending.instance];
         let Some((at, report, age)) = node.reports.get(&replica) else {
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Any replica that will do when the read gets there, or within the time
-    /// that the router may wait for one.
+    /// Returns true if any replica satisfies the read on arrival or within the
+    /// time that the router may wait for a replica.
     fn oracle(&self, pending: &Pending, replicas: &[usize]) -> bool {
         let max_wait = route::Conf::default().max_replica_wait;
         let mut wait = Duration::ZERO;
--- a/crates/policy/src/reads/bench.rs
+++ b/crates/policy/src/reads/bench.rs
@@ -1,4 +1,4 @@
-//! One database's readers, its upstreams and its instances.
+//! Simulation of one database's callers, upstreams and instances.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,28 +20,28 @@
     site::Site,
 };
 
-/// How old a calendar view may be.
+/// Maximum age of a calendar view.
 pub(super) const CALENDAR_STALENESS: Duration = Duration::from_secs(2);
-/// How often an instance asks each upstream for its position.
+/// Interval at which an instance asks each upstream for its position.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a read may take.
+/// Time limit of a read.
 const DEADLINE: Duration = Duration::from_secs(1);
 /// Sessions of one database.
 const SESSIONS: usize = 300;
-/// Requests a second of one database.
+/// Request rate of one database.
 const REQUESTS_PER_S: f64 = 500.0;
-/// How many of a hundred requests are writes.
+/// Share of the requests that write.
 const WRITE_PERCENT: u32 = 6;
-/// How many of a hundred requests follow the session's own writes; what is
-/// left are calendar views.
+/// Share of the requests that read the session's own writes; the remaining
+/// requests are calendar views.
 const OWN_READ_PERCENT: u32 = 14;
-/// How many of a hundred requests come to another instance than the last.
+/// Share of the requests sent to a randomly chosen instance.
 const ROAM_PERCENT: u32 = 10;
-/// How many of a hundred sessions that roam come without a token.
+/// Share of the roaming sessions that present no token.
 const TOKENLESS_PERCENT: u32 = 20;
-/// When the measurement begins; the routers know the replicas by then.
+/// Start of the measurement; the routers know the replicas' positions by then.
 const MEASURE_START: Instant = Instant::from_millis(2_000);
-/// The primary, by its number in the group.
+/// Index of the primary in the group.
 pub(super) const PRIMARY: usize = 0;
 
 #[derive(Debug)]
@@ -92,7 +92,8 @@
     pub(super) zone: usize,
     pub(super) router: Router,
     pub(super) sessions: HashMap<usize, Session>,
-    /// What was last heard of each upstream, for the naive router.
+    /// Last report of each upstream, with the time of the question and the age
+    /// of the data, for the naive router.
     pub(super) reports: HashMap<usize, (Instant, Report, Duration)>,
 }
 
@@ -110,7 +111,7 @@
     pub(super) lag: Option<Lag>,
 }
 
-/// A read under way.
+/// Read that is not answered yet.
 #[derive(Debug)]
 pub(super) struct Pending {
     pub(super) caller: usize,
@@ -123,12 +124,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
     Waiting,
-    Discovering,
+    AwaitingRound,
     Sent(Check),
     Confirming(Report, usize),
 }
 
-/// What an answer must pass.
+/// Check that an answer must pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Check {
     Verified(Target),
@@ -280,7 +281,8 @@
         self.suite.observe(self.now, event);
     }
 
-    /// How long a message takes between an instance and an upstream.
+    /// Returns the time that a message takes between an instance and an
+    /// upstream.
     pub(super) fn travel_time(&mut self, instance: usize, server: usize) -> Duration {
         let source = Place::Zone(self.instances[instance].zone);
         let target = Place::Zone(self.servers[server].zone);
@@ -359,7 +361,8 @@
         self.choose(request);
     }
 
-    /// Whether a read counts: it came after the routers knew the replicas.
+    /// Returns true if a read started after the warm-up, so that its result
+    /// counts.
     pub(super) fn is_measured(&self, pending: &Pending) -> bool {
         pending.read.began >= MEASURE_START
     }
@@ -367,7 +370,8 @@
     fn commit(&mut self, caller: usize, instance: usize) {
         self.commits.push(self.now);
         let at = Position::new(1, self.commits.len() as u64);
-        // The nearest replica has it and says so, and the instance hears it.
+        // The nearest replica receives the write and confirms it to the
+        // instance.
         let span = self.site.inter_zone_latency * 2 + self.travel_time(instance, PRIMARY);
         let acknowledged = Occurrence::Acknowledged {
             caller,
@@ -423,7 +427,7 @@
         }
     }
 
-    /// Gives a caller the token of its session.
+    /// Updates a caller's token with the one of its session.
     pub(super) fn update_token(&mut self, caller: usize, token: Option<Position>) {
         let caller = &mut self.callers[caller];
         if let Some(token) = token {
@@ -461,7 +465,7 @@
         self.schedule_after(span, polled);
     }
 
-    /// What an upstream says of itself now.
+    /// Returns the current report of an upstream.
     pub(super) fn report(&self, server: usize) -> Report {
         let committed = self.commits.len() as u64;
         let (role, replayed) = match &self.servers[server].lag {
@@ -480,7 +484,7 @@
         self.commits.partition_point(|&at| at <= moment) as u64
     }
 
-    /// How long ago the primary went past a place.
+    /// Returns the time since the primary wrote past `lsn`.
     pub(super) fn age(&self, lsn: u64, now: Instant) -> Duration {
         let next = self.commits.get(lsn as usize);
         next.map_or(Duration::ZERO, |&at| now.since(at))
--- a/crates/policy/src/reads/serve.rs
+++ b/crates/policy/src/reads/serve.rs
@@ -1,4 +1,4 @@
-//! A read's way through the real router, an upstream and the proof.
+//! Path of a read through the router, an upstream and the check of its answer.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 };
 use crate::net::exponential;
 
-/// How often a read that nothing can serve now is tried again.
+/// Interval at which a read is retried while no upstream can serve it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Simulation {
@@ -24,7 +24,7 @@
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        if !matches!(pending.stage, Stage::Waiting | Stage::Discovering) {
+        if !matches!(pending.stage, Stage::Waiting | Stage::AwaitingRound) {
             return;
         }
         pending.stage = Stage::Waiting;
@@ -47,7 +47,7 @@
                 self.schedule_after(until.since(now), Occurrence::Choose(request))
             }
             Choice::AwaitRound => {
-                pending.stage = Stage::Discovering;
+                pending.stage = Stage::AwaitingRound;
                 self.poll_all(instance);
             }
             Choice::Hold { .. } => self.schedule_after(RETRY_INTERVAL, Occurrence::Choose(request)),
@@ -154,7 +154,7 @@
         self.finish(request, server);
     }
 
-    /// Takes in a report, and goes on with what waited for a round.
+    /// Applies a report and resumes reads that wait for a confirmation round.
     pub(super) fn reported(
         &mut self,
         instance: usize,
@@ -183,7 +183,7 @@
         for session in node.sessions.values_mut() {
             session.step(now, session::Event::Round(round));
         }
-        let waits = |o: &Pending| matches!(o.stage, Stage::Discovering | Stage::Confirming(..));
+        let waits = |o: &Pending| matches!(o.stage, Stage::AwaitingRound | Stage::Confirming(..));
         let waiting = self.pending.iter();
         let waiting = waiting.filter(|(_, pending)| pending.instance == instance && waits(pending));
         let mut waiting: Vec<_> = waiting.map(|(r, pending)| (*r, pending.stage)).collect();
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -1,4 +1,4 @@
-//! What the bench tells: figures for each deployment, as JSON or as a table.
+//! Report on both deployments, as JSON or as tables.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -11,22 +11,22 @@
     stat::parallel,
 };
 
-/// How much is run.
+/// Size of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Scale {
     /// Failures of each kind.
     pub trials: u64,
-    /// Virtual time of reads, for each database and round.
+    /// Virtual time of the reads per database and round.
     pub reads: Duration,
-    /// Rounds of reads for each database.
+    /// Rounds of reads per database.
     pub rounds: u64,
     /// Virtual time of ordinary jitter.
     pub jitter: Duration,
-    /// Virtual time of each level of load.
+    /// Virtual time of each load level.
     pub load: Duration,
 }
 
-/// The effort of the whole bench.
+/// Size of a full run.
 pub const FULL: Scale = Scale {
     trials: 300,
     reads: Duration::from_secs(120),
@@ -35,50 +35,52 @@
     load: Duration::from_secs(20),
 };
 
-/// The figures of one deployment.
+/// Results of one deployment.
 #[derive(Debug, Serialize)]
 pub struct Deployment {
-    /// Share of calendar reads that replicas served.
+    /// Share of the calendar reads served by replicas.
     pub replica_share: f64,
-    /// The same under a naive router.
+    /// Share of the calendar reads that a naive router would send to replicas.
     pub naive_share: f64,
-    /// The same under an oracle that knows every position.
+    /// Share of the calendar reads that an oracle would send to replicas.
     pub oracle_share: f64,
-    /// The same where all goes to the primary.
+    /// Share of the calendar reads on replicas if all reads go to the primary.
     pub all_primary_share: f64,
-    /// `replica_share` as a share of `oracle_share`.
+    /// `replica_share` divided by `oracle_share`.
     pub replica_share_of_oracle: f64,
-    /// The gap after a crash, half of them of the process and half of the host.
+    /// Median gap after a crash; half of the crashes are of the process, half
+    /// of the host.
     pub gap_crash_p50_ms: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the gap after a crash.
     pub gap_crash_p99_ms: f64,
-    /// The 99th percentile of the gap when the primary's zone is cut off.
+    /// 99th percentile of the gap when the primary's zone is partitioned off.
     pub gap_cut_p99_ms: f64,
-    /// Changes of primary in an hour of ordinary jitter.
+    /// Promotions in an hour of ordinary jitter.
     pub false_promotions: usize,
     /// Goodput at five times the capacity as a share of its peak.
     pub goodput_5x: f64,
-    /// The same for a queue without limits.
+    /// `goodput_5x` of queues without limits.
     pub naive_goodput_5x: f64,
-    /// Reservations and payments done in time at five times the capacity.
+    /// Share of reservations and payments done in time at five times the
+    /// capacity.
     pub high_deadline_met_5x: f64,
-    /// Acknowledged writes that were lost, in everything that was run.
+    /// Acknowledged writes lost in all simulations.
     pub lost: usize,
-    /// Promises broken, in everything that was run.
+    /// Consistency violations in all simulations.
     pub violations: usize,
-    /// The reads.
+    /// Results of the reads.
     pub reads: reads::Summary,
-    /// The gap and its phases by kind of failure.
+    /// Gap and its phases by kind of failure.
     pub gaps: BTreeMap<Kind, gap::Summary>,
-    /// Calls to the store in the hour, by one group's failover.
+    /// Calls to the store in the hour of jitter by the failover of one group.
     pub store_calls_quiet: u64,
-    /// The share of the callers' requests that failed in the hour.
+    /// Share of the callers' requests that failed in the hour of jitter.
     pub failed_quiet: f64,
-    /// The levels of load.
+    /// Results of the load levels.
     pub load: load::Summary,
 }
 
-/// The figures of both deployments.
+/// Results of both deployments.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Booking for livery yards.
@@ -88,7 +90,7 @@
 }
 
 impl Report {
-    /// Runs all of it.
+    /// Runs all simulations.
     pub fn measure(scale: Scale, seed: u64) -> Self {
         let [stalgenoot, umurage] = SITES.map(|site| Deployment::measure(site, scale, seed));
         Self {
@@ -99,7 +101,7 @@
 }
 
 impl Deployment {
-    /// Runs all of one deployment.
+    /// Runs all simulations of one deployment.
     pub fn measure(site: Site, scale: Scale, seed: u64) -> Self {
         let reads = reads::measure(site, scale.reads, scale.rounds, seed);
         let trials = trials(site, scale.trials, seed);
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for one upstream: a log, a term, a fence.
+//! Fake upstream with a log, a term and a fence.
 
 use std::collections::HashMap;
 
@@ -6,63 +6,63 @@
 use clock::Instant;
 use model::{Lsn, Position, Report, Role, Term};
 
-/// One entry of the log; its place is its number, counted from one.
+/// Entry of the log; its LSN is its index, counted from one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
-    /// The term whose primary wrote it.
+    /// Term of the primary that wrote the entry.
     pub term: Term,
-    /// What it is about; `None` for the entry that opens a term.
+    /// Operation that was written; `None` for the entry that opens a term.
     pub operation: Option<Operation>,
 }
 
-/// Whom a replica follows.
+/// Replication source of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Follow {
-    /// The primary, by its number in the group.
+    /// Index of the primary in the group.
     pub leader: usize,
-    /// The term it leads in.
+    /// Term of the primary.
     pub term: Term,
 }
 
-/// Whether an upstream runs.
+/// Condition of an upstream's process and host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It runs.
+    /// The process runs.
     Up,
-    /// Its process is gone; its host refuses connections.
+    /// The process is gone; its host refuses connections.
     Crashed,
-    /// Its host is gone; nothing answers.
+    /// The host is gone; nothing answers.
     Silent,
 }
 
-/// Why an upstream did not do as it was told.
+/// Reason why an upstream refused a write or an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It takes no writes.
+    /// The upstream is a replica and takes no writes.
     Replica,
-    /// It is fenced to a higher term.
+    /// The upstream is fenced to a higher term.
     Fenced(Term),
 }
 
-/// What a write did.
+/// Effect of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Written {
-    /// It was added to the log.
+    /// The write was appended to the log.
     Added(Position),
-    /// The ledger had it.
+    /// The ledger of request ids already had the operation.
     Found(Position),
 }
 
-/// One upstream.
+/// Fake upstream.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: usize,
-    /// Whether its process runs.
+    /// Condition of the process and its host.
     pub condition: Condition,
-    /// Until when it does nothing at all.
+    /// Time until which the upstream does nothing.
     pub stalled_until: Instant,
-    /// Whom it follows.
+    /// Replication source, if any.
     pub follow: Option<Follow>,
     role: Role,
     fenced: Term,
@@ -71,7 +71,8 @@
 }
 
 impl Server {
-    /// Starts an upstream with an empty log, following `follow` if given.
+    /// Starts an upstream with an empty log, as a replica of `follow` or as
+    /// primary.
     pub fn open(zone: usize, term: Term, follow: Option<Follow>) -> Self {
         let mut server = Self {
             zone,
@@ -93,7 +94,7 @@
         server
     }
 
-    /// Where its log ends.
+    /// Returns the position of the end of the log.
     pub fn position(&self) -> Position {
         let term = self.log.last().map(|entry| entry.term);
         Position {
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Whether it takes writes.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The term it is fenced to.
+    /// Returns the term that the upstream is fenced to.
     pub fn fenced(&self) -> Term {
         self.fenced
     }
 
-    /// What it tells of itself.
+    /// Returns the report that the upstream gives of itself.
     pub fn report(&self) -> Report {
         let received = self.position();
         Report {
@@ -123,22 +124,24 @@
         }
     }
 
-    /// Its log.
+    /// Returns the log.
     pub fn log(&self) -> &[Entry] {
         &self.log
     }
 
-    /// Whether a read here shows an operation.
+    /// Returns true if a read on this upstream shows the operation.
     pub fn contains(&self, operation: Operation) -> bool {
         self.ledger.contains_key(&operation)
     }
 
-    /// Drops an operation from the ledger, though not from the log.
+    /// Removes an operation from the ledger of request ids but not from the
+    /// log.
     pub fn remove_from_ledger(&mut self, operation: Operation) {
         self.ledger.remove(&operation);
     }
 
-    /// Runs a write, with the ledger's entry in the same transaction.
+    /// Runs a write and records its request id in the ledger, in one
+    /// transaction.
     pub fn write(&mut self, operation: Operation) -> Result<Written, Refusal> {
         if self.role != Role::Primary {
             return Err(Refusal::Replica);
@@ -156,7 +159,7 @@
         Ok(Written::Added(self.position()))
     }
 
-    /// Stops following or leading any lower term.
+    /// Fences the upstream: it no longer leads or follows in any lower term.
     pub fn fence(&mut self, term: Term) -> Result<Report, Refusal> {
         if self.fenced > term {
             return Err(Refusal::Fenced(self.fenced));
@@ -169,7 +172,8 @@
         Ok(self.report())
     }
 
-    /// Leads in `term` from its own log on; the fork is where that ended.
+    /// Promotes the upstream in `term`; returns the fork, the end of its log
+    /// before.
     pub fn promote(&mut self, term: Term) -> Result<Lsn, Refusal> {
         if self.fenced > term {
             return Err(Refusal::Fenced(self.fenced));
@@ -199,7 +203,8 @@
         Ok(())
     }
 
-    /// Drops what its own log has beyond the followed primary's.
+    /// Drops the entries of the log that diverge from the followed primary's
+    /// log.
     pub fn rewind(&mut self, leader: &[Entry]) {
         let agrees = |(ours, theirs): &(&Entry, &Entry)| ours == theirs;
         let common = self.log.iter().zip(leader).take_while(agrees).count();
@@ -210,14 +215,14 @@
         }
     }
 
-    /// Takes in what comes next in the followed primary's log.
+    /// Appends the next entries of the followed primary's log.
     pub fn receive(&mut self, entries: &[Entry]) {
         for &entry in entries {
             self.push(entry);
         }
     }
 
-    /// Whether it runs and takes writes in `term`.
+    /// Returns true if the process runs and takes writes in `term`.
     pub fn is_primary_in(&self, term: Term) -> bool {
         let is_up = self.condition == Condition::Up;
         is_up && self.role == Role::Primary && self.position().term == term
--- a/crates/policy/src/site.rs
+++ b/crates/policy/src/site.rs
@@ -1,16 +1,16 @@
-//! The sizes and latencies of the two deployments.
+//! Sizes and latencies of the two deployments.
 
 use std::time::Duration;
 
-/// One deployment, as its operator states it.
+/// Deployment as specified by its operator.
 ///
-/// The latency inside a zone and the service times are not stated; they are
-/// assumed here, and every router is measured under the same.
+/// The operators don't specify the latency inside a zone and the service times.
+/// These are assumptions, and the same for every router.
 #[derive(Debug, Clone, Copy)]
 pub struct Site {
-    /// The operator.
+    /// Name of the operator.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
     /// One-way latency between zones.
     pub inter_zone_latency: Duration,
@@ -20,19 +20,19 @@
     pub caller_latency: Duration,
     /// One-way latency to the platform's store.
     pub store_latency: Duration,
-    /// Entry instances, spread over the zones.
+    /// Number of instances, spread over the zones.
     pub instances: usize,
-    /// Database groups.
+    /// Number of database groups.
     pub databases: usize,
-    /// Upstreams of each group, each in a zone of its own.
+    /// Upstreams per group, each in a zone of its own.
     pub upstreams: usize,
-    /// Statements that an upstream runs at once.
+    /// Statements that an upstream runs concurrently.
     pub slots: u16,
     /// Connections that an upstream accepts.
     pub connections: u16,
-    /// How long opening a connection takes.
+    /// Time to open a connection.
     pub connect_time: Duration,
-    /// How long a statement takes on average, once it has a slot.
+    /// Mean time that a statement takes once it has a slot.
     pub service_time: Duration,
 }
 
@@ -53,7 +53,7 @@
     service_time: Duration::from_millis(2),
 };
 
-/// Requests to the archive's reading rooms: three zones, nobody watching.
+/// Requests to the archive's reading rooms: three zones, run unattended.
 pub const UMURAGE: Site = Site {
     name: "umurage",
     zones: 3,
--- a/crates/policy/src/stat.rs
+++ b/crates/policy/src/stat.rs
@@ -1,14 +1,14 @@
-//! Quantiles of measured spans.
+//! Quantiles of durations.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest span that is told apart, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+/// Longest duration that is recorded; longer ones are clamped.
+const LONGEST_US: u64 = 3_600_000_000;
 
-/// Spans of one kind, in microseconds.
+/// Histogram of durations in microseconds.
 #[derive(Debug)]
 pub struct Spans {
     histogram: Histogram<u64>,
@@ -16,39 +16,39 @@
 
 impl Default for Spans {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST, 3);
+        let histogram = Histogram::new_with_bounds(1, LONGEST_US, 3);
         let histogram = histogram.expect("three significant digits are supported");
         Self { histogram }
     }
 }
 
-/// What is told of spans, in milliseconds.
+/// Quantiles of durations in milliseconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Quantiles {
-    /// How many there were.
+    /// Number of durations.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl Spans {
-    /// Adds a span.
+    /// Adds a duration.
     pub fn add(&mut self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.histogram.saturating_record(micros.max(1));
     }
 
-    /// Adds all spans of another.
+    /// Adds all durations of another histogram.
     pub fn merge(&mut self, other: &Self) {
         let merged = self.histogram.add(&other.histogram);
         merged.expect("all have the same bounds");
     }
 
-    /// What is told of them.
+    /// Returns the quantiles.
     pub fn quantiles(&self) -> Quantiles {
         let ms = |micros: u64| micros as f64 / 1_000.0;
         Quantiles {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Runs `job` for each number below `count` on all processors, and gives the
+/// Runs `job` for each number below `count` on all processors and returns the
 /// results in order.
 pub fn parallel<T: Send>(count: u64, job: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
--- a/crates/policy/src/world.rs
+++ b/crates/policy/src/world.rs
@@ -1,7 +1,8 @@
-//! One database group with its instances, callers and store, in virtual time.
+//! Simulation of one database group with its instances, callers and store, in
+//! virtual time.
 //!
-//! The decisions are the real ones; what stands around them is small: logs,
-//! latencies, a record. Faults are put in by the bench or the test.
+//! The instances run the real decision logic; upstreams, network and store are
+//! simple fakes. Faults are scheduled by the caller of the simulation.
 
 mod caller;
 mod instance;
@@ -34,7 +35,7 @@
 use instance::Arrival;
 use upstream::Message;
 
-/// Something that happens at its moment.
+/// Scheduled event of the simulation.
 #[derive(Debug)]
 enum Occurrence {
     Tick {
@@ -83,20 +84,20 @@
     Fault(Fault),
 }
 
-/// What is done to the world.
+/// Injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An upstream's process dies; its host refuses connections.
+    /// An upstream's process crashes; its host refuses connections.
     Crash(usize),
-    /// An upstream's host goes silent.
+    /// An upstream's host stops answering.
     Silence(usize),
-    /// An upstream comes back with the log and role that it had.
+    /// An upstream restarts with the log and role that it had.
     Restart(usize),
-    /// An upstream does nothing for a while and does not know it.
+    /// An upstream stalls for a while without noticing.
     Stall(usize, Duration),
-    /// A zone is parted from every other place.
+    /// A zone is partitioned from every other place.
     Isolate(usize),
-    /// All partitions end.
+    /// All partitions are removed.
     Heal,
     /// The store stops answering.
     StoreDown,
@@ -104,74 +105,75 @@
     StoreSlow(Duration),
     /// The store loses this many answers after the calls took effect.
     LoseAnswers(u32),
-    /// The store is as usual.
+    /// The store works normally again.
     StoreUp,
-    /// An instance dies and starts anew, knowing nothing.
+    /// An instance dies and later restarts without any state.
     Kill(usize),
-    /// An instance does nothing for a while and does not know it.
+    /// An instance is paused for a while without noticing.
     Pause(usize, Duration),
-    /// The instance that next sends such a message dies on sending it.
+    /// The next instance that sends a message of this step dies right after
+    /// sending.
     KillOn(Step),
-    /// The instance that next sends such a message does nothing for a while
-    /// after sending it, and does not know it.
+    /// The next instance that sends a message of this step is paused right
+    /// after sending, without noticing.
     PauseOn(Step, Duration),
 }
 
-/// What the instances do with requests.
+/// Logic by which the instances handle requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Logic {
-    /// The real decisions.
+    /// The real logic.
     Real,
-    /// All goes to upstream 0 and its answer is passed on; nothing is retried,
-    /// and nobody is promoted.
+    /// All requests go to upstream 0 and its answers are passed on; no retries,
+    /// no promotion.
     Naive,
     /// Broken: a write is acknowledged as soon as the primary ran it.
     AcknowledgeUnreplicated,
-    /// Broken: what callers present as their token is ignored, and a session
-    /// is taken for one that has written nothing.
+    /// Broken: tokens of callers are ignored; each session counts as one
+    /// without writes.
     IgnoreTokens,
-    /// Broken: an answer is given out without its proof.
+    /// Broken: answers are returned without being checked.
     Unverified,
-    /// Broken: a broken connection is taken for a request that did not run.
+    /// Broken: a lost connection is reported as a request that did not run.
     ClaimNotRun,
-    /// Broken: upstreams do not look into the ledger of request ids.
+    /// Broken: upstreams don't check the ledger of request ids.
     NoLedger,
 }
 
-/// How a request ended, beyond its outcome.
+/// Details of a request's end beyond its outcome.
 #[derive(Debug, Clone, Copy, Default)]
 struct Detail {
     term: Option<Term>,
     found: Option<check::Operation>,
 }
 
-/// A step of a change of primary.
+/// Step of a takeover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// The claim is sent to the store.
     Claim,
-    /// The group is ordered to be fenced.
+    /// The upstreams are ordered to fence.
     Fence,
-    /// The chosen upstream is ordered to lead.
+    /// The chosen upstream is ordered to become primary.
     Promote,
-    /// The new primary is sent to the store.
+    /// The record of the new primary is sent to the store.
     Record,
 }
 
-/// When a term's change of primary reached its steps.
+/// Times at which the takeover of a term reached its steps.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Milestones {
-    /// The claim was sent.
+    /// Time at which the claim was sent.
     pub claim_sent: Option<Instant>,
-    /// The claimant learned that it had the claim.
+    /// Time at which the claimant received the grant.
     pub claimed: Option<Instant>,
-    /// The promotion was ordered.
+    /// Time at which the promotion was ordered.
     pub ordered: Option<Instant>,
-    /// The upstream leads.
+    /// Time at which the upstream became primary.
     pub promoted: Option<Instant>,
 }
 
-/// One database group and all that stands around it.
+/// Simulated database group with its instances, callers and store.
 #[derive(Debug)]
 pub struct World {
     /// The deployment.
@@ -182,9 +184,9 @@
     pub instances: Vec<Instance>,
     /// The platform's store.
     pub store: Store,
-    /// The checkers.
+    /// The consistency checkers.
     pub suite: Suite,
-    /// The steps of each term's change of primary.
+    /// Times of the takeover steps by term.
     pub milestones: HashMap<Term, Milestones>,
     now: Instant,
     timer: Timer<Occurrence>,
@@ -205,12 +207,12 @@
 }
 
 impl World {
-    /// Opens a group that upstream 0 leads in term 1, with idle callers.
+    /// Opens a group with upstream 0 as primary in term 1 and without load.
     pub fn open(site: Site, seed: u64) -> Self {
         Self::open_with(site, seed, Logic::Real)
     }
 
-    /// Opens a group whose instances follow another logic than the real one.
+    /// Opens a group whose instances use the given logic.
     pub fn open_with(site: Site, seed: u64, logic: Logic) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let net = Net::open(site, ChaCha8Rng::seed_from_u64(rng.random()));
@@ -260,17 +262,17 @@
         world
     }
 
-    /// The moment it is.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// Lets a fault happen at a moment.
+    /// Schedules a fault.
     pub fn schedule(&mut self, at: Instant, fault: Fault) {
         self.timer.subscribe(at, Occurrence::Fault(fault));
     }
 
-    /// Runs to a moment.
+    /// Runs the simulation up to a point in time.
     pub fn run(&mut self, until: Instant) {
         while let Some(at) = self.timer.next().filter(|&at| at <= until) {
             self.now = at;
@@ -281,7 +283,8 @@
         self.now = until;
     }
 
-    /// Tells the checkers what the current primary's log has, and ends.
+    /// Reports the final log of the current primary to the checkers and ends
+    /// the run.
     pub fn finish(&mut self) {
         let leaders = self.servers.iter().filter(|s| s.condition == Condition::Up);
         let Some(leader) = leaders.max_by_key(|s| s.position()) else {
@@ -294,7 +297,8 @@
         self.record(Event::LogComplete);
     }
 
-    /// The upstream that leads by its own word, in the highest term.
+    /// Returns the index of the upstream that reports itself as primary in the
+    /// highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |u: &usize| self.servers[*u].role() == model::Role::Primary;
         (0..self.servers.len())
@@ -374,7 +378,7 @@
         self.timer.subscribe(self.now + span, occurrence);
     }
 
-    /// Sends over the network; nothing comes of it if it is lost.
+    /// Sends over the network; returns false if the message is lost.
     fn send(
         &mut self,
         from: Place,
--- a/crates/policy/src/world/caller.rs
+++ b/crates/policy/src/world/caller.rs
@@ -1,4 +1,5 @@
-//! The callers: they ask steadily, repeat what is unknown, and roam.
+//! Simulated callers, which send requests, repeat writes with an unknown
+//! outcome and roam between instances.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,26 +10,25 @@
 
 use super::{Detail, Logic, Occurrence, World, instance::Arrival, numbered};
 
-/// How long a caller waits before it repeats a write with an unknown outcome.
+/// Delay before a caller repeats a write with an unknown outcome.
 const REPEAT_DELAY: Duration = Duration::from_millis(20);
-/// How often it does so.
+/// Maximum number of repeats of a write.
 const MAX_REPEATS: u32 = 8;
 
-/// How the callers behave.
+/// Load that the callers generate.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// How many callers each zone has.
+    /// Number of callers per zone.
     pub callers: usize,
-    /// How long after one request a caller sends its next.
+    /// Time between two requests of a caller.
     pub interval: Duration,
-    /// How many of a hundred requests are reads.
+    /// Share of the requests that read.
     pub read_percent: u32,
-    /// How many of a hundred requests a caller sends to another instance than
-    /// the one before.
+    /// Share of the requests for which the caller chooses an instance anew.
     pub roam_percent: u32,
 }
 
-/// What a request is.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A write with a request id.
@@ -37,7 +37,7 @@
     Read(Freshness),
 }
 
-/// A request on its way to an instance.
+/// Request on its way to an instance.
 #[derive(Debug, Clone)]
 pub(super) struct Submission {
     pub(super) caller: usize,
@@ -46,34 +46,34 @@
     pub(super) kind: Kind,
     pub(super) token: Option<Position>,
     pub(super) roamed: bool,
-    /// What a read looks for.
+    /// Operation whose presence a read checks.
     pub(super) lookup: Option<Operation>,
 }
 
-/// One line of a script, which a caller says after the one before is answered.
+/// Command of a script; a caller sends it after the answer to the one before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Writes under this number.
     Write(u64),
-    /// Looks whether what was written under this number is there.
+    /// Reads whether the write of this number is present.
     Read(u64),
 }
 
-/// What a caller was told to one line.
+/// Result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandResult {
-    /// The line.
+    /// The command.
     pub command: Command,
-    /// How it ended at last, repeats of unknown writes included.
+    /// Final outcome, after repeats of unknown writes.
     pub outcome: Outcome,
-    /// Whether a look found what it looked for.
+    /// True if a read found its operation.
     pub found: bool,
 }
 
-/// One caller.
+/// Simulated caller.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// Its availability zone.
+    /// Availability zone of the caller.
     pub zone: usize,
     instance: usize,
     token: Option<Position>,
@@ -82,27 +82,27 @@
     think_time: Duration,
 }
 
-/// A write that was acknowledged to its caller.
+/// Write that was acknowledged to its caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Acknowledgement {
-    /// When the caller sent the request that was acknowledged.
+    /// Time at which the caller sent the acknowledged request.
     pub asked: Instant,
-    /// When the acknowledgement reached it.
+    /// Time at which the acknowledgement reached the caller.
     pub at: Instant,
-    /// The term in which a majority held it.
+    /// Term in which a majority confirmed the write.
     pub term: Term,
-    /// The caller's zone.
+    /// Zone of the caller.
     pub zone: usize,
 }
 
-/// How many requests ended how.
+/// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tally {
-    /// Done.
+    /// Requests that were done.
     pub done: u64,
-    /// Not run.
+    /// Requests that did not run.
     pub not_run: u64,
-    /// Unknown.
+    /// Requests whose outcome is unknown.
     pub unknown: u64,
 }
 
@@ -115,7 +115,7 @@
     repeats_left: u32,
 }
 
-/// All that the callers remember.
+/// State of all callers.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     load: Option<Load>,
@@ -128,7 +128,7 @@
 }
 
 impl World {
-    /// Lets callers ask from `from` on.
+    /// Starts the load at `from`.
     pub fn start_load(&mut self, from: Instant, load: Load) {
         self.clients.load = Some(load);
         for zone in 0..self.site.zones {
@@ -150,8 +150,9 @@
         }
     }
 
-    /// Lets a caller in a zone say a script from `from` on, roaming at each
-    /// line, with `pace` between an answer and the next line.
+    /// Runs a script from `from` on as a caller in `zone` that roams at each
+    /// command and waits for `think_time` between an answer and the next
+    /// command.
     pub fn run_script(
         &mut self,
         from: Instant,
@@ -173,7 +174,7 @@
         self.timer.subscribe(from, Occurrence::Caller(caller));
     }
 
-    /// What the callers with scripts were told.
+    /// Returns the results of each scripted caller.
     pub fn results(&self) -> Vec<&[CommandResult]> {
         let scripted = self.clients.callers.iter().map(|c| &c.results[..]);
         scripted.collect()
@@ -195,7 +196,7 @@
         true
     }
 
-    /// Notes the answer to a caller's line, and goes on to the next.
+    /// Records the result of a caller's command and schedules the next one.
     fn record_result(&mut self, pending: &Pending, outcome: Outcome, detail: Detail) {
         let repeats = matches!(outcome, Outcome::Unknown(_)) && pending.kind == Kind::Write;
         if repeats && pending.repeats_left > 0 && self.logic != Logic::Naive {
@@ -214,17 +215,17 @@
         self.schedule_after(think_time, Occurrence::Caller(pending.caller));
     }
 
-    /// Lets no caller ask anything new.
+    /// Stops the load; repeats and scripts go on.
     pub fn stop_load(&mut self) {
         self.clients.load = None;
     }
 
-    /// The writes that were acknowledged.
+    /// Returns the acknowledged writes.
     pub fn acknowledgements(&self) -> &[Acknowledgement] {
         &self.clients.acknowledgements
     }
 
-    /// How many requests ended how.
+    /// Returns the number of requests by outcome.
     pub fn tally(&self) -> Tally {
         self.clients.tally
     }
@@ -292,7 +293,7 @@
         };
         self.clients.pending.insert(request, pending);
         self.record_asked(caller, request, operation, kind, instance);
-        // One in four that roam come with nothing but their name.
+        // One in four requests to a new instance presents no token.
         let is_tokenless = !stays && self.rng.random_ratio(1, 4);
         let token = self.clients.callers[caller].token.filter(|_| !is_tokenless);
         let submission = Submission {
--- a/crates/policy/src/world/instance.rs
+++ b/crates/policy/src/world/instance.rs
@@ -1,4 +1,5 @@
-//! An instance: the real decisions, and what carries their actions out.
+//! Simulated instance: runs the real decision logic and carries out its
+//! actions.
 
 mod duty;
 mod work;
@@ -30,52 +31,53 @@
 
 use work::Work;
 
-/// How often an instance asks each upstream for its position.
+/// Interval at which an instance asks each upstream for its position.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long it waits for such an answer before it asks again.
+/// Time after which an unanswered question for the position is repeated.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a confirmation round may take.
+/// Time limit of a confirmation round.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long a killed instance is gone.
+/// Time until a killed instance restarts.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// What reaches an instance.
+/// Input of an instance.
 #[derive(Debug, Clone)]
 pub(super) enum Arrival {
-    /// Something for the failover.
+    /// Event of the failover group.
     Group(Decision),
-    /// The store's watch showed the record.
+    /// Record shown by the store's watch.
     Watched(Entry),
-    /// An upstream's answer to a write.
+    /// Answer of an upstream to a write.
     Wrote(usize, Request, Reply),
-    /// An upstream's answer to a read, with the position asked ahead of it.
+    /// Answer of an upstream to a read, with its report and the operation
+    /// found; `None` if the upstream could not be reached.
     Read(usize, Request, Option<(Report, Option<Operation>)>),
-    /// An upstream's position, asked at this moment.
+    /// Report of an upstream, with the time of the question.
     Polled(usize, Instant, Report),
-    /// A caller's request.
+    /// Request of a caller.
     Submission(Submission),
-    /// An instance that starts asks who leads.
+    /// Question of a restarted instance for the current primary.
     PrimaryQuery(usize),
-    /// The time to ask the upstreams for their positions.
+    /// Timer to ask the upstreams for their positions.
     Observe,
-    /// A read is to choose anew.
+    /// Timer to retry a read.
     Retry(Request),
-    /// A request's deadline.
+    /// Deadline of a request.
     Expired(Request),
 }
 
-/// One instance of the system.
+/// Simulated instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: usize,
-    /// Whether it runs.
+    /// True while the instance runs.
     pub up: bool,
-    /// How often it was started.
+    /// Incarnation, which changes with each crash; older events are ignored.
     pub incarnation: u32,
-    /// Until when it does nothing at all.
+    /// Time until which the instance does nothing.
     pub paused_until: Instant,
-    /// Its failover.
+    /// Failover logic of the group.
     pub group: Group,
     name: name::Instance,
     quorum: Quorum,
@@ -89,7 +91,7 @@
 }
 
 impl Instance {
-    /// Who leads, as the failover knows it.
+    /// Returns the record of the primary that the failover logic knows.
     fn record(&self) -> Option<Record> {
         let primary = self.group.primary()?;
         Some(Record {
@@ -104,7 +106,7 @@
 }
 
 impl World {
-    /// Starts an instance that knows nothing but its settings.
+    /// Starts an instance that has its settings but no other state.
     pub(super) fn start(&mut self, instance: usize) {
         let zone = instance % self.site.zones;
         let members = self.members();
@@ -180,7 +182,7 @@
         members.map(member).collect()
     }
 
-    /// An instance dies; another takes its place a while later.
+    /// Kills an instance and schedules its restart.
     pub(super) fn kill(&mut self, instance: usize) {
         let node = &mut self.instances[instance];
         node.up = false;
@@ -251,7 +253,7 @@
         }
     }
 
-    /// The watch of a zone's relay: it tells its zone.
+    /// Passes a watch event that the zone's relay received on to the zone.
     fn watched(&mut self, instance: usize, entry: Entry) {
         let zone = self.instances[instance].zone;
         for other in 0..self.instances.len() {
@@ -274,7 +276,8 @@
         self.send(source, target, Transport::Datagram, occurrence);
     }
 
-    /// Lets the failover decide, and carries out what it asks for.
+    /// Applies an event to the failover logic and carries out the resulting
+    /// actions.
     pub(super) fn step_group(&mut self, instance: usize, decision: Decision) {
         if self.logic == Logic::Naive {
             return;
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Notes when a change of primary reached its steps.
+    /// Records the time at which a takeover reached a step.
     fn note_step(&mut self, action: &Action) -> Option<Step> {
         let now = self.now;
         match action {
@@ -377,12 +380,12 @@
             return;
         };
         let zone = numbered("z", self.instances[from].zone, name::Zone::new);
-        let heard = Decision::Evidence {
+        let event = Decision::Evidence {
             from: self.instances[from].name.clone(),
             zone,
             evidence,
         };
-        self.send_to_peer(from, to, Arrival::Group(heard));
+        self.send_to_peer(from, to, Arrival::Group(event));
     }
 
     fn announce(&mut self, from: usize, entry: &Entry) {
@@ -405,7 +408,7 @@
         self.instances[instance].wake = Some(token);
     }
 
-    /// Puts a new primary in force for writes and reads.
+    /// Switches quorum and router to a new primary.
     fn adopt_primary(&mut self, instance: usize) {
         let node = &mut self.instances[instance];
         let term = node.group.primary().map_or(Term(0), |primary| primary.term);
--- a/crates/policy/src/world/instance/duty.rs
+++ b/crates/policy/src/world/instance/duty.rs
@@ -1,4 +1,4 @@
-//! What an instance does again and again: asking for positions.
+//! Periodic work of an instance: polling the positions of the upstreams.
 
 use check::Request;
 use clock::Instant;
@@ -18,8 +18,8 @@
         self.poll_all(instance);
     }
 
-    /// An instance that starts learns who leads from the store, and from
-    /// another instance when the store is down.
+    /// Asks the store for the current primary, and a random peer in case the
+    /// store is down.
     fn query_primary(&mut self, instance: usize) {
         self.ask_store(instance, Call(u64::MAX), platform::Message::Watch);
         let peer = self.rng.random_range(0..self.instances.len());
@@ -37,7 +37,8 @@
         self.send_to_peer(instance, from, Arrival::Group(Decision::Announced(entry)));
     }
 
-    /// Asks every upstream for its position, but those that were just asked.
+    /// Asks every upstream for its position, except upstreams with a recent
+    /// unanswered question.
     pub(super) fn poll_all(&mut self, instance: usize) {
         for server in 0..self.servers.len() {
             self.poll(instance, server);
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Hands an upstream's report to the decisions that rest on it.
+    /// Applies an upstream's report to router, quorum, sessions and waiting
+    /// reads.
     pub(super) fn reported(
         &mut self,
         instance: usize,
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -1,4 +1,4 @@
-//! The requests at one instance.
+//! Requests handled by an instance.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 use super::{Arrival, Instance, Reply, Submission, World, upstream};
 use crate::world::{Detail, Logic, Occurrence, caller::Kind};
 
-/// How long a request may take.
+/// Time limit of a request.
 const DEADLINE: Duration = Duration::from_secs(1);
-/// How often a read that nothing can serve now is tried again.
+/// Interval at which a read is retried while no upstream can serve it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One request at its instance.
+/// Request being handled.
 #[derive(Debug)]
 pub(super) struct Work {
     submission: Submission,
     began: Instant,
     stage: Stage,
-    /// Whether its bytes may have left for an upstream.
+    /// `Possible` once bytes of the request may have been sent to an upstream.
     transmission: Transmission,
     read: Read,
-    /// What a read that asked for an operation found.
+    /// Operation that a read found.
     found: Option<Operation>,
-    /// A write's life: what its outcome may be said to be.
+    /// State of a write, which determines its outcome.
     write: WriteState,
     sequence: u64,
 }
@@ -43,23 +43,23 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// It waits for an upstream that may serve it.
+    /// Waits for an upstream that can serve the request.
     Waiting,
-    /// It waits for a round that tells its session's floor.
-    Discovering,
-    /// It is under way to an upstream since this moment.
+    /// Waits for a confirmation round that determines the session's floor.
+    AwaitingRound,
+    /// Was sent to an upstream at `at`.
     Sent {
         server: usize,
         at: Instant,
         check: Check,
     },
-    /// The primary ran it; a majority must hold this position.
+    /// Ran on the primary; a majority has to confirm the position.
     Replicating(Position),
-    /// The primary answered it; a majority must confirm its term.
+    /// Was answered by the primary; a majority has to confirm the term.
     Confirming(Report),
 }
 
-/// What an answer must pass.
+/// Check that an answer must pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Check {
     Unchecked,
@@ -68,13 +68,13 @@
 }
 
 impl Instance {
-    /// Whether a request waits for a confirmed round.
+    /// Returns true if a request waits for a confirmation round.
     pub(super) fn awaits_round(&self) -> bool {
-        let wants = |w: &Work| matches!(w.stage, Stage::Discovering | Stage::Confirming(_));
+        let wants = |w: &Work| matches!(w.stage, Stage::AwaitingRound | Stage::Confirming(_));
         self.work.values().any(wants)
     }
 
-    /// The requests under way to an upstream.
+    /// Returns the requests that were sent to an upstream and not answered yet.
     pub(in crate::world) fn in_flight(&self, server: usize) -> Vec<(Request, Kind)> {
         let sent = |w: &Work| matches!(w.stage, Stage::Sent { server: s, .. } if s == server);
         let sent = self.work.iter().filter(|(_, w)| sent(w));
@@ -84,7 +84,7 @@
 }
 
 impl World {
-    /// Takes a caller's request.
+    /// Accepts a caller's request.
     pub(super) fn accept(&mut self, instance: usize, submission: Submission) {
         let (request, now) = (submission.request, self.now);
         let freshness = match submission.kind {
@@ -111,9 +111,10 @@
         }
     }
 
-    /// A caller presents its token with each request, and roams with nothing
-    /// at times. A request that it has under way elsewhere may have raised the
-    /// token meanwhile.
+    /// Opens or updates the caller's session with the token of the request.
+    ///
+    /// The token may be missing on a roaming request, or be newer than the
+    /// session because of a concurrent request at another instance.
     fn open_session(&mut self, instance: usize, submission: &Submission) {
         let now = self.now;
         let sessions = &mut self.instances[instance].sessions;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Lets a write's life go on, and carries out what it asks for.
+    /// Applies an event to a write and carries out the resulting actions.
     fn step_write(&mut self, instance: usize, request: Request, event: WriteEvent) {
         let now = self.now;
         let node = &mut self.instances[instance];
@@ -153,7 +154,8 @@
         }
     }
 
-    /// The group's connections are warm; what is missing may be a primary.
+    /// Admits a write if a primary is known; connections are taken as always
+    /// available.
     fn acquire(&mut self, instance: usize, request: Request) {
         let node = &mut self.instances[instance];
         let Some(work) = node.work.get_mut(&request) else {
@@ -209,7 +211,7 @@
         let Some(work) = node.work.get_mut(&request) else {
             return;
         };
-        if !matches!(work.stage, Stage::Waiting | Stage::Discovering) {
+        if !matches!(work.stage, Stage::Waiting | Stage::AwaitingRound) {
             return;
         }
         work.stage = Stage::Waiting;
@@ -255,16 +257,16 @@
         let Some(work) = node.work.get_mut(&request) else {
             return;
         };
-        work.stage = Stage::Discovering;
+        work.stage = Stage::AwaitingRound;
         if node.round.request(now, work.began) == Start::Now {
             self.poll_all(instance);
         }
     }
 
-    /// A round was confirmed: what waited for one goes on.
+    /// Resumes the requests that waited for a confirmation round.
     pub(super) fn round_confirmed(&mut self, instance: usize) {
         let node = &self.instances[instance];
-        let waits = |w: &Work| matches!(w.stage, Stage::Discovering | Stage::Confirming(_));
+        let waits = |w: &Work| matches!(w.stage, Stage::AwaitingRound | Stage::Confirming(_));
         let waiting = node.work.iter().filter(|(_, w)| waits(w));
         let waiting: Vec<_> = waiting.map(|(r, w)| (*r, w.stage)).collect();
         for (request, stage) in waiting {
@@ -275,7 +277,7 @@
         }
     }
 
-    /// An upstream answered a write.
+    /// Handles an upstream's answer to a write.
     pub(super) fn write_answered(
         &mut self,
         instance: usize,
@@ -297,8 +299,8 @@
                 self.step_write(instance, request, WriteEvent::Answered(handle, answer));
                 return self.reported(instance, server, at, report);
             }
-            // A replica's refusal proves that the write did not run, as an
-            // unsent one did not; so does a refused connection.
+            // A replica's refusal and a refused connection both prove that the
+            // write did not run, like a write that was not sent.
             Reply::Refused | Reply::Unreachable => WriteEvent::Unsent(handle),
             Reply::Broken if self.logic == Logic::ClaimNotRun => {
                 let outcome = Outcome::NotRun(Cause::ConnectionLost);
@@ -309,7 +311,8 @@
         self.step_write(instance, request, event);
     }
 
-    /// The primary ran a write; a majority must hold its position.
+    /// Waits until a majority confirms the position of a write that the primary
+    /// ran.
     fn await_majority(&mut self, instance: usize, request: Request, position: Position) {
         let node = &mut self.instances[instance];
         let Some(work) = node.work.get_mut(&request) else {
@@ -326,7 +329,7 @@
         }
     }
 
-    /// A majority holds a write.
+    /// Completes a write that a majority has confirmed.
     pub(super) fn committed(&mut self, instance: usize, request: Request) {
         let now = self.now;
         let node = &mut self.instances[instance];
@@ -342,12 +345,14 @@
         self.step_write(instance, request, WriteEvent::Confirmed(position));
     }
 
-    /// The primary of a write was replaced before a majority was seen.
+    /// Ends a write whose primary was replaced before a majority confirmed the
+    /// write.
     pub(super) fn primary_replaced(&mut self, instance: usize, request: Request) {
         self.step_write(instance, request, WriteEvent::Replaced);
     }
 
-    /// An upstream answered a read, or could not be reached.
+    /// Handles an upstream's answer to a read, or the failure to reach the
+    /// upstream.
     pub(super) fn read_answered(
         &mut self,
         instance: usize,
@@ -403,7 +408,8 @@
         self.finish_request(instance, request, Outcome::Done);
     }
 
-    /// Gives a read's answer out if a round since it began proves the term.
+    /// Returns the answer of a read once a confirmation round that began after
+    /// the read proves the term.
     fn confirm(&mut self, instance: usize, request: Request, report: Report) {
         let now = self.now;
         let node = &mut self.instances[instance];
@@ -420,8 +426,9 @@
         }
         if let Some(session) = node.sessions.get_mut(&work.submission.caller) {
             session.step(now, session::Event::ReadConfirmed(round));
-            // The read may have shown more than the round confirmed. Unnoted,
-            // the session's next read could go to a replica that lacks it.
+            // The read may have shown more than the round confirmed. Unless the
+            // session records that, its next read could go to a replica that
+            // lacks it.
             let confirmed = node.router.confirmed();
             let upto = position;
             session.step(now, session::Event::Read { upto, confirmed });
@@ -488,7 +495,7 @@
         self.schedule_after(self.site.caller_latency, occurrence);
     }
 
-    /// A caller's connection broke with its instance.
+    /// Fails a request whose connection broke when its instance died.
     pub(super) fn drop_connection(&mut self, request: Request) {
         let outcome = Outcome::Unknown(Cause::ConnectionLost);
         self.send_answer(
@@ -501,7 +508,7 @@
 }
 
 impl Work {
-    /// Ties an answer to the attempt that it answers.
+    /// Returns the handle that ties an answer to its attempt.
     fn handle(&self, request: Request) -> Handle {
         Handle {
             generation: Generation(request.0),
@@ -509,7 +516,8 @@
         }
     }
 
-    /// How it ends when it is given up: "not run" only if nothing had left.
+    /// Returns the outcome of an abandoned request: `NotRun` only if nothing
+    /// was sent.
     fn abandoned(&self, cause: Cause) -> Outcome {
         match self.transmission {
             Transmission::None => Outcome::NotRun(cause),
--- a/crates/policy/src/world/platform.rs
+++ b/crates/policy/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's store: one record, compare-and-swap, watches, bad days.
+//! Fake platform store: one record with compare-and-swap, watches and faults.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 
 use super::{Occurrence, World, instance::Arrival};
 
-/// How long the store takes over a call.
+/// Time that the store takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 
-/// How often a watch that broke off is tried again.
+/// Interval at which broken watches are resumed.
 const WATCH_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the store is asked.
+/// Message to the store.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    /// The record.
+    /// Reads the record.
     Read,
-    /// The record as a watch begins with it.
+    /// Reads the record at the start of a watch.
     Watch,
-    /// To replace the record if it is still at this revision.
+    /// Replaces the record if its revision is still this one.
     Swap(u64, Record),
 }
 
-/// The store, as far as one group sees it.
+/// The store, reduced to the record of one group.
 #[derive(Debug)]
 pub struct Store {
-    /// Whether it takes no calls.
+    /// True while the store answers no calls.
     pub down: bool,
-    /// How much longer than usual each call takes.
+    /// Additional latency of each call.
     pub extra_latency: Duration,
-    /// How many of the next answers are lost.
+    /// Number of answers that are still to be lost.
     pub answers_to_lose: u32,
-    /// How many calls it took.
+    /// Number of calls received.
     pub calls: u64,
     entry: Entry,
 }
 
 impl Store {
-    /// Opens the store with a first record.
+    /// Opens the store with an initial record.
     pub fn open(record: Record) -> Self {
         Self {
             down: false,
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Ends all that ails it.
+    /// Clears all faults.
     pub fn recover(&mut self) {
         self.down = false;
         self.extra_latency = Duration::ZERO;
         self.answers_to_lose = 0;
     }
 
-    /// The record.
+    /// Returns the record with its revision.
     pub fn entry(&self) -> &Entry {
         &self.entry
     }
@@ -115,8 +115,8 @@
         self.answer_from_store(from, span, Arrival::Group(decision));
     }
 
-    /// Watches go on where they broke off, as soon as the store is reached
-    /// again: what changed meanwhile is shown then.
+    /// Resumes the watches once the store is reachable again; they deliver the
+    /// changes made meanwhile.
     pub(super) fn resume_watches(&mut self) {
         self.schedule_after(WATCH_RETRY_INTERVAL, Occurrence::Resume);
         if !self.store.down {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Tells the watchers: one instance of each zone, which tells the others.
+    /// Notifies one instance per zone, which relays the record to the others.
     fn notify(&mut self) {
         let entry = self.store.entry.clone();
         let span = SERVICE_TIME + self.store.extra_latency;
--- a/crates/policy/src/world/upstream.rs
+++ b/crates/policy/src/world/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstreams' side: probes, orders, writes and replication.
+//! Behaviour of the upstreams: probes, orders, reads, writes and replication.
 
 use std::time::Duration;
 
@@ -14,40 +14,40 @@
 
 use super::{Kind, Logic, Occurrence, World, instance::Arrival};
 
-/// How long an upstream takes to answer a probe.
+/// Time that an upstream takes to answer a probe.
 const PROBE_TIME: Duration = Duration::from_micros(100);
-/// How long it takes to change its settings and leave its primary.
+/// Time to change the settings and disconnect from the primary.
 const FENCE_TIME: Duration = Duration::from_millis(5);
-/// How long it takes from the order to lead to its first write.
+/// Time from the promotion order to the first write.
 const PROMOTE_TIME: Duration = Duration::from_millis(50);
-/// How long a replica waits before it connects to its primary again.
+/// Delay before a replica reconnects to its primary.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// How long a replica takes to flush what it received.
+/// Time that a replica takes to flush received entries.
 const FLUSH_TIME: Duration = Duration::from_micros(300);
 
-/// What an upstream is asked.
+/// Message to an upstream.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    /// The group's question or order, with the moment it was sent.
+    /// Probe or order of the failover logic.
     Group(Call, Option<Order>),
     /// A write.
     Write(check::Request, check::Operation),
-    /// A read, with the position asked ahead of it.
+    /// A read, with the operation to look up.
     Read(check::Request, Option<check::Operation>),
-    /// Its position, for the writes that wait for a majority.
+    /// Question for the position, with the time of sending.
     Poll(Instant),
 }
 
-/// What an upstream said to a write.
+/// Answer of an upstream to a write.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Reply {
-    /// It ran, or had run before.
+    /// The write ran, now or earlier.
     Ran(Position, Report),
-    /// It was refused, so it did not run.
+    /// The write was refused and did not run.
     Refused,
-    /// The host refused the connection, so that nothing left.
+    /// The host refused the connection; nothing was sent.
     Unreachable,
-    /// The connection broke after the bytes had left.
+    /// The connection broke after the write was sent.
     Broken,
 }
 
@@ -170,7 +170,7 @@
         Ok(self.servers[server].report())
     }
 
-    /// A replica connects to its primary and takes in what it lacks.
+    /// Connects a replica to its primary and starts to stream missing entries.
     pub(super) fn connect(&mut self, follower: usize) {
         self.connecting.remove(&follower);
         let Some(follow) = self.servers[follower].follow else {
@@ -285,13 +285,13 @@
         }
     }
 
-    /// An upstream starts again with the disk it had.
+    /// Restarts an upstream with its log.
     pub(super) fn restart(&mut self, server: usize) {
         self.servers[server].condition = Condition::Up;
         self.schedule_after(Duration::ZERO, Occurrence::Connect { follower: server });
     }
 
-    /// An upstream's process dies, and with it the connections to it.
+    /// Crashes an upstream's process and breaks all connections to it.
     pub(super) fn crash(&mut self, server: usize) {
         self.servers[server].condition = Condition::Crashed;
         for instance in 0..self.instances.len() {
