--- a/crates/policy/src/jitter.rs
+++ b/crates/policy/src/jitter.rs
@@ -18,7 +18,6 @@
 const MAX_STALL: Duration = Duration::from_millis(200);
 /// Mean time between two pauses of an instance.
 const PAUSE_INTERVAL_S: f64 = 30.0;
-/// Longest pause.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// Mean time between two restarts of an instance.
 const RESTART_INTERVAL_S: f64 = 600.0;
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -192,7 +192,6 @@
     }
 }
 
-/// Weight of each tenant.
 const TENANT_WEIGHT: NonZeroU32 = NonZeroU32::MIN;
 /// Number of tenants; the first one sends half of the requests.
 const TENANTS: usize = 20;
--- a/crates/policy/src/world/instance/work.rs
+++ b/crates/policy/src/world/instance/work.rs
@@ -84,7 +84,6 @@
 }
 
 impl World {
-    /// Accepts a caller's request.
     pub(super) fn accept(&mut self, instance: usize, submission: Submission) {
         let (request, now) = (submission.request, self.now);
         let freshness = match submission.kind {
@@ -277,7 +276,6 @@
         }
     }
 
-    /// Handles an upstream's answer to a write.
     pub(super) fn write_answered(
         &mut self,
         instance: usize,
--- a/crates/policy/src/world/upstream.rs
+++ b/crates/policy/src/world/upstream.rs
@@ -30,7 +30,6 @@
 pub(super) enum Message {
     /// Probe or order of the failover logic.
     Group(Call, Option<Order>),
-    /// A write.
     Write(check::Request, check::Operation),
     /// A read, with the operation to look up.
     Read(check::Request, Option<check::Operation>),
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -17,7 +17,6 @@
     roam_percent: 20,
 };
 
-/// Time of the faults.
 const FAULT_TIME: Instant = Instant::from_millis(2_000);
 
 fn ms(millis: u64) -> Duration {
