--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -11,8 +11,8 @@
 
 use super::{
     Core,
+    backoff::{Backoff, MAX_PAUSE},
     group::{Group, Member},
-    pace::{MOST_PAUSE, Pace},
 };
 
 impl Group {
@@ -22,28 +22,28 @@
     /// # Errors
     ///
     /// Why that can't be said of the write: its outcome is unknown.
-    pub(super) async fn acknowledged(
+    pub(super) async fn wait_acknowledged(
         self: &Rc<Self>,
         core: &Rc<Core>,
         position: Position,
         deadline: Instant,
     ) -> Result<(), Cause> {
         let id = self.next_id();
-        let waits = match self.quorum.borrow_mut().as_mut() {
+        let last_id = match self.quorum.borrow_mut().as_mut() {
             Some(quorum) => quorum
                 .add_write(id, position)
                 .map_err(|_| Cause::Replaced)?,
             None => return Err(Cause::NoUpstream),
         };
-        if waits.is_some() {
+        if last_id.is_some() {
             return Ok(());
         }
-        let (waiter, landed) = oneshot::channel();
+        let (waiter, result) = oneshot::channel();
         self.waiters.borrow_mut().insert(id, waiter);
-        self.press(core);
+        self.poll_replicas(core);
         tokio::select! {
             biased;
-            result = landed => result.unwrap_or(Err(Cause::Replaced)),
+            result = result => result.unwrap_or(Err(Cause::Replaced)),
             () = sleep(deadline.since(core.now())) => {
                 self.waiters.borrow_mut().remove(&id);
                 if let Some(quorum) = self.quorum.borrow_mut().as_mut() {
@@ -55,19 +55,19 @@
     }
 
     fn next_id(&self) -> Id {
-        self.waits.set(self.waits.get() + 1);
-        Id(self.waits.get())
+        self.last_id.set(self.last_id.get() + 1);
+        Id(self.last_id.get())
     }
 
     /// Asks the replicas for their positions until no write waits.
-    fn press(self: &Rc<Self>, core: &Rc<Core>) {
+    fn poll_replicas(self: &Rc<Self>, core: &Rc<Core>) {
         let primary = self.router.borrow().primary().cloned();
         for (name, member) in self.members.borrow().iter() {
-            let busy = member.pressed.get() || primary.as_ref() == Some(name);
+            let busy = member.polled.get() || primary.as_ref() == Some(name);
             if !busy {
-                member.pressed.set(true);
+                member.polled.set(true);
                 let (group, core) = (Rc::clone(self), Rc::clone(core));
-                ntex::rt::spawn(press_one(group, core, name.clone(), Rc::clone(member)));
+                ntex::rt::spawn(poll_replica(group, core, name.clone(), Rc::clone(member)));
             }
         }
     }
@@ -76,10 +76,10 @@
     ///
     /// An instance that is no candidate has no other way to learn who leads
     /// before the record of a change reaches it.
-    pub(super) fn want_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
+    pub(super) fn request_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
         let now = core.now();
         if self.round.borrow_mut().request(now, since) == Start::Now {
-            ntex::rt::spawn(ask_all(Rc::clone(self), Rc::clone(core)));
+            ntex::rt::spawn(probe_all(Rc::clone(self), Rc::clone(core)));
         }
     }
 
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// [`Cause::Deadline`] when no majority confirmed a primary in time.
-    pub(super) async fn confirmed(
+    pub(super) async fn wait_confirmed(
         self: &Rc<Self>,
         core: &Rc<Core>,
         since: Instant,
@@ -103,18 +103,18 @@
             if now >= deadline {
                 return Err(Cause::Deadline);
             }
-            self.want_round(core, since);
+            self.request_round(core, since);
             tokio::select! {
                 () = changed => {}
-                () = sleep(deadline.since(now).min(MOST_PAUSE)) => {}
+                () = sleep(deadline.since(now).min(MAX_PAUSE)) => {}
             }
         }
     }
 }
 
 /// Asks one upstream for its position until no write waits.
-async fn press_one(group: Rc<Group>, core: Rc<Core>, name: name::Upstream, member: Rc<Member>) {
-    let mut pace = Pace::open();
+async fn poll_replica(group: Rc<Group>, core: Rc<Core>, name: name::Upstream, member: Rc<Member>) {
+    let mut backoff = Backoff::open();
     loop {
         let report = group.probe(&core, &name).await.and_then(Result::ok);
         let waiting = group
@@ -125,16 +125,16 @@
         if !waiting {
             break;
         }
-        let pause = pace.next(report.map(|report| report.received));
+        let pause = backoff.next(report.map(|report| report.received));
         if pause > Duration::ZERO {
             sleep(pause).await;
         }
     }
-    member.pressed.set(false);
+    member.polled.set(false);
 }
 
 /// Asks all upstreams of the group for their status at once.
-async fn ask_all(group: Rc<Group>, core: Rc<Core>) {
+async fn probe_all(group: Rc<Group>, core: Rc<Core>) {
     loop {
         let began = core.now();
         let names: Vec<_> = group.members.borrow().keys().cloned().collect();
--- a/crates/daemon/src/upstreams/pace.rs
+++ b/crates/daemon/src/upstreams/backoff.rs
@@ -11,16 +11,16 @@
 const FIRST_PAUSE: Duration = Duration::from_micros(250);
 
 /// The longest pause.
-pub(super) const MOST_PAUSE: Duration = Duration::from_millis(4);
+pub(super) const MAX_PAUSE: Duration = Duration::from_millis(4);
 
 /// The pauses between questions to one upstream, while writes wait.
 #[derive(Debug)]
-pub(super) struct Pace {
+pub(super) struct Backoff {
     pause: Duration,
     last: Option<Position>,
 }
 
-impl Pace {
+impl Backoff {
     /// Begins with an upstream of which nothing is known.
     pub(super) fn open() -> Self {
         Self {
@@ -37,7 +37,7 @@
     /// and each write would wait that long for a replica that holds it.
     pub(super) fn next(&mut self, held: Option<Position>) -> Duration {
         if held.is_none() {
-            return MOST_PAUSE;
+            return MAX_PAUSE;
         }
         if held != self.last {
             self.last = held;
@@ -45,7 +45,7 @@
             return Duration::ZERO;
         }
         let pause = self.pause;
-        self.pause = (pause * 2).min(MOST_PAUSE);
+        self.pause = (pause * 2).min(MAX_PAUSE);
         pause
     }
 }
--- a/crates/daemon/src/upstreams/choose.rs
+++ b/crates/daemon/src/upstreams/choose.rs
@@ -12,18 +12,18 @@
 use crate::job::Job;
 
 /// How long a request that waits for news goes without looking again.
-const LOOK: Duration = Duration::from_millis(5);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How long a request waits for somebody to lead.
 ///
 /// Longer than a change of primary takes at its worst. A request that waited
 /// on would be held back although nothing can be expected any more; it is
 /// refused at once then, and told when to come back.
-const MOST_HOLD: Duration = Duration::from_secs(3);
+const MAX_HOLD: Duration = Duration::from_secs(3);
 
 /// Where a request goes.
 #[derive(Debug, Clone)]
-pub(super) enum Way {
+pub(super) enum Destination {
     /// A read, to a replica.
     Replica(name::Upstream),
     /// To the primary, as far as is known here.
@@ -32,7 +32,7 @@
     Confirmed(name::Upstream, Confirmed),
 }
 
-impl Way {
+impl Destination {
     /// The upstream.
     pub(super) fn upstream(&self) -> &name::Upstream {
         match self {
@@ -61,39 +61,39 @@
         self: &Rc<Self>,
         core: &Rc<Core>,
         read: &Read,
-    ) -> Result<Way, Cause> {
+    ) -> Result<Destination, Cause> {
         loop {
             let changed = self.changed.notified();
-            self.note_loads(core);
+            self.update_loads(core);
             let now = core.now();
             let choice = self
                 .router
                 .borrow_mut()
                 .choose(now, read, &mut *core.rng.borrow_mut());
             match choice {
-                Choice::Replica(upstream) => return Ok(Way::Replica(upstream)),
-                Choice::Primary(upstream) => return Ok(Way::Primary(upstream)),
+                Choice::Replica(upstream) => return Ok(Destination::Replica(upstream)),
+                Choice::Primary(upstream) => return Ok(Destination::Primary(upstream)),
                 Choice::Confirmed(upstream) => {
-                    let round = self.confirmed(core, read.began, read.deadline).await?;
-                    return Ok(Way::Confirmed(upstream, round));
+                    let round = self.wait_confirmed(core, read.began, read.deadline).await?;
+                    return Ok(Destination::Confirmed(upstream, round));
                 }
                 Choice::AwaitRound => {
-                    self.confirmed(core, now, read.deadline).await?;
+                    self.wait_confirmed(core, now, read.deadline).await?;
                 }
                 Choice::Wait { upstream, until } => {
-                    sleep(until.since(now).min(LOOK)).await;
+                    sleep(until.since(now).min(RECHECK_INTERVAL)).await;
                     if read.trust != Trust::Expected {
                         let _ = self.probe(core, &upstream).await;
                     }
                 }
-                Choice::Hold { .. } if now >= read.began + MOST_HOLD => {
+                Choice::Hold { .. } if now >= read.began + MAX_HOLD => {
                     return Err(Cause::NoUpstream);
                 }
                 Choice::Hold { until } => {
-                    self.want_round(core, now);
+                    self.request_round(core, now);
                     tokio::select! {
                         () = changed => {}
-                        () = sleep(until.since(now).min(LOOK)) => {}
+                        () = sleep(until.since(now).min(RECHECK_INTERVAL)) => {}
                     }
                 }
                 Choice::Refuse(cause) => return Err(cause),
@@ -111,45 +111,45 @@
         self: &Rc<Self>,
         core: &Rc<Core>,
         deadline: Instant,
-    ) -> Result<Way, Cause> {
-        let deadline = deadline.min(core.now() + MOST_HOLD);
+    ) -> Result<Destination, Cause> {
+        let deadline = deadline.min(core.now() + MAX_HOLD);
         loop {
             let changed = self.changed.notified();
             if let Some(primary) = self.router.borrow().primary() {
-                return Ok(Way::Primary(primary.clone()));
+                return Ok(Destination::Primary(primary.clone()));
             }
             let now = core.now();
             if now >= deadline {
                 return Err(Cause::NoUpstream);
             }
-            self.want_round(core, now);
+            self.request_round(core, now);
             tokio::select! {
                 () = changed => {}
-                () = sleep(deadline.since(now).min(LOOK)) => {}
+                () = sleep(deadline.since(now).min(RECHECK_INTERVAL)) => {}
             }
         }
     }
 
     /// Waits for news of the group after an upstream could not be reached;
     /// `false` when the request has waited as long as it may.
-    pub(super) async fn wait_for_news(self: &Rc<Self>, core: &Rc<Core>, job: &Job) -> bool {
+    pub(super) async fn wait_for_change(self: &Rc<Self>, core: &Rc<Core>, job: &Job) -> bool {
         let now = core.now();
-        if now >= job.deadline.min(job.began + MOST_HOLD) {
+        if now >= job.deadline.min(job.began + MAX_HOLD) {
             return false;
         }
-        self.want_round(core, now);
+        self.request_round(core, now);
         tokio::select! {
             () = self.changed.notified() => {}
-            () = sleep(LOOK) => {}
+            () = sleep(RECHECK_INTERVAL) => {}
         }
         true
     }
 
-    fn note_loads(&self, core: &Core) {
+    fn update_loads(&self, core: &Core) {
         let now = core.now();
         let mut router = self.router.borrow_mut();
         for (name, member) in self.members.borrow().iter() {
-            router.step(now, Event::Load(name, member.lines.load()));
+            router.step(now, Event::Load(name, member.connections.load()));
         }
     }
 }
--- a/crates/daemon/src/upstreams/clean.rs
+++ b/crates/daemon/src/upstreams/clean.rs
@@ -12,11 +12,11 @@
 use super::{Core, group::Group};
 
 /// How long after its start an instance cleans for the first time.
-const FIRST: Duration = Duration::from_secs(2);
+const INITIAL_DELAY: Duration = Duration::from_secs(2);
 
 /// Cleans a database's ledger again and again, as long as the group is there.
 pub(super) async fn serve(core: Weak<Core>, group: Weak<Group>) {
-    let mut pause = FIRST;
+    let mut pause = INITIAL_DELAY;
     loop {
         sleep(pause).await;
         let (Some(core), Some(group)) = (core.upgrade(), group.upgrade()) else {
@@ -31,7 +31,7 @@
 async fn clean(core: &Core, group: &Group) -> Duration {
     let primary = group.router.borrow().primary().cloned();
     let member = primary.and_then(|it| group.member(&it));
-    let Some(member) = member.filter(|it| it.holds_first()) else {
+    let Some(member) = member.filter(|it| it.has_first_seat()) else {
         return ledger::CLEAN_INTERVAL;
     };
     let statement = ledger::clean(core.clock.since_epoch());
--- a/crates/daemon/src/upstreams/line.rs
+++ b/crates/daemon/src/upstreams/connection.rs
@@ -7,7 +7,7 @@
 use pool::{Handle, Ticket};
 use upstream::Conn;
 
-use super::lines::Lines;
+use super::connections::Connections;
 use crate::job::{Leaves, Settings};
 
 /// How many statements are kept prepared on one connection.
@@ -24,7 +24,7 @@
 }
 
 /// A connection while a request has it.
-pub(super) struct Line {
+pub(super) struct Connection {
     /// The connection itself.
     pub(super) conn: Conn,
     /// Where it leads.
@@ -42,7 +42,7 @@
     /// The last status that came on it, and when it was asked for.
     pub(super) seen: Option<(Instant, Report)>,
     /// The upstream's connections that it goes back to.
-    pub(super) home: Rc<Lines>,
+    pub(super) home: Rc<Connections>,
     /// The request that has it.
     pub(super) ticket: Ticket,
     /// The statement that it is handed out for.
--- a/crates/daemon/src/upstreams/lines.rs
+++ b/crates/daemon/src/upstreams/connections.rs
@@ -19,14 +19,14 @@
 use tokio::sync::{Notify, oneshot};
 use upstream::{Conn, Login};
 
-use super::line::{Fate, Line};
+use super::connection::{Connection, Fate};
 use crate::job::{Leaves, Settings};
 
 /// How long a login at an upstream may take.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long an upstream takes to see that a connection was closed.
-const CLOSING: Duration = Duration::from_millis(5);
+const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
 /// A refusal by the pool: the request did not run.
 #[derive(Debug, Clone, Copy)]
@@ -49,7 +49,7 @@
 type Waiter = oneshot::Sender<Result<Handle, Refused>>;
 
 /// The connections to one upstream that this instance holds.
-pub(super) struct Lines {
+pub(super) struct Connections {
     clock: Clock,
     address: SocketAddr,
     login: Login,
@@ -62,7 +62,7 @@
     stepped: Notify,
 }
 
-impl Lines {
+impl Connections {
     /// Opens the warm connections and keeps to the pool's limits.
     pub(super) fn open(
         clock: Clock,
@@ -71,7 +71,7 @@
         dbname: &str,
         conf: pool::Conf,
     ) -> Rc<Self> {
-        let lines = Rc::new(Self {
+        let connections = Rc::new(Self {
             clock,
             address,
             login: login.clone(),
@@ -82,9 +82,9 @@
             broken: RefCell::default(),
             stepped: Notify::new(),
         });
-        lines.step(Event::Tick);
-        ntex::rt::spawn(tick(Rc::downgrade(&lines), clock));
-        lines
+        connections.step(Event::Tick);
+        ntex::rt::spawn(tick(Rc::downgrade(&connections), clock));
+        connections
     }
 
     /// Changes the limits.
@@ -108,7 +108,7 @@
     }
 
     /// Waits for a connection.
-    pub(super) async fn acquire(self: &Rc<Self>, request: Request) -> Result<Line, Refused> {
+    pub(super) async fn acquire(self: &Rc<Self>, request: Request) -> Result<Connection, Refused> {
         let ticket = request.ticket;
         let handle = self.wait(ticket, Event::Submit(request)).await?;
         let Some(idle) = self.idle.borrow_mut().remove(&handle.generation) else {
@@ -118,7 +118,7 @@
                 retry_after: None,
             });
         };
-        Ok(Line {
+        Ok(Connection {
             conn: idle.conn,
             address: self.address,
             prepared: idle.prepared,
@@ -136,60 +136,62 @@
     /// Lets a transaction send its next statement on the connection it has.
     pub(super) async fn next(
         self: &Rc<Self>,
-        line: &mut Line,
+        connection: &mut Connection,
         deadline: Instant,
     ) -> Result<(), Refused> {
-        if self.broken.borrow_mut().remove(&line.ticket) {
+        if self.broken.borrow_mut().remove(&connection.ticket) {
             return Err(Refused {
                 cause: Cause::ConnectionLost,
                 retry_after: None,
             });
         }
-        line.handle = self
-            .wait(line.ticket, Event::Next(line.ticket, deadline))
+        connection.handle = self
+            .wait(connection.ticket, Event::Next(connection.ticket, deadline))
             .await?;
         Ok(())
     }
 
     /// Takes a connection back from a request whose answer was read whole.
-    pub(super) fn release(self: &Rc<Self>, line: Line) {
-        if line.fate == Fate::Close {
-            return self.discard(line);
+    pub(super) fn release(self: &Rc<Self>, connection: Connection) {
+        if connection.fate == Fate::Close {
+            return self.discard(connection);
         }
         let idle = Idle {
-            conn: line.conn,
-            prepared: line.prepared,
-            applied: line.applied,
-            leaves: line.leaves,
-            seen: line.seen,
+            conn: connection.conn,
+            prepared: connection.prepared,
+            applied: connection.applied,
+            leaves: connection.leaves,
+            seen: connection.seen,
         };
-        self.idle.borrow_mut().insert(line.handle.generation, idle);
-        self.step(Event::Answered(line.handle, Condition::Idle));
+        self.idle
+            .borrow_mut()
+            .insert(connection.handle.generation, idle);
+        self.step(Event::Answered(connection.handle, Condition::Idle));
     }
 
     /// Notes that the transaction on a connection goes on.
-    pub(super) fn hold(self: &Rc<Self>, line: &Line) {
-        self.step(Event::Answered(line.handle, Condition::Transaction));
+    pub(super) fn hold(self: &Rc<Self>, connection: &Connection) {
+        self.step(Event::Answered(connection.handle, Condition::Transaction));
     }
 
     /// Closes a connection that is not fit for another request.
     ///
     /// One with an unread answer would give it to the next request; one with
     /// an open transaction would mix the two callers' statements.
-    pub(super) fn discard(self: &Rc<Self>, line: Line) {
-        let handle = line.handle;
-        drop(line);
+    pub(super) fn discard(self: &Rc<Self>, connection: Connection) {
+        let handle = connection.handle;
+        drop(connection);
         self.step(Event::Answered(handle, Condition::Unusable));
-        self.tell_closed(handle.generation);
+        self.notify_closed(handle.generation);
     }
 
     /// Tells the pool that a connection is closed, once the upstream has had
     /// the time to see it: opened at once, the next one would come on top.
-    fn tell_closed(self: &Rc<Self>, generation: Generation) {
-        let lines = Rc::clone(self);
+    fn notify_closed(self: &Rc<Self>, generation: Generation) {
+        let connections = Rc::clone(self);
         ntex::rt::spawn(async move {
-            sleep(CLOSING).await;
-            lines.step(Event::Closed(generation));
+            sleep(CLOSE_DELAY).await;
+            connections.step(Event::Closed(generation));
         });
     }
 
@@ -208,12 +210,12 @@
         let now = self.clock.now();
         let actions = self.pool.borrow_mut().step(now, event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
         self.stepped.notify_one();
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Open(generation) => {
                 ntex::rt::spawn(connect(Rc::clone(self), generation));
@@ -222,16 +224,16 @@
                 let idle = self.idle.borrow_mut().remove(&generation);
                 if idle.is_some() {
                     drop(idle);
-                    self.tell_closed(generation);
+                    self.notify_closed(generation);
                 }
             }
-            Action::Run(ticket, handle) => self.answer(ticket, Ok(handle)),
+            Action::Run(ticket, handle) => self.resolve(ticket, Ok(handle)),
             Action::Refuse {
                 ticket,
                 cause,
                 retry_after,
             } => {
-                self.answer(
+                self.resolve(
                     ticket,
                     Err(Refused {
                         cause,
@@ -244,7 +246,7 @@
             Action::Cancel(_) => {}
             Action::Abort(ticket, cause) => {
                 self.broken.borrow_mut().insert(ticket);
-                self.answer(
+                self.resolve(
                     ticket,
                     Err(Refused {
                         cause,
@@ -255,7 +257,7 @@
         }
     }
 
-    fn answer(&self, ticket: Ticket, result: Result<Handle, Refused>) {
+    fn resolve(&self, ticket: Ticket, result: Result<Handle, Refused>) {
         let waiter = self.waiters.borrow_mut().remove(&ticket);
         if let Some(waiter) = waiter {
             let _ = waiter.send(result);
@@ -268,8 +270,8 @@
     }
 }
 
-async fn connect(lines: Rc<Lines>, generation: Generation) {
-    let opening = Conn::open(lines.address, &lines.login, &lines.dbname);
+async fn connect(connections: Rc<Connections>, generation: Generation) {
+    let opening = Conn::open(connections.address, &connections.login, &connections.dbname);
     let limit = ntex::time::Millis::from(OPEN_TIMEOUT);
     let event = match ntex::time::timeout(limit, opening).await {
         Ok(Ok(conn)) => {
@@ -280,20 +282,20 @@
                 leaves: Leaves::Nothing,
                 seen: None,
             };
-            lines.idle.borrow_mut().insert(generation, idle);
+            connections.idle.borrow_mut().insert(generation, idle);
             Event::Opened(generation)
         }
         Ok(Err(_)) | Err(()) => Event::Lost(generation),
     };
-    lines.step(event);
+    connections.step(event);
 }
 
 /// Steps the pool whenever the moment comes that it waits for.
-async fn tick(lines: std::rc::Weak<Lines>, clock: Clock) {
+async fn tick(connections: std::rc::Weak<Connections>, clock: Clock) {
     /// How long to sleep when the pool waits for nothing.
     const QUIET: Duration = Duration::from_secs(1);
     loop {
-        let Some(strong) = lines.upgrade() else {
+        let Some(strong) = connections.upgrade() else {
             return;
         };
         let now = clock.now();
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -24,18 +24,18 @@
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The SQLSTATE of a server that has all the connections that it takes.
-const TOO_MANY: &str = "53300";
+const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// A status and the moment at which it was asked for.
 pub(super) type Status = Result<(Instant, Report), Fault>;
 
-type Asker = oneshot::Sender<Status>;
+type StatusSender = oneshot::Sender<Status>;
 
 /// What waits for the control connection.
 #[derive(Default)]
 struct Waiting {
-    probes: Vec<Asker>,
-    orders: Vec<(upstream::Order, Asker)>,
+    probes: Vec<StatusSender>,
+    orders: Vec<(upstream::Order, StatusSender)>,
     statements: Vec<(String, oneshot::Sender<Result<u64, Fault>>)>,
 }
 
@@ -47,12 +47,12 @@
     dbname: String,
     waiting: RefCell<Waiting>,
     work: Notify,
-    standing: Cell<Use>,
+    holding: Cell<Holding>,
 }
 
 /// Whether this instance holds connections to the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Use {
+pub(super) enum Holding {
     /// It does: the control connection stays open.
     Held,
     /// It does not: the connection is closed once it has nothing to do. Kept
@@ -71,15 +71,15 @@
             dbname: dbname.to_owned(),
             waiting: RefCell::default(),
             work: Notify::new(),
-            standing: Cell::new(Use::Released),
+            holding: Cell::new(Holding::Released),
         });
         ntex::rt::spawn(serve(Rc::downgrade(&control)));
         control
     }
 
     /// Tells whether this instance holds connections to the upstream.
-    pub(super) fn set_use(&self, standing: Use) {
-        self.standing.set(standing);
+    pub(super) fn set_holding(&self, holding: Holding) {
+        self.holding.set(holding);
         self.work.notify_one();
     }
 
@@ -110,7 +110,7 @@
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    fn take(&self) -> Option<Work> {
+    fn next_work(&self) -> Option<Work> {
         let mut waiting = self.waiting.borrow_mut();
         if !waiting.orders.is_empty() {
             let (order, asker) = waiting.orders.remove(0);
@@ -126,8 +126,8 @@
 }
 
 enum Work {
-    Probe(Vec<Asker>),
-    Order(upstream::Order, Asker),
+    Probe(Vec<StatusSender>),
+    Order(upstream::Order, StatusSender),
     Statement(String, oneshot::Sender<Result<u64, Fault>>),
 }
 
@@ -137,8 +137,8 @@
         let Some(strong) = control.upgrade() else {
             return;
         };
-        let Some(work) = strong.take() else {
-            if strong.standing.get() == Use::Released {
+        let Some(work) = strong.next_work() else {
+            if strong.holding.get() == Holding::Released {
                 conn = None;
             }
             let idle = ntex::time::Millis(1_000);
@@ -148,26 +148,26 @@
         match work {
             Work::Probe(askers) => {
                 let statements = [PROBE.to_owned()];
-                let status = strong.ask(&mut conn, &statements).await;
+                let status = strong.run_statements(&mut conn, &statements).await;
                 for asker in askers {
                     let _ = asker.send(status);
                 }
             }
             Work::Order(order, asker) => {
-                let status = strong.ask(&mut conn, &order.statements()).await;
+                let status = strong.run_statements(&mut conn, &order.statements()).await;
                 let _ = asker.send(status);
             }
             Work::Statement(statement, asker) => {
-                let count = strong.count(&mut conn, &statement).await;
-                let _ = asker.send(count);
+                let execute_on = strong.execute_on(&mut conn, &statement).await;
+                let _ = asker.send(execute_on);
             }
         }
     }
 }
 
 impl Control {
-    async fn ask(&self, conn: &mut Option<Conn>, statements: &[String]) -> Status {
-        let asking = async |open: &Conn| {
+    async fn run_statements(&self, conn: &mut Option<Conn>, statements: &[String]) -> Status {
+        let statements_then_status = async |open: &Conn| {
             let (last, first) = statements
                 .split_last()
                 .ok_or(Error::Status("no statement"))?;
@@ -177,29 +177,29 @@
             let row = rows.first().ok_or(Error::Status("no row"))?;
             Ok((sent, upstream::parse_report(row)?))
         };
-        self.on_conn(conn, asking).await
+        self.with_conn(conn, statements_then_status).await
     }
 
-    async fn count(&self, conn: &mut Option<Conn>, statement: &str) -> Result<u64, Fault> {
-        self.on_conn(conn, async |open: &Conn| open.execute(statement).await)
+    async fn execute_on(&self, conn: &mut Option<Conn>, statement: &str) -> Result<u64, Fault> {
+        self.with_conn(conn, async |open: &Conn| open.execute(statement).await)
             .await
     }
 
     /// Does something on the connection, within the time that it may take.
-    async fn on_conn<T>(
+    async fn with_conn<T>(
         &self,
         conn: &mut Option<Conn>,
-        act: impl AsyncFnOnce(&Conn) -> Result<T, Error>,
+        action: impl AsyncFnOnce(&Conn) -> Result<T, Error>,
     ) -> Result<T, Fault> {
         let limit = ntex::time::Millis::from(TIMEOUT);
-        let acting = async {
+        let action = async {
             if conn.as_ref().is_none_or(Conn::is_closed) {
                 *conn = Some(Conn::open(self.address, &self.login, &self.dbname).await?);
             }
             let open = conn.as_ref().ok_or(Error::Closed)?;
-            act(open).await
+            action(open).await
         };
-        let result = ntex::time::timeout(limit, acting).await;
+        let result = ntex::time::timeout(limit, action).await;
         result.unwrap_or(Err(Error::Timeout)).map_err(|error| {
             // A connection that failed once may still bring the answer to the
             // question that was given up: it is never used again.
@@ -218,7 +218,7 @@
             Fault::Refused
         }
         Error::Timeout => Fault::Timeout,
-        Error::Refused { state, .. } if state == TOO_MANY => Fault::Full,
+        Error::Refused { state, .. } if state == TOO_MANY_CONNECTIONS => Fault::Full,
         Error::Refused { state, message } if state == upstream::TERM_REFUSED => {
             let term = message.rsplit(' ').nth(1).and_then(|it| it.parse().ok());
             term.map_or(Fault::Broken, |term| Fault::Fenced(model::Term(term)))
@@ -232,7 +232,7 @@
     match order {
         Order::SetPrimary { database, record } => {
             if let Some(group) = core.group(&database) {
-                group.lead(core.now(), &record);
+                group.set_primary(core.now(), &record);
             }
         }
         Order::Probe {
--- a/crates/daemon/src/upstreams/site.rs
+++ b/crates/daemon/src/upstreams/dispatch.rs
@@ -9,11 +9,11 @@
 
 use super::{
     Core, Pin, Running,
-    choose::Way,
-    exchange::{Heard, exchange},
+    choose::Destination,
+    connection::Connection,
+    connections::Refused,
+    exchange::{Answer, exchange},
     group::{Group, Member},
-    line::Line,
-    lines::Refused,
     plan::{Plan, Probes},
     sink::{Mode, Sink},
 };
@@ -23,21 +23,21 @@
 };
 
 /// What became of a batch.
-pub(super) enum Ran {
+pub(super) enum Completion {
     /// Its whole answer came.
-    Heard(Heard, Held),
+    Answer(Answer, Checkout),
     /// It did not run.
     Refused(Refused),
     /// Its connection failed: it may have run.
     Broken,
     /// Its deadline came first: it may have run, or yet run.
-    Late,
+    TimedOut,
 }
 
 /// What a batch leaves behind.
-pub(super) enum Held {
+pub(super) enum Checkout {
     /// A connection of this instance.
-    Line(Box<Line>),
+    Connection(Box<Connection>),
     /// A connection of the holder `to`, which the command `pin` runs on.
     Remote {
         /// The holder.
@@ -47,23 +47,23 @@
     },
 }
 
-impl Held {
+impl Checkout {
     /// Gives the connection back behind a whole answer.
-    pub(super) fn settle(self, heard: &Heard) {
-        if heard.status != Some(b'I') || heard.spoiled {
+    pub(super) fn settle(self, answer: &Answer) {
+        if answer.status != Some(b'I') || answer.spoiled {
             return self.discard();
         }
         // A holder gives its connection back itself.
-        if let Self::Line(line) = self {
-            let home = Rc::clone(&line.home);
-            home.release(*line);
+        if let Self::Connection(connection) = self {
+            let home = Rc::clone(&connection.home);
+            home.release(*connection);
         }
     }
 
     /// Closes the connection.
     pub(super) fn discard(self) {
-        if let Self::Line(line) = self {
-            discard(*line);
+        if let Self::Connection(connection) = self {
+            discard(*connection);
         }
     }
 
@@ -71,9 +71,9 @@
     pub(super) fn keep(self, core: &Core, caller: Caller, group: &Rc<Group>) {
         let group = Rc::clone(group);
         let pin = match self {
-            Self::Line(line) => {
-                line.home.hold(&line);
-                Pin::Open { line, group }
+            Self::Connection(connection) => {
+                connection.home.hold(&connection);
+                Pin::Open { connection, group }
             }
             Self::Remote { to, pin } => Pin::Remote { to, pin, group },
         };
@@ -82,10 +82,10 @@
 }
 
 /// Closes a connection that is not fit for another request.
-pub(super) fn discard(line: Line) {
-    let home = Rc::clone(&line.home);
-    home.forget(line.ticket);
-    home.discard(line);
+pub(super) fn discard(connection: Connection) {
+    let home = Rc::clone(&connection.home);
+    home.forget(connection.ticket);
+    home.discard(connection);
 }
 
 /// A request for a connection.
@@ -99,7 +99,7 @@
         ticket: core.ticket(),
         entry: scope.entry.clone(),
         limits: Limits {
-            connections: member.entry_part(scope.connections),
+            connections: member.entry_limit(scope.connections),
             queue: scope.queue,
         },
         tenant: scope.tenant.clone(),
@@ -110,18 +110,18 @@
 }
 
 /// A batch on its way to an upstream, with what judges its answer.
-pub(super) struct Errand<'a> {
+pub(super) struct Dispatch<'a> {
     pub(super) core: &'a Rc<Core>,
     pub(super) group: &'a Rc<Group>,
     pub(super) job: &'a Job,
-    pub(super) way: &'a Way,
+    pub(super) destination: &'a Destination,
     pub(super) read: &'a Read,
     pub(super) running: &'a Rc<Running>,
     /// What the status ahead of the answer says of it.
     pub(super) verdict: Verdict,
 }
 
-impl Errand<'_> {
+impl Dispatch<'_> {
     /// What is done with the answer, if it passes.
     fn mode(&self) -> Mode {
         match self.job.batch.need {
@@ -147,7 +147,7 @@
     /// read that goes to the replaced one would miss what the new one has
     /// acknowledged, so it has to have reached the round's own place.
     fn check(&self, report: &Report) -> Verdict {
-        if let Way::Confirmed(_, round) = self.way {
+        if let Destination::Confirmed(_, round) = self.destination {
             let position = route::position(report);
             let same = position.term == round.position.term;
             let holds = same && position.covers(round.position);
@@ -159,13 +159,14 @@
         }
         let router = self.group.router.borrow();
         let now = self.core.now();
-        router.verify(now, report, self.read, self.way.target())
+        router.verify(now, report, self.read, self.destination.target())
     }
 
     /// Judges the answer by the status ahead of it.
-    pub(super) fn judge(&mut self, sent: clock::Instant, report: &Report) -> Mode {
+    pub(super) fn choose_mode(&mut self, sent: clock::Instant, report: &Report) -> Mode {
         let now = self.core.now();
-        self.group.report(now, self.way.upstream(), sent, *report);
+        self.group
+            .note_report(now, self.destination.upstream(), sent, *report);
         self.verdict = self.check(report);
         if self.verdict == Verdict::Fresh {
             self.mode()
@@ -175,23 +176,23 @@
     }
 
     /// Runs the batch on a connection of this instance.
-    async fn run_here(&mut self, member: &Member, sink: &mut Sink<'_>) -> Ran {
+    async fn run_local(&mut self, member: &Member, sink: &mut Sink<'_>) -> Completion {
         let (core, job) = (self.core, self.job);
         let request = request(core, member, &job.scope, job.deadline);
         let asked = core.now();
-        let mut line = match member.lines.acquire(request).await {
-            Ok(line) => line,
-            Err(refusal) => return Ran::Refused(refusal),
+        let mut connection = match member.connections.acquire(request).await {
+            Ok(connection) => connection,
+            Err(refusal) => return Completion::Refused(refusal),
         };
         job.meter.note_queued(core.now().since(asked));
-        if line.conn.is_closed() {
-            discard(line);
-            return Ran::Refused(Refused {
+        if connection.conn.is_closed() {
+            discard(connection);
+            return Completion::Refused(Refused {
                 cause: Cause::NoUpstream,
                 retry_after: None,
             });
         }
-        let proved = line
+        let proved = connection
             .seen
             .as_ref()
             .is_some_and(|(_, report)| self.proves(report));
@@ -199,58 +200,63 @@
             before: self.reads() && !proved,
             behind: job.batch.need != Need::Begin,
         };
-        let plan = Plan::fresh(&mut line, &job.batch, &job.settings, probes);
+        let plan = Plan::standalone(&mut connection, &job.batch, &job.settings, probes);
         self.running.sent.set(true);
-        *self.running.line.borrow_mut() = Some((line.address, line.conn.key().clone()));
+        *self.running.connection.borrow_mut() =
+            Some((connection.address, connection.conn.key().clone()));
         let sent = core.now();
-        let mut judge = |report: &Report| self.judge(sent, report);
-        let heard = tokio::select! {
+        let mut choose_mode = |report: &Report| self.choose_mode(sent, report);
+        let answer = tokio::select! {
             biased;
-            heard = exchange(sent, &mut line, plan, sink, &mut judge) => Some(heard),
+            answer = exchange(sent, &mut connection, plan, sink, &mut choose_mode) => Some(answer),
             () = sleep(job.deadline.since(sent)) => None,
         };
-        *self.running.line.borrow_mut() = None;
-        self.running.spare(&mut line);
-        match heard {
-            Some(Ok(heard)) => {
-                if let Some(report) = heard.behind.or(heard.before) {
-                    line.seen = Some((heard.sent, report));
+        *self.running.connection.borrow_mut() = None;
+        self.running.close_if_cancelled(&mut connection);
+        match answer {
+            Some(Ok(answer)) => {
+                if let Some(report) = answer.behind.or(answer.before) {
+                    connection.seen = Some((answer.sent, report));
                 }
-                Ran::Heard(heard, Held::Line(Box::new(line)))
+                Completion::Answer(answer, Checkout::Connection(Box::new(connection)))
             }
             Some(Err(_)) => {
-                discard(line);
-                Ran::Broken
+                discard(connection);
+                Completion::Broken
             }
             None => {
-                let (address, key) = (line.address, line.conn.key().clone());
+                let (address, key) = (connection.address, connection.conn.key().clone());
                 ntex::rt::spawn(async move { upstream::cancel(address, &key).await });
-                discard(line);
-                Ran::Late
+                discard(connection);
+                Completion::TimedOut
             }
         }
     }
 
     /// Runs the batch where the upstream's connections are held.
-    pub(super) async fn run(&mut self, sink: &mut Sink<'_>) -> Ran {
+    pub(super) async fn run(&mut self, sink: &mut Sink<'_>) -> Completion {
         let unreachable = Refused {
             cause: Cause::NoUpstream,
             retry_after: None,
         };
-        let Some(member) = self.group.member(self.way.upstream()) else {
-            return Ran::Refused(unreachable);
+        let Some(member) = self.group.member(self.destination.upstream()) else {
+            return Completion::Refused(unreachable);
         };
         sink.set_mode(self.mode());
-        let ran = match member.holder(self.core) {
-            Holder::Here => self.run_here(&member, sink).await,
-            Holder::There(to) => self.run_there(&to, sink).await,
-            Holder::Nowhere => Ran::Refused(unreachable),
+        let ran = match member.next_holder(self.core) {
+            Holder::Local => self.run_local(&member, sink).await,
+            Holder::Remote(to) => self.run_remote(&to, sink).await,
+            Holder::Unknown => Completion::Refused(unreachable),
         };
-        if let Ran::Heard(heard, _) = &ran
-            && let Some(report) = heard.behind
+        if let Completion::Answer(answer, _) = &ran
+            && let Some(report) = answer.behind
         {
-            self.group
-                .report(self.core.now(), self.way.upstream(), heard.sent, report);
+            self.group.note_report(
+                self.core.now(),
+                self.destination.upstream(),
+                answer.sent,
+                report,
+            );
         }
         ran
     }
@@ -260,15 +266,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Holder {
     /// This one.
-    Here,
+    Local,
     /// Another one.
-    There(name::Instance),
+    Remote(name::Instance),
     /// None that is known.
-    Nowhere,
+    Unknown,
 }
 
 /// Sends a command that has no answer.
-pub(super) fn tell(core: &Rc<Core>, to: &name::Instance, command: Command) {
+pub(super) fn send_command(core: &Rc<Core>, to: &name::Instance, command: Command) {
     let seq = core.next_seq();
     let core = Rc::clone(core);
     let to = to.clone();
--- a/crates/daemon/src/upstreams/exchange.rs
+++ b/crates/daemon/src/upstreams/exchange.rs
@@ -8,14 +8,14 @@
 use upstream::Error;
 
 use super::{
-    line::Line,
-    plan::{Item, Plan, Show},
+    connection::Connection,
+    plan::{Audience, Item, Plan},
     sink::{Mode, Sink},
 };
 
 /// What came back for a batch.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct Answer {
     /// The transaction's state behind the batch; `None` when it goes on.
     pub(super) status: Option<u8>,
     /// The SQLSTATE of the batch's error, if it had one.
@@ -32,7 +32,7 @@
 }
 
 /// Whether an answer may be passed on, by the status ahead of it.
-pub(super) type Judge<'a> = &'a mut dyn FnMut(&Report) -> Mode;
+pub(super) type ChooseMode<'a> = &'a mut dyn FnMut(&Report) -> Mode;
 
 /// Sends `plan` and reads the whole answer into `sink`.
 ///
@@ -41,56 +41,59 @@
 /// [`Error`] when the connection failed on the way: what was sent may have run.
 pub(super) async fn exchange(
     now: Instant,
-    line: &mut Line,
+    connection: &mut Connection,
     plan: Plan,
     sink: &mut Sink<'_>,
-    judge: Judge<'_>,
-) -> Result<Heard, Error> {
-    line.conn.send(&plan.bytes)?;
-    let mut heard = Heard {
+    choose_mode: ChooseMode<'_>,
+) -> Result<Answer, Error> {
+    connection.conn.send(&plan.bytes)?;
+    let mut answer = Answer {
         sent: now,
-        ..Heard::default()
+        ..Answer::default()
     };
     let mut items = plan.items;
     while let Some(item) = items.pop_front() {
         match item {
-            Item::Hidden => heard.spoiled |= status_row(line).await?.is_err(),
+            Item::Internal => answer.spoiled |= read_status_row(connection).await?.is_err(),
             Item::StatusBefore => {
-                heard.before = status(line).await?;
-                let mode = heard.before.as_ref().map_or(Mode::Discard, &mut *judge);
+                answer.before = status(connection).await?;
+                let mode = answer
+                    .before
+                    .as_ref()
+                    .map_or(Mode::Discard, &mut *choose_mode);
                 sink.set_mode(mode);
             }
-            Item::StatusBehind => heard.behind = status(line).await?,
-            Item::Query => query(line, sink, &mut heard).await?,
-            Item::Given(bytes) => sink.give(bytes),
-            Item::Synced => heard.status = Some(synced(line, sink).await?),
+            Item::StatusBehind => answer.behind = status(connection).await?,
+            Item::Query => read_query(connection, sink, &mut answer).await?,
+            Item::Synthetic(bytes) => sink.push_bytes(bytes),
+            Item::Synced => answer.status = Some(read_sync(connection, sink).await?),
             other => {
-                if let Some(error) = message(line, sink, &other).await? {
-                    heard.error = Some(error);
-                    skip(line, &mut items);
+                if let Some(error) = read_message(connection, sink, &other).await? {
+                    answer.error = Some(error);
+                    skip_to_sync(connection, &mut items);
                 }
             }
         }
     }
-    Ok(heard)
+    Ok(answer)
 }
 
 /// Behind an error the upstream skips what it was sent, up to the next Sync.
-fn skip(line: &mut Line, items: &mut VecDeque<Item>) {
+fn skip_to_sync(connection: &mut Connection, items: &mut VecDeque<Item>) {
     while let Some(item) = items.front() {
         if matches!(item, Item::Synced) {
             return;
         }
         items.pop_front();
     }
-    line.skipping = true;
+    connection.skipping = true;
 }
 
 /// Waits for the next message that answers something, passing on the notices
 /// that may come at any time.
-async fn next(line: &Line, sink: &mut Sink<'_>) -> Result<Frame, Error> {
+async fn next_frame(connection: &Connection, sink: &mut Sink<'_>) -> Result<Frame, Error> {
     loop {
-        let frame = line.conn.recv().await?;
+        let frame = connection.conn.recv().await?;
         match frame.tag() {
             b'N' | b'S' => sink.push(&frame).await,
             b'A' => {}
@@ -104,32 +107,32 @@
     Error::Protocol(pg::Error::Unexpected(char::from(frame.tag())))
 }
 
-fn state(frame: &Frame) -> String {
+fn error_state(frame: &Frame) -> String {
     pg::error_state(frame.body()).unwrap_or_default().to_owned()
 }
 
 /// Reads the answer to one message of the extended protocol; `Some` with the
 /// SQLSTATE when it was refused.
-async fn message(
-    line: &mut Line,
+async fn read_message(
+    connection: &mut Connection,
     sink: &mut Sink<'_>,
     item: &Item,
 ) -> Result<Option<String>, Error> {
     loop {
-        let frame = next(line, sink).await?;
+        let frame = next_frame(connection, sink).await?;
         if frame.tag() == b'E' {
             sink.push(&frame).await;
-            return Ok(Some(state(&frame)));
+            return Ok(Some(error_state(&frame)));
         }
         let last = match (item, frame.tag()) {
-            (Item::Parsed(hash, show), b'1') => {
-                line.prepared.insert(*hash);
-                if *show == Show::Caller {
+            (Item::Parsed(hash, audience), b'1') => {
+                connection.prepared.insert(*hash);
+                if *audience == Audience::Caller {
                     sink.push(&frame).await;
                 }
                 return Ok(None);
             }
-            (Item::One, b'2' | b'3' | b'T' | b'n') => true,
+            (Item::Single, b'2' | b'3' | b'T' | b'n') => true,
             (Item::Described, b't') => false,
             (Item::Described, b'T' | b'n') => true,
             (Item::Executed, b'D') => false,
@@ -143,16 +146,20 @@
     }
 }
 
-async fn query(line: &Line, sink: &mut Sink<'_>, heard: &mut Heard) -> Result<(), Error> {
+async fn read_query(
+    connection: &Connection,
+    sink: &mut Sink<'_>,
+    answer: &mut Answer,
+) -> Result<(), Error> {
     loop {
-        let frame = next(line, sink).await?;
+        let frame = next_frame(connection, sink).await?;
         match frame.tag() {
             b'Z' => {
-                heard.status = Some(ready(&frame)?);
+                answer.status = Some(transaction_status(&frame)?);
                 return Ok(());
             }
             b'E' => {
-                heard.error = Some(state(&frame));
+                answer.error = Some(error_state(&frame));
                 sink.push(&frame).await;
             }
             b'T' | b'D' | b'C' | b'I' => sink.push(&frame).await,
@@ -161,12 +168,12 @@
     }
 }
 
-async fn synced(line: &mut Line, sink: &mut Sink<'_>) -> Result<u8, Error> {
-    line.skipping = false;
+async fn read_sync(connection: &mut Connection, sink: &mut Sink<'_>) -> Result<u8, Error> {
+    connection.skipping = false;
     loop {
-        let frame = next(line, sink).await?;
+        let frame = next_frame(connection, sink).await?;
         match frame.tag() {
-            b'Z' => return ready(&frame),
+            b'Z' => return transaction_status(&frame),
             // An error of the commit that the Sync stands for.
             b'E' => sink.push(&frame).await,
             _ => return Err(unexpected(&frame)),
@@ -174,16 +181,16 @@
     }
 }
 
-fn ready(frame: &Frame) -> Result<u8, Error> {
+fn transaction_status(frame: &Frame) -> Result<u8, Error> {
     match frame.body() {
-        [state @ (b'I' | b'T' | b'E')] => Ok(*state),
+        [error_state @ (b'I' | b'T' | b'E')] => Ok(*error_state),
         _ => Err(unexpected(frame)),
     }
 }
 
 /// The status that a probe brings; none inside a failed transaction.
-async fn status(line: &Line) -> Result<Option<Report>, Error> {
-    match status_row(line).await? {
+async fn status(connection: &Connection) -> Result<Option<Report>, Error> {
+    match read_status_row(connection).await? {
         Ok(Some(row)) => upstream::parse_report(&row).map(Some),
         Ok(None) | Err(Refused) => Ok(None),
     }
@@ -193,11 +200,11 @@
 struct Refused;
 
 /// Reads the answer to a simple query of the proxy's own: its first row.
-async fn status_row(line: &Line) -> Result<Result<Option<Frame>, Refused>, Error> {
+async fn read_status_row(connection: &Connection) -> Result<Result<Option<Frame>, Refused>, Error> {
     let mut row = None;
     let mut refused = false;
     loop {
-        let frame = line.conn.recv().await?;
+        let frame = connection.conn.recv().await?;
         match frame.tag() {
             b'D' if row.is_none() => row = Some(frame),
             b'E' => refused = true,
@@ -213,8 +220,9 @@
 /// # Errors
 ///
 /// [`Error`] when the connection failed.
-pub(super) async fn ask(line: &Line) -> Result<Option<Report>, Error> {
-    line.conn
+pub(super) async fn probe(connection: &Connection) -> Result<Option<Report>, Error> {
+    connection
+        .conn
         .run(&[upstream::PROBE.to_owned()])
         .await
         .and_then(|rows| rows.first().map(upstream::parse_report).transpose())
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -25,11 +25,11 @@
 
 use super::{
     Core,
-    control::{Control, Status, Use},
-    lines::Lines,
-    remote::{self, Lost},
-    site::Holder,
-    view::Sight,
+    connections::Connections,
+    control::{Control, Holding, Status},
+    dispatch::Holder,
+    remote::{self, Unreachable},
+    view::ProbeHistory,
 };
 use crate::forward::Command;
 
@@ -38,80 +38,81 @@
 
 /// How often another holder is tried for a probe or an order, and how long
 /// after the one before.
-const WAYS: usize = 6;
-const WAY_PAUSE: Duration = Duration::from_millis(15);
+const HOLDER_ATTEMPTS: usize = 6;
+const HOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(15);
 
 /// After how long without work a connection beyond the warm ones is closed.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long an open transaction may have nothing in flight.
-const TRANSACTION_IDLE: Duration = Duration::from_secs(60);
+const TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One upstream of a group.
 pub(super) struct Member {
     pub(super) conf: catalog::Upstream,
-    pub(super) lines: Rc<Lines>,
+    pub(super) connections: Rc<Connections>,
     pub(super) control: Rc<Control>,
     /// Whether a task asks it for its status until no write waits.
-    pub(super) pressed: Cell<bool>,
+    pub(super) polled: Cell<bool>,
     /// Who should have each of its seats, as seen from here.
-    seats: RefCell<Vec<name::Instance>>,
+    holders: RefCell<Vec<name::Instance>>,
     /// The seats that this instance has, out of those of the whole database.
-    part: RefCell<Part>,
+    own_seats: RefCell<Seats>,
     /// Counts up, to divide requests among the holders.
-    turns: Cell<usize>,
+    rotation: Cell<usize>,
 }
 
 /// This instance's seats at an upstream.
 #[derive(Debug, Clone, Default)]
-struct Part {
+struct Seats {
     /// The numbers of its seats among those of the database.
-    seats: Vec<u16>,
+    numbers: Vec<u16>,
     /// Whether the upstream's first seat is among them.
-    first: bool,
+    has_first: bool,
     /// How many seats the database has.
-    of: u16,
+    total: u16,
 }
 
 impl Member {
     /// Whether this instance holds connections to the upstream.
-    pub(super) fn holds(&self) -> bool {
-        !self.part.borrow().seats.is_empty()
+    pub(super) fn is_holder(&self) -> bool {
+        !self.own_seats.borrow().numbers.is_empty()
     }
 
     /// Whether this instance has the first of the upstream's seats.
-    pub(super) fn holds_first(&self) -> bool {
-        self.part.borrow().first
+    pub(super) fn has_first_seat(&self) -> bool {
+        self.own_seats.borrow().has_first
     }
 
     /// Where the next request for the upstream goes.
-    pub(super) fn holder(&self, core: &Core) -> Holder {
-        if self.holds() {
-            return Holder::Here;
+    pub(super) fn next_holder(&self, core: &Core) -> Holder {
+        if self.is_holder() {
+            return Holder::Local;
         }
-        let seats = self.seats.borrow();
+        let holders = self.holders.borrow();
         let leaving = core.leaving.borrow();
-        let others = || seats.iter().filter(|it| **it != core.instance);
+        let others = || holders.iter().filter(|it| **it != core.instance);
         let mut staying: Vec<_> = others().filter(|it| !leaving.contains(*it)).collect();
         if staying.is_empty() {
             staying = others().collect();
         }
         if staying.is_empty() {
-            return Holder::Nowhere;
+            return Holder::Unknown;
         }
-        self.turns.set(self.turns.get().wrapping_add(1));
-        Holder::There(staying[self.turns.get() % staying.len()].clone())
+        self.rotation.set(self.rotation.get().wrapping_add(1));
+        Holder::Remote(staying[self.rotation.get() % staying.len()].clone())
     }
 
     /// This instance's part of an entry's limit of connections.
-    pub(super) fn entry_part(&self, limit: u16) -> u16 {
-        let part = self.part.borrow();
-        let Some(of) = NonZeroU16::new(part.of) else {
+    pub(super) fn entry_limit(&self, limit: u16) -> u16 {
+        let own_seats = self.own_seats.borrow();
+        let Some(total) = NonZeroU16::new(own_seats.total) else {
             return 0;
         };
-        part.seats
+        own_seats
+            .numbers
             .iter()
-            .map(|seat| holder::entry_limit(limit, of, *seat))
+            .map(|seat| holder::entry_limit(limit, total, *seat))
             .sum()
     }
 }
@@ -123,12 +124,12 @@
     pub(super) router: RefCell<Router>,
     pub(super) quorum: RefCell<Option<Quorum>>,
     pub(super) waiters: RefCell<HashMap<Id, oneshot::Sender<Result<(), Cause>>>>,
-    pub(super) waits: Cell<u64>,
+    pub(super) last_id: Cell<u64>,
     /// Told whenever something became known.
     pub(super) changed: Notify,
     pub(super) round: RefCell<session::Round>,
     /// When the upstreams were asked for their status, and answered.
-    pub(super) sights: RefCell<BTreeMap<name::Upstream, Sight>>,
+    pub(super) probe_histories: RefCell<BTreeMap<name::Upstream, ProbeHistory>>,
 }
 
 impl Group {
@@ -140,40 +141,40 @@
             router: RefCell::new(Router::new(&core.zone, route::Conf::default())),
             quorum: RefCell::default(),
             waiters: RefCell::default(),
-            waits: Cell::new(0),
+            last_id: Cell::new(0),
             changed: Notify::new(),
             round: RefCell::new(session::Round::new(ROUND_TIMEOUT)),
-            sights: RefCell::default(),
+            probe_histories: RefCell::default(),
         }
     }
 
     /// Brings the group in line with the catalogue.
-    pub(super) fn follow(&self, core: &Core, database: &catalog::Database) {
+    pub(super) fn apply_catalog(&self, core: &Core, database: &catalog::Database) {
         let mut members = self.members.borrow_mut();
         members.retain(|name, _| database.upstreams.contains_key(name));
-        let mut sights = self.sights.borrow_mut();
-        sights.retain(|name, _| database.upstreams.contains_key(name));
-        drop(sights);
+        let mut probe_histories = self.probe_histories.borrow_mut();
+        probe_histories.retain(|name, _| database.upstreams.contains_key(name));
+        drop(probe_histories);
         for (name, conf) in &database.upstreams {
             let same = |it: &Rc<Member>| it.conf.address == conf.address;
             let known = members.get(name).filter(|it| same(it));
-            let (lines, control) = match known {
-                Some(known) => (Rc::clone(&known.lines), Rc::clone(&known.control)),
-                None => ways(core, conf, &database.dbname),
+            let (connections, control) = match known {
+                Some(known) => (Rc::clone(&known.connections), Rc::clone(&known.control)),
+                None => open_connections(core, conf, &database.dbname),
             };
-            lines.set_service(if conf.leaving {
+            connections.set_service(if conf.leaving {
                 PoolStatus::Leaving
             } else {
                 PoolStatus::Active
             });
             let member = Member {
                 conf: conf.clone(),
-                lines,
+                connections,
                 control,
-                pressed: Cell::new(false),
-                seats: RefCell::default(),
-                part: RefCell::default(),
-                turns: Cell::new(0),
+                polled: Cell::new(false),
+                holders: RefCell::default(),
+                own_seats: RefCell::default(),
+                rotation: Cell::new(0),
             };
             members.insert(name.clone(), Rc::new(member));
         }
@@ -199,7 +200,7 @@
             .map(|(instance, zone)| Candidate { instance, zone })
             .collect();
         let members = self.members.borrow();
-        let of = members
+        let total = members
             .values()
             .map(|it| holder::seats(it.conf.slots).get())
             .sum();
@@ -218,19 +219,19 @@
             let shares = own.iter().map(|seat| {
                 holder::share(member.conf.connections, member.conf.slots, seats, *seat)
             });
-            let standing = if own.is_empty() {
-                Use::Released
+            let holding = if own.is_empty() {
+                Holding::Released
             } else {
-                Use::Held
+                Holding::Held
             };
-            member.control.set_use(standing);
-            member.lines.set_conf(limits(shares));
-            *member.part.borrow_mut() = Part {
-                first: own.contains(&0),
-                seats: own.iter().map(|seat| first + seat).collect(),
-                of,
+            member.control.set_holding(holding);
+            member.connections.set_conf(limits(shares));
+            *member.own_seats.borrow_mut() = Seats {
+                has_first: own.contains(&0),
+                numbers: own.iter().map(|seat| first + seat).collect(),
+                total,
             };
-            *member.seats.borrow_mut() = holders;
+            *member.holders.borrow_mut() = holders;
             first += seats.get();
         }
         self.changed.notify_waiters();
@@ -242,7 +243,7 @@
     }
 
     /// Takes in the status that an upstream gave to a question sent at `sent`.
-    pub(super) fn report(
+    pub(super) fn note_report(
         &self,
         now: Instant,
         upstream: &name::Upstream,
@@ -260,29 +261,29 @@
         // Only one upstream is ever promoted in a term, so a primary's own word
         // is enough to wait for a majority that holds its log.
         if report.role == Role::Primary && report.fenced <= report.received.term {
-            self.adopt(report.received.term, upstream);
+            self.adopt_primary(report.received.term, upstream);
         }
         let done = match self.quorum.borrow_mut().as_mut() {
             Some(quorum) => quorum.report(upstream, sent, &report),
             None => Vec::new(),
         };
         for id in done {
-            self.land(id, Ok(()));
+            self.complete_write(id, Ok(()));
         }
         self.changed.notify_waiters();
     }
 
     /// Takes in who leads, as the store or an announcement has it.
-    pub(super) fn lead(&self, now: Instant, record: &Record) {
+    pub(super) fn set_primary(&self, now: Instant, record: &Record) {
         self.router.borrow_mut().step(now, Event::Record(record));
         if let Some(upstream) = record.leader() {
-            self.adopt(record.term, upstream);
+            self.adopt_primary(record.term, upstream);
         }
         self.changed.notify_waiters();
     }
 
     /// Counts the writes of `term` from now on, if it is a later one.
-    fn adopt(&self, term: Term, upstream: &name::Upstream) {
+    fn adopt_primary(&self, term: Term, upstream: &name::Upstream) {
         let size = self.members.borrow().len();
         let replaced = {
             let mut quorum = self.quorum.borrow_mut();
@@ -295,12 +296,12 @@
             }
         };
         for id in replaced {
-            self.land(id, Err(Cause::Replaced));
+            self.complete_write(id, Err(Cause::Replaced));
         }
     }
 
     /// Tells a write that waits what became of it.
-    fn land(&self, id: quorum::Id, result: Result<(), Cause>) {
+    fn complete_write(&self, id: quorum::Id, result: Result<(), Cause>) {
         let waiter = self.waiters.borrow_mut().remove(&id);
         if let Some(waiter) = waiter {
             let _ = waiter.send(result);
@@ -319,8 +320,8 @@
             database: self.name.clone(),
             upstream: upstream.clone(),
         };
-        let status = self.by_any_way(core, &member, here, command).await?;
-        Some(self.note(core, upstream, status))
+        let status = self.via_any_holder(core, &member, here, command).await?;
+        Some(self.note_probe(core, upstream, status))
     }
 
     /// Has an upstream carry out an order; `None` when no way leads to it.
@@ -340,51 +341,51 @@
             upstream: upstream.clone(),
             order: order.clone(),
         };
-        let status = self.by_any_way(core, &member, here, command).await?;
-        Some(self.note(core, upstream, status))
+        let status = self.via_any_holder(core, &member, here, command).await?;
+        Some(self.note_probe(core, upstream, status))
     }
 
     /// Tries the upstream's holders in turn.
     ///
     /// That a holder can't be reached is no evidence about the upstream. Taken
     /// for some, a restart of its holders would replace a healthy primary.
-    async fn by_any_way(
+    async fn via_any_holder(
         &self,
         core: &Rc<Core>,
         member: &Member,
-        here: impl AsyncFn() -> Result<Status, Lost>,
+        here: impl AsyncFn() -> Result<Status, Unreachable>,
         command: impl Fn() -> Command,
     ) -> Option<Status> {
         let mut full = None;
-        for _ in 0..WAYS {
-            let status = match member.holder(core) {
-                Holder::Here => here().await,
-                Holder::There(to) => remote::status(core, &to, command()).await,
-                Holder::Nowhere => Err(Lost),
+        for _ in 0..HOLDER_ATTEMPTS {
+            let status = match member.next_holder(core) {
+                Holder::Local => here().await,
+                Holder::Remote(to) => remote::status(core, &to, command()).await,
+                Holder::Unknown => Err(Unreachable),
             };
             match status {
                 // Another holder may have its connection already.
                 Ok(Err(Fault::Full)) => full = Some(Err(Fault::Full)),
                 Ok(status) => return Some(status),
-                Err(Lost) => {}
+                Err(Unreachable) => {}
             }
-            sleep(WAY_PAUSE).await;
+            sleep(HOLDER_RETRY_INTERVAL).await;
         }
         full
     }
 
-    fn note(
+    fn note_probe(
         &self,
         core: &Core,
         upstream: &name::Upstream,
         status: Status,
     ) -> Result<Report, Fault> {
-        let mut sights = self.sights.borrow_mut();
-        let sight = sights.entry(upstream.clone()).or_default();
-        sight.note(core.now(), &status);
-        drop(sights);
+        let mut probe_histories = self.probe_histories.borrow_mut();
+        let probe_history = probe_histories.entry(upstream.clone()).or_default();
+        probe_history.note(core.now(), &status);
+        drop(probe_histories);
         let (sent, report) = status?;
-        self.report(core.now(), upstream, sent, report);
+        self.note_report(core.now(), upstream, sent, report);
         Ok(report)
     }
 
@@ -407,11 +408,15 @@
 }
 
 /// The connections to an upstream that this instance did not know yet.
-fn ways(core: &Core, conf: &catalog::Upstream, dbname: &str) -> (Rc<Lines>, Rc<Control>) {
+fn open_connections(
+    core: &Core,
+    conf: &catalog::Upstream,
+    dbname: &str,
+) -> (Rc<Connections>, Rc<Control>) {
     let none = limits(std::iter::empty());
-    let lines = Lines::open(core.clock, conf.address, &core.login, dbname, none);
+    let connections = Connections::open(core.clock, conf.address, &core.login, dbname, none);
     let control = Control::open(core.clock, conf.address, &core.login, dbname);
-    (lines, control)
+    (connections, control)
 }
 
 /// The limits of all the shares that this instance has of an upstream; one
@@ -424,8 +429,8 @@
         connections: connections.saturating_sub(1),
         slots,
         warm: slots,
-        idle_timeout: IDLE,
-        transaction_idle_timeout: TRANSACTION_IDLE,
+        idle_timeout: IDLE_TIMEOUT,
+        transaction_idle_timeout: TRANSACTION_IDLE_TIMEOUT,
     }
 }
 
--- a/crates/daemon/src/upstreams/host.rs
+++ b/crates/daemon/src/upstreams/host.rs
@@ -8,13 +8,13 @@
 
 use super::{
     Core, Running,
-    exchange::{Heard, exchange},
+    connection::Connection,
+    connections::Refused,
+    dispatch::{discard, request},
+    exchange::{Answer, exchange},
     group::Group,
-    line::Line,
-    lines::Refused,
     plan::{Plan, Probes},
-    sink::{Mode, Sink, To},
-    site::{discard, request},
+    sink::{Mode, Recipient, Sink},
 };
 use crate::{
     forward::{Command, Conn, Finish, In, Out, Proof, Response, Run, Seq},
@@ -22,20 +22,20 @@
 };
 
 /// How old the last status of a connection may be to stand in for a new one.
-const SEEN_AGE: Duration = Duration::from_millis(50);
+const MAX_STATUS_AGE: Duration = Duration::from_millis(50);
 
 /// Takes what another instance asks, or that it is gone.
-pub(super) fn take(core: &Rc<Core>, input: In) {
+pub(super) fn handle(core: &Rc<Core>, input: In) {
     match input {
         // What comes after the last words is proved not to have run.
         In::Asked { .. } if core.closed.get() => {}
         In::Asked { conn, seq, command } => {
             // Counted from here: a command that waits for a connection would
             // otherwise be told as not begun, and then run.
-            core.taken.set(core.taken.get() + 1);
+            core.peer_commands.set(core.peer_commands.get() + 1);
             ntex::rt::spawn(carry_out(Rc::clone(core), conn, seq, command));
         }
-        In::Gone { conn } => gone(core, conn),
+        In::Gone { conn } => end_peer(core, conn),
         _ => {}
     }
 }
@@ -44,79 +44,79 @@
 ///
 /// Its transactions would otherwise hold their connections and their locks
 /// until they are found idle.
-fn gone(core: &Rc<Core>, conn: Conn) {
-    let guests: Vec<_> = {
-        let guests = core.guests.borrow();
-        guests
+fn end_peer(core: &Rc<Core>, conn: Conn) {
+    let peer_connections: Vec<_> = {
+        let peer_connections = core.peer_connections.borrow();
+        peer_connections
             .keys()
             .filter(|(it, _)| *it == conn)
             .copied()
             .collect()
     };
-    for key in guests {
-        if let Some(line) = core.guests.borrow_mut().remove(&key) {
-            discard(*line);
+    for key in peer_connections {
+        if let Some(connection) = core.peer_connections.borrow_mut().remove(&key) {
+            discard(*connection);
         }
     }
-    let hosted: Vec<_> = {
-        let hosted = core.hosted.borrow();
-        let of = hosted.iter().filter(|((it, _), _)| *it == conn);
+    let peer_batches: Vec<_> = {
+        let peer_batches = core.peer_batches.borrow();
+        let of = peer_batches.iter().filter(|((it, _), _)| *it == conn);
         of.map(|(_, running)| Rc::clone(running)).collect()
     };
-    for running in hosted {
-        running.cancel();
+    for running in peer_batches {
+        running.abandon();
     }
 }
 
 async fn carry_out(core: Rc<Core>, conn: Conn, seq: Seq, command: Command) {
-    carry(&core, conn, seq, command).await;
-    core.taken.set(core.taken.get() - 1);
+    execute(&core, conn, seq, command).await;
+    core.peer_commands.set(core.peer_commands.get() - 1);
 }
 
-async fn carry(core: &Rc<Core>, conn: Conn, seq: Seq, command: Command) {
+async fn execute(core: &Rc<Core>, conn: Conn, seq: Seq, command: Command) {
     match command {
-        Command::Run(run) => host(core, conn, seq, *run).await,
+        Command::Run(run) => run_for_peer(core, conn, seq, *run).await,
         Command::Within {
             pin,
             batch,
             left_us,
         } => {
-            within(core, (conn, seq), pin, &batch, left_us).await;
+            run_in_transaction(core, (conn, seq), pin, &batch, left_us).await;
         }
         Command::Leave { pin } => {
-            if let Some(line) = core.guests.borrow_mut().remove(&(conn, pin)) {
-                discard(*line);
+            if let Some(connection) = core.peer_connections.borrow_mut().remove(&(conn, pin)) {
+                discard(*connection);
             }
         }
         Command::Taken { of } => {
-            let running = core.hosted.borrow().get(&(conn, of)).cloned();
+            let running = core.peer_batches.borrow().get(&(conn, of)).cloned();
             if let Some(running) = running {
-                running.take_one();
+                running.note_taken();
             }
         }
         Command::Cancel { of } => {
-            let running = core.hosted.borrow().get(&(conn, of)).cloned();
+            let running = core.peer_batches.borrow().get(&(conn, of)).cloned();
             if let Some(running) = running {
-                running.hit();
+                running.send_cancel();
             }
         }
         Command::Probe { database, upstream } => {
-            let response = match held(core, &database, &upstream) {
-                Some(group) => told(group.probe(core, &upstream).await),
+            let response = match group_if_holder(core, &database, &upstream) {
+                Some(group) => status_response(group.probe(core, &upstream).await),
                 None => NOT_HELD,
             };
-            answer(core, conn, seq, response).await;
+            respond(core, conn, seq, response).await;
         }
         Command::Order {
             database,
             upstream,
             order,
         } => {
-            let response = match held(core, &database, &upstream) {
-                Some(group) => told(group.order(core, &upstream, order).await),
+            let response = match group_if_holder(core, &database, &upstream) {
+                Some(group) => status_response(group.order(core, &upstream, order).await),
                 None => NOT_HELD,
             };
-            answer(core, conn, seq, response).await;
+            respond(core, conn, seq, response).await;
         }
     }
 }
@@ -128,7 +128,7 @@
     retry_after_us: None,
 };
 
-fn told(result: Option<Result<Report, failover::Fault>>) -> Response {
+fn status_response(result: Option<Result<Report, failover::Fault>>) -> Response {
     result.map_or(NOT_HELD, Response::Status)
 }
 
@@ -136,17 +136,17 @@
 ///
 /// A command is never passed on a second time: two instances whose views
 /// differ would pass it to and fro.
-fn held(
+fn group_if_holder(
     core: &Core,
     database: &model::name::Database,
     upstream: &model::name::Upstream,
 ) -> Option<Rc<Group>> {
     let group = core.group(database)?;
     let member = group.member(upstream)?;
-    member.holds().then_some(group)
+    member.is_holder().then_some(group)
 }
 
-async fn answer(core: &Core, conn: Conn, seq: Seq, response: Response) {
+async fn respond(core: &Core, conn: Conn, seq: Seq, response: Response) {
     core.outs
         .send(Out::Answer {
             conn,
@@ -164,16 +164,16 @@
     }
 }
 
-async fn host(core: &Rc<Core>, conn: Conn, seq: Seq, run: Run) {
+async fn run_for_peer(core: &Rc<Core>, conn: Conn, seq: Seq, run: Run) {
     let deadline = core.now() + Duration::from_micros(run.left_us);
     let response = match acquire(core, &run, deadline).await {
-        Ok(line) => run_on(core, conn, seq, &run, line, deadline).await,
+        Ok(connection) => run_on(core, conn, seq, &run, connection, deadline).await,
         Err(refused) => refusal(refused),
     };
-    answer(core, conn, seq, response).await;
+    respond(core, conn, seq, response).await;
 }
 
-async fn acquire(core: &Core, run: &Run, deadline: Instant) -> Result<Line, Refused> {
+async fn acquire(core: &Core, run: &Run, deadline: Instant) -> Result<Connection, Refused> {
     let none = Refused {
         cause: Cause::NoUpstream,
         retry_after: None,
@@ -181,18 +181,18 @@
     let group = core.group(&run.scope.database).ok_or(none)?;
     let member = group
         .member(&run.upstream)
-        .filter(|it| it.holds())
+        .filter(|it| it.is_holder())
         .ok_or(none)?;
     let request = request(core, &member, &run.scope, deadline);
     let asked = core.now();
-    let line = member.lines.acquire(request).await?;
+    let connection = member.connections.acquire(request).await?;
     let meter = core.meters.of(&run.scope.tenant, &run.scope.entry);
     meter.note_queued(core.now().since(asked));
-    if line.conn.is_closed() {
-        discard(line);
+    if connection.conn.is_closed() {
+        discard(connection);
         return Err(none);
     }
-    Ok(line)
+    Ok(connection)
 }
 
 async fn run_on(
@@ -200,57 +200,57 @@
     conn: Conn,
     seq: Seq,
     run: &Run,
-    mut line: Line,
+    mut connection: Connection,
     deadline: Instant,
 ) -> Response {
-    let known = line
+    let known = connection
         .seen
-        .filter(|(sent, report)| stands_in(core, run.proof, *sent, report));
+        .filter(|(sent, report)| is_sufficient(core, run.proof, *sent, report));
     if let Some((_, report)) = known {
-        answer(core, conn, seq, Response::Before(Some(report))).await;
+        respond(core, conn, seq, Response::Before(Some(report))).await;
     }
     let probes = Probes {
         before: run.proof != Proof::None && known.is_none(),
         behind: run.batch.need != Need::Begin,
     };
-    let plan = Plan::fresh(&mut line, &run.batch, &run.settings, probes);
-    let heard = talk(core, (conn, seq), &mut line, plan, deadline).await;
-    let Some((heard, bytes)) = heard else {
-        discard(line);
+    let plan = Plan::standalone(&mut connection, &run.batch, &run.settings, probes);
+    let answer = run_plan(core, (conn, seq), &mut connection, plan, deadline).await;
+    let Some((answer, bytes)) = answer else {
+        discard(connection);
         return Response::Broken;
     };
-    keep_or_release(core, (conn, seq), line, &heard);
-    Response::End(Box::new(finish(heard, bytes)))
+    keep_or_release(core, (conn, seq), connection, &answer);
+    Response::End(Box::new(finish(answer, bytes)))
 }
 
 /// Whether the last status of a connection proves enough.
-fn stands_in(core: &Core, proof: Proof, sent: Instant, report: &Report) -> bool {
+fn is_sufficient(core: &Core, proof: Proof, sent: Instant, report: &Report) -> bool {
     match proof {
         Proof::None | Proof::Fresh => false,
         Proof::Covering(floor) => {
-            core.now().since(sent) < SEEN_AGE && route::position(report).covers(floor)
+            core.now().since(sent) < MAX_STATUS_AGE && route::position(report).covers(floor)
         }
     }
 }
 
 /// Sends a plan and passes the answer on; `None` when the connection failed
 /// or the deadline came first.
-async fn talk(
+async fn run_plan(
     core: &Rc<Core>,
     (conn, seq): (Conn, Seq),
-    line: &mut Line,
+    connection: &mut Connection,
     plan: Plan,
     deadline: Instant,
-) -> Option<(Heard, bytes::Bytes)> {
+) -> Option<(Answer, bytes::Bytes)> {
     let running = Rc::new(Running::open(seq));
-    *running.line.borrow_mut() = Some((line.address, line.conn.key().clone()));
-    core.hosted
+    *running.connection.borrow_mut() = Some((connection.address, connection.conn.key().clone()));
+    core.peer_batches
         .borrow_mut()
         .insert((conn, seq), Rc::clone(&running));
-    let mut sink = Sink::open(core, &running, To::Peer(conn), Mode::Stream);
+    let mut sink = Sink::open(core, &running, Recipient::Peer(conn), Mode::Stream);
     // The status goes ahead of the answer that it proves. Should the ring be
     // full, it is left out, and the other instance drops the answer unproved.
-    let mut judge = |report: &Report| {
+    let mut choose_mode = |report: &Report| {
         let response = Response::Before(Some(*report));
         match core.outs.push(Out::Answer {
             conn,
@@ -265,92 +265,104 @@
         }
     };
     let sent = core.now();
-    let heard = {
-        let talking = exchange(sent, line, plan, &mut sink, &mut judge);
+    let answer = {
+        let exchanging = exchange(sent, connection, plan, &mut sink, &mut choose_mode);
         tokio::select! {
             biased;
-            heard = talking => heard.ok(),
+            answer = exchanging => answer.ok(),
             () = sleep(deadline.since(sent)) => None,
-            () = running.cancelled_now() => None,
+            () = running.wait_abandoned() => None,
         }
     };
-    core.hosted.borrow_mut().remove(&(conn, seq));
-    running.spare(line);
-    if heard.is_none() {
-        let (address, key) = (line.address, line.conn.key().clone());
+    core.peer_batches.borrow_mut().remove(&(conn, seq));
+    running.close_if_cancelled(connection);
+    if answer.is_none() {
+        let (address, key) = (connection.address, connection.conn.key().clone());
         ntex::rt::spawn(async move { upstream::cancel(address, &key).await });
     }
-    let heard = heard?;
-    if let Some(report) = heard.behind.or(heard.before) {
-        line.seen = Some((sent, report));
+    let answer = answer?;
+    if let Some(report) = answer.behind.or(answer.before) {
+        connection.seen = Some((sent, report));
     }
-    Some((heard, sink.finish()))
+    Some((answer, sink.finish()))
 }
 
-fn keep_or_release(core: &Core, key: (Conn, Seq), line: Line, heard: &Heard) {
-    if heard.spoiled {
-        return discard(line);
+fn keep_or_release(core: &Core, key: (Conn, Seq), connection: Connection, answer: &Answer) {
+    if answer.spoiled {
+        return discard(connection);
     }
-    let home = Rc::clone(&line.home);
-    if heard.status != Some(b'I') {
-        home.hold(&line);
-        core.guests.borrow_mut().insert(key, Box::new(line));
+    let home = Rc::clone(&connection.home);
+    if answer.status != Some(b'I') {
+        home.hold(&connection);
+        core.peer_connections
+            .borrow_mut()
+            .insert(key, Box::new(connection));
     } else {
-        home.release(line);
+        home.release(connection);
     }
 }
 
-fn finish(heard: Heard, bytes: bytes::Bytes) -> Finish {
+fn finish(answer: Answer, bytes: bytes::Bytes) -> Finish {
     Finish {
-        status: heard.status,
-        error: heard.error,
-        behind: heard.behind,
-        spoiled: heard.spoiled,
+        status: answer.status,
+        error: answer.error,
+        behind: answer.behind,
+        spoiled: answer.spoiled,
         bytes,
     }
 }
 
-async fn within(core: &Rc<Core>, key: (Conn, Seq), pin: Seq, batch: &Batch, left_us: u64) {
+async fn run_in_transaction(
+    core: &Rc<Core>,
+    key: (Conn, Seq),
+    pin: Seq,
+    batch: &Batch,
+    left_us: u64,
+) {
     let (conn, seq) = key;
     let deadline = core.now() + Duration::from_micros(left_us);
-    let line = core.guests.borrow_mut().remove(&(conn, pin));
-    let response = match line {
-        Some(line) => go_on(core, key, pin, batch, *line, deadline).await,
+    let connection = core.peer_connections.borrow_mut().remove(&(conn, pin));
+    let response = match connection {
+        Some(connection) => {
+            continue_transaction(core, key, pin, batch, *connection, deadline).await
+        }
         None => Response::Broken,
     };
-    answer(core, conn, seq, response).await;
+    respond(core, conn, seq, response).await;
 }
 
-async fn go_on(
+async fn continue_transaction(
     core: &Rc<Core>,
     (conn, seq): (Conn, Seq),
     pin: Seq,
     batch: &Batch,
-    mut line: Line,
+    mut connection: Connection,
     deadline: Instant,
 ) -> Response {
-    let home = Rc::clone(&line.home);
-    if home.next(&mut line, deadline).await.is_err() {
-        discard(line);
+    let home = Rc::clone(&connection.home);
+    if home.next(&mut connection, deadline).await.is_err() {
+        discard(connection);
         return Response::Broken;
     }
     let behind = batch.closes == Closes::Transaction;
-    let plan = Plan::within(
-        &mut line,
+    let plan = Plan::in_transaction(
+        &mut connection,
         batch,
         Probes {
             before: false,
             behind,
         },
     );
-    let Some((mut heard, bytes)) = talk(core, (conn, seq), &mut line, plan, deadline).await else {
-        discard(line);
+    let Some((mut answer, bytes)) =
+        run_plan(core, (conn, seq), &mut connection, plan, deadline).await
+    else {
+        discard(connection);
         return Response::Broken;
     };
-    if heard.status == Some(b'I') && heard.behind.is_none() {
-        heard.behind = super::exchange::ask(&line).await.ok().flatten();
+    if answer.status == Some(b'I') && answer.behind.is_none() {
+        answer.behind = super::exchange::probe(&connection).await.ok().flatten();
     }
     // The transaction keeps the number of the command that began it.
-    keep_or_release(core, (conn, pin), line, &heard);
-    Response::End(Box::new(finish(heard, bytes)))
+    keep_or_release(core, (conn, pin), connection, &answer);
+    Response::End(Box::new(finish(answer, bytes)))
 }
--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -1,24 +1,24 @@
 //! The upstreams' duty: where requests run, and what is known of each group.
 
 mod ack;
+mod backoff;
 mod choose;
 mod clean;
+mod connection;
+mod connections;
 mod control;
+mod dispatch;
 mod exchange;
 mod group;
 mod host;
-mod line;
-mod lines;
 mod once;
-mod pace;
 mod plan;
 mod remote;
 mod run;
 mod running;
 mod sink;
-mod site;
+mod transaction;
 mod view;
-mod within;
 
 use std::{
     cell::{Cell, RefCell},
@@ -46,19 +46,19 @@
     ring,
 };
 
+use connection::Connection;
 use group::Group;
-use line::Line;
 use remote::Pending;
 use running::Running;
 
 /// How often the duty looks whether all requests have ended during a stop.
-const DRAIN_STEP: Duration = Duration::from_millis(5);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How long nothing must have run before a stop goes on.
-const DRAIN_QUIET: Duration = Duration::from_millis(300);
+const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// How long the last words to other instances have until the streams close.
-const BYE: Duration = Duration::from_millis(50);
+const BYE_GRACE: Duration = Duration::from_millis(50);
 
 /// What the upstreams' duty is given.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
     /// A connection.
     Open {
         /// The connection.
-        line: Box<Line>,
+        connection: Box<Connection>,
         /// The database.
         group: Rc<Group>,
     },
@@ -129,12 +129,12 @@
     running: RefCell<HashMap<Caller, Rc<Running>>>,
     pins: RefCell<HashMap<Caller, Pin>>,
     rng: RefCell<ChaCha8Rng>,
-    tickets: Cell<u64>,
+    last_ticket: Cell<u64>,
     /// How many commands of other instances are being carried out.
-    taken: Cell<usize>,
+    peer_commands: Cell<usize>,
     /// Whether no command of another instance is taken any more.
     closed: Cell<bool>,
-    seqs: Cell<Seq>,
+    last_seq: Cell<Seq>,
     /// The instances that may be given work, with their zones.
     members: RefCell<BTreeMap<name::Instance, name::Zone>>,
     /// Those of them that have said that they are stopping.
@@ -142,9 +142,9 @@
     /// Commands to other instances that wait for answers.
     pending: RefCell<HashMap<Seq, Pending>>,
     /// Batches that run here for other instances.
-    hosted: RefCell<HashMap<(Conn, Seq), Rc<Running>>>,
+    peer_batches: RefCell<HashMap<(Conn, Seq), Rc<Running>>>,
     /// Connections that transactions of other instances hold.
-    guests: RefCell<HashMap<(Conn, Seq), Box<Line>>>,
+    peer_connections: RefCell<HashMap<(Conn, Seq), Box<Connection>>>,
 }
 
 impl Core {
@@ -153,13 +153,13 @@
     }
 
     fn ticket(&self) -> pool::Ticket {
-        self.tickets.set(self.tickets.get() + 1);
-        pool::Ticket(self.tickets.get())
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        pool::Ticket(self.last_ticket.get())
     }
 
     fn next_seq(&self) -> Seq {
-        self.seqs.set(self.seqs.get() + 1);
-        self.seqs.get()
+        self.last_seq.set(self.last_seq.get() + 1);
+        self.last_seq.get()
     }
 
     fn group(&self, database: &name::Database) -> Option<Rc<Group>> {
@@ -181,21 +181,21 @@
         running: RefCell::default(),
         pins: RefCell::default(),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(conf.seed)),
-        tickets: Cell::new(0),
-        taken: Cell::new(0),
+        last_ticket: Cell::new(0),
+        peer_commands: Cell::new(0),
         closed: Cell::new(false),
-        seqs: Cell::new(0),
+        last_seq: Cell::new(0),
         meters: conf.meters,
         members: RefCell::default(),
         leaving: RefCell::default(),
         pending: RefCell::default(),
-        hosted: RefCell::default(),
-        guests: RefCell::default(),
+        peer_batches: RefCell::default(),
+        peer_connections: RefCell::default(),
     });
-    ntex::rt::spawn(take_ins(Rc::clone(&core), conf.ins));
-    ntex::rt::spawn(take_commands(Rc::clone(&core), conf.commands));
+    ntex::rt::spawn(receive_peer_inputs(Rc::clone(&core), conf.ins));
+    ntex::rt::spawn(receive_commands(Rc::clone(&core), conf.commands));
     ntex::rt::spawn(view::serve(Rc::clone(&core), conf.inquiries));
-    ntex::rt::spawn(take_orders(Rc::clone(&core), conf.orders));
+    ntex::rt::spawn(receive_orders(Rc::clone(&core), conf.orders));
     let mut watch = conf.watch;
     duty::wait_for(&mut watch, Phase::Drain).await;
     core.outs.send(Out::Leaving).await;
@@ -208,7 +208,7 @@
     }
     core.closed.set(true);
     core.outs.send(Out::Bye).await;
-    sleep(BYE).await;
+    sleep(BYE_GRACE).await;
 }
 
 /// Waits until nothing has run here for a while.
@@ -217,30 +217,30 @@
 /// their batches until then: a stop in between would cut them.
 async fn drained(core: &Core) {
     let mut quiet = core.now();
-    while core.now().since(quiet) < DRAIN_QUIET {
-        sleep(DRAIN_STEP).await;
+    while core.now().since(quiet) < DRAIN_QUIET_PERIOD {
+        sleep(DRAIN_POLL_INTERVAL).await;
         let own = core.running.borrow().is_empty() && core.pins.borrow().is_empty();
-        let others = core.taken.get() == 0 && core.guests.borrow().is_empty();
+        let others = core.peer_commands.get() == 0 && core.peer_connections.borrow().is_empty();
         if !own || !others {
             quiet = core.now();
         }
     }
 }
 
-async fn take_commands(core: Rc<Core>, mut commands: ring::Receiver<Command>) {
-    while let Some(ask) = commands.recv().await {
-        match ask {
+async fn receive_commands(core: Rc<Core>, mut commands: ring::Receiver<Command>) {
+    while let Some(command) = commands.recv().await {
+        match command {
             Command::Run(job) => drop(ntex::rt::spawn(run::serve(Rc::clone(&core), *job))),
-            Command::Leave(caller) => run::leave(&core, caller),
-            Command::Taken { caller, seq } => run::taken(&core, caller, seq),
+            Command::Leave(caller) => run::release_caller(&core, caller),
+            Command::Taken { caller, seq } => run::note_taken(&core, caller, seq),
             Command::Cancel { caller, seq } => run::cancel(&core, caller, seq),
-            Command::Catalog(snapshot) => follow(&core, &snapshot),
+            Command::Catalog(snapshot) => apply_catalog(&core, &snapshot),
         }
     }
 }
 
 /// Brings the groups in line with the catalogue.
-fn follow(core: &Rc<Core>, snapshot: &Arc<Snapshot>) {
+fn apply_catalog(core: &Rc<Core>, snapshot: &Arc<Snapshot>) {
     let databases = &snapshot.catalog.databases;
     core.groups
         .borrow_mut()
@@ -256,17 +256,17 @@
             ntex::rt::spawn(cleaning);
             group
         });
-        group.follow(core, database);
+        group.apply_catalog(core, database);
     }
 }
 
-async fn take_orders(core: Rc<Core>, mut orders: ring::Receiver<Order>) {
+async fn receive_orders(core: Rc<Core>, mut orders: ring::Receiver<Order>) {
     while let Some(order) = orders.recv().await {
         ntex::rt::spawn(control::carry_out(Rc::clone(&core), order));
     }
 }
 
-async fn take_ins(core: Rc<Core>, mut ins: ring::Receiver<In>) {
+async fn receive_peer_inputs(core: Rc<Core>, mut ins: ring::Receiver<In>) {
     while let Some(input) = ins.recv().await {
         match input {
             In::Members(members) => {
@@ -278,13 +278,13 @@
                 let groups: Vec<_> = core.groups.borrow().values().cloned().collect();
                 groups.iter().for_each(|group| group.assign(&core));
             }
-            In::Asked { .. } | In::Gone { .. } => host::take(&core, input),
+            In::Asked { .. } | In::Gone { .. } => host::handle(&core, input),
             In::Answered { .. }
             | In::Unsent { .. }
             | In::Leaving { .. }
             | In::Left { .. }
             | In::Down { .. } => {
-                remote::take(&core, input);
+                remote::handle(&core, input);
             }
         }
     }
--- a/crates/daemon/src/upstreams/once.rs
+++ b/crates/daemon/src/upstreams/once.rs
@@ -11,13 +11,13 @@
 
 use super::{
     Core, Pin, Running, plan,
-    run::{leave, pass_to},
+    run::{release_caller, run_batch},
 };
 use crate::job::{Batch, Closes, End, Job, Leaves, Need, Step, Tagged};
 
 /// How often a request with an id is tried when its end is not known: the id
 /// makes sure that it lands once however often it is sent.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// The SQLSTATE of a request id that can't promise a single run.
 const BAD_ID: &str = "DL003";
@@ -32,9 +32,13 @@
     running: &Rc<Running>,
     tagged: Tagged,
 ) -> End {
-    let within = core.pins.borrow().contains_key(&job.caller);
-    let scope = if within { Scope::Within } else { Scope::Alone };
-    let mut tries = 1;
+    let in_transaction = core.pins.borrow().contains_key(&job.caller);
+    let scope = if in_transaction {
+        Scope::Within
+    } else {
+        Scope::Alone
+    };
+    let mut attempts = 1;
     loop {
         let end = attempt(core, job, running, tagged, scope).await;
         let doubtful = match end.outcome {
@@ -42,11 +46,11 @@
             Outcome::Unknown(_) => true,
             Outcome::NotRun(cause) => cause == Cause::ConnectionLost,
         };
-        let again = doubtful && scope == Scope::Alone && tries < TRIES;
-        if !again || core.now() >= job.deadline || running.cancelled.get() {
+        let again = doubtful && scope == Scope::Alone && attempts < MAX_ATTEMPTS;
+        if !again || core.now() >= job.deadline || running.abandoned.get() {
             return end;
         }
-        tries += 1;
+        attempts += 1;
     }
 }
 
@@ -75,21 +79,21 @@
         event = match action {
             Action::End(ended) => return finish(core, job, scope, ended, answer),
             Action::Run => {
-                let end = pass_to(core, job, running).await;
+                let end = run_batch(core, job, running).await;
                 if end.outcome != Outcome::Done {
                     return give_up(core, job, scope, end);
                 }
-                let event = ran(&end.bytes);
+                let event = run_event(&end.bytes);
                 answer.run = Some(end);
                 event
             }
             action => {
                 let batch = batch(&action);
-                let end = aside(core, job, running, batch).await;
+                let end = run_own(core, job, running, batch).await;
                 if end.outcome != Outcome::Done {
                     return give_up(core, job, scope, end);
                 }
-                let event = answered(&action, &end.bytes);
+                let event = answer_event(&action, &end.bytes);
                 answer.last = Some(end);
                 event
             }
@@ -99,11 +103,11 @@
         core,
         job,
         scope,
-        plain(Outcome::Unknown(Cause::ConnectionLost)),
+        empty_end(Outcome::Unknown(Cause::ConnectionLost)),
     )
 }
 
-fn plain(outcome: Outcome) -> End {
+fn empty_end(outcome: Outcome) -> End {
     End {
         outcome,
         bytes: Bytes::new(),
@@ -115,9 +119,9 @@
 }
 
 /// Runs a batch of the proxy's own in place of the caller's.
-async fn aside(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, batch: Batch) -> End {
+async fn run_own(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, batch: Batch) -> End {
     let own = std::mem::replace(&mut job.batch, batch);
-    let end = pass_to(core, job, running).await;
+    let end = run_batch(core, job, running).await;
     job.batch = own;
     end
 }
@@ -144,7 +148,7 @@
 }
 
 /// What the answer to a batch of the proxy's own says.
-fn answered(action: &Action, bytes: &[u8]) -> Event {
+fn answer_event(action: &Action, bytes: &[u8]) -> Event {
     if let Some(state) = plan::refusal(bytes) {
         return match action {
             Action::Begin(_) if state == *UNIQUE.as_bytes() => Event::Repeated,
@@ -164,7 +168,7 @@
     }
 }
 
-fn ran(bytes: &[u8]) -> Event {
+fn run_event(bytes: &[u8]) -> Event {
     match plan::refusal(bytes) {
         Some(state) => Event::Rejected(state),
         None => Event::Ran(plan::command_tag(bytes).unwrap_or_default()),
@@ -182,11 +186,11 @@
         && !matches!(pin, Pin::Failed)
     {
         core.pins.borrow_mut().insert(job.caller, pin);
-        leave(core, job.caller);
+        release_caller(core, job.caller);
     }
     End {
         status: Some(b'I'),
-        ..plain(end.outcome)
+        ..empty_end(end.outcome)
     }
 }
 
@@ -200,7 +204,7 @@
         bytes,
         status,
         events,
-        ..plain(Outcome::Done)
+        ..empty_end(Outcome::Done)
     };
     match (ended, answer.run) {
         (Ended::Ran(_) | Ended::Rejected(_), Some(run)) => {
@@ -227,7 +231,7 @@
             core,
             job,
             scope,
-            plain(Outcome::Unknown(Cause::ConnectionLost)),
+            empty_end(Outcome::Unknown(Cause::ConnectionLost)),
         ),
     }
 }
--- a/crates/daemon/src/upstreams/plan.rs
+++ b/crates/daemon/src/upstreams/plan.rs
@@ -17,7 +17,7 @@
     },
 };
 
-use super::line::{Fate, Line, MAX_PREPARED};
+use super::connection::{Connection, Fate, MAX_PREPARED};
 use crate::job::{Batch, Leaves, Need, Settings, Statement, Step};
 
 /// `ParseComplete`, for a statement that the connection has already.
@@ -28,18 +28,18 @@
 
 /// Whether an answer is passed on to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Show {
+pub(super) enum Audience {
     /// It is.
     Caller,
     /// The proxy asked on its own account.
-    Nobody,
+    Proxy,
 }
 
 /// What comes back, in order.
 #[derive(Debug)]
 pub(super) enum Item {
     /// The answer to a statement of the proxy's own.
-    Hidden,
+    Internal,
     /// The status, asked ahead of the batch.
     StatusBefore,
     /// The status, asked behind the batch.
@@ -47,15 +47,15 @@
     /// The answer to a simple query.
     Query,
     /// A statement was prepared.
-    Parsed(u128, Show),
+    Parsed(u128, Audience),
     /// One message.
-    One,
+    Single,
     /// The parameters and the rows of a statement.
     Described,
     /// Rows up to the end of a portal's run.
     Executed,
     /// Nothing comes: the proxy answers itself.
-    Given(&'static [u8]),
+    Synthetic(&'static [u8]),
     /// The end of the batch.
     Synced,
 }
@@ -81,52 +81,61 @@
 
 impl Plan {
     /// Writes `batch` for `line`, which is not in a transaction.
-    pub(super) fn fresh(
-        line: &mut Line,
+    pub(super) fn standalone(
+        connection: &mut Connection,
         batch: &Batch,
         settings: &Settings,
         probes: Probes,
     ) -> Self {
         let mut plan = Self::default();
-        plan.settings(line, settings);
-        if line.prepared.len() >= MAX_PREPARED {
-            plan.hidden("DEALLOCATE ALL");
-            line.prepared.clear();
+        plan.settings(connection, settings);
+        if connection.prepared.len() >= MAX_PREPARED {
+            plan.internal("DEALLOCATE ALL");
+            connection.prepared.clear();
         }
         if probes.before {
             plan.query(upstream::PROBE, Item::StatusBefore);
         }
-        plan.steps(line, batch);
+        plan.steps(connection, batch);
         plan.behind(batch, probes);
         plan
     }
 
     /// Writes `batch` for `line`, which goes on with a transaction.
-    pub(super) fn within(line: &mut Line, batch: &Batch, probes: Probes) -> Self {
+    pub(super) fn in_transaction(
+        connection: &mut Connection,
+        batch: &Batch,
+        probes: Probes,
+    ) -> Self {
         let mut plan = Self::default();
-        plan.steps(line, batch);
+        plan.steps(connection, batch);
         plan.behind(batch, probes);
         plan
     }
 
     /// Makes the connection's session settings those of the caller.
-    fn settings(&mut self, line: &mut Line, settings: &Settings) {
-        let left = line.leaves == Leaves::Settings;
-        if line.applied == *settings && !left {
+    fn settings(&mut self, connection: &mut Connection, settings: &Settings) {
+        let left = connection.leaves == Leaves::Settings;
+        if connection.applied == *settings && !left {
             return;
         }
-        if left || line.applied.keys().any(|key| !settings.contains_key(key)) {
-            self.hidden("RESET ALL");
-            line.applied.clear();
-            line.leaves = Leaves::Nothing;
+        if left
+            || connection
+                .applied
+                .keys()
+                .any(|key| !settings.contains_key(key))
+        {
+            self.internal("RESET ALL");
+            connection.applied.clear();
+            connection.leaves = Leaves::Nothing;
         }
         for (key, value) in settings {
-            if line.applied.get(key) != Some(value) {
+            if connection.applied.get(key) != Some(value) {
                 let (key, value) = (key.replace('\'', "''"), value.replace('\'', "''"));
-                self.hidden(&format!("SELECT set_config('{key}', '{value}', false)"));
+                self.internal(&format!("SELECT set_config('{key}', '{value}', false)"));
             }
         }
-        line.applied.clone_from(settings);
+        connection.applied.clone_from(settings);
     }
 
     /// Asks for the status behind the batch, if it ends here. Behind a Flush
@@ -137,8 +146,8 @@
         }
     }
 
-    fn hidden(&mut self, sql: &str) {
-        self.query(sql, Item::Hidden);
+    fn internal(&mut self, sql: &str) {
+        self.query(sql, Item::Internal);
     }
 
     fn query(&mut self, sql: &str, item: Item) {
@@ -152,57 +161,57 @@
         let _ = message.encode(&mut self.bytes);
     }
 
-    fn steps(&mut self, line: &mut Line, batch: &Batch) {
+    fn steps(&mut self, connection: &mut Connection, batch: &Batch) {
         // Noted before it runs: whether it succeeds is not always known, and
         // an unneeded reset costs less than one caller's setting with another.
-        line.leaves = line.leaves.max(batch.leaves);
+        connection.leaves = connection.leaves.max(batch.leaves);
         if batch.need == Need::Alone {
-            line.fate = Fate::Close;
+            connection.fate = Fate::Close;
         }
         for step in &batch.steps {
-            if line.skipping && !matches!(step, Step::Sync) {
+            if connection.skipping && !matches!(step, Step::Sync) {
                 continue;
             }
-            self.step(line, step);
+            self.step(connection, step);
         }
     }
 
-    fn step(&mut self, line: &mut Line, step: &Step) {
+    fn step(&mut self, connection: &mut Connection, step: &Step) {
         match step {
             Step::Query(sql) => self.query(sql, Item::Query),
             Step::Parse(statement) => {
-                if !self.prepare(line, statement, Show::Caller) {
-                    self.items.push_back(Item::Given(PARSE_COMPLETE));
+                if !self.prepare(connection, statement, Audience::Caller) {
+                    self.items.push_back(Item::Synthetic(PARSE_COMPLETE));
                 }
             }
             Step::Bind(statement, portal) => {
-                self.prepare(line, statement, Show::Nobody);
+                self.prepare(connection, statement, Audience::Proxy);
                 self.put(&Bind::new(
                     portal.name.clone(),
-                    Some(title(statement)),
+                    Some(statement_name(statement)),
                     portal.formats.clone(),
                     portal.parameters.clone(),
                     portal.results.clone(),
                 ));
-                self.items.push_back(Item::One);
+                self.items.push_back(Item::Single);
             }
             Step::DescribeStatement(statement) => {
-                self.prepare(line, statement, Show::Nobody);
-                self.put(&Describe::new(b'S', Some(title(statement))));
+                self.prepare(connection, statement, Audience::Proxy);
+                self.put(&Describe::new(b'S', Some(statement_name(statement))));
                 self.items.push_back(Item::Described);
             }
             Step::DescribePortal(name) => {
                 self.put(&Describe::new(b'P', name.clone()));
-                self.items.push_back(Item::One);
+                self.items.push_back(Item::Single);
             }
             Step::Execute { portal, rows } => {
                 self.put(&Execute::new(portal.clone(), *rows));
                 self.items.push_back(Item::Executed);
             }
-            Step::CloseStatement => self.items.push_back(Item::Given(CLOSE_COMPLETE)),
+            Step::CloseStatement => self.items.push_back(Item::Synthetic(CLOSE_COMPLETE)),
             Step::ClosePortal(name) => {
                 self.put(&Close::new(b'P', name.clone()));
-                self.items.push_back(Item::One);
+                self.items.push_back(Item::Single);
             }
             Step::Flush => self.put(&Flush::new()),
             Step::Sync => {
@@ -213,20 +222,25 @@
     }
 
     /// Prepares a statement if the connection does not have it; `true` if so.
-    fn prepare(&mut self, line: &Line, statement: &Statement, show: Show) -> bool {
+    fn prepare(
+        &mut self,
+        connection: &Connection,
+        statement: &Statement,
+        audience: Audience,
+    ) -> bool {
         let hash = statement.hash;
-        if line.prepared.contains(&hash) || !self.sent.insert(hash) {
+        if connection.prepared.contains(&hash) || !self.sent.insert(hash) {
             return false;
         }
         let (sql, types) = (statement.sql.clone(), statement.types.clone());
-        self.put(&Parse::new(Some(title(statement)), sql, types));
-        self.items.push_back(Item::Parsed(hash, show));
+        self.put(&Parse::new(Some(statement_name(statement)), sql, types));
+        self.items.push_back(Item::Parsed(hash, audience));
         true
     }
 }
 
 /// The name under which upstream connections know a statement.
-fn title(statement: &Statement) -> String {
+fn statement_name(statement: &Statement) -> String {
     format!("dl_{:032x}", statement.hash)
 }
 
--- a/crates/daemon/src/upstreams/remote.rs
+++ b/crates/daemon/src/upstreams/remote.rs
@@ -11,12 +11,12 @@
 
 use super::{
     Core,
-    choose::Way,
+    choose::Destination,
+    connections::Refused,
     control::Status,
-    exchange::Heard,
-    lines::Refused,
+    dispatch::{Checkout, Completion, Dispatch, send_command},
+    exchange::Answer,
     sink::{Mode, Sink},
-    site::{Errand, Held, Ran, tell},
 };
 use crate::{
     forward::{Command, Finish, In, Out, Proof, Response, Run, Seq},
@@ -29,7 +29,7 @@
 
 /// What comes for a command.
 #[derive(Debug)]
-pub(super) enum Came {
+pub(super) enum Delivery {
     /// An answer.
     Response(Response),
     /// The command never left.
@@ -41,21 +41,21 @@
 /// A command on its way.
 pub(super) struct Pending {
     to: name::Instance,
-    answers: mpsc::Sender<Came>,
+    answers: mpsc::Sender<Delivery>,
 }
 
 /// Hands what comes for a command to the task that waits for it.
 ///
 /// A late answer finds no taker.
-pub(super) fn take(core: &Rc<Core>, input: In) {
+pub(super) fn handle(core: &Rc<Core>, input: In) {
     match input {
-        In::Answered { seq, response } => hand(core, seq, Came::Response(response)),
-        In::Unsent { seq } => hand(core, seq, Came::Unsent),
+        In::Answered { seq, response } => deliver(core, seq, Delivery::Response(response)),
+        In::Unsent { seq } => deliver(core, seq, Delivery::Unsent),
         In::Leaving { to } => {
             core.leaving.borrow_mut().insert(to);
         }
-        In::Left { to, upto } => end_all(core, &to, upto, || Came::Unsent),
-        In::Down { to, upto } => end_all(core, &to, upto, || Came::Down),
+        In::Left { to, upto } => end_pending(core, &to, upto, || Delivery::Unsent),
+        In::Down { to, upto } => end_pending(core, &to, upto, || Delivery::Down),
         In::Members(_) | In::Asked { .. } | In::Gone { .. } => {}
     }
 }
@@ -63,7 +63,7 @@
 /// Ends the commands to an instance up to the last that its stream carried.
 ///
 /// Later ones may be on their way on the next stream already.
-fn end_all(core: &Rc<Core>, to: &name::Instance, upto: Seq, came: impl Fn() -> Came) {
+fn end_pending(core: &Rc<Core>, to: &name::Instance, upto: Seq, delivery: impl Fn() -> Delivery) {
     let lost: Vec<_> = {
         let pending = core.pending.borrow();
         let of = pending
@@ -72,28 +72,28 @@
         of.map(|(seq, _)| *seq).collect()
     };
     for seq in lost {
-        hand(core, seq, came());
+        deliver(core, seq, delivery());
     }
-    super::run::lose_pins(core, to, upto);
+    super::run::fail_pins(core, to, upto);
 }
 
-fn hand(core: &Core, seq: Seq, came: Came) {
+fn deliver(core: &Core, seq: Seq, delivery: Delivery) {
     let answers = core.pending.borrow().get(&seq).map(|it| it.answers.clone());
     if let Some(answers) = answers
-        && answers.try_send(came).is_err()
+        && answers.try_send(delivery).is_err()
     {
         core.pending.borrow_mut().remove(&seq);
     }
 }
 
 /// A command whose answers are waited for; dropping it forgets them.
-struct Asking {
+struct Call {
     core: Rc<Core>,
     seq: Seq,
-    answers: mpsc::Receiver<Came>,
+    answers: mpsc::Receiver<Delivery>,
 }
 
-impl Asking {
+impl Call {
     async fn open(core: &Rc<Core>, to: &name::Instance, command: Command) -> Self {
         let seq = core.next_seq();
         let (sender, answers) = mpsc::channel(ANSWERS);
@@ -116,12 +116,12 @@
         }
     }
 
-    async fn next(&mut self) -> Came {
-        self.answers.recv().await.unwrap_or(Came::Down)
+    async fn next(&mut self) -> Delivery {
+        self.answers.recv().await.unwrap_or(Delivery::Down)
     }
 }
 
-impl Drop for Asking {
+impl Drop for Call {
     fn drop(&mut self) {
         self.core.pending.borrow_mut().remove(&self.seq);
     }
@@ -129,7 +129,7 @@
 
 /// The way to an upstream failed, which says nothing of the upstream.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Lost;
+pub(super) struct Unreachable;
 
 /// Asks an upstream for its status, or has it carry out an order, by way of
 /// the holder `to`.
@@ -137,12 +137,12 @@
     core: &Rc<Core>,
     to: &name::Instance,
     command: Command,
-) -> Result<Status, Lost> {
+) -> Result<Status, Unreachable> {
     let sent = core.now();
-    let mut asking = Asking::open(core, to, command).await;
-    match asking.next().await {
-        Came::Response(Response::Status(result)) => Ok(result.map(|report| (sent, report))),
-        Came::Response(_) | Came::Unsent | Came::Down => Err(Lost),
+    let mut call = Call::open(core, to, command).await;
+    match call.next().await {
+        Delivery::Response(Response::Status(result)) => Ok(result.map(|report| (sent, report))),
+        Delivery::Response(_) | Delivery::Unsent | Delivery::Down => Err(Unreachable),
     }
 }
 
@@ -150,9 +150,13 @@
     u64::try_from(deadline.since(core.now()).as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Errand<'_> {
+impl Dispatch<'_> {
     /// Runs the batch at the holder `to`.
-    pub(super) async fn run_there(&mut self, to: &name::Instance, sink: &mut Sink<'_>) -> Ran {
+    pub(super) async fn run_remote(
+        &mut self,
+        to: &name::Instance,
+        sink: &mut Sink<'_>,
+    ) -> Completion {
         let (core, job) = (self.core, self.job);
         let proof = self.proof();
         if proof != Proof::None {
@@ -161,7 +165,7 @@
             sink.set_mode(Mode::Discard);
         }
         let run = Run {
-            upstream: self.way.upstream().clone(),
+            upstream: self.destination.upstream().clone(),
             scope: (*job.scope).clone(),
             batch: job.batch.clone(),
             settings: (*job.settings).clone(),
@@ -170,24 +174,24 @@
         };
         let sent = core.now();
         let command = Command::Run(Box::new(run));
-        let asking = Asking::open(core, to, command).await;
-        let pin = asking.seq;
+        let call = Call::open(core, to, command).await;
+        let pin = call.seq;
         self.running.sent.set(true);
         *self.running.remote.borrow_mut() = Some((to.clone(), pin));
-        let mut judge = |report: &Report| self.judge(sent, report);
-        let ran = converse(job, sink, asking, to, sent, &mut judge).await;
+        let mut choose_mode = |report: &Report| self.choose_mode(sent, report);
+        let ran = receive(job, sink, call, to, sent, &mut choose_mode).await;
         *self.running.remote.borrow_mut() = None;
         match ran {
-            Talk::Heard(heard) => Ran::Heard(
-                heard,
-                Held::Remote {
+            RemoteCompletion::Answer(answer) => Completion::Answer(
+                answer,
+                Checkout::Remote {
                     to: to.clone(),
                     pin,
                 },
             ),
-            Talk::Refused(refused) => Ran::Refused(refused),
-            Talk::Broken => Ran::Broken,
-            Talk::Late => Ran::Late,
+            RemoteCompletion::Refused(refused) => Completion::Refused(refused),
+            RemoteCompletion::Broken => Completion::Broken,
+            RemoteCompletion::TimedOut => Completion::TimedOut,
         }
     }
 
@@ -195,7 +199,7 @@
         if !self.reads() {
             return Proof::None;
         }
-        if let Way::Confirmed(_, round) = self.way {
+        if let Destination::Confirmed(_, round) = self.destination {
             return Proof::Covering(round.position);
         }
         // An age can't be judged by an old status.
@@ -208,21 +212,21 @@
 }
 
 /// How a conversation with a holder ended.
-pub(super) enum Talk {
-    Heard(Heard),
+pub(super) enum RemoteCompletion {
+    Answer(Answer),
     Refused(Refused),
     Broken,
-    Late,
+    TimedOut,
 }
 
 /// Goes on with a transaction at its holder.
-pub(super) async fn within(
+pub(super) async fn run_in_transaction(
     core: &Rc<Core>,
     job: &Job,
     sink: &mut Sink<'_>,
     to: &name::Instance,
     pin: Seq,
-) -> Talk {
+) -> RemoteCompletion {
     let left_us = left_us(core, job.deadline);
     let sent = core.now();
     let command = Command::Within {
@@ -230,69 +234,71 @@
         batch: job.batch.clone(),
         left_us,
     };
-    let asking = Asking::open(core, to, command).await;
+    let call = Call::open(core, to, command).await;
     let mode = sink.mode();
-    converse(job, sink, asking, to, sent, &mut |_| mode).await
+    receive(job, sink, call, to, sent, &mut |_| mode).await
 }
 
-async fn converse(
+async fn receive(
     job: &Job,
     sink: &mut Sink<'_>,
-    mut asking: Asking,
+    mut call: Call,
     to: &name::Instance,
     sent: Instant,
-    judge: &mut dyn FnMut(&Report) -> Mode,
-) -> Talk {
-    let core = Rc::clone(&asking.core);
-    let seq = asking.seq;
+    choose_mode: &mut dyn FnMut(&Report) -> Mode,
+) -> RemoteCompletion {
+    let core = Rc::clone(&call.core);
+    let seq = call.seq;
     let mut before = None;
     loop {
-        let came = tokio::select! {
+        let delivery = tokio::select! {
             biased;
-            came = asking.next() => came,
+            delivery = call.next() => delivery,
             () = sleep(job.deadline.since(core.now())) => {
-                tell(&core, to, Command::Cancel { of: seq });
-                return Talk::Late;
+                send_command(&core, to, Command::Cancel { of: seq });
+                return RemoteCompletion::TimedOut;
             }
         };
-        let response = match came {
-            Came::Response(response) => response,
-            Came::Unsent => {
-                return Talk::Refused(Refused {
+        let response = match delivery {
+            Delivery::Response(response) => response,
+            Delivery::Unsent => {
+                return RemoteCompletion::Refused(Refused {
                     cause: Cause::NoUpstream,
                     retry_after: None,
                 });
             }
-            Came::Down => return Talk::Broken,
+            Delivery::Down => return RemoteCompletion::Broken,
         };
         match response {
             Response::Before(report) => {
                 before = report;
-                let mode = report.as_ref().map_or(Mode::Discard, &mut *judge);
+                let mode = report.as_ref().map_or(Mode::Discard, &mut *choose_mode);
                 sink.set_mode(mode);
             }
             Response::Chunk(bytes) => {
-                sink.take(&bytes).await;
-                tell(&core, to, Command::Taken { of: seq });
+                sink.push_rows(&bytes).await;
+                send_command(&core, to, Command::Taken { of: seq });
+            }
+            Response::End(finish) => {
+                return RemoteCompletion::Answer(answer(*finish, before, sent, sink));
             }
-            Response::End(finish) => return Talk::Heard(heard(*finish, before, sent, sink)),
             Response::Refused {
                 cause,
                 retry_after_us,
             } => {
                 let retry_after = retry_after_us.map(std::time::Duration::from_micros);
-                return Talk::Refused(Refused { cause, retry_after });
+                return RemoteCompletion::Refused(Refused { cause, retry_after });
             }
             Response::Broken | Response::Status(_) | Response::Leaving | Response::Bye => {
-                return Talk::Broken;
+                return RemoteCompletion::Broken;
             }
         }
     }
 }
 
-fn heard(finish: Finish, before: Option<Report>, sent: Instant, sink: &mut Sink<'_>) -> Heard {
-    sink.give(&finish.bytes);
-    Heard {
+fn answer(finish: Finish, before: Option<Report>, sent: Instant, sink: &mut Sink<'_>) -> Answer {
+    sink.push_bytes(&finish.bytes);
+    Answer {
         status: finish.status,
         error: finish.error,
         before,
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -9,14 +9,14 @@
 
 use super::{
     Core, Pin, Running,
-    choose::Way,
-    exchange::Heard,
+    choose::Destination,
+    connections::Refused,
+    dispatch::{Checkout, Completion, Dispatch, discard, send_command},
+    exchange::Answer,
     group::Group,
-    lines::Refused,
     once,
-    sink::{Mode, Sink, To},
-    site::{Errand, Held, Ran, discard, tell},
-    within::{failed, within, within_remote},
+    sink::{Mode, Recipient, Sink},
+    transaction::{in_failed_transaction, run_local, run_remote},
 };
 use crate::{
     forward::{Command, Seq},
@@ -25,7 +25,7 @@
 };
 
 /// How often a request is tried at most, whatever its budget.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Runs one request and replies with its end.
 pub(super) async fn serve(core: Rc<Core>, mut job: Job) {
@@ -37,10 +37,10 @@
     count(&core, &job, end.outcome);
     // A caller that left while its request ran has nobody to end the
     // transaction that the request began.
-    let left = running.cancelled.get() && !core.running.borrow().contains_key(&job.caller);
+    let left = running.abandoned.get() && !core.running.borrow().contains_key(&job.caller);
     core.running.borrow_mut().remove(&job.caller);
     if left {
-        leave(&core, job.caller);
+        release_caller(&core, job.caller);
     }
     let reply = Reply {
         caller: job.caller,
@@ -66,21 +66,21 @@
 }
 
 /// Ends what a caller that has gone left behind.
-pub(super) fn leave(core: &Rc<Core>, caller: Caller) {
+pub(super) fn release_caller(core: &Rc<Core>, caller: Caller) {
     if let Some(running) = core.running.borrow_mut().remove(&caller) {
-        running.cancel();
+        running.abandon();
     }
     let pin = core.pins.borrow_mut().remove(&caller);
     match pin {
-        Some(Pin::Open { line, .. }) => discard(*line),
-        Some(Pin::Remote { to, pin, .. }) => tell(core, &to, Command::Leave { pin }),
+        Some(Pin::Open { connection, .. }) => discard(*connection),
+        Some(Pin::Remote { to, pin, .. }) => send_command(core, &to, Command::Leave { pin }),
         Some(Pin::Failed) | None => {}
     }
 }
 
 /// The stream to the instance `to` has ended, and it has ended the
 /// transactions that this one had there.
-pub(super) fn lose_pins(core: &Core, to: &name::Instance, upto: Seq) {
+pub(super) fn fail_pins(core: &Core, to: &name::Instance, upto: Seq) {
     for pin in core.pins.borrow_mut().values_mut() {
         if matches!(pin, Pin::Remote { to: at, pin, .. } if at == to && *pin <= upto) {
             *pin = Pin::Failed;
@@ -89,11 +89,13 @@
 }
 
 /// Notes that a caller has taken a part of its answer.
-pub(super) fn taken(core: &Core, caller: Caller, seq: u64) {
+pub(super) fn note_taken(core: &Core, caller: Caller, seq: u64) {
     let running = core.running.borrow().get(&caller).cloned();
     if let Some(running) = running.filter(|it| it.seq == seq) {
-        running.untaken.set(running.untaken.get().saturating_sub(1));
-        running.taken.notify_one();
+        running
+            .outstanding
+            .set(running.outstanding.get().saturating_sub(1));
+        running.progress.notify_one();
     }
 }
 
@@ -107,29 +109,31 @@
         return;
     };
     if let Some((to, of)) = running.remote.borrow().clone() {
-        tell(core, &to, Command::Cancel { of });
+        send_command(core, &to, Command::Cancel { of });
     }
-    running.hit();
+    running.send_cancel();
 }
 
 async fn run(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>) -> End {
     match job.request {
         Some(tagged) => once::serve(core, job, running, tagged).await,
-        None => pass_to(core, job, running).await,
+        None => run_batch(core, job, running).await,
     }
 }
 
 /// Runs the job's batch on the connection that its caller holds, or on any.
-pub(super) async fn pass_to(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>) -> End {
+pub(super) async fn run_batch(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>) -> End {
     let pin = core.pins.borrow_mut().remove(&job.caller);
     match pin {
-        Some(Pin::Open { line, group }) => within(core, job, running, *line, &group).await,
+        Some(Pin::Open { connection, group }) => {
+            run_local(core, job, running, *connection, &group).await
+        }
         Some(Pin::Remote { to, pin, group }) => {
-            within_remote(core, job, running, (&to, pin), &group).await
+            run_remote(core, job, running, (&to, pin), &group).await
         }
-        Some(Pin::Failed) => failed(core, job),
+        Some(Pin::Failed) => in_failed_transaction(core, job),
         None => match core.group(&job.scope.database) {
-            Some(group) => fresh(core, job, running, &group).await,
+            Some(group) => run_standalone(core, job, running, &group).await,
             None => refused(Cause::Catalogue, None),
         },
     }
@@ -158,17 +162,22 @@
 }
 
 /// What became of one try.
-enum Try {
+enum Attempt {
     /// The request has ended.
     Ended(End),
     /// It did not run there, or what it brought does not hold: once more.
-    Again,
+    Retry,
     /// The upstream can't be reached, and nothing was sent.
     Unsent(Refused),
 }
 
 /// A request outside a transaction.
-async fn fresh(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, group: &Rc<Group>) -> End {
+async fn run_standalone(
+    core: &Rc<Core>,
+    job: &mut Job,
+    running: &Rc<Running>,
+    group: &Rc<Group>,
+) -> End {
     let mut read = Read {
         floor: job.floor,
         seen: job.seen,
@@ -178,24 +187,24 @@
         fingerprint: job.batch.fingerprint,
         trust: route::Trust::Expected,
     };
-    let mut tries = 0;
-    while tries < MAX_TRIES {
-        let way = match job.batch.need {
+    let mut attempts = 0;
+    while attempts < MAX_ATTEMPTS {
+        let destination = match job.batch.need {
             Need::Read | Need::Setting => group.choose(core, &read).await,
             Need::Begin | Need::Write | Need::Alone => group.primary(core, job.deadline).await,
         };
-        let way = match way {
-            Ok(way) => way,
+        let destination = match destination {
+            Ok(destination) => destination,
             Err(cause) => return refused(cause, None),
         };
-        match attempt(core, job, running, group, &way, &mut read).await {
-            Try::Ended(end) => return end,
-            Try::Again => {
+        match attempt(core, job, running, group, &destination, &mut read).await {
+            Attempt::Ended(end) => return end,
+            Attempt::Retry => {
                 job.meter.note_retried();
-                tries += 1;
+                attempts += 1;
             }
-            Try::Unsent(refusal) => {
-                if !group.wait_for_news(core, job).await {
+            Attempt::Unsent(refusal) => {
+                if !group.wait_for_change(core, job).await {
                     return refused(refusal.cause, refusal.retry_after);
                 }
             }
@@ -209,41 +218,43 @@
     job: &mut Job,
     running: &Rc<Running>,
     group: &Rc<Group>,
-    way: &Way,
+    destination: &Destination,
     read: &mut Read,
-) -> Try {
-    let mut sink = Sink::open(core, running, To::Caller(job.caller), Mode::Hold);
+) -> Attempt {
+    let mut sink = Sink::open(core, running, Recipient::Caller(job.caller), Mode::Hold);
     let verdict = Verdict::Fresh;
-    let mut errand = Errand {
+    let mut dispatch = Dispatch {
         core,
         group,
         job,
-        way,
+        destination,
         read,
         running,
         verdict,
     };
-    let ran = errand.run(&mut sink).await;
-    let verdict = errand.verdict;
+    let ran = dispatch.run(&mut sink).await;
+    let verdict = dispatch.verdict;
     match ran {
-        Ran::Heard(heard, held) if verdict != Verdict::Fresh => {
-            held.settle(&heard);
+        Completion::Answer(answer, held) if verdict != Verdict::Fresh => {
+            held.settle(&answer);
             job.meter.note_discarded();
-            *read = read.discarded(way.target());
-            Try::Again
+            *read = read.discarded(destination.target());
+            Attempt::Retry
+        }
+        Completion::Answer(answer, held) => {
+            conclude(core, job, group, destination, held, answer, sink).await
         }
-        Ran::Heard(heard, held) => conclude(core, job, group, way, held, heard, sink).await,
-        Ran::Refused(refusal) if refusal.cause == Cause::NoUpstream => {
+        Completion::Refused(refusal) if refusal.cause == Cause::NoUpstream => {
             // A replica that can't be reached does not keep a read from others,
             // and a primary that can't be reached is being replaced.
-            if matches!(way, Way::Replica(_)) {
+            if matches!(destination, Destination::Replica(_)) {
                 *read = read.discarded(Target::Replica);
             }
-            Try::Unsent(refusal)
+            Attempt::Unsent(refusal)
         }
-        Ran::Refused(refusal) => Try::Ended(refused(refusal.cause, refusal.retry_after)),
-        Ran::Broken => broken(job, way, &sink),
-        Ran::Late => Try::Ended(unknown(Cause::Deadline)),
+        Completion::Refused(refusal) => Attempt::Ended(refused(refusal.cause, refusal.retry_after)),
+        Completion::Broken => broken(job, destination, &sink),
+        Completion::TimedOut => Attempt::Ended(unknown(Cause::Deadline)),
     }
 }
 
@@ -252,40 +263,40 @@
     core: &Rc<Core>,
     job: &mut Job,
     group: &Rc<Group>,
-    way: &Way,
-    held: Held,
-    heard: Heard,
+    destination: &Destination,
+    held: Checkout,
+    answer: Answer,
     sink: Sink<'_>,
-) -> Try {
-    if heard.spoiled {
+) -> Attempt {
+    if answer.spoiled {
         held.discard();
-        return Try::Ended(refused(Cause::ConnectionLost, None));
+        return Attempt::Ended(refused(Cause::ConnectionLost, None));
     }
-    if heard.error.as_deref() == Some(route::READ_ONLY) && !sink.has_streamed() {
-        held.settle(&heard);
-        return read_only(core, job, group, way).await;
+    if answer.error.as_deref() == Some(route::READ_ONLY) && !sink.has_streamed() {
+        held.settle(&answer);
+        return read_only(core, job, group, destination).await;
     }
-    let failed = heard.error.is_some();
+    let failed = answer.error.is_some();
     let commits = job.batch.closes == Closes::Transaction;
-    if heard.status != Some(b'I') {
-        return Try::Ended(keep_open(core, job, group, held, &heard, sink).await);
+    if answer.status != Some(b'I') {
+        return Attempt::Ended(keep_open(core, job, group, held, &answer, sink).await);
     }
-    held.settle(&heard);
+    held.settle(&answer);
     let wrote = matches!(job.batch.need, Need::Write | Need::Alone | Need::Begin);
     if wrote && (!failed || commits) {
-        let mut end = acknowledge(core, job, group, heard.behind, sink).await;
+        let mut end = acknowledge(core, job, group, answer.behind, sink).await;
         if !failed {
             end.changes = std::mem::take(&mut job.batch.changes);
         }
-        return Try::Ended(end);
+        return Attempt::Ended(end);
     }
     let mut end = end(Outcome::Done, sink.finish(), Some(b'I'));
     if !failed {
-        count_read(job, group, way);
+        count_read(job, group, destination);
         end.changes = std::mem::take(&mut job.batch.changes);
     }
-    end.events = learnt(group, way, &heard);
-    Try::Ended(end)
+    end.events = session_events(group, destination, &answer);
+    Attempt::Ended(end)
 }
 
 /// The answer to a batch behind which a transaction, or the batch itself, is
@@ -297,48 +308,52 @@
     core: &Rc<Core>,
     job: &mut Job,
     group: &Rc<Group>,
-    held: Held,
-    heard: &Heard,
+    held: Checkout,
+    answer: &Answer,
     sink: Sink<'_>,
 ) -> End {
     held.keep(core, job.caller, group);
-    let commits = job.batch.closes == Closes::Transaction && heard.status.is_some();
-    let mut end = if commits && heard.behind.is_some() {
-        let end = acknowledge(core, job, group, heard.behind, sink).await;
+    let commits = job.batch.closes == Closes::Transaction && answer.status.is_some();
+    let mut end = if commits && answer.behind.is_some() {
+        let end = acknowledge(core, job, group, answer.behind, sink).await;
         End {
-            status: heard.status,
+            status: answer.status,
             ..end
         }
     } else {
-        end(Outcome::Done, sink.finish(), heard.status)
+        end(Outcome::Done, sink.finish(), answer.status)
     };
-    if heard.error.is_none() {
+    if answer.error.is_none() {
         end.changes = std::mem::take(&mut job.batch.changes);
     }
     end
 }
 
 /// Counts an answered read by who served it.
-fn count_read(job: &Job, group: &Group, way: &Way) {
+fn count_read(job: &Job, group: &Group, destination: &Destination) {
     if job.batch.need != Need::Read {
         return;
     }
-    let server = match way {
-        Way::Replica(upstream) => Server::Replica(group.router.borrow().lag(upstream)),
-        Way::Primary(_) | Way::Confirmed(..) => Server::Primary,
+    let server = match destination {
+        Destination::Replica(upstream) => Server::Replica(group.router.borrow().lag(upstream)),
+        Destination::Primary(_) | Destination::Confirmed(..) => Server::Primary,
     };
     job.meter.note_read(server);
 }
 
 /// What a session learns from an answered read.
-fn learnt(group: &Group, way: &Way, heard: &Heard) -> Vec<session::Event> {
+fn session_events(
+    group: &Group,
+    destination: &Destination,
+    answer: &Answer,
+) -> Vec<session::Event> {
     let mut events = Vec::new();
-    if let Way::Confirmed(_, round) = way {
+    if let Destination::Confirmed(_, round) = destination {
         events.push(session::Event::ReadConfirmed(*round));
     }
     // Also a confirmed read may have shown more than its round confirmed.
     // Unnoted, the session's next read could go to a replica that lacks it.
-    if let Some(report) = heard.behind {
+    if let Some(report) = answer.behind {
         let confirmed = group.router.borrow().confirmed();
         let upto = route::position(&report);
         events.push(session::Event::Read { upto, confirmed });
@@ -347,16 +362,21 @@
 }
 
 /// A read-only upstream refused the statement, which proves that it did not run.
-async fn read_only(core: &Rc<Core>, job: &mut Job, group: &Rc<Group>, way: &Way) -> Try {
-    match way {
-        Way::Replica(_) => {
+async fn read_only(
+    core: &Rc<Core>,
+    job: &mut Job,
+    group: &Rc<Group>,
+    destination: &Destination,
+) -> Attempt {
+    match destination {
+        Destination::Replica(_) => {
             let fingerprint = job.batch.fingerprint;
             let event = route::Event::Wrote { fingerprint };
             group.router.borrow_mut().step(core.now(), event);
             job.batch.need = Need::Write;
         }
         // The primary was fenced: wait for the one that replaces it.
-        Way::Primary(_) | Way::Confirmed(..) => {
+        Destination::Primary(_) | Destination::Confirmed(..) => {
             tokio::select! {
                 () = group.changed.notified() => {}
                 () = sleep(job.deadline.since(core.now())) => {}
@@ -364,9 +384,9 @@
         }
     }
     if core.now() >= job.deadline {
-        return Try::Ended(refused(Cause::NoUpstream, None));
+        return Attempt::Ended(refused(Cause::NoUpstream, None));
     }
-    Try::Again
+    Attempt::Retry
 }
 
 /// Holds a write's answer back until a majority has the write.
@@ -381,7 +401,7 @@
         return unknown(Cause::ConnectionLost);
     };
     let position: Position = report.received;
-    match group.acknowledged(core, position, job.deadline).await {
+    match group.wait_acknowledged(core, position, job.deadline).await {
         Ok(()) => {
             let mut end = end(Outcome::Done, sink.finish(), Some(b'I'));
             end.events = vec![session::Event::Acknowledged(position)];
@@ -392,14 +412,14 @@
 }
 
 /// The connection failed with the request on it.
-fn broken(job: &Job, way: &Way, sink: &Sink<'_>) -> Try {
-    let replica_read = matches!(way, Way::Replica(_));
+fn broken(job: &Job, destination: &Destination, sink: &Sink<'_>) -> Attempt {
+    let replica_read = matches!(destination, Destination::Replica(_));
     let repeatable = job.scope.class.repeat == Repeat::Idempotent || replica_read;
     // What may have begun a transaction or changed the connection is not
     // repeated: the caller could not tell what the first run left.
     let plain = matches!(job.batch.need, Need::Read | Need::Write);
     if repeatable && plain && !sink.has_streamed() {
-        return Try::Again;
+        return Attempt::Retry;
     }
-    Try::Ended(unknown(Cause::ConnectionLost))
+    Attempt::Ended(unknown(Cause::ConnectionLost))
 }
--- a/crates/daemon/src/upstreams/running.rs
+++ b/crates/daemon/src/upstreams/running.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use upstream::Key;
 
-use super::line::{Fate, Line};
+use super::connection::{Connection, Fate};
 use crate::forward::Seq;
 
 /// A request that runs.
@@ -18,19 +18,19 @@
     /// Its number.
     pub(super) seq: u64,
     /// The connection of this instance that it has.
-    pub(super) line: RefCell<Option<(SocketAddr, Key)>>,
+    pub(super) connection: RefCell<Option<(SocketAddr, Key)>>,
     /// The command to another instance that it waits for.
     pub(super) remote: RefCell<Option<(name::Instance, Seq)>>,
     /// Whether it was sent to an upstream, or to a holder of connections.
     pub(super) sent: Cell<bool>,
     /// Whether whoever asked is gone.
-    pub(super) cancelled: Cell<bool>,
+    pub(super) abandoned: Cell<bool>,
     /// Whether a cancel request has been sent to its connection's server.
-    pub(super) hit: Cell<bool>,
+    pub(super) cancel_sent: Cell<bool>,
     /// Parts of the answer that were sent and not yet taken.
-    pub(super) untaken: Cell<usize>,
+    pub(super) outstanding: Cell<usize>,
     /// Told when a part was taken, or whoever asked is gone.
-    pub(super) taken: Notify,
+    pub(super) progress: Notify,
 }
 
 impl Running {
@@ -38,48 +38,49 @@
     pub(super) fn open(seq: u64) -> Self {
         Self {
             seq,
-            line: RefCell::default(),
+            connection: RefCell::default(),
             remote: RefCell::default(),
             sent: Cell::new(false),
-            cancelled: Cell::new(false),
-            hit: Cell::new(false),
-            untaken: Cell::new(0),
-            taken: Notify::new(),
+            abandoned: Cell::new(false),
+            cancel_sent: Cell::new(false),
+            outstanding: Cell::new(0),
+            progress: Notify::new(),
         }
     }
 
     /// Notes that whoever asked is gone.
-    pub(super) fn cancel(&self) {
-        self.cancelled.set(true);
-        self.taken.notify_waiters();
-        self.taken.notify_one();
+    pub(super) fn abandon(&self) {
+        self.abandoned.set(true);
+        self.progress.notify_waiters();
+        self.progress.notify_one();
     }
 
     /// Cancels the statement on its connection of this instance.
-    pub(super) fn hit(&self) {
-        if let Some((address, key)) = self.line.borrow().clone() {
-            self.hit.set(true);
+    pub(super) fn send_cancel(&self) {
+        if let Some((address, key)) = self.connection.borrow().clone() {
+            self.cancel_sent.set(true);
             ntex::rt::spawn(async move { upstream::cancel(address, &key).await });
         }
     }
 
     /// Keeps a connection from the next request while a cancel is on its way
     /// to it: the cancel names the connection, not the statement.
-    pub(super) fn spare(&self, line: &mut Line) {
-        if self.hit.get() {
-            line.fate = Fate::Close;
+    pub(super) fn close_if_cancelled(&self, connection: &mut Connection) {
+        if self.cancel_sent.get() {
+            connection.fate = Fate::Close;
         }
     }
 
     /// Notes that a part of the answer was taken.
-    pub(super) fn take_one(&self) {
-        self.untaken.set(self.untaken.get().saturating_sub(1));
-        self.taken.notify_one();
+    pub(super) fn note_taken(&self) {
+        self.outstanding
+            .set(self.outstanding.get().saturating_sub(1));
+        self.progress.notify_one();
     }
 
     /// Waits until whoever asked is gone.
-    pub(super) async fn cancelled_now(&self) {
-        while !self.cancelled.get() {
+    pub(super) async fn wait_abandoned(&self) {
+        while !self.abandoned.get() {
             ntex::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     }
--- a/crates/daemon/src/upstreams/sink.rs
+++ b/crates/daemon/src/upstreams/sink.rs
@@ -28,7 +28,7 @@
 
 /// Whom an answer goes to.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum To {
+pub(super) enum Recipient {
     /// A caller of this instance.
     Caller(Caller),
     /// Another instance, on the stream that it asked on.
@@ -39,7 +39,7 @@
 pub(super) struct Sink<'a> {
     core: &'a Core,
     running: Rc<Running>,
-    to: To,
+    to: Recipient,
     buf: BytesMut,
     mode: Mode,
     streamed: bool,
@@ -47,7 +47,7 @@
 
 impl<'a> Sink<'a> {
     /// Opens the way of an answer to a running request.
-    pub(super) fn open(core: &'a Core, running: &Rc<Running>, to: To, mode: Mode) -> Self {
+    pub(super) fn open(core: &'a Core, running: &Rc<Running>, to: Recipient, mode: Mode) -> Self {
         let buf = BytesMut::new();
         Self {
             core,
@@ -85,33 +85,33 @@
         }
         self.buf.extend_from_slice(frame.bytes());
         if frame.tag() == b'D' {
-            self.pass_full().await;
+            self.flush_if_full().await;
         }
     }
 
     /// Takes a part of an answer that comes from a holder; it ends in a row.
-    pub(super) async fn take(&mut self, bytes: &[u8]) {
+    pub(super) async fn push_rows(&mut self, bytes: &[u8]) {
         if self.mode != Mode::Discard {
             self.buf.extend_from_slice(bytes);
-            self.pass_full().await;
+            self.flush_if_full().await;
         }
     }
 
     /// Passes on what is there if it is much. What is there ends in a row, so
     /// the message that says that an answer is complete is never passed on
     /// before the end.
-    async fn pass_full(&mut self) {
+    async fn flush_if_full(&mut self) {
         let bound = match self.mode {
             Mode::Stream => CHUNK,
             Mode::Hold | Mode::Discard => MAX_HELD,
         };
         if self.buf.len() >= bound {
-            self.pass().await;
+            self.flush().await;
         }
     }
 
     /// Takes a message that the proxy itself gives.
-    pub(super) fn give(&mut self, bytes: &[u8]) {
+    pub(super) fn push_bytes(&mut self, bytes: &[u8]) {
         if self.mode != Mode::Discard {
             self.buf.extend_from_slice(bytes);
         }
@@ -123,20 +123,22 @@
     }
 
     /// Passes on what is there, once the caller has taken enough.
-    async fn pass(&mut self) {
-        while self.running.untaken.get() >= WINDOW {
-            if self.running.cancelled.get() {
+    async fn flush(&mut self) {
+        while self.running.outstanding.get() >= WINDOW {
+            if self.running.abandoned.get() {
                 self.buf.clear();
                 return;
             }
-            self.running.taken.notified().await;
+            self.running.progress.notified().await;
         }
-        self.running.untaken.set(self.running.untaken.get() + 1);
+        self.running
+            .outstanding
+            .set(self.running.outstanding.get() + 1);
         self.streamed = true;
         let bytes = self.buf.split().freeze();
         let seq = self.running.seq;
         match self.to {
-            To::Caller(caller) => {
+            Recipient::Caller(caller) => {
                 let reply = Reply {
                     caller,
                     seq,
@@ -144,7 +146,7 @@
                 };
                 self.core.replies.send(reply).await;
             }
-            To::Peer(conn) => {
+            Recipient::Peer(conn) => {
                 let response = Response::Chunk(bytes);
                 self.core
                     .outs
--- a/crates/daemon/src/upstreams/within.rs
+++ b/crates/daemon/src/upstreams/transaction.rs
@@ -8,14 +8,14 @@
 
 use super::{
     Core, Pin, Running,
-    exchange::{Heard, ask, exchange},
+    connection::Connection,
+    dispatch::{Checkout, discard, send_command},
+    exchange::{Answer, exchange, probe},
     group::Group,
-    line::Line,
     plan::{Plan, Probes},
-    remote::{self, Talk},
+    remote::{self, RemoteCompletion},
     run::{acknowledge, end, keep_open, refused, unknown},
-    sink::{Mode, Sink, To},
-    site::{Held, discard, tell},
+    sink::{Mode, Recipient, Sink},
 };
 use crate::{
     forward::{Command, Seq},
@@ -23,81 +23,86 @@
 };
 
 /// A statement of a transaction on a connection of this instance.
-pub(super) async fn within(
+pub(super) async fn run_local(
     core: &Rc<Core>,
     job: &mut Job,
     running: &Rc<Running>,
-    mut line: Line,
+    mut connection: Connection,
     group: &Rc<Group>,
 ) -> End {
-    let home = Rc::clone(&line.home);
-    if home.next(&mut line, job.deadline).await.is_err() {
-        discard(line);
-        return lost(core, job);
+    let home = Rc::clone(&connection.home);
+    if home.next(&mut connection, job.deadline).await.is_err() {
+        discard(connection);
+        return fail_transaction(core, job);
     }
     let behind = job.batch.closes == Closes::Transaction;
-    let plan = Plan::within(
-        &mut line,
+    let plan = Plan::in_transaction(
+        &mut connection,
         &job.batch,
         Probes {
             before: false,
             behind,
         },
     );
-    let mode = mode_within(job);
-    let mut sink = Sink::open(core, running, To::Caller(job.caller), mode);
+    let mode = answer_mode(job);
+    let mut sink = Sink::open(core, running, Recipient::Caller(job.caller), mode);
     running.sent.set(true);
-    *running.line.borrow_mut() = Some((line.address, line.conn.key().clone()));
+    *running.connection.borrow_mut() = Some((connection.address, connection.conn.key().clone()));
     let sent = core.now();
-    let mut judge = |_: &Report| mode;
-    let heard = tokio::select! {
+    let mut choose_mode = |_: &Report| mode;
+    let answer = tokio::select! {
         biased;
-        heard = exchange(sent, &mut line, plan, &mut sink, &mut judge) => heard.ok(),
+        answer = exchange(sent, &mut connection, plan, &mut sink, &mut choose_mode) => answer.ok(),
         () = sleep(job.deadline.since(sent)) => None,
     };
-    *running.line.borrow_mut() = None;
-    running.spare(&mut line);
-    let Some(mut heard) = heard else {
-        discard(line);
-        return cut(core, job);
+    *running.connection.borrow_mut() = None;
+    running.close_if_cancelled(&mut connection);
+    let Some(mut answer) = answer else {
+        discard(connection);
+        return connection_failed(core, job);
     };
-    if heard.status == Some(b'I') && heard.behind.is_none() {
-        heard.behind = ask(&line).await.ok().flatten();
+    if answer.status == Some(b'I') && answer.behind.is_none() {
+        answer.behind = probe(&connection).await.ok().flatten();
     }
-    let held = Held::Line(Box::new(line));
-    conclude_within(core, job, group, held, heard, sink).await
+    let held = Checkout::Connection(Box::new(connection));
+    conclude(core, job, group, held, answer, sink).await
 }
 
 /// A statement of a transaction on a connection of another instance.
-pub(super) async fn within_remote(
+pub(super) async fn run_remote(
     core: &Rc<Core>,
     job: &mut Job,
     running: &Rc<Running>,
     (to, pin): (&name::Instance, Seq),
     group: &Rc<Group>,
 ) -> End {
-    let mut sink = Sink::open(core, running, To::Caller(job.caller), mode_within(job));
+    let mut sink = Sink::open(
+        core,
+        running,
+        Recipient::Caller(job.caller),
+        answer_mode(job),
+    );
     running.sent.set(true);
     *running.remote.borrow_mut() = Some((to.clone(), pin));
-    let talk = remote::within(core, job, &mut sink, to, pin).await;
+    let completion = remote::run_in_transaction(core, job, &mut sink, to, pin).await;
     *running.remote.borrow_mut() = None;
-    match talk {
-        Talk::Heard(heard) => {
-            let held = Held::Remote {
+    match completion {
+        RemoteCompletion::Answer(answer) => {
+            let held = Checkout::Remote {
                 to: to.clone(),
                 pin,
             };
-            conclude_within(core, job, group, held, heard, sink).await
+            conclude(core, job, group, held, answer, sink).await
         }
-        Talk::Refused(_) => lost(core, job),
-        Talk::Broken | Talk::Late => {
-            tell(core, to, Command::Leave { pin });
-            cut(core, job)
+        RemoteCompletion::Refused(_) => fail_transaction(core, job),
+        RemoteCompletion::Broken | RemoteCompletion::TimedOut => {
+            send_command(core, to, Command::Leave { pin });
+            connection_failed(core, job)
         }
     }
 }
 
-fn mode_within(job: &Job) -> Mode {
+fn answer_mode(job: &Job) -> Mode {
     if job.request.is_some() {
         // The statement does not count before its id is committed with it.
         return Mode::Hold;
@@ -109,32 +114,32 @@
 }
 
 /// The connection of a transaction failed while a statement ran on it.
-fn cut(core: &Core, job: &Job) -> End {
+fn connection_failed(core: &Core, job: &Job) -> End {
     // Without its COMMIT a transaction rolls back with its connection.
     match job.batch.closes {
         Closes::Transaction => unknown(Cause::ConnectionLost),
-        Closes::Nothing => lost(core, job),
+        Closes::Nothing => fail_transaction(core, job),
     }
 }
 
-async fn conclude_within(
+async fn conclude(
     core: &Rc<Core>,
     job: &mut Job,
     group: &Rc<Group>,
-    held: Held,
-    heard: Heard,
+    held: Checkout,
+    answer: Answer,
     sink: Sink<'_>,
 ) -> End {
-    if heard.status != Some(b'I') {
-        return keep_open(core, job, group, held, &heard, sink).await;
+    if answer.status != Some(b'I') {
+        return keep_open(core, job, group, held, &answer, sink).await;
     }
-    held.settle(&heard);
+    held.settle(&answer);
     let closes = job.batch.closes == Closes::Transaction;
-    if heard.error.is_some() && !closes {
+    if answer.error.is_some() && !closes {
         return end(Outcome::Done, sink.finish(), Some(b'I'));
     }
-    let mut end = acknowledge(core, job, group, heard.behind, sink).await;
-    if heard.error.is_none() {
+    let mut end = acknowledge(core, job, group, answer.behind, sink).await;
+    if answer.error.is_none() {
         end.changes = std::mem::take(&mut job.batch.changes);
     }
     end
@@ -144,7 +149,7 @@
 ///
 /// Until the caller ends it, its statements are refused. Run on their own they
 /// would commit one by one what the caller meant to be one transaction.
-fn lost(core: &Core, job: &Job) -> End {
+fn fail_transaction(core: &Core, job: &Job) -> End {
     if job.batch.closes == Closes::Transaction {
         return refused(Cause::ConnectionLost, None);
     }
@@ -157,7 +162,7 @@
 }
 
 /// A statement of a transaction whose connection is gone.
-pub(super) fn failed(core: &Core, job: &Job) -> End {
+pub(super) fn in_failed_transaction(core: &Core, job: &Job) -> End {
     if job.batch.closes == Closes::Transaction {
         let bytes = super::plan::rolled_back(&job.batch);
         return end(Outcome::Done, bytes, Some(b'I'));
--- a/crates/daemon/src/upstreams/view.rs
+++ b/crates/daemon/src/upstreams/view.rs
@@ -9,28 +9,28 @@
 
 use super::{
     Core,
+    connections::Connections,
     control::Status,
     group::{Group, Member},
-    lines::Lines,
 };
 use crate::introspect::{self, Requests, millis};
 
 /// An upstream whose data is older serves none of the usual reads: the
 /// catalogues of the users allow two seconds.
-const BEHIND: Duration = Duration::from_secs(2);
+const MAX_LAG: Duration = Duration::from_secs(2);
 
 /// A status older than this says nothing of whether the upstream answers now.
-const OLD: Duration = Duration::from_secs(5);
+const MAX_STATUS_AGE: Duration = Duration::from_secs(5);
 
 /// For how long an upstream must fail before operators are told.
-const SILENT: Duration = Duration::from_secs(1);
+const SILENT_AFTER: Duration = Duration::from_secs(1);
 
 /// For how long no round must confirm a primary before operators are told.
-const UNCONFIRMED: Duration = Duration::from_secs(2);
+const UNCONFIRMED_AFTER: Duration = Duration::from_secs(2);
 
 /// When an upstream was asked for its status, and answered.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Sight {
+pub(super) struct ProbeHistory {
     /// The end of the first question.
     first: Option<Instant>,
     /// The end of the last question.
@@ -41,7 +41,7 @@
     failing: Option<Instant>,
 }
 
-impl Sight {
+impl ProbeHistory {
     /// Notes how a question ended; a refused order is an answer as well, and so
     /// is the word that there is no room for another connection.
     pub(super) fn note(&mut self, now: Instant, status: &Status) {
@@ -105,11 +105,11 @@
             term: report.received.term,
             lsn: report.replayed,
         };
-        let sight = self.sight(name);
-        let answered = answer.map(|it| it.sent).max(sight.answered);
-        let link = match sight.failing {
+        let probe_history = self.probe_history(name);
+        let answered = answer.map(|it| it.sent).max(probe_history.answered);
+        let link = match probe_history.failing {
             Some(_) => Link::Down,
-            None if answered.is_some_and(|at| now.since(at) <= OLD) => Link::Up,
+            None if answered.is_some_and(|at| now.since(at) <= MAX_STATUS_AGE) => Link::Up,
             None => Link::Unsure,
         };
         Upstream {
@@ -123,12 +123,16 @@
             position: report.map(position),
             lag_ms: router.lag(name).map(millis),
             leaving: member.conf.leaving,
-            pool: member.holds().then(|| member.lines.view(now)),
+            pool: member.is_holder().then(|| member.connections.view(now)),
         }
     }
 
-    fn sight(&self, name: &name::Upstream) -> Sight {
-        self.sights.borrow().get(name).copied().unwrap_or_default()
+    fn probe_history(&self, name: &name::Upstream) -> ProbeHistory {
+        self.probe_histories
+            .borrow()
+            .get(name)
+            .copied()
+            .unwrap_or_default()
     }
 
     fn member_doubts(&self, now: Instant, upstream: &Upstream) -> Vec<Doubt> {
@@ -136,17 +140,17 @@
         let database = || self.name.clone();
         let name = || upstream.upstream.clone();
         let failing = self
-            .sight(&upstream.upstream)
+            .probe_history(&upstream.upstream)
             .failing
             .map(|at| now.since(at));
-        if let Some(span) = failing.filter(|span| *span >= SILENT) {
+        if let Some(span) = failing.filter(|span| *span >= SILENT_AFTER) {
             doubts.push(Doubt::UpstreamSilent {
                 database: database(),
                 upstream: name(),
                 since_ms: millis(span),
             });
         }
-        let lag_ms = upstream.lag_ms.filter(|lag| *lag > millis(BEHIND));
+        let lag_ms = upstream.lag_ms.filter(|lag| *lag > millis(MAX_LAG));
         if let Some(lag_ms) = lag_ms {
             doubts.push(Doubt::UpstreamBehind {
                 database: database(),
@@ -168,13 +172,14 @@
     /// of late. An instance that asks nobody can't tell.
     fn unconfirmed(&self, now: Instant, confirmed: Option<Instant>) -> Option<Doubt> {
         let members = self.members.borrow();
-        let sights = self.sights.borrow();
-        let recent = |it: &&Sight| it.asked.is_some_and(|at| now.since(at) <= OLD);
-        let asked = sights.values().filter(recent).count();
-        let first = || sights.values().filter_map(|it| it.first).min();
+        let probe_histories = self.probe_histories.borrow();
+        let recent =
+            |it: &&ProbeHistory| it.asked.is_some_and(|at| now.since(at) <= MAX_STATUS_AGE);
+        let asked = probe_histories.values().filter(recent).count();
+        let first = || probe_histories.values().filter_map(|it| it.first).min();
         let since = confirmed.or_else(first)?;
         let span = now.since(since);
-        let doubted = asked > members.len() / 2 && span >= UNCONFIRMED;
+        let doubted = asked > members.len() / 2 && span >= UNCONFIRMED_AFTER;
         doubted.then(|| Doubt::Unconfirmed {
             database: self.name.clone(),
             since_ms: millis(span),
@@ -182,7 +187,7 @@
     }
 }
 
-impl Lines {
+impl Connections {
     fn view(&self, now: Instant) -> Pool {
         let pool = self.pool.borrow();
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
