--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -1,4 +1,5 @@
-//! Waiting for a majority: acknowledgement of writes, and confirmed rounds.
+//! Waiting for a majority: acknowledgement of writes and confirmation of the
+//! primary.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,12 +17,13 @@
 };
 
 impl Group {
-    /// Waits until a majority holds the log up to `position` of the term that
-    /// still counts.
+    /// Waits until a majority holds the log up to `position`, provided that its
+    /// term is still current.
     ///
     /// # Errors
     ///
-    /// Why that can't be said of the write: its outcome is unknown.
+    /// Returns the reason why the write can't be acknowledged; its outcome is
+    /// unknown.
     pub(super) async fn wait_acknowledged(
         self: &Rc<Self>,
         core: &Rc<Core>,
@@ -59,7 +61,7 @@
         Id(self.last_id.get())
     }
 
-    /// Asks the replicas for their positions until no write waits.
+    /// Polls the replicas for their positions until no write is waiting.
     fn poll_replicas(self: &Rc<Self>, core: &Rc<Core>) {
         let primary = self.router.borrow().primary().cloned();
         for (name, member) in self.members.borrow().iter() {
@@ -72,10 +74,11 @@
         }
     }
 
-    /// Asks all upstreams for their status, unless a round is under way.
+    /// Starts a round of status probes to all upstreams, unless one is under
+    /// way.
     ///
-    /// An instance that is no candidate has no other way to learn who leads
-    /// before the record of a change reaches it.
+    /// An instance that is not a candidate learns of a new primary in no other
+    /// way before the record of the change reaches it.
     pub(super) fn request_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
         let now = core.now();
         if self.round.borrow_mut().request(now, since) == Start::Now {
@@ -83,11 +86,11 @@
         }
     }
 
-    /// Waits for a round that began at `since` or later.
+    /// Waits for a confirmed round that began at `since` or later.
     ///
     /// # Errors
     ///
-    /// [`Cause::Deadline`] when no majority confirmed a primary in time.
+    /// [`Cause::Deadline`] if no majority confirmed a primary in time.
     pub(super) async fn wait_confirmed(
         self: &Rc<Self>,
         core: &Rc<Core>,
@@ -112,7 +115,7 @@
     }
 }
 
-/// Asks one upstream for its position until no write waits.
+/// Polls one upstream for its position until no write is waiting.
 async fn poll_replica(group: Rc<Group>, core: Rc<Core>, name: name::Upstream, member: Rc<Member>) {
     let mut backoff = Backoff::open();
     loop {
@@ -133,7 +136,8 @@
     member.polled.set(false);
 }
 
-/// Asks all upstreams of the group for their status at once.
+/// Probes all upstreams of the group in parallel, again while further rounds
+/// are requested.
 async fn probe_all(group: Rc<Group>, core: Rc<Core>) {
     loop {
         let began = core.now();
--- a/crates/daemon/src/upstreams/backoff.rs
+++ b/crates/daemon/src/upstreams/backoff.rs
@@ -1,4 +1,4 @@
-//! How soon an upstream is asked again for its position.
+//! Backoff between position polls of one upstream.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 #[cfg(test)]
 mod tests;
 
-/// The first pause when an upstream's log stands; doubled up to the most.
+/// Pause after the first poll that finds the log unchanged; doubled up to
+/// [`MAX_PAUSE`].
 const FIRST_PAUSE: Duration = Duration::from_micros(250);
 
-/// The longest pause.
+/// Longest pause between two polls.
 pub(super) const MAX_PAUSE: Duration = Duration::from_millis(4);
 
-/// The pauses between questions to one upstream, while writes wait.
+/// The backoff of the position polls of one upstream while writes wait.
 #[derive(Debug)]
 pub(super) struct Backoff {
     pause: Duration,
@@ -21,7 +22,7 @@
 }
 
 impl Backoff {
-    /// Begins with an upstream of which nothing is known.
+    /// Creates the state before the first poll.
     pub(super) fn open() -> Self {
         Self {
             pause: FIRST_PAUSE,
@@ -29,12 +30,12 @@
         }
     }
 
-    /// The pause before the next question, when the last one brought `held`;
-    /// `None` when it brought no answer.
+    /// Returns the pause before the next poll. `held` is the position that the
+    /// last poll returned, or `None` if it failed.
     ///
-    /// While the log moves there is none. Were the pause to grow as long as any
-    /// write waits, callers that write all the time would keep it at its most,
-    /// and each write would wait that long for a replica that holds it.
+    /// There is no pause while the log advances. If the pause grew for as long
+    /// as any write waits, continuous writes would keep it at its maximum and
+    /// each of them would wait that long for its acknowledgement.
     pub(super) fn next(&mut self, held: Option<Position>) -> Duration {
         if held.is_none() {
             return MAX_PAUSE;
--- a/crates/daemon/src/upstreams/backoff/tests.rs
+++ b/crates/daemon/src/upstreams/backoff/tests.rs
@@ -11,11 +11,11 @@
     })
 }
 
-/// Symptom: with eight callers writing, one write in a hundred took 16 ms on
-/// loopback, and all of them together wrote less than one caller alone. Events:
-/// some write always waits for a replica, so the questions to it never end.
-/// Cause: the pause between them doubled with each, whether the replica's log
-/// moved or not.
+/// Guards against slow acknowledgements under continuous writes. There is
+/// always a write waiting, so polling never stops; a pause that doubled with
+/// each poll, even while the log advanced, made one write in a hundred of eight
+/// callers take 16 ms on loopback, and all of them together wrote less than one
+/// caller alone.
 #[test]
 fn a_log_that_moves_is_asked_for_without_a_pause() {
     let mut backoff = Backoff::open();
--- a/crates/daemon/src/upstreams/choose.rs
+++ b/crates/daemon/src/upstreams/choose.rs
@@ -1,4 +1,5 @@
-//! Where a request goes: the router chooses, this waits as it says.
+//! Choice of the upstream for a request: the router decides, and this module
+//! waits as the decision demands.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,29 +12,29 @@
 use super::{Core, group::Group};
 use crate::job::Job;
 
-/// How long a request that waits for news goes without looking again.
+/// Longest time that a waiting request goes without asking the router again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a request waits for somebody to lead.
+/// Longest time that a request waits for a primary.
 ///
-/// Longer than a change of primary takes at its worst. A request that waited
-/// on would be held back although nothing can be expected any more; it is
-/// refused at once then, and told when to come back.
+/// Exceeds the longest change of primary. After that no primary is to be
+/// expected soon, so the request is refused at once with a time to retry.
 const MAX_HOLD: Duration = Duration::from_secs(3);
 
-/// Where a request goes.
+/// The upstream that a request is sent to.
 #[derive(Debug, Clone)]
 pub(super) enum Destination {
-    /// A read, to a replica.
+    /// A replica, for a read.
     Replica(name::Upstream),
-    /// To the primary, as far as is known here.
+    /// The upstream that this instance believes to be the primary.
     Primary(name::Upstream),
-    /// A read, to the primary that a majority confirmed since it began.
+    /// The primary, for a read; a majority has confirmed it since the read
+    /// began.
     Confirmed(name::Upstream, Confirmed),
 }
 
 impl Destination {
-    /// The upstream.
+    /// The name of the upstream.
     pub(super) fn upstream(&self) -> &name::Upstream {
         match self {
             Self::Replica(upstream) | Self::Primary(upstream) | Self::Confirmed(upstream, _) => {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// What the upstream is taken for.
+    /// The role that the upstream is chosen in.
     pub(super) fn target(&self) -> Target {
         match self {
             Self::Replica(_) => Target::Replica,
@@ -52,11 +53,12 @@
 }
 
 impl Group {
-    /// Chooses where a read goes, waiting where that is better.
+    /// Chooses an upstream for a read, waiting where the router advises it.
     ///
     /// # Errors
     ///
-    /// Why nothing can serve it; it did not run.
+    /// Returns the reason why no upstream can serve the read; the read did not
+    /// run.
     pub(super) async fn choose(
         self: &Rc<Self>,
         core: &Rc<Core>,
@@ -101,12 +103,12 @@
         }
     }
 
-    /// Waits until somebody leads.
+    /// Waits until the primary is known.
     ///
     /// # Errors
     ///
-    /// [`Cause::NoUpstream`] when nobody did before the deadline; the request
-    /// did not run.
+    /// [`Cause::NoUpstream`] if no primary became known before the deadline;
+    /// the request did not run.
     pub(super) async fn primary(
         self: &Rc<Self>,
         core: &Rc<Core>,
@@ -130,8 +132,8 @@
         }
     }
 
-    /// Waits for news of the group after an upstream could not be reached;
-    /// `false` when the request has waited as long as it may.
+    /// Waits for a change of the group's state after an upstream could not be
+    /// reached. Returns `false` if the request has used up its waiting time.
     pub(super) async fn wait_for_change(self: &Rc<Self>, core: &Rc<Core>, job: &Job) -> bool {
         let now = core.now();
         if now >= job.deadline.min(job.began + MAX_HOLD) {
--- a/crates/daemon/src/upstreams/clean.rs
+++ b/crates/daemon/src/upstreams/clean.rs
@@ -1,8 +1,9 @@
-//! Cleaning the ledgers of request ids.
+//! Deletion of expired rows from the ledgers of request ids.
 //!
-//! The ledger would otherwise grow for ever. Each database is cleaned by the
-//! instance that holds the first seat of its primary; two that both believe so
-//! delete the same old rows, which does no harm.
+//! Without deletion a ledger grows without bound. The instance that holds the
+//! first seat of a database's primary cleans its ledger. If two instances both
+//! believe that they hold it, they delete the same expired rows, which does no
+//! harm.
 
 use std::{rc::Weak, time::Duration};
 
@@ -11,10 +12,10 @@
 
 use super::{Core, group::Group};
 
-/// How long after its start an instance cleans for the first time.
+/// Time from an instance's start to its first cleaning.
 const INITIAL_DELAY: Duration = Duration::from_secs(2);
 
-/// Cleans a database's ledger again and again, as long as the group is there.
+/// Cleans a database's ledger periodically until the group is dropped.
 pub(super) async fn serve(core: Weak<Core>, group: Weak<Group>) {
     let mut pause = INITIAL_DELAY;
     loop {
@@ -26,8 +27,8 @@
     }
 }
 
-/// Deletes what is old, if that is for this instance to do; returns how long
-/// to wait until the next time.
+/// Deletes expired rows if this instance is responsible, and returns the time
+/// to wait until the next cleaning.
 async fn clean(core: &Core, group: &Group) -> Duration {
     let primary = group.router.borrow().primary().cloned();
     let member = primary.and_then(|it| group.member(&it));
--- a/crates/daemon/src/upstreams/connection.rs
+++ b/crates/daemon/src/upstreams/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an upstream, with what the proxy has made of it.
+//! A pooled connection to an upstream and the session state that the proxy has
+//! set on it.
 
 use std::{collections::HashSet, net::SocketAddr, rc::Rc};
 
@@ -10,41 +11,41 @@
 use super::connections::Connections;
 use crate::job::{Leaves, Settings};
 
-/// How many statements are kept prepared on one connection.
+/// Highest number of prepared statements on one connection.
 pub(super) const MAX_PREPARED: usize = 256;
 
-/// What becomes of a connection when its request is done.
+/// What happens to a connection when its request has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fate {
-    /// It goes back to the others.
+    /// The connection returns to the pool.
     Reuse,
-    /// It is closed: it holds state that can't be reset, or a cancel request
-    /// is under way to it, which would hit the next request's statement.
+    /// The connection is closed: it has state that can't be reset, or a cancel
+    /// request is in flight that could hit the next request's statement.
     Close,
 }
 
-/// A connection while a request has it.
+/// A connection that is checked out by a request.
 pub(super) struct Connection {
-    /// The connection itself.
+    /// The protocol connection.
     pub(super) conn: Conn,
-    /// Where it leads.
+    /// The address of the upstream.
     pub(super) address: SocketAddr,
-    /// The hashes of the statements that are prepared on it.
+    /// Hashes of the prepared statements.
     pub(super) prepared: HashSet<u128>,
-    /// After an error the upstream skips messages up to the next Sync.
+    /// Whether the upstream skips messages up to the next Sync after an error.
     pub(super) skipping: bool,
-    /// The session settings that are in force on it.
+    /// The session settings in force on the connection.
     pub(super) applied: Settings,
-    /// What requests have left on it since its settings were made out.
+    /// Session state left by requests since the settings were last applied.
     pub(super) leaves: Leaves,
-    /// Whether another request may have it.
+    /// What happens to the connection after the request.
     pub(super) fate: Fate,
-    /// The last status that came on it, and when it was asked for.
+    /// The last status report and the time at which its query was sent.
     pub(super) seen: Option<(Instant, Report)>,
-    /// The upstream's connections that it goes back to.
+    /// The pool that the connection returns to.
     pub(super) home: Rc<Connections>,
-    /// The request that has it.
+    /// The request that has checked out the connection.
     pub(super) ticket: Ticket,
-    /// The statement that it is handed out for.
+    /// The pool's handle for the current statement.
     pub(super) handle: Handle,
 }
--- a/crates/daemon/src/upstreams/connections.rs
+++ b/crates/daemon/src/upstreams/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to one upstream: [`pool::Pool`] decides, this carries out.
+//! The connections to one upstream: [`pool::Pool`] decides, and this module
+//! carries out its actions.
 
 use std::{
     cell::RefCell,
@@ -22,22 +23,22 @@
 use super::connection::{Connection, Fate};
 use crate::job::{Leaves, Settings};
 
-/// How long a login at an upstream may take.
+/// Longest time for connecting and logging in to an upstream.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an upstream takes to see that a connection was closed.
+/// Time that an upstream needs to notice a closed connection.
 const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
 /// A refusal by the pool: the request did not run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Refused {
-    /// Why.
+    /// The cause of the refusal.
     pub(super) cause: Cause,
-    /// When asking again has a chance.
+    /// Time after which a retry may succeed.
     pub(super) retry_after: Option<Duration>,
 }
 
-/// A connection that no request has.
+/// A connection that is not checked out.
 struct Idle {
     conn: Conn,
     prepared: HashSet<u128>,
@@ -48,7 +49,7 @@
 
 type Waiter = oneshot::Sender<Result<Handle, Refused>>;
 
-/// The connections to one upstream that this instance holds.
+/// This instance's connections to one upstream.
 pub(super) struct Connections {
     clock: Clock,
     address: SocketAddr,
@@ -57,13 +58,13 @@
     pub(super) pool: RefCell<Pool>,
     idle: RefCell<HashMap<Generation, Idle>>,
     waiters: RefCell<HashMap<Ticket, Waiter>>,
-    /// Transactions whose connection the pool has taken away.
+    /// Transactions whose connection was closed by the pool.
     broken: RefCell<HashSet<Ticket>>,
     stepped: Notify,
 }
 
 impl Connections {
-    /// Opens the warm connections and keeps to the pool's limits.
+    /// Creates the pool and starts opening its warm connections.
     pub(super) fn open(
         clock: Clock,
         address: SocketAddr,
@@ -87,17 +88,17 @@
         connections
     }
 
-    /// Changes the limits.
+    /// Changes the pool's limits.
     pub(super) fn set_conf(self: &Rc<Self>, conf: pool::Conf) {
         self.step(Event::Conf(conf));
     }
 
-    /// Tells whether the upstream gets new work.
+    /// Sets whether the upstream gets new requests.
     pub(super) fn set_service(self: &Rc<Self>, service: Status) {
         self.step(Event::Status(service));
     }
 
-    /// What the upstream has to do for this instance.
+    /// The upstream's load from this instance.
     pub(super) fn load(&self) -> route::Load {
         let pool = self.pool.borrow();
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Waits for a connection.
+    /// Checks out a connection, waiting in the pool's queue.
     pub(super) async fn acquire(self: &Rc<Self>, request: Request) -> Result<Connection, Refused> {
         let ticket = request.ticket;
         let handle = self.wait(ticket, Event::Submit(request)).await?;
@@ -133,7 +134,7 @@
         })
     }
 
-    /// Lets a transaction send its next statement on the connection it has.
+    /// Admits the next statement of a transaction on its connection.
     pub(super) async fn next(
         self: &Rc<Self>,
         connection: &mut Connection,
@@ -151,7 +152,8 @@
         Ok(())
     }
 
-    /// Takes a connection back from a request whose answer was read whole.
+    /// Returns a connection to the pool after its request's answer was read
+    /// completely.
     pub(super) fn release(self: &Rc<Self>, connection: Connection) {
         if connection.fate == Fate::Close {
             return self.discard(connection);
@@ -169,15 +171,15 @@
         self.step(Event::Answered(connection.handle, Condition::Idle));
     }
 
-    /// Notes that the transaction on a connection goes on.
+    /// Notes that the transaction on a connection stays open.
     pub(super) fn hold(self: &Rc<Self>, connection: &Connection) {
         self.step(Event::Answered(connection.handle, Condition::Transaction));
     }
 
-    /// Closes a connection that is not fit for another request.
+    /// Closes a connection that must not be reused.
     ///
-    /// One with an unread answer would give it to the next request; one with
-    /// an open transaction would mix the two callers' statements.
+    /// An unread answer would be delivered to the next request, and an open
+    /// transaction would mix the statements of two callers.
     pub(super) fn discard(self: &Rc<Self>, connection: Connection) {
         let handle = connection.handle;
         drop(connection);
@@ -185,8 +187,9 @@
         self.notify_closed(handle.generation);
     }
 
-    /// Tells the pool that a connection is closed, once the upstream has had
-    /// the time to see it: opened at once, the next one would come on top.
+    /// Reports a closed connection to the pool after [`CLOSE_DELAY`]. Until
+    /// then the upstream may still count it, and a new connection would exceed
+    /// the limit.
     fn notify_closed(self: &Rc<Self>, generation: Generation) {
         let connections = Rc::clone(self);
         ntex::rt::spawn(async move {
@@ -241,8 +244,9 @@
                     }),
                 );
             }
-            // The request that owns the connection has the same deadline and
-            // cancels and discards it itself; the pool has closed its books.
+            // The request that owns the connection has the same deadline; it
+            // cancels the statement and discards the connection itself. The
+            // pool has already removed the request.
             Action::Cancel(_) => {}
             Action::Abort(ticket, cause) => {
                 self.broken.borrow_mut().insert(ticket);
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Forgets what the pool told of a request that has ended.
+    /// Forgets the pool's abort of a request that has ended.
     pub(super) fn forget(&self, ticket: Ticket) {
         self.broken.borrow_mut().remove(&ticket);
     }
@@ -290,9 +294,9 @@
     connections.step(event);
 }
 
-/// Steps the pool whenever the moment comes that it waits for.
+/// Steps the pool when its next timer is due.
 async fn tick(connections: std::rc::Weak<Connections>, clock: Clock) {
-    /// How long to sleep when the pool waits for nothing.
+    /// Longest sleep while the pool has no timer.
     const QUIET: Duration = Duration::from_secs(1);
     loop {
         let Some(strong) = connections.upgrade() else {
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -1,8 +1,8 @@
-//! The control connection of an upstream: status probes and orders.
+//! The control connection of an upstream, for status probes and orders.
 //!
-//! One connection for each upstream carries them one after another. Those who
-//! ask while a probe is under way wait for the next one, because an answer
-//! only counts from the moment at which its question was sent.
+//! One connection for each upstream runs them one after another. A probe that
+//! is requested while another one is under way waits for the next one, since a
+//! status is only valid from the time at which its query was sent.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,18 +20,18 @@
 use super::Core;
 use crate::control::{Answer, Order};
 
-/// How long a probe or an order may take on its connection.
+/// Longest time for a probe or an order on an open connection or a new one.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The SQLSTATE of a server that has all the connections that it takes.
+/// SQLSTATE `too_many_connections`: the server's connection limit is reached.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// A status and the moment at which it was asked for.
+/// A status report and the time at which its query was sent.
 pub(super) type Status = Result<(Instant, Report), Fault>;
 
 type StatusSender = oneshot::Sender<Status>;
 
-/// What waits for the control connection.
+/// Work that is queued for the control connection.
 #[derive(Default)]
 struct Waiting {
     probes: Vec<StatusSender>,
@@ -50,19 +50,20 @@
     holding: Cell<Holding>,
 }
 
-/// Whether this instance holds connections to the upstream.
+/// Whether this instance holds pooled connections to the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Holding {
-    /// It does: the control connection stays open.
+    /// This instance is a holder: the control connection stays open.
     Held,
-    /// It does not: the connection is closed once it has nothing to do. Kept
-    /// open, those of all former holders would leave no room for the present
-    /// ones, whose probes would then fail as if the upstream were gone.
+    /// This instance is not a holder: the control connection is closed when
+    /// idle. If former holders kept theirs open, the upstream's connection
+    /// limit would leave no room for the current holders, whose probes would
+    /// then fail as if the upstream were down.
     Released,
 }
 
 impl Control {
-    /// Prepares the connection; it is opened at the first use.
+    /// Creates the control connection, which is opened on first use.
     pub(super) fn open(clock: Clock, address: SocketAddr, login: &Login, dbname: &str) -> Rc<Self> {
         let control = Rc::new(Self {
             clock,
@@ -77,13 +78,13 @@
         control
     }
 
-    /// Tells whether this instance holds connections to the upstream.
+    /// Sets whether this instance holds pooled connections to the upstream.
     pub(super) fn set_holding(&self, holding: Holding) {
         self.holding.set(holding);
         self.work.notify_one();
     }
 
-    /// Asks for the status, by a question sent after this call.
+    /// Requests a status whose query is sent after this call.
     pub(super) async fn probe(&self) -> Status {
         let (asker, answer) = oneshot::channel();
         self.waiting.borrow_mut().probes.push(asker);
@@ -91,7 +92,7 @@
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    /// Has an order carried out, and asks for the status behind it.
+    /// Executes an order and returns the status after it.
     pub(super) async fn order(&self, order: upstream::Order) -> Status {
         let (asker, answer) = oneshot::channel();
         self.waiting.borrow_mut().orders.push((order, asker));
@@ -99,7 +100,8 @@
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    /// Runs a statement of the proxy's own; returns how many rows it touched.
+    /// Runs one of the proxy's own statements and returns the number of
+    /// affected rows.
     pub(super) async fn execute(&self, statement: String) -> Result<u64, Fault> {
         let (asker, answer) = oneshot::channel();
         self.waiting
@@ -185,7 +187,8 @@
             .await
     }
 
-    /// Does something on the connection, within the time that it may take.
+    /// Runs `action` on the connection within [`TIMEOUT`], opening the
+    /// connection if it is closed.
     async fn with_conn<T>(
         &self,
         conn: &mut Option<Conn>,
@@ -201,8 +204,8 @@
         };
         let result = ntex::time::timeout(limit, action).await;
         result.unwrap_or(Err(Error::Timeout)).map_err(|error| {
-            // A connection that failed once may still bring the answer to the
-            // question that was given up: it is never used again.
+            // After a failure the connection may still deliver the answer to
+            // the abandoned query, so it is never reused.
             if !matches!(error, Error::Refused { .. }) {
                 *conn = None;
             }
@@ -211,7 +214,7 @@
     }
 }
 
-/// What the control duty is told of an error.
+/// Maps an error to the fault reported to the control duty.
 fn fault(error: &Error) -> Fault {
     match error {
         Error::Connect(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
@@ -227,7 +230,7 @@
     }
 }
 
-/// Carries out what the control duty asks, and answers it.
+/// Executes an order of the control duty and sends the answer.
 pub(super) async fn carry_out(core: Rc<Core>, order: Order) {
     match order {
         Order::SetPrimary { database, record } => {
--- a/crates/daemon/src/upstreams/dispatch.rs
+++ b/crates/daemon/src/upstreams/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where a batch runs: on a connection of this instance, or at a holder.
+//! Dispatch of a batch: on a connection of this instance, or at another holder.
 
 use std::{num::NonZeroU32, rc::Rc};
 
@@ -22,52 +22,52 @@
     job::{Caller, Job, Need, Scope},
 };
 
-/// What became of a batch.
+/// The result of a dispatched batch.
 pub(super) enum Completion {
-    /// Its whole answer came.
+    /// The answer was received completely.
     Answer(Answer, Checkout),
-    /// It did not run.
+    /// The batch did not run.
     Refused(Refused),
-    /// Its connection failed: it may have run.
+    /// The connection failed; the batch may have run.
     Broken,
-    /// Its deadline came first: it may have run, or yet run.
+    /// The deadline passed; the batch may have run or may still run.
     TimedOut,
 }
 
-/// What a batch leaves behind.
+/// The connection that a batch ran on.
 pub(super) enum Checkout {
     /// A connection of this instance.
     Connection(Box<Connection>),
-    /// A connection of the holder `to`, which the command `pin` runs on.
+    /// A connection of the holder `to`.
     Remote {
         /// The holder.
         to: name::Instance,
-        /// The command.
+        /// Sequence number of the command that runs on the connection.
         pin: Seq,
     },
 }
 
 impl Checkout {
-    /// Gives the connection back behind a whole answer.
+    /// Releases the connection after a complete answer.
     pub(super) fn settle(self, answer: &Answer) {
         if answer.status != Some(b'I') || answer.spoiled {
             return self.discard();
         }
-        // A holder gives its connection back itself.
+        // A holder releases its connection itself.
         if let Self::Connection(connection) = self {
             let home = Rc::clone(&connection.home);
             home.release(*connection);
         }
     }
 
-    /// Closes the connection.
+    /// Closes the connection if it is one of this instance.
     pub(super) fn discard(self) {
         if let Self::Connection(connection) = self {
             discard(*connection);
         }
     }
 
-    /// Keeps the connection for the caller's open transaction.
+    /// Pins the connection for the caller's open transaction.
     pub(super) fn keep(self, core: &Core, caller: Caller, group: &Rc<Group>) {
         let group = Rc::clone(group);
         let pin = match self {
@@ -81,14 +81,14 @@
     }
 }
 
-/// Closes a connection that is not fit for another request.
+/// Closes a connection that must not be reused.
 pub(super) fn discard(connection: Connection) {
     let home = Rc::clone(&connection.home);
     home.forget(connection.ticket);
     home.discard(connection);
 }
 
-/// A request for a connection.
+/// Builds the pool request for a connection.
 pub(super) fn request(
     core: &Core,
     member: &Member,
@@ -109,7 +109,7 @@
     }
 }
 
-/// A batch on its way to an upstream, with what judges its answer.
+/// A batch to run at an upstream, with the state for verifying its answer.
 pub(super) struct Dispatch<'a> {
     pub(super) core: &'a Rc<Core>,
     pub(super) group: &'a Rc<Group>,
@@ -117,12 +117,12 @@
     pub(super) destination: &'a Destination,
     pub(super) read: &'a Read,
     pub(super) running: &'a Rc<Running>,
-    /// What the status ahead of the answer says of it.
+    /// The verdict on the answer from the status report before it.
     pub(super) verdict: Verdict,
 }
 
 impl Dispatch<'_> {
-    /// What is done with the answer, if it passes.
+    /// What happens to an answer that is valid.
     fn mode(&self) -> Mode {
         match self.job.batch.need {
             Need::Read => Mode::Stream,
@@ -130,22 +130,24 @@
         }
     }
 
-    /// Whether the batch only reads.
+    /// Returns true if the batch only reads.
     pub(super) fn reads(&self) -> bool {
         matches!(self.job.batch.need, Need::Read | Need::Setting)
     }
 
-    /// Whether a status that came before proves that the answer will pass.
+    /// Returns true if an earlier status report proves that the answer will be
+    /// valid.
     fn proves(&self, report: &Report) -> bool {
         self.check(report) == Verdict::Fresh
     }
 
-    /// What a status says of an answer that came behind it on one connection.
+    /// Returns the verdict on an answer from a status report that precedes it
+    /// on the same connection.
     ///
-    /// The round that confirmed a primary may be another one's: the primary
-    /// was perhaps replaced after it had been chosen and before the round. A
-    /// read that goes to the replaced one would miss what the new one has
-    /// acknowledged, so it has to have reached the round's own place.
+    /// The round may have confirmed another primary than the chosen one, which
+    /// can be replaced between the choice and the round. A read from the
+    /// replaced primary would miss writes acknowledged by its successor, so the
+    /// upstream must have reached the round's position in the round's term.
     fn check(&self, report: &Report) -> Verdict {
         if let Destination::Confirmed(_, round) = self.destination {
             let position = route::position(report);
@@ -162,7 +164,8 @@
         router.verify(now, report, self.read, self.destination.target())
     }
 
-    /// Judges the answer by the status ahead of it.
+    /// Records the status report before the answer and decides what happens to
+    /// the answer.
     pub(super) fn choose_mode(&mut self, sent: clock::Instant, report: &Report) -> Mode {
         let now = self.core.now();
         self.group
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Runs the batch where the upstream's connections are held.
+    /// Runs the batch at a holder of the upstream's connections.
     pub(super) async fn run(&mut self, sink: &mut Sink<'_>) -> Completion {
         let unreachable = Refused {
             cause: Cause::NoUpstream,
@@ -262,18 +265,18 @@
     }
 }
 
-/// Which instance holds connections to an upstream.
+/// The holder of connections to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Holder {
-    /// This one.
+    /// This instance.
     Local,
-    /// Another one.
+    /// Another instance.
     Remote(name::Instance),
-    /// None that is known.
+    /// No holder is known.
     Unknown,
 }
 
-/// Sends a command that has no answer.
+/// Sends a command that needs no answer.
 pub(super) fn send_command(core: &Rc<Core>, to: &name::Instance, command: Command) {
     let seq = core.next_seq();
     let core = Rc::clone(core);
--- a/crates/daemon/src/upstreams/exchange.rs
+++ b/crates/daemon/src/upstreams/exchange.rs
@@ -1,4 +1,4 @@
-//! Sending a batch on a connection and reading all that comes back.
+//! Sending a batch on a connection and reading its whole answer.
 
 use std::collections::VecDeque;
 
@@ -13,32 +13,33 @@
     sink::{Mode, Sink},
 };
 
-/// What came back for a batch.
+/// The answer to a batch, apart from the messages passed to the caller.
 #[derive(Debug, Default)]
 pub(super) struct Answer {
-    /// The transaction's state behind the batch; `None` when it goes on.
+    /// The transaction status after the batch; `None` if the batch has not
+    /// ended.
     pub(super) status: Option<u8>,
-    /// The SQLSTATE of the batch's error, if it had one.
+    /// The SQLSTATE of the batch's error, if any.
     pub(super) error: Option<String>,
-    /// The status asked for ahead of the batch.
+    /// The status report queried before the batch.
     pub(super) before: Option<Report>,
-    /// The status asked for behind it.
+    /// The status report queried after the batch.
     pub(super) behind: Option<Report>,
-    /// When the questions were sent.
+    /// The time at which the batch and its probes were sent.
     pub(super) sent: Instant,
-    /// Whether a statement of the proxy's own was refused, so that the state
-    /// of the connection is not what it was made out to be.
+    /// Whether one of the proxy's own statements was refused, which leaves the
+    /// connection in a state that the proxy does not know.
     pub(super) spoiled: bool,
 }
 
-/// Whether an answer may be passed on, by the status ahead of it.
+/// Chooses what to do with an answer from the status report that precedes it.
 pub(super) type ChooseMode<'a> = &'a mut dyn FnMut(&Report) -> Mode;
 
 /// Sends `plan` and reads the whole answer into `sink`.
 ///
 /// # Errors
 ///
-/// [`Error`] when the connection failed on the way: what was sent may have run.
+/// [`Error`] if the connection failed; the batch may have run.
 pub(super) async fn exchange(
     now: Instant,
     connection: &mut Connection,
@@ -78,7 +79,8 @@
     Ok(answer)
 }
 
-/// Behind an error the upstream skips what it was sent, up to the next Sync.
+/// Drops the expected messages up to the next Sync, which the upstream skips
+/// after an error.
 fn skip_to_sync(connection: &mut Connection, items: &mut VecDeque<Item>) {
     while let Some(item) = items.front() {
         if matches!(item, Item::Synced) {
@@ -89,8 +91,8 @@
     connection.skipping = true;
 }
 
-/// Waits for the next message that answers something, passing on the notices
-/// that may come at any time.
+/// Receives the next message that belongs to an answer, passing on asynchronous
+/// notices.
 async fn next_frame(connection: &Connection, sink: &mut Sink<'_>) -> Result<Frame, Error> {
     loop {
         let frame = connection.conn.recv().await?;
@@ -111,8 +113,8 @@
     pg::error_state(frame.body()).unwrap_or_default().to_owned()
 }
 
-/// Reads the answer to one message of the extended protocol; `Some` with the
-/// SQLSTATE when it was refused.
+/// Reads the answer to one message of the extended protocol. Returns the
+/// SQLSTATE if the message was refused.
 async fn read_message(
     connection: &mut Connection,
     sink: &mut Sink<'_>,
@@ -174,7 +176,7 @@
         let frame = next_frame(connection, sink).await?;
         match frame.tag() {
             b'Z' => return transaction_status(&frame),
-            // An error of the commit that the Sync stands for.
+            // The Sync commits an implicit transaction, and the commit failed.
             b'E' => sink.push(&frame).await,
             _ => return Err(unexpected(&frame)),
         }
@@ -188,7 +190,7 @@
     }
 }
 
-/// The status that a probe brings; none inside a failed transaction.
+/// Reads the status report of a probe; `None` inside a failed transaction.
 async fn status(connection: &Connection) -> Result<Option<Report>, Error> {
     match read_status_row(connection).await? {
         Ok(Some(row)) => upstream::parse_report(&row).map(Some),
@@ -196,10 +198,11 @@
     }
 }
 
-/// The upstream refused a statement of the proxy's own.
+/// The upstream refused one of the proxy's own statements.
 struct Refused;
 
-/// Reads the answer to a simple query of the proxy's own: its first row.
+/// Reads the answer to one of the proxy's own simple queries and returns its
+/// first row.
 async fn read_status_row(connection: &Connection) -> Result<Result<Option<Frame>, Refused>, Error> {
     let mut row = None;
     let mut refused = false;
@@ -215,11 +218,11 @@
     }
 }
 
-/// Asks for the status on a connection with nothing in flight.
+/// Queries the status on a connection with nothing in flight.
 ///
 /// # Errors
 ///
-/// [`Error`] when the connection failed.
+/// [`Error`] if the connection failed.
 pub(super) async fn probe(connection: &Connection) -> Result<Option<Report>, Error> {
     connection
         .conn
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -1,4 +1,4 @@
-//! What is known of one database, and the ways to its upstreams.
+//! The state of one database and the access to its upstreams.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,18 +33,19 @@
 };
 use crate::forward::Command;
 
-/// How long a round of status probes may take before the next may begin.
+/// Time after which an unfinished round of status probes no longer blocks the
+/// next one.
 pub(super) const ROUND_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How often another holder is tried for a probe or an order, and how long
-/// after the one before.
+/// Number of attempts to reach a holder for a probe or an order, and the pause
+/// after each.
 const HOLDER_ATTEMPTS: usize = 6;
 const HOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(15);
 
-/// After how long without work a connection beyond the warm ones is closed.
+/// Idle time after which a connection beyond the warm ones is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long an open transaction may have nothing in flight.
+/// Longest time that an open transaction may have no statement in flight.
 const TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One upstream of a group.
@@ -52,39 +53,43 @@
     pub(super) conf: catalog::Upstream,
     pub(super) connections: Rc<Connections>,
     pub(super) control: Rc<Control>,
-    /// Whether a task asks it for its status until no write waits.
+    /// Whether a task is polling the upstream's position for waiting writes.
     pub(super) polled: Cell<bool>,
-    /// Who should have each of its seats, as seen from here.
+    /// The instance assigned to each seat of the upstream, in this instance's
+    /// view.
     holders: RefCell<Vec<name::Instance>>,
-    /// The seats that this instance has, out of those of the whole database.
+    /// The seats assigned to this instance.
     own_seats: RefCell<Seats>,
-    /// Counts up, to divide requests among the holders.
+    /// Round-robin counter for choosing a holder.
     rotation: Cell<usize>,
 }
 
-/// This instance's seats at an upstream.
+/// This instance's seats at an upstream. A seat is a share of the upstream's
+/// connections.
 #[derive(Debug, Clone, Default)]
 struct Seats {
-    /// The numbers of its seats among those of the database.
+    /// The seats' numbers, counted over all upstreams of the database.
     numbers: Vec<u16>,
     /// Whether the upstream's first seat is among them.
     has_first: bool,
-    /// How many seats the database has.
+    /// The number of seats of the whole database.
     total: u16,
 }
 
 impl Member {
-    /// Whether this instance holds connections to the upstream.
+    /// Returns true if this instance holds connections to the upstream.
     pub(super) fn is_holder(&self) -> bool {
         !self.own_seats.borrow().numbers.is_empty()
     }
 
-    /// Whether this instance has the first of the upstream's seats.
+    /// Returns true if this instance has the first seat of the upstream.
     pub(super) fn has_first_seat(&self) -> bool {
         self.own_seats.borrow().has_first
     }
 
-    /// Where the next request for the upstream goes.
+    /// Chooses a holder for the next request to the upstream: this instance if
+    /// it is one, else another holder in turn, preferring those that are not
+    /// stopping.
     pub(super) fn next_holder(&self, core: &Core) -> Holder {
         if self.is_holder() {
             return Holder::Local;
@@ -103,7 +108,7 @@
         Holder::Remote(staying[self.rotation.get() % staying.len()].clone())
     }
 
-    /// This instance's part of an entry's limit of connections.
+    /// This instance's share of an entry's connection limit.
     pub(super) fn entry_limit(&self, limit: u16) -> u16 {
         let own_seats = self.own_seats.borrow();
         let Some(total) = NonZeroU16::new(own_seats.total) else {
@@ -117,7 +122,7 @@
     }
 }
 
-/// One database.
+/// A database and its upstreams.
 pub(super) struct Group {
     pub(super) name: name::Database,
     pub(super) members: RefCell<BTreeMap<name::Upstream, Rc<Member>>>,
@@ -125,15 +130,15 @@
     pub(super) quorum: RefCell<Option<Quorum>>,
     pub(super) waiters: RefCell<HashMap<Id, oneshot::Sender<Result<(), Cause>>>>,
     pub(super) last_id: Cell<u64>,
-    /// Told whenever something became known.
+    /// Notified whenever the state of the group changes.
     pub(super) changed: Notify,
     pub(super) round: RefCell<session::Round>,
-    /// When the upstreams were asked for their status, and answered.
+    /// The times of each upstream's probes and answers.
     pub(super) probe_histories: RefCell<BTreeMap<name::Upstream, ProbeHistory>>,
 }
 
 impl Group {
-    /// Opens a database of which nothing is known yet.
+    /// Creates a group without upstreams and without a known primary.
     pub(super) fn open(core: &Core, name: &name::Database) -> Self {
         Self {
             name: name.clone(),
@@ -148,7 +153,7 @@
         }
     }
 
-    /// Brings the group in line with the catalogue.
+    /// Updates the upstreams to match the catalogue.
     pub(super) fn apply_catalog(&self, core: &Core, database: &catalog::Database) {
         let mut members = self.members.borrow_mut();
         members.retain(|name, _| database.upstreams.contains_key(name));
@@ -191,8 +196,8 @@
         self.assign(core);
     }
 
-    /// Ranks who should hold the connections to each upstream, and opens or
-    /// closes this instance's.
+    /// Assigns the seats of each upstream to the live instances, and adjusts
+    /// this instance's connections.
     pub(super) fn assign(&self, core: &Core) {
         let live = core.members.borrow();
         let live: Vec<_> = live
@@ -237,12 +242,12 @@
         self.changed.notify_waiters();
     }
 
-    /// An upstream of the group.
+    /// Looks up an upstream of the group.
     pub(super) fn member(&self, upstream: &name::Upstream) -> Option<Rc<Member>> {
         self.members.borrow().get(upstream).cloned()
     }
 
-    /// Takes in the status that an upstream gave to a question sent at `sent`.
+    /// Records an upstream's status report, whose query was sent at `sent`.
     pub(super) fn note_report(
         &self,
         now: Instant,
@@ -258,8 +263,8 @@
                 report,
             },
         );
-        // Only one upstream is ever promoted in a term, so a primary's own word
-        // is enough to wait for a majority that holds its log.
+        // At most one upstream is promoted in a term, so the primary's own
+        // report suffices to start counting replicas that hold its log.
         if report.role == Role::Primary && report.fenced <= report.received.term {
             self.adopt_primary(report.received.term, upstream);
         }
@@ -273,7 +278,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in who leads, as the store or an announcement has it.
+    /// Records the primary given by the store or an announcement.
     pub(super) fn set_primary(&self, now: Instant, record: &Record) {
         self.router.borrow_mut().step(now, Event::Record(record));
         if let Some(upstream) = record.leader() {
@@ -282,7 +287,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Counts the writes of `term` from now on, if it is a later one.
+    /// Makes `upstream` the primary for acknowledging writes, if `term` is
+    /// later.
     fn adopt_primary(&self, term: Term, upstream: &name::Upstream) {
         let size = self.members.borrow().len();
         let replaced = {
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Tells a write that waits what became of it.
+    /// Completes a waiting write with `result`.
     fn complete_write(&self, id: quorum::Id, result: Result<(), Cause>) {
         let waiter = self.waiters.borrow_mut().remove(&id);
         if let Some(waiter) = waiter {
@@ -308,7 +314,8 @@
         }
     }
 
-    /// Asks an upstream for its status now; `None` when no way leads to it.
+    /// Probes an upstream's status. Returns `None` if no holder could be
+    /// reached.
     pub(super) async fn probe(
         &self,
         core: &Rc<Core>,
@@ -324,7 +331,8 @@
         Some(self.note_probe(core, upstream, status))
     }
 
-    /// Has an upstream carry out an order; `None` when no way leads to it.
+    /// Executes an order at an upstream. Returns `None` if no holder could be
+    /// reached.
     pub(super) async fn order(
         &self,
         core: &Rc<Core>,
@@ -345,10 +353,12 @@
         Some(self.note_probe(core, upstream, status))
     }
 
-    /// Tries the upstream's holders in turn.
+    /// Runs a command through the upstream's holders, retrying with the next
+    /// one.
     ///
-    /// That a holder can't be reached is no evidence about the upstream. Taken
-    /// for some, a restart of its holders would replace a healthy primary.
+    /// An unreachable holder is no evidence about the upstream. If it were
+    /// treated as such, a restart of the holders would replace a healthy
+    /// primary.
     async fn via_any_holder(
         &self,
         core: &Rc<Core>,
@@ -364,7 +374,7 @@
                 Holder::Unknown => Err(Unreachable),
             };
             match status {
-                // Another holder may have its connection already.
+                // Another holder may have an open connection already.
                 Ok(Err(Fault::Full)) => full = Some(Err(Fault::Full)),
                 Ok(status) => return Some(status),
                 Err(Unreachable) => {}
@@ -389,7 +399,8 @@
         Ok(report)
     }
 
-    /// An order in the terms that the upstream takes.
+    /// Converts an order to the form for the upstream, with the primary's
+    /// address.
     fn resolve(&self, order: failover::Order) -> Result<upstream::Order, Fault> {
         Ok(match order {
             failover::Order::Fence { term } => upstream::Order::Fence { term },
@@ -401,13 +412,13 @@
         })
     }
 
-    /// The newest round that was confirmed, if it began at `since` or later.
+    /// Returns the first confirmed round that began at `since` or later.
     pub(super) fn round_since(&self, since: Instant) -> Option<Confirmed> {
         self.router.borrow().first_round_since(since)
     }
 }
 
-/// The connections to an upstream that this instance did not know yet.
+/// Creates the connection pool and the control connection of a new upstream.
 fn open_connections(
     core: &Core,
     conf: &catalog::Upstream,
@@ -419,8 +430,8 @@
     (connections, control)
 }
 
-/// The limits of all the shares that this instance has of an upstream; one
-/// connection of them is the control connection.
+/// Pool limits for all of this instance's shares of an upstream. One of the
+/// connections is reserved for control.
 fn limits(shares: impl Iterator<Item = Share>) -> pool::Conf {
     let (connections, slots) =
         shares.fold((0, 0), |sum, it| (sum.0 + it.connections, sum.1 + it.slots));
--- a/crates/daemon/src/upstreams/host.rs
+++ b/crates/daemon/src/upstreams/host.rs
@@ -1,4 +1,4 @@
-//! What a holder of connections does for other instances.
+//! Execution of commands that other instances send to this holder.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,17 +21,18 @@
     job::{Batch, Closes, Need},
 };
 
-/// How old the last status of a connection may be to stand in for a new one.
+/// Longest age at which a connection's last status report replaces a new probe.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(50);
 
-/// Takes what another instance asks, or that it is gone.
+/// Handles a command of another instance, or the end of its stream.
 pub(super) fn handle(core: &Rc<Core>, input: In) {
     match input {
-        // What comes after the last words is proved not to have run.
+        // Dropped: `Bye` proves to the sender that the command did not run.
         In::Asked { .. } if core.closed.get() => {}
         In::Asked { conn, seq, command } => {
-            // Counted from here: a command that waits for a connection would
-            // otherwise be told as not begun, and then run.
+            // Counted before the command waits for a connection: a drain that
+            // did not count it would end and report the command as not run,
+            // although it could still run.
             core.peer_commands.set(core.peer_commands.get() + 1);
             ntex::rt::spawn(carry_out(Rc::clone(core), conn, seq, command));
         }
@@ -40,10 +41,11 @@
     }
 }
 
-/// The instance that asked on `conn` is gone: what it left is ended.
+/// Ends the transactions and batches of an instance whose stream `conn` has
+/// ended.
 ///
-/// Its transactions would otherwise hold their connections and their locks
-/// until they are found idle.
+/// Otherwise its transactions would hold connections and locks until their idle
+/// timeout.
 fn end_peer(core: &Rc<Core>, conn: Conn) {
     let peer_connections: Vec<_> = {
         let peer_connections = core.peer_connections.borrow();
@@ -121,8 +123,8 @@
     }
 }
 
-/// The answer of an instance that holds no connection to the upstream: it says
-/// nothing of the upstream itself.
+/// The response if this instance holds no connection to the upstream. It is no
+/// evidence about the upstream.
 const NOT_HELD: Response = Response::Refused {
     cause: Cause::NoUpstream,
     retry_after_us: None,
@@ -132,10 +134,10 @@
     result.map_or(NOT_HELD, Response::Status)
 }
 
-/// The group, if this instance holds connections to the upstream.
+/// Returns the group if this instance holds connections to the upstream.
 ///
-/// A command is never passed on a second time: two instances whose views
-/// differ would pass it to and fro.
+/// A command is never forwarded again: two instances with different views would
+/// forward it back and forth.
 fn group_if_holder(
     core: &Core,
     database: &model::name::Database,
@@ -223,7 +225,7 @@
     Response::End(Box::new(finish(answer, bytes)))
 }
 
-/// Whether the last status of a connection proves enough.
+/// Returns true if a connection's last status report satisfies `proof`.
 fn is_sufficient(core: &Core, proof: Proof, sent: Instant, report: &Report) -> bool {
     match proof {
         Proof::None | Proof::Fresh => false,
@@ -233,8 +235,8 @@
     }
 }
 
-/// Sends a plan and passes the answer on; `None` when the connection failed
-/// or the deadline came first.
+/// Runs a plan and streams the answer to the peer. Returns `None` if the
+/// connection failed or the deadline passed.
 async fn run_plan(
     core: &Rc<Core>,
     (conn, seq): (Conn, Seq),
@@ -248,8 +250,9 @@
         .borrow_mut()
         .insert((conn, seq), Rc::clone(&running));
     let mut sink = Sink::open(core, &running, Recipient::Peer(conn), Mode::Stream);
-    // The status goes ahead of the answer that it proves. Should the ring be
-    // full, it is left out, and the other instance drops the answer unproved.
+    // The status report precedes the answer that it proves. If the ring is full
+    // the report is left out, and the other instance discards the unproven
+    // answer.
     let mut choose_mode = |report: &Report| {
         let response = Response::Before(Some(*report));
         match core.outs.push(Out::Answer {
@@ -362,7 +365,7 @@
     if answer.status == Some(b'I') && answer.behind.is_none() {
         answer.behind = super::exchange::probe(&connection).await.ok().flatten();
     }
-    // The transaction keeps the number of the command that began it.
+    // The transaction stays registered under the command that began it.
     keep_or_release(core, (conn, pin), connection, &answer);
     Response::End(Box::new(finish(answer, bytes)))
 }
--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! The upstreams' duty: where requests run, and what is known of each group.
+//! The upstreams duty: runs requests on upstreams and tracks the state of each
+//! database.
 
 mod ack;
 mod backoff;
@@ -51,71 +52,72 @@
 use remote::Pending;
 use running::Running;
 
-/// How often the duty looks whether all requests have ended during a stop.
+/// Interval at which a draining duty checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long nothing must have run before a stop goes on.
+/// Time without a running request after which a drain is complete.
 const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long the last words to other instances have until the streams close.
+/// Time for the final messages to other instances before the streams close.
 const BYE_GRACE: Duration = Duration::from_millis(50);
 
-/// What the upstreams' duty is given.
+/// Configuration and channels of the upstreams duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// The machine's clock.
+    /// The system clock.
     pub(crate) clock: Clock,
     /// This instance's availability zone.
     pub(crate) zone: name::Zone,
-    /// How the proxy logs in to upstreams.
+    /// Credentials for logging in to upstreams.
     pub(crate) login: Login,
-    /// This instance.
+    /// The name of this instance.
     pub(crate) instance: name::Instance,
-    /// To the peers' duty.
+    /// Messages to the peers duty.
     pub(crate) outs: ring::Sender<Out>,
-    /// From the peers' duty.
+    /// Messages from the peers duty.
     pub(crate) ins: ring::Receiver<In>,
-    /// From the callers' duty.
+    /// Requests from the callers duty.
     pub(crate) commands: ring::Receiver<Command>,
-    /// To the callers' duty.
+    /// Replies to the callers duty.
     pub(crate) replies: ring::Sender<Reply>,
-    /// From the control duty.
+    /// Orders from the control duty.
     pub(crate) orders: ring::Receiver<Order>,
-    /// To the control duty.
+    /// Answers to the control duty.
     pub(crate) answers: ring::Sender<Answer>,
-    /// Where requests are counted.
+    /// Request counters.
     pub(crate) meters: Meters,
-    /// What operators ask.
+    /// Operators' requests for the state of the databases.
     pub(crate) inquiries: Requests<introspect::Groups>,
-    /// The daemon's phase.
+    /// The daemon's lifecycle phase.
     pub(crate) watch: Watch,
-    /// Where the random numbers begin.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
 }
 
-/// What a caller's transaction or open batch holds.
+/// The connection held for a caller's open transaction or unfinished batch.
 enum Pin {
-    /// A connection.
+    /// A connection of this instance.
     Open {
         /// The connection.
         connection: Box<Connection>,
-        /// The database.
+        /// The database group that the connection belongs to.
         group: Rc<Group>,
     },
-    /// A connection of another instance.
+    /// A connection held by another instance.
     Remote {
-        /// The instance.
+        /// The instance that holds the connection.
         to: name::Instance,
-        /// The command that began the transaction.
+        /// Sequence number of the command that began the transaction.
         pin: Seq,
-        /// The database.
+        /// The database group that the connection belongs to.
         group: Rc<Group>,
     },
-    /// Nothing: its connection is gone, and the caller has not ended it yet.
+    /// The connection was lost, and the caller has not ended the transaction
+    /// yet.
     Failed,
 }
 
-/// What the tasks of the duty share.
+/// State shared by the tasks of the duty.
 struct Core {
     meters: Meters,
     clock: Clock,
@@ -130,20 +132,20 @@
     pins: RefCell<HashMap<Caller, Pin>>,
     rng: RefCell<ChaCha8Rng>,
     last_ticket: Cell<u64>,
-    /// How many commands of other instances are being carried out.
+    /// Number of commands from other instances that are being executed.
     peer_commands: Cell<usize>,
-    /// Whether no command of another instance is taken any more.
+    /// Whether commands from other instances are no longer accepted.
     closed: Cell<bool>,
     last_seq: Cell<Seq>,
-    /// The instances that may be given work, with their zones.
+    /// The instances that can be given work, with their availability zones.
     members: RefCell<BTreeMap<name::Instance, name::Zone>>,
-    /// Those of them that have said that they are stopping.
+    /// The members that have announced that they are stopping.
     leaving: RefCell<BTreeSet<name::Instance>>,
-    /// Commands to other instances that wait for answers.
+    /// Commands sent to other instances that wait for answers.
     pending: RefCell<HashMap<Seq, Pending>>,
-    /// Batches that run here for other instances.
+    /// Batches that run here on behalf of other instances.
     peer_batches: RefCell<HashMap<(Conn, Seq), Rc<Running>>>,
-    /// Connections that transactions of other instances hold.
+    /// Connections held by open transactions of other instances.
     peer_connections: RefCell<HashMap<(Conn, Seq), Box<Connection>>>,
 }
 
@@ -199,11 +201,13 @@
     let mut watch = conf.watch;
     duty::wait_for(&mut watch, Phase::Drain).await;
     core.outs.send(Out::Leaving).await;
-    // The callers' duty ends first and may ask on behalf of a caller until then.
+    // The callers duty ends first and may send requests for a caller until
+    // then.
     duty::wait_for(&mut watch, Phase::Settle).await;
     tokio::select! {
         () = drained(&core) => {}
-        // What still runs is cut, and its end must not be told as "not run".
+        // Requests that still run are cut off. They may have run, so they must
+        // not be reported as "not run".
         () = duty::wait_for(&mut watch, Phase::Stop) => return,
     }
     core.closed.set(true);
@@ -211,10 +215,10 @@
     sleep(BYE_GRACE).await;
 }
 
-/// Waits until nothing has run here for a while.
+/// Waits until no request has run for [`DRAIN_QUIET_PERIOD`].
 ///
-/// Other instances learn that this one leaves a little later, and go on to send
-/// their batches until then: a stop in between would cut them.
+/// Other instances learn of the drain with a delay and keep sending batches
+/// until then; stopping in between would cut those off.
 async fn drained(core: &Core) {
     let mut quiet = core.now();
     while core.now().since(quiet) < DRAIN_QUIET_PERIOD {
@@ -239,7 +243,7 @@
     }
 }
 
-/// Brings the groups in line with the catalogue.
+/// Updates the groups to match the catalogue.
 fn apply_catalog(core: &Rc<Core>, snapshot: &Arc<Snapshot>) {
     let databases = &snapshot.catalog.databases;
     core.groups
@@ -270,7 +274,7 @@
     while let Some(input) = ins.recv().await {
         match input {
             In::Members(members) => {
-                // One that membership has let go of may come back.
+                // An instance that membership has removed may come back.
                 core.leaving
                     .borrow_mut()
                     .retain(|it| members.contains_key(it));
--- a/crates/daemon/src/upstreams/once.rs
+++ b/crates/daemon/src/upstreams/once.rs
@@ -1,4 +1,5 @@
-//! A request with an id: [`request::Once`] decides, this carries out.
+//! Execution of a request with an id: [`request::Once`] decides, and this
+//! module carries out its actions.
 
 use std::rc::Rc;
 
@@ -15,14 +16,14 @@
 };
 use crate::job::{Batch, Closes, End, Job, Leaves, Need, Step, Tagged};
 
-/// How often a request with an id is tried when its end is not known: the id
-/// makes sure that it lands once however often it is sent.
+/// Highest number of attempts of a request whose outcome is unknown. Repeating
+/// it is safe since the id makes it take effect once.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// The SQLSTATE of a request id that can't promise a single run.
+/// The SQLSTATE for a request id that can't guarantee a single execution.
 const BAD_ID: &str = "DL003";
 
-/// The SQLSTATE of a unique key that is there already.
+/// SQLSTATE `unique_violation`.
 const UNIQUE: &str = "23505";
 
 /// Runs a write that carries a request id.
@@ -54,11 +55,11 @@
     }
 }
 
-/// What the caller is given in the end.
+/// The answers collected for the caller.
 struct Answer {
-    /// The answer of the caller's own batch.
+    /// The answer to the caller's own batch.
     run: Option<End>,
-    /// The end of the last batch of the proxy's own.
+    /// The answer to the last of the proxy's own batches.
     last: Option<End>,
 }
 
@@ -118,7 +119,7 @@
     }
 }
 
-/// Runs a batch of the proxy's own in place of the caller's.
+/// Runs one of the proxy's own batches in place of the caller's.
 async fn run_own(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, batch: Batch) -> End {
     let own = std::mem::replace(&mut job.batch, batch);
     let end = run_batch(core, job, running).await;
@@ -126,14 +127,15 @@
     end
 }
 
-/// The statements of an action, as one simple query.
+/// The statements of an action as one simple query.
 fn batch(action: &Action) -> Batch {
     let (sql, need, closes) = match action {
         Action::Begin(sql) => (format!("BEGIN; {sql}"), Need::Begin, Closes::Nothing),
         Action::Insert(sql) | Action::Record(sql) => (sql.clone(), Need::Write, Closes::Nothing),
         Action::Commit(sql) => (format!("{sql}; COMMIT"), Need::Write, Closes::Transaction),
         Action::Rollback => ("ROLLBACK".to_owned(), Need::Write, Closes::Transaction),
-        // It is run as a write: what it finds counts once a majority holds it.
+        // Run as a write, so that the row that is found is acknowledged by a
+        // majority.
         Action::Find(sql) => (sql.clone(), Need::Write, Closes::Nothing),
         Action::Run | Action::End(_) => (String::new(), Need::Read, Closes::Nothing),
     };
@@ -147,7 +149,7 @@
     }
 }
 
-/// What the answer to a batch of the proxy's own says.
+/// Converts the answer to one of the proxy's own batches to an event.
 fn answer_event(action: &Action, bytes: &[u8]) -> Event {
     if let Some(state) = plan::refusal(bytes) {
         return match action {
@@ -175,12 +177,12 @@
     }
 }
 
-/// Ends a request whose transaction did not come through.
+/// Ends a request whose transaction failed.
 fn give_up(core: &Rc<Core>, job: &Job, scope: Scope, end: End) -> End {
     if scope == Scope::Within {
         return end;
     }
-    // The transaction is the proxy's own: the caller must not go on with it.
+    // The proxy began the transaction, so the caller must not continue it.
     let pin = core.pins.borrow_mut().remove(&job.caller);
     if let Some(pin) = pin
         && !matches!(pin, Pin::Failed)
--- a/crates/daemon/src/upstreams/plan.rs
+++ b/crates/daemon/src/upstreams/plan.rs
@@ -1,4 +1,4 @@
-//! Writing a batch for one connection, and what will come back for it.
+//! Encoding of a batch for one connection, with the answers to expect.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -20,67 +20,67 @@
 use super::connection::{Connection, Fate, MAX_PREPARED};
 use crate::job::{Batch, Leaves, Need, Settings, Statement, Step};
 
-/// `ParseComplete`, for a statement that the connection has already.
+/// `ParseComplete`, sent for a statement that is already prepared.
 const PARSE_COMPLETE: &[u8] = &[b'1', 0, 0, 0, 4];
 
-/// `CloseComplete`, for a statement that the connection keeps.
+/// `CloseComplete`, sent for a statement that stays prepared.
 const CLOSE_COMPLETE: &[u8] = &[b'3', 0, 0, 0, 4];
 
 /// Whether an answer is passed on to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Audience {
-    /// It is.
+    /// The answer is passed on.
     Caller,
-    /// The proxy asked on its own account.
+    /// The answer is for the proxy only.
     Proxy,
 }
 
-/// What comes back, in order.
+/// An expected part of the answer.
 #[derive(Debug)]
 pub(super) enum Item {
-    /// The answer to a statement of the proxy's own.
+    /// The answer to one of the proxy's own statements.
     Internal,
-    /// The status, asked ahead of the batch.
+    /// The status report queried before the batch.
     StatusBefore,
-    /// The status, asked behind the batch.
+    /// The status report queried after the batch.
     StatusBehind,
     /// The answer to a simple query.
     Query,
-    /// A statement was prepared.
+    /// The confirmation of a Parse, with the statement's hash.
     Parsed(u128, Audience),
-    /// One message.
+    /// An answer of one message.
     Single,
-    /// The parameters and the rows of a statement.
+    /// The parameters and columns of a statement.
     Described,
-    /// Rows up to the end of a portal's run.
+    /// Rows up to the end of a portal's execution.
     Executed,
-    /// Nothing comes: the proxy answers itself.
+    /// An answer that the proxy gives itself.
     Synthetic(&'static [u8]),
-    /// The end of the batch.
+    /// The answer to a Sync.
     Synced,
 }
 
-/// Whether the status is asked for on the same connection.
+/// Which status probes are sent with a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Probes {
-    /// Ahead of the batch.
+    /// Whether the status is queried before the batch.
     pub(super) before: bool,
-    /// Behind it.
+    /// Whether the status is queried after the batch.
     pub(super) behind: bool,
 }
 
-/// A batch as it goes to one connection.
+/// A batch encoded for one connection.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     /// The bytes to send.
     pub(super) bytes: BytesMut,
-    /// What comes back.
+    /// The expected answers, in order.
     pub(super) items: VecDeque<Item>,
     sent: HashSet<u128>,
 }
 
 impl Plan {
-    /// Writes `batch` for `line`, which is not in a transaction.
+    /// Encodes `batch` for a connection that is not in a transaction.
     pub(super) fn standalone(
         connection: &mut Connection,
         batch: &Batch,
@@ -101,7 +101,7 @@
         plan
     }
 
-    /// Writes `batch` for `line`, which goes on with a transaction.
+    /// Encodes `batch` for a connection with an open transaction.
     pub(super) fn in_transaction(
         connection: &mut Connection,
         batch: &Batch,
@@ -113,7 +113,7 @@
         plan
     }
 
-    /// Makes the connection's session settings those of the caller.
+    /// Applies the caller's session settings to the connection.
     fn settings(&mut self, connection: &mut Connection, settings: &Settings) {
         let left = connection.leaves == Leaves::Settings;
         if connection.applied == *settings && !left {
@@ -138,8 +138,8 @@
         connection.applied.clone_from(settings);
     }
 
-    /// Asks for the status behind the batch, if it ends here. Behind a Flush
-    /// the question would commit what its caller has not ended.
+    /// Queries the status after the batch, unless the batch ends with a Flush:
+    /// the query would then commit what the caller has not ended.
     fn behind(&mut self, batch: &Batch, probes: Probes) {
         if probes.behind && !batch.flushes() {
             self.query(upstream::PROBE, Item::StatusBehind);
@@ -156,14 +156,15 @@
     }
 
     fn put(&mut self, message: &impl Message) {
-        // A caller's message came within the limit on frames, and grows by a
-        // statement's name at most; the library's limits are higher.
+        // Encoding can't fail: the caller's message was within the frame limit
+        // and grows by a statement name at most; the library's limits are
+        // higher.
         let _ = message.encode(&mut self.bytes);
     }
 
     fn steps(&mut self, connection: &mut Connection, batch: &Batch) {
-        // Noted before it runs: whether it succeeds is not always known, and
-        // an unneeded reset costs less than one caller's setting with another.
+        // Noted before the batch runs, since its success is not always known. A
+        // superfluous reset is cheaper than a leaked session setting.
         connection.leaves = connection.leaves.max(batch.leaves);
         if batch.need == Need::Alone {
             connection.fate = Fate::Close;
@@ -221,7 +222,8 @@
         }
     }
 
-    /// Prepares a statement if the connection does not have it; `true` if so.
+    /// Prepares a statement unless the connection already has it. Returns true
+    /// if a Parse was added.
     fn prepare(
         &mut self,
         connection: &Connection,
@@ -239,17 +241,17 @@
     }
 }
 
-/// The name under which upstream connections know a statement.
+/// The name of a statement on upstream connections.
 fn statement_name(statement: &Statement) -> String {
     format!("dl_{:032x}", statement.hash)
 }
 
-/// The answer to a batch that ends a transaction which is already gone.
+/// The answer to a batch that ends a transaction which has already rolled back.
 pub(super) fn rolled_back(batch: &Batch) -> Bytes {
     repeated(batch, "ROLLBACK")
 }
 
-/// The messages of an answer, one by one.
+/// Splits an answer into messages of a tag and a body.
 fn messages(mut bytes: &[u8]) -> impl Iterator<Item = (u8, &[u8])> {
     std::iter::from_fn(move || {
         let (head, rest) = bytes.split_first_chunk::<5>()?;
@@ -260,20 +262,20 @@
     })
 }
 
-/// The SQLSTATE of an answer's error, if it has one.
+/// The SQLSTATE of the first error in an answer.
 pub(super) fn refusal(bytes: &[u8]) -> Option<[u8; 5]> {
     let error = messages(bytes).find(|(tag, _)| *tag == b'E')?;
     pg::error_state(error.1)?.as_bytes().try_into().ok()
 }
 
-/// The last command tag of an answer.
+/// The last command tag in an answer.
 pub(super) fn command_tag(bytes: &[u8]) -> Option<String> {
     let last = messages(bytes).filter(|(tag, _)| *tag == b'C').last()?;
     let text = last.1.strip_suffix(&[0])?;
     std::str::from_utf8(text).ok().map(str::to_owned)
 }
 
-/// The first cell of an answer's first row, as text.
+/// The first column of an answer's first row, as text.
 pub(super) fn first_cell(bytes: &[u8]) -> Option<String> {
     let (_, row) = messages(bytes).find(|(tag, _)| *tag == b'D')?;
     let (_, rest) = row.split_first_chunk::<2>()?;
@@ -284,8 +286,8 @@
         .map(str::to_owned)
 }
 
-/// The answer to a batch that is not run, in which each statement that the
-/// caller runs ends with `tag`.
+/// Builds the answer to a batch that is not run; each statement in it completes
+/// with the command tag `tag`.
 pub(super) fn repeated(batch: &Batch, tag: &str) -> Bytes {
     let mut buf = BytesMut::new();
     let mut put = |message: &dyn Fn(&mut BytesMut) -> PgWireResult<()>| {
--- a/crates/daemon/src/upstreams/remote.rs
+++ b/crates/daemon/src/upstreams/remote.rs
@@ -1,4 +1,4 @@
-//! Commands to the holders of connections, and their answers.
+//! Commands sent to holders of connections, and their answers.
 
 use std::rc::Rc;
 
@@ -23,30 +23,30 @@
     job::{Job, WINDOW},
 };
 
-/// Answers that may wait for the task of one command: the window, and those
-/// around it.
+/// Capacity of a command's answer channel: the window of parts, plus the
+/// messages before and after them.
 const ANSWERS: usize = WINDOW + 4;
 
-/// What comes for a command.
+/// A message or event that concerns a pending command.
 #[derive(Debug)]
 pub(super) enum Delivery {
-    /// An answer.
+    /// A response from the holder.
     Response(Response),
-    /// The command never left.
+    /// The command was not sent.
     Unsent,
-    /// The stream ended: the command may have run.
+    /// The stream ended; the command may have run.
     Down,
 }
 
-/// A command on its way.
+/// A command that waits for its answers.
 pub(super) struct Pending {
     to: name::Instance,
     answers: mpsc::Sender<Delivery>,
 }
 
-/// Hands what comes for a command to the task that waits for it.
+/// Delivers responses and stream events to the tasks of pending commands.
 ///
-/// A late answer finds no taker.
+/// A response without a pending command is dropped.
 pub(super) fn handle(core: &Rc<Core>, input: In) {
     match input {
         In::Answered { seq, response } => deliver(core, seq, Delivery::Response(response)),
@@ -60,9 +60,10 @@
     }
 }
 
-/// Ends the commands to an instance up to the last that its stream carried.
+/// Ends the pending commands to an instance up to `upto`, the last one that its
+/// stream carried.
 ///
-/// Later ones may be on their way on the next stream already.
+/// Later commands may already have been sent on the next stream.
 fn end_pending(core: &Rc<Core>, to: &name::Instance, upto: Seq, delivery: impl Fn() -> Delivery) {
     let lost: Vec<_> = {
         let pending = core.pending.borrow();
@@ -86,7 +87,8 @@
     }
 }
 
-/// A command whose answers are waited for; dropping it forgets them.
+/// A pending command and the receiver of its answers; dropping it unregisters
+/// the command.
 struct Call {
     core: Rc<Core>,
     seq: Seq,
@@ -127,12 +129,11 @@
     }
 }
 
-/// The way to an upstream failed, which says nothing of the upstream.
+/// The holder could not be reached, which is no evidence about the upstream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Unreachable;
 
-/// Asks an upstream for its status, or has it carry out an order, by way of
-/// the holder `to`.
+/// Probes an upstream or has it execute an order, through the holder `to`.
 pub(super) async fn status(
     core: &Rc<Core>,
     to: &name::Instance,
@@ -160,7 +161,7 @@
         let (core, job) = (self.core, self.job);
         let proof = self.proof();
         if proof != Proof::None {
-            // Nothing is passed on before its proof has come.
+            // No part of the answer is passed on before its proof.
             self.verdict = Verdict::Unproved;
             sink.set_mode(Mode::Discard);
         }
@@ -202,7 +203,7 @@
         if let Destination::Confirmed(_, round) = self.destination {
             return Proof::Covering(round.position);
         }
-        // An age can't be judged by an old status.
+        // An older status report can't bound the age of the data.
         let aged = matches!(self.read.freshness, model::Freshness::Age(_));
         match self.read.floor {
             Floor::Known(floor) if !aged && self.read.seen.is_none() => Proof::Covering(floor),
@@ -211,7 +212,7 @@
     }
 }
 
-/// How a conversation with a holder ended.
+/// The end of a command at a holder.
 pub(super) enum RemoteCompletion {
     Answer(Answer),
     Refused(Refused),
@@ -219,7 +220,7 @@
     TimedOut,
 }
 
-/// Goes on with a transaction at its holder.
+/// Runs a statement of an open transaction at its holder.
 pub(super) async fn run_in_transaction(
     core: &Rc<Core>,
     job: &Job,
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -1,4 +1,5 @@
-//! The life of one request at an instance.
+//! Execution of one request: retries, acknowledgement, and the reply to the
+//! caller.
 
 use std::rc::Rc;
 
@@ -24,10 +25,10 @@
     meter::Server,
 };
 
-/// How often a request is tried at most, whatever its budget.
+/// Highest number of attempts of a request, independent of its retry budget.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Runs one request and replies with its end.
+/// Runs one request and sends its final reply.
 pub(super) async fn serve(core: Rc<Core>, mut job: Job) {
     let running = Rc::new(Running::open(job.seq));
     core.running
@@ -35,8 +36,8 @@
         .insert(job.caller, Rc::clone(&running));
     let end = run(&core, &mut job, &running).await;
     count(&core, &job, end.outcome);
-    // A caller that left while its request ran has nobody to end the
-    // transaction that the request began.
+    // The caller left while the request ran, so nobody else ends a transaction
+    // that the request began.
     let left = running.abandoned.get() && !core.running.borrow().contains_key(&job.caller);
     core.running.borrow_mut().remove(&job.caller);
     if left {
@@ -60,12 +61,13 @@
         log::warn!(
             duty = "upstreams", tenant = scope.tenant.as_str(), class = scope.entry.as_str(),
             database = scope.database.as_str();
-            "a request ended as unknown: {cause}"
+            "request ended with unknown outcome: {cause}"
         );
     }
 }
 
-/// Ends what a caller that has gone left behind.
+/// Cancels the running request of a disconnected caller and ends its
+/// transaction.
 pub(super) fn release_caller(core: &Rc<Core>, caller: Caller) {
     if let Some(running) = core.running.borrow_mut().remove(&caller) {
         running.abandon();
@@ -78,8 +80,8 @@
     }
 }
 
-/// The stream to the instance `to` has ended, and it has ended the
-/// transactions that this one had there.
+/// Marks the transactions at the instance `to` as failed after its stream has
+/// ended: the instance has rolled them back.
 pub(super) fn fail_pins(core: &Core, to: &name::Instance, upto: Seq) {
     for pin in core.pins.borrow_mut().values_mut() {
         if matches!(pin, Pin::Remote { to: at, pin, .. } if at == to && *pin <= upto) {
@@ -88,7 +90,7 @@
     }
 }
 
-/// Notes that a caller has taken a part of its answer.
+/// Notes that the caller has consumed a part of its answer.
 pub(super) fn note_taken(core: &Core, caller: Caller, seq: u64) {
     let running = core.running.borrow().get(&caller).cloned();
     if let Some(running) = running.filter(|it| it.seq == seq) {
@@ -99,10 +101,10 @@
     }
 }
 
-/// Cancels the statement that a caller's request runs, if it still does.
+/// Cancels the statement of a caller's request if the request still runs.
 ///
-/// The request's number is compared: a cancel that comes late must not hit
-/// the statement after the one that it was meant for.
+/// The sequence number is compared so that a late cancel does not hit the
+/// caller's next statement.
 pub(super) fn cancel(core: &Rc<Core>, caller: Caller, seq: u64) {
     let running = core.running.borrow().get(&caller).cloned();
     let Some(running) = running.filter(|it| it.seq == seq) else {
@@ -121,7 +123,8 @@
     }
 }
 
-/// Runs the job's batch on the connection that its caller holds, or on any.
+/// Runs the job's batch on the connection pinned by its caller, or on any
+/// other.
 pub(super) async fn run_batch(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>) -> End {
     let pin = core.pins.borrow_mut().remove(&job.caller);
     match pin {
@@ -161,17 +164,17 @@
     end(Outcome::Unknown(cause), Bytes::new(), Some(b'I'))
 }
 
-/// What became of one try.
+/// The result of one attempt.
 enum Attempt {
     /// The request has ended.
     Ended(End),
-    /// It did not run there, or what it brought does not hold: once more.
+    /// The request did not run, or its answer is not valid: it is tried again.
     Retry,
-    /// The upstream can't be reached, and nothing was sent.
+    /// The upstream can't be reached; nothing was sent.
     Unsent(Refused),
 }
 
-/// A request outside a transaction.
+/// Runs a request outside a transaction.
 async fn run_standalone(
     core: &Rc<Core>,
     job: &mut Job,
@@ -245,8 +248,8 @@
             conclude(core, job, group, destination, held, answer, sink).await
         }
         Completion::Refused(refusal) if refusal.cause == Cause::NoUpstream => {
-            // A replica that can't be reached does not keep a read from others,
-            // and a primary that can't be reached is being replaced.
+            // A read can go to another upstream than the unreachable replica.
+            // An unreachable primary is being replaced.
             if matches!(destination, Destination::Replica(_)) {
                 *read = read.discarded(Target::Replica);
             }
@@ -258,7 +261,7 @@
     }
 }
 
-/// What a whole answer means for the request.
+/// Ends an attempt whose answer was read completely, or asks for another one.
 async fn conclude(
     core: &Rc<Core>,
     job: &mut Job,
@@ -299,11 +302,11 @@
     Attempt::Ended(end)
 }
 
-/// The answer to a batch behind which a transaction, or the batch itself, is
-/// still open: the caller keeps the connection.
+/// Ends a batch that leaves a transaction or the batch itself open: the caller
+/// keeps the connection.
 ///
-/// A text such as `COMMIT; BEGIN` ends a transaction all the same. Its commit
-/// is acknowledged as any other; it would be lost with the primary otherwise.
+/// A text such as `COMMIT; BEGIN` ends a transaction as well. Its commit has to
+/// be acknowledged like any other, or it could be lost with the primary.
 pub(super) async fn keep_open(
     core: &Rc<Core>,
     job: &mut Job,
@@ -329,7 +332,7 @@
     end
 }
 
-/// Counts an answered read by who served it.
+/// Counts a completed read by the role of the upstream that served it.
 fn count_read(job: &Job, group: &Group, destination: &Destination) {
     if job.batch.need != Need::Read {
         return;
@@ -341,7 +344,7 @@
     job.meter.note_read(server);
 }
 
-/// What a session learns from an answered read.
+/// The session events of a completed read.
 fn session_events(
     group: &Group,
     destination: &Destination,
@@ -351,8 +354,8 @@
     if let Destination::Confirmed(_, round) = destination {
         events.push(session::Event::ReadConfirmed(*round));
     }
-    // Also a confirmed read may have shown more than its round confirmed.
-    // Unnoted, the session's next read could go to a replica that lacks it.
+    // A confirmed read may have seen more than its round confirmed. Unless that
+    // is noted, the session's next read could go to a replica that lacks it.
     if let Some(report) = answer.behind {
         let confirmed = group.router.borrow().confirmed();
         let upto = route::position(&report);
@@ -361,7 +364,8 @@
     events
 }
 
-/// A read-only upstream refused the statement, which proves that it did not run.
+/// Handles a statement refused by a read-only upstream, which proves that the
+/// statement did not run.
 async fn read_only(
     core: &Rc<Core>,
     job: &mut Job,
@@ -375,7 +379,7 @@
             group.router.borrow_mut().step(core.now(), event);
             job.batch.need = Need::Write;
         }
-        // The primary was fenced: wait for the one that replaces it.
+        // The primary was fenced: wait for its replacement.
         Destination::Primary(_) | Destination::Confirmed(..) => {
             tokio::select! {
                 () = group.changed.notified() => {}
@@ -389,7 +393,7 @@
     Attempt::Retry
 }
 
-/// Holds a write's answer back until a majority has the write.
+/// Withholds a write's answer until a majority holds the write.
 pub(super) async fn acknowledge(
     core: &Rc<Core>,
     job: &Job,
@@ -411,12 +415,12 @@
     }
 }
 
-/// The connection failed with the request on it.
+/// Handles a connection that failed while the request ran on it.
 fn broken(job: &Job, destination: &Destination, sink: &Sink<'_>) -> Attempt {
     let replica_read = matches!(destination, Destination::Replica(_));
     let repeatable = job.scope.class.repeat == Repeat::Idempotent || replica_read;
-    // What may have begun a transaction or changed the connection is not
-    // repeated: the caller could not tell what the first run left.
+    // A request that may have begun a transaction or changed the session is not
+    // repeated: the caller could not tell what the first run left behind.
     let plain = matches!(job.batch.need, Need::Read | Need::Write);
     if repeatable && plain && !sink.has_streamed() {
         return Attempt::Retry;
--- a/crates/daemon/src/upstreams/running.rs
+++ b/crates/daemon/src/upstreams/running.rs
@@ -1,4 +1,4 @@
-//! A request that runs, as cancels and the window of its answer see it.
+//! The state of a running request that cancel requests and flow control act on.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,29 +12,29 @@
 use super::connection::{Connection, Fate};
 use crate::forward::Seq;
 
-/// A request that runs.
+/// A running request.
 #[derive(Debug)]
 pub(super) struct Running {
-    /// Its number.
+    /// The request's sequence number.
     pub(super) seq: u64,
-    /// The connection of this instance that it has.
+    /// The upstream connection in use, as the target of a cancel request.
     pub(super) connection: RefCell<Option<(SocketAddr, Key)>>,
-    /// The command to another instance that it waits for.
+    /// The pending command at another instance.
     pub(super) remote: RefCell<Option<(name::Instance, Seq)>>,
-    /// Whether it was sent to an upstream, or to a holder of connections.
+    /// Whether the request was sent to an upstream or to a holder.
     pub(super) sent: Cell<bool>,
-    /// Whether whoever asked is gone.
+    /// Whether the requester has disconnected.
     pub(super) abandoned: Cell<bool>,
-    /// Whether a cancel request has been sent to its connection's server.
+    /// Whether a cancel request was sent to the connection's server.
     pub(super) cancel_sent: Cell<bool>,
-    /// Parts of the answer that were sent and not yet taken.
+    /// Number of answer parts that were sent but not yet consumed.
     pub(super) outstanding: Cell<usize>,
-    /// Told when a part was taken, or whoever asked is gone.
+    /// Notified when a part was consumed or the requester has disconnected.
     pub(super) progress: Notify,
 }
 
 impl Running {
-    /// A request that begins to run.
+    /// Creates the state of a request that starts to run.
     pub(super) fn open(seq: u64) -> Self {
         Self {
             seq,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Notes that whoever asked is gone.
+    /// Notes that the requester has disconnected.
     pub(super) fn abandon(&self) {
         self.abandoned.set(true);
         self.progress.notify_waiters();
         self.progress.notify_one();
     }
 
-    /// Cancels the statement on its connection of this instance.
+    /// Sends a cancel request for the statement on the connection in use.
     pub(super) fn send_cancel(&self) {
         if let Some((address, key)) = self.connection.borrow().clone() {
             self.cancel_sent.set(true);
@@ -63,22 +63,23 @@
         }
     }
 
-    /// Keeps a connection from the next request while a cancel is on its way
-    /// to it: the cancel names the connection, not the statement.
+    /// Marks the connection to be closed if a cancel request is in flight. A
+    /// cancel request names a connection and not a statement, so it could hit
+    /// the next request.
     pub(super) fn close_if_cancelled(&self, connection: &mut Connection) {
         if self.cancel_sent.get() {
             connection.fate = Fate::Close;
         }
     }
 
-    /// Notes that a part of the answer was taken.
+    /// Notes that an answer part was consumed.
     pub(super) fn note_taken(&self) {
         self.outstanding
             .set(self.outstanding.get().saturating_sub(1));
         self.progress.notify_one();
     }
 
-    /// Waits until whoever asked is gone.
+    /// Waits until the requester has disconnected.
     pub(super) async fn wait_abandoned(&self) {
         while !self.abandoned.get() {
             ntex::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/crates/daemon/src/upstreams/sink.rs
+++ b/crates/daemon/src/upstreams/sink.rs
@@ -1,4 +1,4 @@
-//! Where an answer goes while it comes in: kept, passed on, or dropped.
+//! Buffering and delivery of an answer while it is received.
 
 use std::rc::Rc;
 
@@ -11,31 +11,32 @@
     job::{CHUNK, Caller, Part, Reply, WINDOW},
 };
 
-/// How much of an answer is kept back at most, in bytes.
+/// Size of the buffer, in bytes, above which rows of a held answer are passed
+/// on.
 const MAX_HELD: usize = 256 << 10;
 
-/// What is done with an answer.
+/// What happens to an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// Passed on part by part.
+    /// The answer is passed on in parts.
     Stream,
-    /// Kept back until it is known whether it holds. Beyond the bound its
-    /// rows are passed on, but never the message that says it is complete.
+    /// The answer is held back until its validity is known. Above [`MAX_HELD`]
+    /// its rows are passed on, but never the message that completes it.
     Hold,
-    /// Dropped: it did not pass.
+    /// The answer is dropped as invalid.
     Discard,
 }
 
-/// Whom an answer goes to.
+/// The recipient of an answer.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Recipient {
     /// A caller of this instance.
     Caller(Caller),
-    /// Another instance, on the stream that it asked on.
+    /// Another instance, on the stream of its command.
     Peer(Conn),
 }
 
-/// An answer on its way to whoever asked.
+/// An answer on its way to the requester.
 pub(super) struct Sink<'a> {
     core: &'a Core,
     running: Rc<Running>,
@@ -46,7 +47,7 @@
 }
 
 impl<'a> Sink<'a> {
-    /// Opens the way of an answer to a running request.
+    /// Opens a sink for the answer to a running request.
     pub(super) fn open(core: &'a Core, running: &Rc<Running>, to: Recipient, mode: Mode) -> Self {
         let buf = BytesMut::new();
         Self {
@@ -59,12 +60,12 @@
         }
     }
 
-    /// What is done with the answer.
+    /// What happens to the answer.
     pub(super) fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Changes what is done with the rest.
+    /// Changes what happens to the rest of the answer.
     pub(super) fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
         if mode == Mode::Discard {
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Whether part of the answer has been passed on, so that it can't be
-    /// taken back.
+    /// Returns true if part of the answer has been passed on and can't be
+    /// withdrawn.
     pub(super) fn has_streamed(&self) -> bool {
         self.streamed
     }
 
-    /// Takes one message of the answer.
+    /// Adds one message of the answer.
     pub(super) async fn push(&mut self, frame: &Frame) {
         if self.mode == Mode::Discard {
             return;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes a part of an answer that comes from a holder; it ends in a row.
+    /// Adds a part of an answer received from a holder, which ends with a row.
     pub(super) async fn push_rows(&mut self, bytes: &[u8]) {
         if self.mode != Mode::Discard {
             self.buf.extend_from_slice(bytes);
@@ -97,9 +98,9 @@
         }
     }
 
-    /// Passes on what is there if it is much. What is there ends in a row, so
-    /// the message that says that an answer is complete is never passed on
-    /// before the end.
+    /// Passes on the buffer if it is large. The buffer ends with a row at this
+    /// point, so the message that completes the answer is never passed on
+    /// early.
     async fn flush_if_full(&mut self) {
         let bound = match self.mode {
             Mode::Stream => CHUNK,
@@ -110,19 +111,19 @@
         }
     }
 
-    /// Takes a message that the proxy itself gives.
+    /// Adds a message given by the proxy, or the final part of an answer.
     pub(super) fn push_bytes(&mut self, bytes: &[u8]) {
         if self.mode != Mode::Discard {
             self.buf.extend_from_slice(bytes);
         }
     }
 
-    /// The rest of the answer.
+    /// Returns the rest of the answer.
     pub(super) fn finish(self) -> Bytes {
         self.buf.freeze()
     }
 
-    /// Passes on what is there, once the caller has taken enough.
+    /// Passes on the buffer once the window has room.
     async fn flush(&mut self) {
         while self.running.outstanding.get() >= WINDOW {
             if self.running.abandoned.get() {
--- a/crates/daemon/src/upstreams/transaction.rs
+++ b/crates/daemon/src/upstreams/transaction.rs
@@ -1,4 +1,4 @@
-//! Statements of open transactions, which stay on one connection.
+//! Statements of open transactions, each of which stays on one connection.
 
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
     job::{Closes, End, Job},
 };
 
-/// A statement of a transaction on a connection of this instance.
+/// Runs a statement of a transaction on a connection of this instance.
 pub(super) async fn run_local(
     core: &Rc<Core>,
     job: &mut Job,
@@ -68,7 +68,7 @@
     conclude(core, job, group, held, answer, sink).await
 }
 
-/// A statement of a transaction on a connection of another instance.
+/// Runs a statement of a transaction on a connection of another instance.
 pub(super) async fn run_remote(
     core: &Rc<Core>,
     job: &mut Job,
@@ -104,7 +104,7 @@
 
 fn answer_mode(job: &Job) -> Mode {
     if job.request.is_some() {
-        // The statement does not count before its id is committed with it.
+        // The statement takes effect only when its id is committed with it.
         return Mode::Hold;
     }
     match job.batch.closes {
@@ -113,9 +113,9 @@
     }
 }
 
-/// The connection of a transaction failed while a statement ran on it.
+/// Ends a statement whose connection failed while it ran.
 fn connection_failed(core: &Core, job: &Job) -> End {
-    // Without its COMMIT a transaction rolls back with its connection.
+    // A transaction rolls back with its connection unless its COMMIT was sent.
     match job.batch.closes {
         Closes::Transaction => unknown(Cause::ConnectionLost),
         Closes::Nothing => fail_transaction(core, job),
@@ -145,10 +145,12 @@
     end
 }
 
-/// The transaction is gone with its connection: it rolled back.
+/// Marks a transaction as failed after its connection was lost, which rolled it
+/// back.
 ///
-/// Until the caller ends it, its statements are refused. Run on their own they
-/// would commit one by one what the caller meant to be one transaction.
+/// Until the caller ends the transaction, its statements are refused. If they
+/// ran on their own, each would commit separately what belongs to one
+/// transaction.
 fn fail_transaction(core: &Core, job: &Job) -> End {
     if job.batch.closes == Closes::Transaction {
         return refused(Cause::ConnectionLost, None);
@@ -161,7 +163,7 @@
     )
 }
 
-/// A statement of a transaction whose connection is gone.
+/// Answers a statement of a failed transaction.
 pub(super) fn in_failed_transaction(core: &Core, job: &Job) -> End {
     if job.batch.closes == Closes::Transaction {
         let bytes = super::plan::rolled_back(&job.batch);
--- a/crates/daemon/src/upstreams/view.rs
+++ b/crates/daemon/src/upstreams/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the databases and their upstreams.
+//! The operators' view of the databases and their upstreams.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,35 +15,36 @@
 };
 use crate::introspect::{self, Requests, millis};
 
-/// An upstream whose data is older serves none of the usual reads: the
-/// catalogues of the users allow two seconds.
+/// Replication lag above which an upstream is reported. Usual catalogues allow
+/// reads a staleness of two seconds, so a replica with more lag serves none of
+/// them.
 const MAX_LAG: Duration = Duration::from_secs(2);
 
-/// A status older than this says nothing of whether the upstream answers now.
+/// Age above which a status report no longer shows that the upstream answers.
 const MAX_STATUS_AGE: Duration = Duration::from_secs(5);
 
-/// For how long an upstream must fail before operators are told.
+/// Duration of an upstream's failures after which they are reported.
 const SILENT_AFTER: Duration = Duration::from_secs(1);
 
-/// For how long no round must confirm a primary before operators are told.
+/// Time without a confirmed primary after which it is reported.
 const UNCONFIRMED_AFTER: Duration = Duration::from_secs(2);
 
-/// When an upstream was asked for its status, and answered.
+/// The times of an upstream's probes and answers.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ProbeHistory {
-    /// The end of the first question.
+    /// End of the first probe.
     first: Option<Instant>,
-    /// The end of the last question.
+    /// End of the last probe.
     asked: Option<Instant>,
-    /// The last answer.
+    /// Time of the last answer.
     answered: Option<Instant>,
-    /// The first failure since then.
+    /// Time of the first failure since the last answer.
     failing: Option<Instant>,
 }
 
 impl ProbeHistory {
-    /// Notes how a question ended; a refused order is an answer as well, and so
-    /// is the word that there is no room for another connection.
+    /// Records the result of a probe. A refused order and a reached connection
+    /// limit are answers as well.
     pub(super) fn note(&mut self, now: Instant, status: &Status) {
         self.first.get_or_insert(now);
         self.asked = Some(now);
@@ -59,7 +60,7 @@
     }
 }
 
-/// Answers operators until the daemon stops.
+/// Answers operators' requests until the daemon stops.
 pub(super) async fn serve(core: Rc<Core>, mut asked: Requests<introspect::Groups>) {
     while let Some(answer) = asked.recv().await {
         let _ = answer.send(groups(&core));
@@ -168,8 +169,9 @@
         doubts
     }
 
-    /// That no majority confirms a primary, although most upstreams were asked
-    /// of late. An instance that asks nobody can't tell.
+    /// Returns a doubt if no majority confirms a primary although most
+    /// upstreams were probed recently. An instance that probes no upstream
+    /// can't tell.
     fn unconfirmed(&self, now: Instant, confirmed: Option<Instant>) -> Option<Doubt> {
         let members = self.members.borrow();
         let probe_histories = self.probe_histories.borrow();
