--- a/crates/daemon/examples/common/stage.rs
+++ b/crates/daemon/examples/common/cluster.rs
@@ -35,7 +35,7 @@
 }
 
 /// The parts, running.
-pub(crate) struct Stage {
+pub(crate) struct Cluster {
     /// The platform's store.
     pub(crate) store: fake::Store,
     /// The database's upstreams; the first is primary.
@@ -46,7 +46,7 @@
     pub(crate) revision: u64,
 }
 
-impl Stage {
+impl Cluster {
     /// Starts all parts and applies the catalogue.
     ///
     /// # Errors
--- a/crates/daemon/examples/common/mod.rs
+++ b/crates/daemon/examples/common/mod.rs
@@ -2,4 +2,4 @@
 #![allow(dead_code)]
 
 pub(crate) mod caller;
-pub(crate) mod stage;
+pub(crate) mod cluster;
--- a/crates/daemon/examples/loopback/idle.rs
+++ b/crates/daemon/examples/loopback/idle.rs
@@ -16,10 +16,10 @@
 
 /// Callers that are connected before the first measurement, so that what the
 /// daemon makes once is not counted to the first callers.
-const FIRST: usize = 100;
+const WARM_UP_CALLERS: usize = 100;
 
 /// Threads that log callers in; the key derivation is the callers' work.
-const THREADS: usize = 4;
+const LOGIN_THREADS: usize = 4;
 
 /// File descriptors for all but the callers.
 const OTHER_FILES: u64 = 300;
@@ -35,7 +35,7 @@
 
 /// What a number of idle callers takes.
 #[derive(Debug, Serialize)]
-pub(crate) struct Figure {
+pub(crate) struct Measurement {
     /// The callers that were asked for.
     pub(crate) wanted: usize,
     /// The callers that were connected: as many as the limit on file
@@ -46,13 +46,13 @@
 }
 
 /// Idle callers.
-pub(crate) struct Crowd {
+pub(crate) struct IdleCallers {
     address: SocketAddr,
     sockets: Vec<TcpStream>,
     before: u64,
 }
 
-impl Crowd {
+impl IdleCallers {
     /// Connects the first callers, which are not counted.
     ///
     /// # Errors
@@ -66,14 +66,14 @@
             }
             thread::sleep(READY_PAUSE);
         }
-        let mut crowd = Self {
+        let mut callers = Self {
             address,
             sockets: Vec::new(),
             before: 0,
         };
-        crowd.connect(FIRST)?;
-        crowd.before = machine::resident();
-        Ok(crowd)
+        callers.connect(WARM_UP_CALLERS)?;
+        callers.before = machine::resident();
+        Ok(callers)
     }
 
     /// Connects callers until there are `wanted` beside the first ones.
@@ -81,14 +81,14 @@
     /// # Errors
     ///
     /// Why a caller could not connect.
-    pub(crate) fn grow(&mut self, wanted: usize) -> anyhow::Result<Figure> {
-        let room = machine::files().saturating_sub(OTHER_FILES) / FILES_PER_CALLER;
-        let room = usize::try_from(room).unwrap_or(usize::MAX);
-        let callers = wanted.min(room.saturating_sub(FIRST));
-        let more = (FIRST + callers).saturating_sub(self.sockets.len());
+    pub(crate) fn grow(&mut self, wanted: usize) -> anyhow::Result<Measurement> {
+        let limit = machine::files().saturating_sub(OTHER_FILES) / FILES_PER_CALLER;
+        let limit = usize::try_from(limit).unwrap_or(usize::MAX);
+        let callers = wanted.min(limit.saturating_sub(WARM_UP_CALLERS));
+        let more = (WARM_UP_CALLERS + callers).saturating_sub(self.sockets.len());
         self.connect(more)?;
         let grown = machine::resident().saturating_sub(self.before);
-        Ok(Figure {
+        Ok(Measurement {
             wanted,
             callers,
             bytes_per_caller: grown / callers.max(1) as u64,
@@ -97,7 +97,8 @@
 
     fn connect(&mut self, count: usize) -> anyhow::Result<()> {
         let address = self.address;
-        let shares = (0..THREADS).map(|it| count / THREADS + usize::from(it < count % THREADS));
+        let shares = (0..LOGIN_THREADS)
+            .map(|it| count / LOGIN_THREADS + usize::from(it < count % LOGIN_THREADS));
         let threads: Vec<_> = shares
             .map(|share| thread::spawn(move || connect_share(address, share)))
             .collect();
--- a/crates/daemon/examples/loopback/latency.rs
+++ b/crates/daemon/examples/loopback/latency.rs
@@ -15,13 +15,13 @@
 use crate::common::caller::Caller;
 
 /// Requests of each caller in one turn.
-const REQUESTS: usize = 50;
+const REQUESTS_PER_ROUND: usize = 50;
 
 /// Turns that are not counted: connections are opened and statements prepared.
-const WARM_UP: usize = 4;
+const WARM_UP_ROUNDS: usize = 4;
 
 /// Digits of a latency that the histogram keeps.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What the callers ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -74,20 +74,20 @@
 
 /// The figures of one case.
 #[derive(Debug, Serialize)]
-pub(crate) struct Figure {
+pub(crate) struct Measurement {
     /// The case.
     pub(crate) case: Case,
     /// Callers at once.
     pub(crate) callers: usize,
     /// Asked directly.
-    pub(crate) direct: Way,
+    pub(crate) direct: Summary,
     /// Asked through the daemon.
-    pub(crate) proxied: Way,
+    pub(crate) proxied: Summary,
 }
 
 /// The figures of one way.
 #[derive(Debug, Serialize)]
-pub(crate) struct Way {
+pub(crate) struct Summary {
     /// Half of the requests took at most this, in microseconds.
     pub(crate) p50_us: f64,
     /// 99 of 100 requests took at most this, in microseconds.
@@ -97,14 +97,14 @@
 }
 
 /// The callers of one way, and what they have measured.
-struct Side {
-    callers: Vec<Asker>,
+struct Path {
+    callers: Vec<Worker>,
     histogram: Histogram<u64>,
-    took: Duration,
+    elapsed: Duration,
 }
 
 #[derive(Clone)]
-struct Asker {
+struct Worker {
     caller: Rc<Caller>,
     statement: Statement,
     key: String,
@@ -118,30 +118,30 @@
 pub(crate) async fn measure(
     case: Case,
     width: usize,
-    turns: usize,
+    rounds: usize,
     upstreams: &[SocketAddr],
     daemon: SocketAddr,
-) -> anyhow::Result<Figure> {
+) -> anyhow::Result<Measurement> {
     let upstream = |it| case.upstream(it, upstreams);
-    let mut direct = Side::open(case, width, upstream, upstreams[0]).await?;
-    let mut proxied = Side::open(case, width, |_| daemon, daemon).await?;
-    for turn in 0..WARM_UP + turns {
-        if turn == WARM_UP {
-            direct.forget();
-            proxied.forget();
+    let mut direct = Path::open(case, width, upstream, upstreams[0]).await?;
+    let mut proxied = Path::open(case, width, |_| daemon, daemon).await?;
+    for round in 0..WARM_UP_ROUNDS + rounds {
+        if round == WARM_UP_ROUNDS {
+            direct.reset();
+            proxied.reset();
         }
-        direct.take_turn().await?;
-        proxied.take_turn().await?;
+        direct.run_round().await?;
+        proxied.run_round().await?;
     }
-    Ok(Figure {
+    Ok(Measurement {
         case,
         callers: width,
-        direct: direct.figures(),
-        proxied: proxied.figures(),
+        direct: direct.summary(),
+        proxied: proxied.summary(),
     })
 }
 
-impl Side {
+impl Path {
     async fn open(
         case: Case,
         width: usize,
@@ -157,7 +157,7 @@
             } else {
                 seed(&Caller::open(writer, case.entry()).await?.client, &key).await?;
             }
-            callers.push(Asker {
+            callers.push(Worker {
                 statement: own.client.prepare(case.sql()).await?,
                 caller: Rc::new(own),
                 key,
@@ -165,39 +165,39 @@
         }
         Ok(Self {
             callers,
-            histogram: Histogram::new(DIGITS)?,
-            took: Duration::ZERO,
+            histogram: Histogram::new(SIGNIFICANT_DIGITS)?,
+            elapsed: Duration::ZERO,
         })
     }
 
-    fn forget(&mut self) {
+    fn reset(&mut self) {
         self.histogram.reset();
-        self.took = Duration::ZERO;
+        self.elapsed = Duration::ZERO;
     }
 
     /// Has every caller send its requests, one after the other.
-    async fn take_turn(&mut self) -> anyhow::Result<()> {
+    async fn run_round(&mut self) -> anyhow::Result<()> {
         let began = Instant::now();
         let tasks: Vec<_> = self
             .callers
             .iter()
-            .map(|asker| spawn_local(ask(asker.clone())))
+            .map(|worker| spawn_local(run_requests(worker.clone())))
             .collect();
         for task in tasks {
             for nanos in task.await?? {
                 self.histogram.record(nanos)?;
             }
         }
-        self.took += began.elapsed();
+        self.elapsed += began.elapsed();
         Ok(())
     }
 
-    fn figures(&self) -> Way {
+    fn summary(&self) -> Summary {
         let micros = |quantile| self.histogram.value_at_quantile(quantile) as f64 / 1e3;
-        Way {
+        Summary {
             p50_us: micros(0.5),
             p99_us: micros(0.99),
-            throughput: self.histogram.len() as f64 / self.took.as_secs_f64(),
+            throughput: self.histogram.len() as f64 / self.elapsed.as_secs_f64(),
         }
     }
 }
@@ -209,17 +209,17 @@
     Ok(())
 }
 
-async fn ask(asker: Asker) -> anyhow::Result<Vec<u64>> {
-    let mut took = Vec::with_capacity(REQUESTS);
-    for _ in 0..REQUESTS {
+async fn run_requests(worker: Worker) -> anyhow::Result<Vec<u64>> {
+    let mut elapsed = Vec::with_capacity(REQUESTS_PER_ROUND);
+    for _ in 0..REQUESTS_PER_ROUND {
         let began = Instant::now();
-        asker
+        worker
             .caller
             .client
-            .query(&asker.statement, &[&asker.key])
+            .query(&worker.statement, &[&worker.key])
             .await
             .context("a request failed")?;
-        took.push(u64::try_from(began.elapsed().as_nanos())?);
+        elapsed.push(u64::try_from(began.elapsed().as_nanos())?);
     }
-    Ok(took)
+    Ok(elapsed)
 }
--- a/crates/daemon/examples/loopback/login.rs
+++ b/crates/daemon/examples/loopback/login.rs
@@ -32,9 +32,9 @@
     socket.write_all(&buf)?;
     let mut scram = ScramSha256::new(PASSWORD.as_bytes(), ChannelBinding::unsupported());
     loop {
-        let (tag, body) = message(&mut socket)?;
+        let (tag, body) = read_message(&mut socket)?;
         match tag {
-            b'R' => answer(&mut socket, &body, &mut scram)?,
+            b'R' => respond(&mut socket, &body, &mut scram)?,
             b'Z' => return Ok(socket),
             b'E' => bail!("refused: {}", String::from_utf8_lossy(&body)),
             _ => {}
@@ -42,7 +42,7 @@
     }
 }
 
-fn answer(socket: &mut TcpStream, body: &[u8], scram: &mut ScramSha256) -> anyhow::Result<()> {
+fn respond(socket: &mut TcpStream, body: &[u8], scram: &mut ScramSha256) -> anyhow::Result<()> {
     let (method, rest) = body.split_first_chunk::<4>().context("a short message")?;
     let mut buf = BytesMut::new();
     match i32::from_be_bytes(*method) {
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn message(socket: &mut TcpStream) -> anyhow::Result<(u8, Vec<u8>)> {
+fn read_message(socket: &mut TcpStream) -> anyhow::Result<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     socket.read_exact(&mut head)?;
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
--- a/crates/daemon/examples/loopback/main.rs
+++ b/crates/daemon/examples/loopback/main.rs
@@ -17,7 +17,7 @@
 use argh::FromArgs;
 use tokio::task::LocalSet;
 
-use common::stage::{Conf, Stage};
+use common::cluster::{Cluster, Conf};
 use latency::Case;
 use report::Report;
 
@@ -55,20 +55,20 @@
 
 fn main() -> anyhow::Result<()> {
     let args: Args = argh::from_env();
-    let stage = Stage::open(Conf {
+    let cluster = Cluster::open(Conf {
         daemons: 1,
         callers: CALLERS,
         connections: CONNECTIONS,
         seed: args.seed,
     })?;
-    let address = stage.daemons[0].callers();
+    let address = cluster.daemons[0].callers();
     let idle = if args.no_idle {
         Vec::new()
     } else {
         measure_idle(address)?
     };
-    let latency = measure_latency(&stage, address, args.turns)?;
-    stage.stop();
+    let latency = measure_latency(&cluster, address, args.turns)?;
+    cluster.stop();
     let report = Report {
         machine: machine::read(),
         seed: args.seed,
@@ -84,26 +84,26 @@
 }
 
 /// Measured first: freed memory of the busy callers would hide the idle ones'.
-fn measure_idle(address: SocketAddr) -> anyhow::Result<Vec<idle::Figure>> {
-    let mut crowd = idle::Crowd::open(address)?;
-    IDLE.iter().map(|&count| crowd.grow(count)).collect()
+fn measure_idle(address: SocketAddr) -> anyhow::Result<Vec<idle::Measurement>> {
+    let mut callers = idle::IdleCallers::open(address)?;
+    IDLE.iter().map(|&count| callers.grow(count)).collect()
 }
 
 fn measure_latency(
-    stage: &Stage,
+    cluster: &Cluster,
     address: SocketAddr,
     turns: usize,
-) -> anyhow::Result<Vec<latency::Figure>> {
+) -> anyhow::Result<Vec<latency::Measurement>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let upstreams = stage.group.addresses();
-    let mut figures = Vec::new();
+    let upstreams = cluster.group.addresses();
+    let mut measurements = Vec::new();
     for case in Case::ALL {
         for width in WIDTHS {
-            let figure = latency::measure(case, width, turns, &upstreams, address);
-            figures.push(LocalSet::new().block_on(&runtime, figure)?);
+            let measurement = latency::measure(case, width, turns, &upstreams, address);
+            measurements.push(LocalSet::new().block_on(&runtime, measurement)?);
         }
     }
-    Ok(figures)
+    Ok(measurements)
 }
--- a/crates/daemon/examples/loopback/report.rs
+++ b/crates/daemon/examples/loopback/report.rs
@@ -14,9 +14,9 @@
     /// Where random choices began.
     pub(crate) seed: u64,
     /// Latency and throughput.
-    pub(crate) latency: Vec<latency::Figure>,
+    pub(crate) latency: Vec<latency::Measurement>,
     /// Memory of idle callers.
-    pub(crate) idle: Vec<idle::Figure>,
+    pub(crate) idle: Vec<idle::Measurement>,
 }
 
 impl fmt::Display for Report {
@@ -37,8 +37,8 @@
             "| case | callers | direct p50/p99 us | through daemon p50/p99 us | added p50/p99 us | requests/s direct | through daemon |"
         )?;
         writeln!(f, "| --- | --- | --- | --- | --- | --- | --- |")?;
-        for figure in &self.latency {
-            row(f, figure)?;
+        for measurement in &self.latency {
+            row(f, measurement)?;
         }
         if self.idle.is_empty() {
             return Ok(());
@@ -58,13 +58,13 @@
     }
 }
 
-fn row(f: &mut fmt::Formatter<'_>, figure: &latency::Figure) -> fmt::Result {
-    let (direct, proxied) = (&figure.direct, &figure.proxied);
+fn row(f: &mut fmt::Formatter<'_>, measurement: &latency::Measurement) -> fmt::Result {
+    let (direct, proxied) = (&measurement.direct, &measurement.proxied);
     writeln!(
         f,
         "| {} | {} | {:.0} / {:.0} | {:.0} / {:.0} | {:.0} / {:.0} | {:.0} | {:.0} |",
-        figure.case.title(),
-        figure.callers,
+        measurement.case.title(),
+        measurement.callers,
         direct.p50_us,
         direct.p99_us,
         proxied.p50_us,
--- a/crates/daemon/examples/quickstart/main.rs
+++ b/crates/daemon/examples/quickstart/main.rs
@@ -7,7 +7,7 @@
 
 #[path = "../common/mod.rs"]
 mod common;
-mod story;
+mod steps;
 
 use argh::FromArgs;
 use signal_hook::{consts::SIGINT, iterator::Signals};
@@ -15,7 +15,7 @@
 
 use common::{
     caller::{PASSWORD, USER},
-    stage::{Conf, Stage, zone},
+    cluster::{Cluster, Conf, zone},
 };
 
 /// The daemons.
@@ -42,7 +42,7 @@
 fn main() -> anyhow::Result<()> {
     let args: Args = argh::from_env();
     let mut signals = Signals::new([SIGINT])?;
-    let stage = Stage::open(Conf {
+    let cluster = Cluster::open(Conf {
         daemons: DAEMONS,
         callers: CALLERS,
         connections: CONNECTIONS,
@@ -51,18 +51,18 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, story::tell(&stage))?;
+    LocalSet::new().block_on(&runtime, steps::run(&cluster))?;
     if args.stay {
         println!("\nBoth instances keep listening; Ctrl-C ends them.");
-        print_addresses(&stage);
+        print_addresses(&cluster);
         signals.forever().next();
     }
-    stage.stop();
+    cluster.stop();
     Ok(())
 }
 
-fn print_addresses(stage: &Stage) {
-    for (index, daemon) in stage.daemons.iter().enumerate() {
+fn print_addresses(cluster: &Cluster) {
+    for (index, daemon) in cluster.daemons.iter().enumerate() {
         let address = daemon.callers();
         println!(
             "  {}: postgres://{USER}:{PASSWORD}@{address}/slots",
--- a/crates/daemon/examples/quickstart/story.rs
+++ b/crates/daemon/examples/quickstart/steps.rs
@@ -7,7 +7,7 @@
 use model::Role;
 use tokio_postgres::error::SqlState;
 
-use super::common::{caller::Caller, stage::Stage};
+use super::common::{caller::Caller, cluster::Cluster};
 
 /// The entry of the catalogue that the session connects to.
 const ENTRY: &str = "slots";
@@ -44,27 +44,27 @@
 /// # Errors
 ///
 /// The step that did not come out as it has to.
-pub(crate) async fn tell(stage: &Stage) -> anyhow::Result<()> {
-    introduce(stage);
-    let first = Caller::open(stage.daemons[0].callers(), ENTRY).await?;
-    let second = Caller::open(stage.daemons[1].callers(), ENTRY).await?;
+pub(crate) async fn run(cluster: &Cluster) -> anyhow::Result<()> {
+    print_start(cluster);
+    let first = Caller::open(cluster.daemons[0].callers(), ENTRY).await?;
+    let second = Caller::open(cluster.daemons[1].callers(), ENTRY).await?;
     println!("2. A client is connected to each instance as user groom, entry {ENTRY}.");
-    roam(stage, &first, &second).await?;
-    crash(stage, &second).await?;
-    come_back(stage).await
+    move_session(cluster, &first, &second).await?;
+    crash(cluster, &second).await?;
+    rejoin(cluster).await
 }
 
-fn introduce(stage: &Stage) {
+fn print_start(cluster: &Cluster) {
     println!(
         "1. Started on loopback: a store, three upstreams of one database, and two\n   \
          instances. The catalogue is in force as revision {} of the store.",
-        stage.revision
+        cluster.revision
     );
 }
 
 /// A session writes through one instance and reads through the other.
-async fn roam(stage: &Stage, first: &Caller, second: &Caller) -> anyhow::Result<()> {
-    (0..stage.daemons.len() + 1).for_each(|index| stage.group.set_lag(index, LAG));
+async fn move_session(cluster: &Cluster, first: &Caller, second: &Caller) -> anyhow::Result<()> {
+    (0..cluster.daemons.len() + 1).for_each(|index| cluster.group.set_lag(index, LAG));
     let began = Instant::now();
     let tries = book(first, "arena-9", "mila", began).await?;
     println!(
@@ -95,8 +95,8 @@
 }
 
 /// The primary crashes, and the next write lands on the one that replaces it.
-async fn crash(stage: &Stage, caller: &Caller) -> anyhow::Result<()> {
-    stage.group.set_fault(FIRST_PRIMARY, Fault::Crashed);
+async fn crash(cluster: &Cluster, caller: &Caller) -> anyhow::Result<()> {
+    cluster.group.set_fault(FIRST_PRIMARY, Fault::Crashed);
     let crashed = Instant::now();
     println!("6. The primary has crashed. The session books arena-10 at once.");
     let tries = book(caller, "arena-10", "mila", crashed).await?;
@@ -105,14 +105,14 @@
          That is the failover gap: detect, fence by a majority, promote, and spread.",
         millis(crashed.elapsed())
     );
-    let leader = (0..stage.group.addresses().len())
+    let primary = (0..cluster.group.addresses().len())
         .filter(|&index| index != FIRST_PRIMARY)
-        .find(|&index| stage.group.report(index).role == Role::Primary)
+        .find(|&index| cluster.group.report(index).role == Role::Primary)
         .context("no upstream leads")?;
     println!(
         "   Upstream {} leads now, in term {}.",
-        leader + 1,
-        stage.group.report(leader).received.term
+        primary + 1,
+        cluster.group.report(primary).received.term
     );
     for key in ["arena-9", "arena-10"] {
         let value = read(caller, key).await?;
@@ -156,11 +156,11 @@
 }
 
 /// The old primary comes back and must follow.
-async fn come_back(stage: &Stage) -> anyhow::Result<()> {
-    stage.group.set_fault(FIRST_PRIMARY, Fault::None);
+async fn rejoin(cluster: &Cluster) -> anyhow::Result<()> {
+    cluster.group.set_fault(FIRST_PRIMARY, Fault::None);
     let began = Instant::now();
-    while stage.group.report(FIRST_PRIMARY).role == Role::Primary
-        || stage.group.value(FIRST_PRIMARY, "arena-10").is_none()
+    while cluster.group.report(FIRST_PRIMARY).role == Role::Primary
+        || cluster.group.value(FIRST_PRIMARY, "arena-10").is_none()
     {
         ensure!(
             began.elapsed() < RETURN_TIMEOUT,
--- a/crates/daemon/tests/callers.rs
+++ b/crates/daemon/tests/callers.rs
@@ -11,7 +11,7 @@
 const SELECT: &str = "SELECT value FROM kv WHERE key = $1";
 
 /// The first cell of a simple query's answer.
-async fn cell(client: &Client, sql: &str) -> String {
+async fn first_cell(client: &Client, sql: &str) -> String {
     let answer = client.simple_query(sql).await.unwrap();
     let row = answer.iter().find_map(|it| match it {
         SimpleQueryMessage::Row(row) => row.get(0),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_failed_transaction_refuses_the_rest_and_lands_nothing() {
+fn a_failed_transaction_refuses_further_statements_and_commits_nothing() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -123,7 +123,7 @@
         let client = rig.connect(0, "slots").await;
         let copy = client.batch_execute("COPY kv TO STDOUT").await;
         assert_eq!(state(copy), Some(SqlState::FEATURE_NOT_SUPPORTED));
-        assert_eq!(cell(&client, "SELECT 1").await, "1");
+        assert_eq!(first_cell(&client, "SELECT 1").await, "1");
         client
             .batch_execute("BEGIN; INSERT INTO kv VALUES ('a', '1')")
             .await
@@ -150,9 +150,9 @@
 /// reached. Cause: behind the text a transaction was open, and such an answer
 /// was passed on without waiting for a majority.
 #[test]
-fn a_commit_with_a_begin_behind_it_waits_for_a_majority() {
+fn a_commit_followed_by_a_begin_waits_for_a_majority() {
     let mut rig = Rig::open(1);
-    let text = rig::text(&rig.group.addresses());
+    let text = rig::catalog_text(&rig.group.addresses());
     run(async {
         let client = rig.connect(0, "slots").await;
         client
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn portals_give_their_rows_in_parts() {
+fn portals_return_rows_in_parts() {
     let rig = Rig::open(1);
     run(async {
         let mut client = rig.connect(0, "slots").await;
@@ -193,7 +193,7 @@
 
 /// The answer is a hundred times the window, and the reader takes its time.
 #[test]
-fn a_large_answer_reaches_a_slow_reader_whole() {
+fn a_slow_reader_receives_a_large_answer_completely() {
     use futures_util::TryStreamExt;
     let rig = Rig::open(1);
     run(async {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_error_in_a_pipeline_leaves_the_others_their_answers() {
+fn an_error_in_a_pipeline_does_not_affect_other_statements() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -251,7 +251,7 @@
 /// caller sets a setting, another asks for it on the same connection. Cause:
 /// the connection went back to the pool as if it had not been changed.
 #[test]
-fn settings_stay_with_their_session() {
+fn settings_are_not_visible_to_other_sessions() {
     let rig = Rig::open(2);
     run(async {
         let first = rig.connect(0, "status").await;
@@ -267,8 +267,8 @@
             .execute("SET search_path TO 'a', 'b'", &[])
             .await
             .unwrap();
-        assert_eq!(cell(&first, "SHOW search_path").await, "\"a\", \"b\"");
-        assert_eq!(cell(&first, "SHOW app.desk").await, "it's 4");
+        assert_eq!(first_cell(&first, "SHOW search_path").await, "\"a\", \"b\"");
+        assert_eq!(first_cell(&first, "SHOW app.desk").await, "it's 4");
         for _ in 0..24 {
             // A session without other settings, so that nothing else makes the
             // others reset the connection that they find as SET left it.
@@ -278,23 +278,23 @@
                 .await
                 .unwrap();
             for other in others.iter().cycle().take(8) {
-                assert_eq!(cell(other, "SHOW app.desk").await, "");
+                assert_eq!(first_cell(other, "SHOW app.desk").await, "");
             }
             first
                 .batch_execute("SET TimeZone = 'Africa/Kigali'")
                 .await
                 .unwrap();
             for other in &others {
-                assert_eq!(cell(other, "SHOW timezone").await, "UTC");
+                assert_eq!(first_cell(other, "SHOW timezone").await, "UTC");
             }
-            assert_eq!(cell(&first, "SHOW timezone").await, "Africa/Kigali");
-            assert_eq!(cell(&first, "SHOW app.desk").await, "it's 4");
+            assert_eq!(first_cell(&first, "SHOW timezone").await, "Africa/Kigali");
+            assert_eq!(first_cell(&first, "SHOW app.desk").await, "it's 4");
         }
         first.batch_execute("RESET app.desk").await.unwrap();
-        assert_eq!(cell(&first, "SHOW app.desk").await, "");
-        assert_eq!(cell(&first, "SHOW timezone").await, "Africa/Kigali");
+        assert_eq!(first_cell(&first, "SHOW app.desk").await, "");
+        assert_eq!(first_cell(&first, "SHOW timezone").await, "Africa/Kigali");
         first.batch_execute("DISCARD ALL").await.unwrap();
-        assert_eq!(cell(&first, "SHOW timezone").await, "UTC");
+        assert_eq!(first_cell(&first, "SHOW timezone").await, "UTC");
     });
 }
 
@@ -302,7 +302,7 @@
 /// was rolled back stayed, or came to another caller. Events: SET between
 /// BEGIN and its end. Cause: only settings outside transactions were kept.
 #[test]
-fn settings_end_as_their_transaction_does() {
+fn settings_follow_the_end_of_their_transaction() {
     let rig = Rig::open(1);
     run(async {
         let first = rig.connect(0, "slots").await;
@@ -310,14 +310,14 @@
         first.batch_execute("BEGIN").await.unwrap();
         first.batch_execute("SET app.desk = 'kept'").await.unwrap();
         first.batch_execute("COMMIT").await.unwrap();
-        assert_eq!(cell(&other, "SHOW app.desk").await, "");
-        assert_eq!(cell(&first, "SHOW app.desk").await, "kept");
+        assert_eq!(first_cell(&other, "SHOW app.desk").await, "");
+        assert_eq!(first_cell(&first, "SHOW app.desk").await, "kept");
         first.batch_execute("BEGIN").await.unwrap();
         first.batch_execute("SET app.desk = 'lost'").await.unwrap();
         first.batch_execute("ROLLBACK").await.unwrap();
         for _ in 0..6 {
-            assert_eq!(cell(&first, "SHOW app.desk").await, "kept");
-            assert_eq!(cell(&other, "SHOW app.desk").await, "");
+            assert_eq!(first_cell(&first, "SHOW app.desk").await, "kept");
+            assert_eq!(first_cell(&other, "SHOW app.desk").await, "");
         }
         first
             .batch_execute(
@@ -326,7 +326,7 @@
             .await
             .unwrap();
         assert_eq!(
-            cell(&first, "SHOW default_transaction_isolation").await,
+            first_cell(&first, "SHOW default_transaction_isolation").await,
             "repeatable read"
         );
     });
@@ -337,12 +337,12 @@
 /// protocol. Cause: only simple queries were looked at, and the upstream took
 /// the name for a setting of somebody's extension.
 #[test]
-fn the_token_travels_by_every_way() {
+fn the_session_token_is_accepted_in_all_forms() {
     let rig = Rig::open(2);
     run(async {
         let first = rig.connect(0, "slots").await;
         first.execute(INSERT, &[&"a", &"1"]).await.unwrap();
-        let token = cell(&first, "SHOW dandelionlink.session").await;
+        let token = first_cell(&first, "SHOW dandelionlink.session").await;
         let row = first
             .query_one("SHOW dandelionlink.session", &[])
             .await
@@ -351,10 +351,13 @@
         assert!(!token.is_empty());
 
         let second = rig.connect(1, "slots").await;
-        assert_eq!(cell(&second, "SHOW dandelionlink.session").await, "");
+        assert_eq!(first_cell(&second, "SHOW dandelionlink.session").await, "");
         let set = format!("SET dandelionlink.session = '{token}'");
         second.execute(&set, &[]).await.unwrap();
-        assert_eq!(cell(&second, "SHOW dandelionlink.session").await, token);
+        assert_eq!(
+            first_cell(&second, "SHOW dandelionlink.session").await,
+            token
+        );
         let forged = second.execute("SET dandelionlink.session = 'x'", &[]).await;
         assert_eq!(state(forged), Some(SqlState::INVALID_PARAMETER_VALUE));
         let mixed = second.batch_execute(&format!("{set}; SELECT 1")).await;
@@ -367,13 +370,16 @@
             })
             .await;
         let third = third.unwrap();
-        assert_eq!(cell(&third, "SHOW dandelionlink.session").await, token);
-        assert_eq!(cell(&third, "SHOW app.desk").await, "4 b");
+        assert_eq!(
+            first_cell(&third, "SHOW dandelionlink.session").await,
+            token
+        );
+        assert_eq!(first_cell(&third, "SHOW app.desk").await, "4 b");
     });
 }
 
 #[test]
-fn logins_are_refused_with_their_states() {
+fn refused_logins_return_their_sqlstate() {
     let rig = Rig::open(1);
     run(async {
         rig.connect(0, "slots").await;
@@ -399,7 +405,7 @@
 /// the caller cancels again. Cause: the key in a cancel request was read in
 /// the form of a newer protocol and never compared.
 #[test]
-fn a_cancel_hits_its_statement_and_no_other() {
+fn a_cancel_request_cancels_only_its_statement() {
     let rig = Rig::open(2);
     // One of the two instances holds the primary's connections.
     cancel(&rig, 0);
@@ -434,22 +440,25 @@
 }
 
 #[test]
-fn what_drivers_ask_first_is_answered() {
+fn initial_queries_of_drivers_are_answered() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
         assert!(
-            cell(&client, "SELECT version()")
+            first_cell(&client, "SELECT version()")
                 .await
                 .starts_with("PostgreSQL")
         );
-        assert_eq!(cell(&client, "SELECT current_schema()").await, "public");
         assert_eq!(
-            cell(&client, "SHOW transaction isolation level").await,
+            first_cell(&client, "SELECT current_schema()").await,
+            "public"
+        );
+        assert_eq!(
+            first_cell(&client, "SHOW transaction isolation level").await,
             "read committed"
         );
         assert_eq!(
-            cell(&client, "SHOW standard_conforming_strings").await,
+            first_cell(&client, "SHOW standard_conforming_strings").await,
             "on"
         );
         let statement = client.prepare("SELECT 1").await.unwrap();
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -13,7 +13,7 @@
 /// write comes. Cause, where it fails: nobody orders a promotion, or the new
 /// primary does not hold the acknowledged write.
 #[test]
-fn a_write_lands_after_the_primary_crashed() {
+fn a_write_succeeds_after_a_crash_of_the_primary() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -46,7 +46,7 @@
 /// a replica; it executes both, again and again. Cause, where it fails: what was
 /// prepared is run where it was prepared.
 #[test]
-fn what_was_prepared_runs_on_the_new_primary() {
+fn prepared_statements_run_on_the_new_primary() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -57,9 +57,9 @@
         client.execute(&write, &[&"a", &"1"]).await.unwrap();
         for round in 0..2 {
             // One that was replaced goes on to call itself primary for a while.
-            let leads = |index: &usize| rig.group.report(*index).role == Role::Primary;
+            let is_primary = |index: &usize| rig.group.report(*index).role == Role::Primary;
             let term = |index: &usize| rig.group.report(*index).received.term;
-            let primary = (0..3).filter(leads).max_by_key(term).unwrap();
+            let primary = (0..3).filter(is_primary).max_by_key(term).unwrap();
             rig.group.set_fault(primary, Fault::Crashed);
             let key = format!("b{round}");
             execute_until_done(&client, &write, &key).await;
--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -12,7 +12,7 @@
 };
 
 use fake::{group::Fault, store};
-use rig::{Rig, run, text};
+use rig::{Rig, catalog_text, run};
 use tokio_postgres::Client;
 
 async fn write(client: &Client, key: &str) -> Result<u64, tokio_postgres::Error> {
@@ -43,7 +43,7 @@
 /// goes down while instances run. Cause, where it fails: requests wait for a
 /// store that they don't need under a known term.
 #[test]
-fn service_goes_on_while_the_store_is_down() {
+fn requests_succeed_while_the_store_is_down() {
     let rig = Rig::open(2);
     run(async {
         let client = rig.connect(1, "slots").await;
@@ -61,7 +61,7 @@
 /// still believes that it leads. Cause, where it fails: a write that only the
 /// old primary holds is acknowledged.
 #[test]
-fn a_primary_that_is_cut_off_is_replaced_and_acknowledges_nothing() {
+fn an_isolated_primary_is_replaced_and_acknowledges_nothing() {
     let rig = Rig::open(3);
     run(async {
         let client = rig.connect(1, "slots").await;
@@ -83,7 +83,7 @@
 /// can't reach it, so nothing that it writes is held by a majority. Cause,
 /// where it fails: the primary's own word is taken for an acknowledgement.
 #[test]
-fn a_primary_parted_from_its_replicas_acknowledges_nothing() {
+fn a_primary_separated_from_its_replicas_acknowledges_nothing() {
     let rig = Rig::open(3);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -104,7 +104,7 @@
 /// come late, after requests were given up. Cause, where it fails: a
 /// connection with an unread answer is used again.
 #[test]
-fn late_answers_reach_nobody_else() {
+fn late_answers_reach_no_other_request() {
     let rig = Rig::open(2);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -150,9 +150,9 @@
 /// catalogue marks it as leaving. Cause, where it fails: the change does not
 /// reach the routing of every instance.
 #[test]
-fn an_upstream_that_is_leaving_gets_no_new_work() {
+fn a_leaving_upstream_gets_no_new_requests() {
     let mut rig = Rig::open(2);
-    let leaving = text(&rig.group.addresses()).replace(
+    let leaving = catalog_text(&rig.group.addresses()).replace(
         "[database.booking.upstream.booking-2]\n",
         "[database.booking.upstream.booking-2]\nleaving = true\n",
     );
--- a/crates/daemon/tests/log.rs
+++ b/crates/daemon/tests/log.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// How many lines are read in search of one.
-const LINES: usize = 100;
+const MAX_LINES: usize = 100;
 
 /// A daemon that ends with the test.
 struct Process(Child);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_line_names_instance_and_zone_and_the_daemons_own_the_duty() {
+fn log_lines_have_instance_and_zone_and_those_of_the_daemon_the_duty() {
     let store = fake::Store::spawn().unwrap();
     let child = Command::new(env!("CARGO_BIN_EXE_dandelionlinkd"))
         .env_clear()
@@ -46,7 +46,7 @@
     store.set_fault(fake::store::Fault::Down);
     let out = process.0.stdout.take().unwrap();
     let mut duties = Vec::new();
-    for line in BufReader::new(out).lines().take(LINES) {
+    for line in BufReader::new(out).lines().take(MAX_LINES) {
         let line: Value = serde_json::from_str(&line.unwrap()).unwrap();
         assert_eq!(line["diags"]["instance"], "entry-7", "{line}");
         assert_eq!(line["diags"]["zone"], "nl-west-2", "{line}");
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_id_that_can_promise_nothing_is_refused() {
+fn an_id_that_can_not_guarantee_one_execution_is_refused() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
@@ -80,7 +80,7 @@
 /// until it is answered. Cause, where it fails: a repeat runs although the
 /// first run's commit survived, or an answer came for one that did not.
 #[test]
-fn bookings_with_ids_land_once_through_a_change_of_primary() {
+fn bookings_with_ids_take_effect_once_across_a_change_of_primary() {
     let rig = Rig::open(3);
     let mut tasks = Vec::new();
     run(async {
@@ -90,12 +90,12 @@
                 for round in 0..30 {
                     let key = format!("{caller}-{round}");
                     let id = id(1_000 * caller + round);
-                    let mut tries = 0;
+                    let mut attempts = 0;
                     while let Err(error) = book(&client, &id, &key).await {
-                        let told = state(&error);
-                        assert!(told.starts_with("DL00"), "{key}: {error:?}");
-                        tries += 1;
-                        assert!(tries < 200, "{key} never landed");
+                        let code = state(&error);
+                        assert!(code.starts_with("DL00"), "{key}: {error:?}");
+                        attempts += 1;
+                        assert!(attempts < 200, "{key} never landed");
                         tokio::time::sleep(Duration::from_millis(20)).await;
                     }
                 }
@@ -116,7 +116,7 @@
 /// ids are older than the days for which they are kept. Cause, where it fails:
 /// no instance deletes them.
 #[test]
-fn old_ids_are_cleaned_and_new_ones_kept() {
+fn expired_ids_are_deleted_and_others_kept() {
     let rig = Rig::open(2);
     run(async {
         let client = rig.connect(0, "slots").await;
--- a/crates/daemon/tests/readme.rs
+++ b/crates/daemon/tests/readme.rs
@@ -6,7 +6,7 @@
 const README: &str = include_str!("../../../README.md");
 
 #[test]
-fn the_readme_has_the_help_as_it_is_printed() {
+fn the_readme_contains_the_printed_help() {
     let early = Args::from_args(&["dandelionlinkd"], &["--help"]).unwrap_err();
     assert!(early.status.is_ok());
     assert!(
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -9,7 +9,7 @@
     net::TcpStream,
 };
 
-async fn asked(ops: std::net::SocketAddr, path: &str) -> Option<String> {
+async fn get(ops: std::net::SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(ops).await.ok()?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.ok()?;
@@ -19,13 +19,13 @@
 }
 
 async fn readyz(ops: std::net::SocketAddr) -> Option<u16> {
-    let answer = asked(ops, "/readyz").await?;
+    let answer = get(ops, "/readyz").await?;
     answer.split(' ').nth(1)?.parse().ok()
 }
 
 /// Which other instances one knows to be alive.
-async fn known(ops: std::net::SocketAddr) -> usize {
-    let answer = asked(ops, "/status").await.unwrap_or_default();
+async fn alive_members(ops: std::net::SocketAddr) -> usize {
+    let answer = get(ops, "/status").await.unwrap_or_default();
     answer.matches("\"health\":\"alive\"").count()
 }
 
@@ -35,21 +35,21 @@
 /// it, so all greetings of a start were dropped, and a record is told only a
 /// few times.
 #[test]
-fn instances_that_start_at_once_know_each_other() {
+fn instances_that_start_together_discover_each_other() {
     let rig = Rig::open(9);
     run(async {
-        let mut all = Vec::new();
+        let mut counts = Vec::new();
         for _ in 0..300 {
-            all.clear();
+            counts.clear();
             for daemon in rig.daemons.iter().flatten() {
-                all.push(known(daemon.ops()).await);
+                counts.push(alive_members(daemon.ops()).await);
             }
-            if all.iter().all(|known| *known == 8) {
+            if counts.iter().all(|alive_members| *alive_members == 8) {
                 return;
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        panic!("known others: {all:?}");
+        panic!("known others: {counts:?}");
     });
 }
 
@@ -74,7 +74,7 @@
 
 /// A stop lets an open transaction finish, and takes no new caller meanwhile.
 #[test]
-fn an_instance_that_drains_is_not_ready() {
+fn a_draining_instance_is_not_ready() {
     let mut rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// The catalogue's text for a group at these addresses.
-pub(crate) fn text(addresses: &[SocketAddr]) -> String {
+pub(crate) fn catalog_text(addresses: &[SocketAddr]) -> String {
     let verifier = postgres_protocol::password::scram_sha_256(PASSWORD.as_bytes());
     let mut text = format!(
         "[tenant.yard]\nusers = {{ groom = \"{verifier}\" }}\n\n[database.booking]\ndbname = \"booking\"\n"
@@ -77,7 +77,7 @@
             daemons: Vec::new(),
             applied: Snapshot::default(),
         };
-        rig.apply(&text(&rig.group.addresses()));
+        rig.apply(&catalog_text(&rig.group.addresses()));
         for index in 0..count {
             let daemon = Daemon::spawn(&rig.settings(index, args)).expect("a daemon");
             rig.daemons.push(Some(daemon));
--- a/crates/daemon/tests/roam.rs
+++ b/crates/daemon/tests/roam.rs
@@ -48,7 +48,7 @@
 /// many callers at every instance at once. Cause, where it fails: each
 /// instance opens connections of its own instead of asking a holder.
 #[test]
-fn upstreams_never_have_more_connections_than_they_take() {
+fn upstreams_never_exceed_their_connection_limit() {
     let rig = Rig::open(3);
     run(async {
         let mut tasks = Vec::new();
@@ -79,7 +79,7 @@
 /// the middle of the transaction. Cause, where it fails: the holder does not
 /// end what a gone instance left.
 #[test]
-fn an_instance_that_dies_in_a_transaction_leaves_nothing() {
+fn transactions_of_a_killed_instance_are_rolled_back() {
     let mut rig = Rig::open(3);
     run(async {
         for instance in 0..3 {
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -7,7 +7,7 @@
     settings::{Args, What},
 };
 
-fn right() -> BTreeMap<&'static str, String> {
+fn valid_env() -> BTreeMap<&'static str, String> {
     BTreeMap::from([
         ("DANDELIONLINK_INSTANCE", "entry-1".to_owned()),
         ("DANDELIONLINK_ZONE", "nl-west-1".to_owned()),
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
-    let mut env = right();
+fn a_flag_overrides_its_variable() {
+    let mut env = valid_env();
     env.insert("DANDELIONLINK_CALLERS", "7".to_owned());
     env.insert("DANDELIONLINK_LISTEN", "127.0.0.1:1".to_owned());
     let args = Args {
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once_and_named() {
-    let mut env = right();
+fn all_faults_are_reported_at_once_with_their_names() {
+    let mut env = valid_env();
     env.remove("DANDELIONLINK_INSTANCE");
     let wrong = [
         ("DANDELIONLINK_LISTEN", "here"),
@@ -97,16 +97,16 @@
 }
 
 #[test]
-fn the_program_checks_and_tells_by_its_exit_code() {
+fn the_check_flag_reports_faults_by_the_exit_code() {
     let check = |env: &BTreeMap<&'static str, String>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dandelionlinkd"));
         let output = command.env_clear().envs(env).arg("--check").output();
         output.expect("the program runs")
     };
-    let output = check(&right());
+    let output = check(&valid_env());
     assert_eq!(output.status.code(), Some(0));
     assert!(output.stderr.is_empty());
-    let mut wrong = right();
+    let mut wrong = valid_env();
     wrong.remove("DANDELIONLINK_ZONE");
     wrong.insert("DANDELIONLINK_STORE", "x".to_owned());
     let output = check(&wrong);
--- a/crates/daemon/tests/tls.rs
+++ b/crates/daemon/tests/tls.rs
@@ -105,7 +105,7 @@
 /// the way puts bytes behind the request for TLS. Cause, where it fails: they
 /// are kept and taken for the first of the encrypted session.
 #[test]
-fn bytes_ahead_of_the_handshake_are_refused() {
+fn bytes_before_the_handshake_are_refused() {
     let files = Files::make("ahead");
     let rig = Rig::open_with(1, &files.args());
     run(async {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn faults_of_the_files_are_told_at_the_start() {
+fn faults_of_the_files_are_reported_at_startup() {
     let (files, other) = (Files::make("faults"), Files::make("faults-other"));
     let read = |certificate: Option<String>, key: Option<String>| {
         let args = Args {
--- a/crates/daemon/tests/wire.rs
+++ b/crates/daemon/tests/wire.rs
@@ -42,7 +42,7 @@
     }
 
     /// The messages up to and with the first of type `last`.
-    async fn until(&mut self, last: u8) -> Vec<Frame> {
+    async fn recv_until(&mut self, last: u8) -> Vec<Frame> {
         let mut found = Vec::new();
         while let Some(frame) = self.recv().await {
             let tag = frame.0;
@@ -70,7 +70,7 @@
 
     /// Logs in after the startup message and returns what came on the way.
     async fn log_in(&mut self) -> Vec<Frame> {
-        let mut found = self.until(b'R').await;
+        let mut found = self.recv_until(b'R').await;
         let binding = ChannelBinding::unsupported();
         let mut scram = ScramSha256::new(b"wachtwoord", binding);
         let mut buf = bytes::BytesMut::new();
@@ -80,7 +80,7 @@
         scram.update(&challenge[4..]).unwrap();
         frontend::sasl_response(scram.message(), &mut buf).unwrap();
         self.send(&buf).await;
-        found.extend(self.until(b'Z').await);
+        found.extend(self.recv_until(b'Z').await);
         found
     }
 
@@ -131,7 +131,7 @@
 }
 
 /// The rig once its daemon has the catalogue.
-async fn ready(rig: &Rig) {
+async fn wait_ready(rig: &Rig) {
     let client = rig.connect(0, "slots").await;
     client.batch_execute("SELECT 1").await.unwrap();
 }
@@ -140,7 +140,7 @@
 fn encryption_is_declined_and_newer_protocols_are_negotiated() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut raw = Raw::open(&rig).await;
         raw.send(&[0, 0, 0, 8, 4, 210, 22, 48]).await;
         assert_eq!(raw.byte().await, b'N');
@@ -157,13 +157,13 @@
         assert_eq!(negotiated[..8], [0, 3, 0, 0, 0, 0, 0, 1]);
         assert_eq!(&negotiated[8..], b"_pq_.news\0");
         raw.send(&query("SHOW extra_float_digits")).await;
-        assert_eq!(tags(&raw.until(b'Z').await), "TDCZ");
+        assert_eq!(tags(&raw.recv_until(b'Z').await), "TDCZ");
         raw.send(&query("")).await;
-        assert_eq!(tags(&raw.until(b'Z').await), "IZ");
+        assert_eq!(tags(&raw.recv_until(b'Z').await), "IZ");
 
         let mut old = Raw::open(&rig).await;
         old.send(&[0, 0, 0, 8, 0, 2, 0, 0]).await;
-        assert_eq!(state(&old.until(b'E').await), Some("0A000"));
+        assert_eq!(state(&old.recv_until(b'E').await), Some("0A000"));
     });
 }
 
@@ -172,59 +172,59 @@
 /// took a batch of nothing but a Sync for an empty one and answered it itself,
 /// so the server never committed.
 #[test]
-fn a_sync_behind_a_flush_commits() {
+fn a_sync_after_a_flush_commits() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut raw = Raw::session(&rig).await;
         let insert = extended("INSERT INTO kv VALUES ('a', '1')");
         raw.send(&[insert.clone(), flush()].concat()).await;
-        assert_eq!(tags(&raw.until(b'C').await), "12nC");
+        assert_eq!(tags(&raw.recv_until(b'C').await), "12nC");
         assert_eq!(rig.group.value(0, "a"), None);
         raw.send(&sync()).await;
-        let end = raw.until(b'Z').await;
+        let end = raw.recv_until(b'Z').await;
         assert!(tags(&end).ends_with('Z') && state(&end).is_none());
         assert_eq!(rig.group.value(0, "a").as_deref(), Some("1"));
 
         // The second time the key is there: what is behind the error is skipped.
         raw.send(&[insert, flush()].concat()).await;
-        assert_eq!(state(&raw.until(b'E').await), Some("23505"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("23505"));
         raw.send(&[extended("SELECT 1"), sync(), query("SELECT 1")].concat())
             .await;
-        assert_eq!(tags(&raw.until(b'Z').await), "Z");
-        assert_eq!(tags(&raw.until(b'Z').await), "TDCZ");
+        assert_eq!(tags(&raw.recv_until(b'Z').await), "Z");
+        assert_eq!(tags(&raw.recv_until(b'Z').await), "TDCZ");
     });
 }
 
 #[test]
-fn a_refusal_behind_a_flush_takes_back_what_was_open() {
+fn a_refusal_after_a_flush_rolls_back_the_open_batch() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut raw = Raw::session(&rig).await;
         let insert = extended("INSERT INTO kv VALUES ('a', '1')");
         raw.send(&[insert, flush()].concat()).await;
-        raw.until(b'C').await;
+        raw.recv_until(b'C').await;
         raw.send(&[extended("COPY kv TO STDOUT"), flush()].concat())
             .await;
-        assert_eq!(state(&raw.until(b'E').await), Some("0A000"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("0A000"));
         raw.send(&sync()).await;
-        assert_eq!(raw.until(b'Z').await, [(b'Z', b"I".to_vec())]);
+        assert_eq!(raw.recv_until(b'Z').await, [(b'Z', b"I".to_vec())]);
         assert_eq!(rig.group.value(0, "a"), None);
     });
 }
 
 /// A caller that is gone leaves no transaction and no lock behind.
 #[test]
-fn a_caller_that_leaves_takes_its_transaction_along() {
+fn transactions_of_disconnected_callers_are_rolled_back() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         for ending in [message(b'X', &[]), Vec::new()] {
             let mut raw = Raw::session(&rig).await;
             raw.send(&query("BEGIN; INSERT INTO kv VALUES ('a', '1')"))
                 .await;
-            raw.until(b'Z').await;
+            raw.recv_until(b'Z').await;
             raw.send(&ending).await;
             drop(raw);
         }
@@ -264,7 +264,7 @@
         for case in cases {
             let mut raw = Raw::session(&rig).await;
             raw.send(&case).await;
-            let end = raw.until(b'E').await;
+            let end = raw.recv_until(b'E').await;
             assert_eq!(state(&end), Some("08P01"), "{case:?}");
             assert_eq!(raw.recv().await, None);
             neighbour.batch_execute("SELECT 1").await.unwrap();
@@ -276,35 +276,35 @@
 /// log in announce messages of 16 MB and send them byte by byte. Cause: the
 /// bound on messages was that of a session.
 #[test]
-fn a_peer_that_has_not_logged_in_gets_no_room() {
+fn messages_before_the_login_are_limited_in_size() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut raw = Raw::open(&rig).await;
         raw.start(0, "groom", &[]).await;
-        raw.until(b'R').await;
+        raw.recv_until(b'R').await;
         raw.send(&[b'p', 0, 0, 0x20, 0]).await;
-        assert_eq!(state(&raw.until(b'E').await), Some("08P01"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("08P01"));
         assert_eq!(raw.recv().await, None);
 
         let mut raw = Raw::open(&rig).await;
         raw.send(&[0, 0, 0x40, 0, 0, 3, 0, 0]).await;
-        assert_eq!(state(&raw.until(b'E').await), Some("08P01"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("08P01"));
 
         let mut raw = Raw::open(&rig).await;
         raw.start(0, "groom", &[]).await;
-        raw.until(b'R').await;
+        raw.recv_until(b'R').await;
         raw.send(&query("SELECT 1")).await;
-        assert_eq!(state(&raw.until(b'E').await), Some("08P01"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("08P01"));
     });
 }
 
 /// The number of connections that log in at once is bounded.
 #[test]
-fn more_logins_than_the_bound_are_refused() {
+fn concurrent_logins_above_the_limit_are_refused() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut waiting = Vec::new();
         for _ in 0..1_024 {
             let mut raw = Raw::open(&rig).await;
@@ -313,7 +313,7 @@
             waiting.push(raw);
         }
         let mut raw = Raw::open(&rig).await;
-        assert_eq!(state(&raw.until(b'E').await), Some("53300"));
+        assert_eq!(state(&raw.recv_until(b'E').await), Some("53300"));
         drop(waiting);
         rig.connect(0, "slots").await;
     });
@@ -326,12 +326,12 @@
 fn an_unknown_user_looks_like_a_wrong_password() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let mut salts = Vec::new();
         for user in ["nobody", "nobody", "groom"] {
             let mut raw = Raw::open(&rig).await;
             raw.start(0, user, &[]).await;
-            raw.until(b'R').await;
+            raw.recv_until(b'R').await;
             let mut scram = ScramSha256::new(b"wrong", ChannelBinding::unsupported());
             let mut buf = bytes::BytesMut::new();
             frontend::sasl_initial_response("SCRAM-SHA-256", scram.message(), &mut buf).unwrap();
@@ -342,7 +342,7 @@
             scram.update(&challenge[4..]).unwrap();
             frontend::sasl_response(scram.message(), &mut buf).unwrap();
             raw.send(&buf).await;
-            let end = raw.until(b'E').await;
+            let end = raw.recv_until(b'E').await;
             assert_eq!((tags(&end).as_str(), state(&end)), ("E", Some("28P01")));
         }
         assert_eq!(salts[0], salts[1]);
@@ -355,10 +355,10 @@
 /// request and closes its end at once. Cause: the end of the stream was
 /// looked at before what had come ahead of it.
 #[test]
-fn a_cancel_counts_although_its_sender_is_gone() {
+fn a_cancel_request_works_after_its_sender_has_disconnected() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         let holder = rig.connect(0, "slots").await;
         for round in 1..=10 {
             holder
@@ -378,7 +378,7 @@
                 .send(&[&[0, 0, 0, 16, 4, 210, 22, 46], &key[..]].concat())
                 .await;
             cancel.0.shutdown().await.unwrap();
-            assert_eq!(state(&raw.until(b'Z').await), Some("57014"));
+            assert_eq!(state(&raw.recv_until(b'Z').await), Some("57014"));
             holder.batch_execute("ROLLBACK").await.unwrap();
         }
     });
@@ -390,21 +390,21 @@
 /// executed. Cause: the first part runs nothing, so it went to a replica, and what
 /// follows a Flush has to go where the first part went.
 #[test]
-fn a_write_that_is_prepared_ahead_of_a_flush_runs_on_the_primary() {
+fn a_write_prepared_before_a_flush_runs_on_the_primary() {
     let rig = Rig::open(1);
     run(async {
-        ready(&rig).await;
+        wait_ready(&rig).await;
         for round in 0..6 {
             let mut raw = Raw::session(&rig).await;
             let sql = format!("INSERT INTO kv (key, value) VALUES ('prepared-{round}', 'x')");
             let parse = message(b'P', format!("s1\0{sql}\0\0\0").as_bytes());
             let describe = message(b'D', b"Ss1\0");
             raw.send(&[parse, describe, flush()].concat()).await;
-            assert!(tags(&raw.until(b'n').await).starts_with("1t"));
+            assert!(tags(&raw.recv_until(b'n').await).starts_with("1t"));
             let bind = message(b'B', b"\0s1\0\0\0\0\0\0\0");
             let execute = message(b'E', &[0; 5]);
             raw.send(&[bind, execute, sync()].concat()).await;
-            let frames = raw.until(b'Z').await;
+            let frames = raw.recv_until(b'Z').await;
             assert_eq!(state(&frames), None, "round {round}");
             // Bound, run, the session's token, ready.
             assert_eq!(tags(&frames), "2CSZ");
