--- a/crates/daemon/examples/common/caller.rs
+++ b/crates/daemon/examples/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: an unmodified PostgreSQL client that keeps its session's token.
+//! A caller: an unmodified PostgreSQL client that keeps its session token.
 
 use std::{
     cell::RefCell,
@@ -11,38 +11,38 @@
 use anyhow::Context;
 use tokio_postgres::{Client, Connection, NoTls, Socket, tls::NoTlsStream};
 
-/// The user of the examples' one tenant.
+/// The user of the examples' tenant.
 pub(crate) const USER: &str = "groom";
 
-/// That user's password.
+/// The password of [`USER`].
 pub(crate) const PASSWORD: &str = "wachtwoord";
 
-/// How long a caller tries to connect: a daemon that has just started refuses
-/// callers until it has the catalogue.
+/// Longest time for connecting. A daemon refuses callers until it has the
+/// catalogue.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause between two tries.
+/// Pause between two attempts to connect.
 const CONNECT_PAUSE: Duration = Duration::from_millis(10);
 
-/// The setting in which an instance tells the session's token.
+/// The parameter in which an instance reports the session token.
 const TOKEN: &str = "dandelionlink.session";
 
 type Token = Rc<RefCell<Option<String>>>;
 
 /// A connected caller.
 pub(crate) struct Caller {
-    /// The client.
+    /// The driver's client.
     pub(crate) client: Client,
     token: Token,
 }
 
 impl Caller {
-    /// Connects to the instance at `address` for `entry`. Needs a
+    /// Connects to the instance at `address` for `entry`. Must run in a
     /// `tokio::task::LocalSet`.
     ///
     /// # Errors
     ///
-    /// The last refusal, when none of the tries came through.
+    /// Returns the last error if no attempt succeeded in time.
     pub(crate) async fn open(address: SocketAddr, entry: &str) -> anyhow::Result<Self> {
         let began = Instant::now();
         loop {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The token that the instance told last, by ParameterStatus.
+    /// The last session token reported by the instance as a parameter status.
     pub(crate) fn token(&self) -> Option<String> {
         self.token.borrow().clone()
     }
@@ -76,7 +76,7 @@
     Ok(Caller { client, token })
 }
 
-/// Moves the connection's messages and notes the token as it changes.
+/// Drives the connection and records changes of the token.
 async fn drive(mut connection: Connection<Socket, NoTlsStream>, token: Token) {
     loop {
         let message = poll_fn(|context| {
--- a/crates/daemon/examples/common/cluster.rs
+++ b/crates/daemon/examples/common/cluster.rs
@@ -15,43 +15,45 @@
 
 use super::caller::{PASSWORD, USER};
 
-/// The upstreams of the one database.
+/// Number of upstreams of the database.
 const UPSTREAMS: usize = 3;
 
-/// The longest that a call to the store takes.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the examples vary.
+/// Configuration of an example's cluster.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Conf {
-    /// How many daemons run.
+    /// Number of daemons.
     pub(crate) daemons: usize,
-    /// How many callers each daemon takes.
+    /// Limit on each daemon's callers.
     pub(crate) callers: usize,
-    /// How many connections each upstream takes.
+    /// Limit on each upstream's connections.
     pub(crate) connections: usize,
-    /// Where random choices begin.
+    /// Seed of the random number generators.
     pub(crate) seed: u64,
 }
 
-/// The parts, running.
+/// A running store, group of upstreams and daemons.
 pub(crate) struct Cluster {
-    /// The platform's store.
+    /// The simulated store.
     pub(crate) store: fake::Store,
-    /// The database's upstreams; the first is primary.
+    /// The database's upstreams; the first one is the initial primary.
     pub(crate) group: fake::Group,
     /// The daemons.
     pub(crate) daemons: Vec<Daemon>,
-    /// The revision of the catalogue.
+    /// The revision of the applied catalogue.
     pub(crate) revision: u64,
 }
 
 impl Cluster {
-    /// Starts all parts and applies the catalogue.
+    /// Starts the store, the upstreams and the daemons, and applies the
+    /// catalogue.
     ///
     /// # Errors
     ///
-    /// Tells which part did not start.
+    /// Fails if one of them can't be started, or if the catalogue can't be
+    /// applied.
     pub(crate) fn open(conf: Conf) -> anyhow::Result<Self> {
         let store = fake::Store::spawn().context("the store did not start")?;
         let group_conf = fake::group::Conf {
@@ -76,13 +78,13 @@
         })
     }
 
-    /// Stops the daemons as SIGTERM would, and the rest after them.
+    /// Stops the daemons as SIGTERM would, and then the rest.
     pub(crate) fn stop(self) {
         self.daemons.into_iter().for_each(Daemon::stop);
     }
 }
 
-/// The catalogue, for upstreams at these addresses.
+/// The text of a catalogue for upstreams at these addresses.
 pub(crate) fn catalog_text(addresses: &[SocketAddr], connections: usize) -> String {
     let verifier = postgres_protocol::password::scram_sha_256(PASSWORD.as_bytes());
     let mut text = format!(
@@ -114,13 +116,13 @@
     )
 }
 
-/// The availability zone of an upstream, and of the daemon beside it.
+/// The availability zone of the upstream and the daemon with this index.
 pub(crate) fn zone(index: usize) -> String {
     format!("nl-west-{}", index + 1)
 }
 
-/// Puts `text` in force by one conditional transaction, as `dandelionlink
-/// apply` does, and returns the revision that it made.
+/// Applies the catalogue `text` in one conditional transaction, as
+/// `dandelionlink apply` does, and returns its revision.
 fn apply(store: SocketAddr, text: &str) -> anyhow::Result<u64> {
     let catalog = Catalog::parse(text)?;
     let proposal = Proposal {
@@ -135,7 +137,7 @@
         let gateway = Gateway::open(store, STORE_TIMEOUT).await?;
         match gateway.call(&transaction(plan)).await? {
             Answer::Swapped { revision } => Ok(revision),
-            other => bail!("the store answered {other:?}"),
+            other => bail!("unexpected answer of the store: {other:?}"),
         }
     })
 }
@@ -157,7 +159,7 @@
     }
 }
 
-/// The settings of a daemon, as its environment would give them.
+/// Reads a daemon's settings from environment variables made for it.
 fn settings(
     index: usize,
     store: SocketAddr,
--- a/crates/daemon/examples/common/mod.rs
+++ b/crates/daemon/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the examples share; each of them uses a part.
+//! Modules shared by the examples; each example uses a part of them.
 #![allow(dead_code)]
 
 pub(crate) mod caller;
--- a/crates/daemon/examples/loopback/idle.rs
+++ b/crates/daemon/examples/loopback/idle.rs
@@ -1,4 +1,4 @@
-//! The memory of idle callers.
+//! Memory use of idle callers.
 
 use std::{
     net::{SocketAddr, TcpStream},
@@ -14,38 +14,40 @@
 /// The entry that idle callers connect to.
 const ENTRY: &str = "slots";
 
-/// Callers that are connected before the first measurement, so that what the
-/// daemon makes once is not counted to the first callers.
+/// Callers that connect before the first measurement, so that the daemon's
+/// one-time allocations are not counted.
 const WARM_UP_CALLERS: usize = 100;
 
-/// Threads that log callers in; the key derivation is the callers' work.
+/// Number of threads that log callers in. The client derives the keys, which
+/// takes most of the time.
 const LOGIN_THREADS: usize = 4;
 
-/// File descriptors for all but the callers.
+/// Number of file descriptors reserved for other uses than callers.
 const OTHER_FILES: u64 = 300;
 
-/// A caller has two ends in this process.
+/// File descriptors of one caller: both ends of its connection are in this
+/// process.
 const FILES_PER_CALLER: u64 = 2;
 
-/// How long the daemon may take to read its catalogue.
+/// Longest time that the daemon may take to read its catalogue.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause between two tries to connect.
+/// Pause between two attempts to connect.
 const READY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a number of idle callers takes.
+/// Memory use of a number of idle callers.
 #[derive(Debug, Serialize)]
 pub(crate) struct Measurement {
-    /// The callers that were asked for.
+    /// Requested number of callers.
     pub(crate) wanted: usize,
-    /// The callers that were connected: as many as the limit on file
-    /// descriptors lets in.
+    /// Number of connected callers, which the limit on file descriptors may
+    /// reduce.
     pub(crate) callers: usize,
-    /// Bytes of resident memory for each of them.
+    /// Resident memory for each caller, in bytes.
     pub(crate) bytes_per_caller: u64,
 }
 
-/// Idle callers.
+/// Connected idle callers.
 pub(crate) struct IdleCallers {
     address: SocketAddr,
     sockets: Vec<TcpStream>,
@@ -53,16 +55,16 @@
 }
 
 impl IdleCallers {
-    /// Connects the first callers, which are not counted.
+    /// Connects the first [`WARM_UP_CALLERS`] callers, which are not measured.
     ///
     /// # Errors
     ///
-    /// Why a caller could not connect.
+    /// Fails if a caller can't connect.
     pub(crate) fn open(address: SocketAddr) -> anyhow::Result<Self> {
         let began = Instant::now();
         while let Err(error) = log_in(address, ENTRY) {
             if began.elapsed() > READY_TIMEOUT {
-                return Err(error).context("the daemon takes no callers");
+                return Err(error).context("the daemon accepts no callers");
             }
             thread::sleep(READY_PAUSE);
         }
@@ -76,11 +78,11 @@
         Ok(callers)
     }
 
-    /// Connects callers until there are `wanted` beside the first ones.
+    /// Connects callers until there are `wanted` in addition to the first ones.
     ///
     /// # Errors
     ///
-    /// Why a caller could not connect.
+    /// Fails if a caller can't connect.
     pub(crate) fn grow(&mut self, wanted: usize) -> anyhow::Result<Measurement> {
         let limit = machine::files().saturating_sub(OTHER_FILES) / FILES_PER_CALLER;
         let limit = usize::try_from(limit).unwrap_or(usize::MAX);
--- a/crates/daemon/examples/loopback/latency.rs
+++ b/crates/daemon/examples/loopback/latency.rs
@@ -1,4 +1,4 @@
-//! Latency and throughput, directly and through the daemon, in turns.
+//! Latency and throughput with and without the daemon, in alternating rounds.
 
 use std::{
     net::SocketAddr,
@@ -14,32 +14,33 @@
 
 use crate::common::caller::Caller;
 
-/// Requests of each caller in one turn.
+/// Number of requests of each caller in a round.
 const REQUESTS_PER_ROUND: usize = 50;
 
-/// Turns that are not counted: connections are opened and statements prepared.
+/// Number of rounds that are not measured, in which connections are opened and
+/// statements prepared.
 const WARM_UP_ROUNDS: usize = 4;
 
-/// Digits of a latency that the histogram keeps.
+/// Significant digits of the latency histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What the callers ask.
+/// The kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Case {
-    /// A read that accepts data of an age.
+    /// A read that accepts data up to an age.
     AgeRead,
-    /// A read of a session that has written before.
+    /// A read in a session that has written before.
     OwnRead,
-    /// A write; through the daemon a majority holds it before its answer.
+    /// A write, which the daemon acknowledges once a majority holds it.
     Write,
 }
 
 impl Case {
-    /// All of them.
+    /// All cases.
     pub(crate) const ALL: [Self; 3] = [Self::AgeRead, Self::OwnRead, Self::Write];
 
-    /// How tables call it.
+    /// The name of the case in the table.
     pub(crate) fn title(self) -> &'static str {
         match self {
             Self::AgeRead => "read, at most an age",
@@ -62,8 +63,8 @@
         }
     }
 
-    /// The upstream that a caller asks directly: as through the daemon, writes
-    /// go to the primary and reads may be spread.
+    /// The upstream for direct requests of a caller: the primary for writes,
+    /// and any upstream for reads, as the daemon would choose.
     fn upstream(self, caller: usize, upstreams: &[SocketAddr]) -> SocketAddr {
         match self {
             Self::AgeRead | Self::OwnRead => upstreams[caller % upstreams.len()],
@@ -72,31 +73,31 @@
     }
 }
 
-/// The figures of one case.
+/// The measurements of one case.
 #[derive(Debug, Serialize)]
 pub(crate) struct Measurement {
     /// The case.
     pub(crate) case: Case,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub(crate) callers: usize,
-    /// Asked directly.
+    /// Results without the daemon.
     pub(crate) direct: Summary,
-    /// Asked through the daemon.
+    /// Results through the daemon.
     pub(crate) proxied: Summary,
 }
 
-/// The figures of one way.
+/// Latency and throughput on one path.
 #[derive(Debug, Serialize)]
 pub(crate) struct Summary {
-    /// Half of the requests took at most this, in microseconds.
+    /// Median latency, in microseconds.
     pub(crate) p50_us: f64,
-    /// 99 of 100 requests took at most this, in microseconds.
+    /// 99th percentile of the latency, in microseconds.
     pub(crate) p99_us: f64,
-    /// Requests in a second.
+    /// Requests per second.
     pub(crate) throughput: f64,
 }
 
-/// The callers of one way, and what they have measured.
+/// The callers of one path and their results.
 struct Path {
     callers: Vec<Worker>,
     histogram: Histogram<u64>,
@@ -110,11 +111,11 @@
     key: String,
 }
 
-/// Measures a case with `width` callers on each way.
+/// Measures a case with `width` callers on each path.
 ///
 /// # Errors
 ///
-/// Why a caller could not connect, or which request failed.
+/// Fails if a caller can't connect or a request fails.
 pub(crate) async fn measure(
     case: Case,
     width: usize,
@@ -175,7 +176,8 @@
         self.elapsed = Duration::ZERO;
     }
 
-    /// Has every caller send its requests, one after the other.
+    /// Sends one round of requests: all callers in parallel, each one
+    /// sequentially.
     async fn run_round(&mut self) -> anyhow::Result<()> {
         let began = Instant::now();
         let tasks: Vec<_> = self
--- a/crates/daemon/examples/loopback/login.rs
+++ b/crates/daemon/examples/loopback/login.rs
@@ -1,7 +1,7 @@
-//! The login of a caller that then stays idle, on a plain blocking socket.
+//! Login of a caller that stays idle, on a blocking socket.
 //!
-//! Nothing of the caller's side stays in memory but its file descriptor, so
-//! that what the process grows by is the daemon's.
+//! The caller keeps nothing in memory but its file descriptor, so the growth of
+//! the process is that of the daemon.
 
 use std::{
     io::{Read, Write},
@@ -17,14 +17,15 @@
 
 use crate::common::caller::{PASSWORD, USER};
 
-/// The longest message of a login, in bytes.
+/// Longest message during a login, in bytes.
 const MAX_MESSAGE: usize = 4_096;
 
-/// Connects, logs in, and returns the socket once the greeting is read.
+/// Connects and logs in, and returns the socket once the daemon is ready for
+/// queries.
 ///
 /// # Errors
 ///
-/// What the daemon refused, or why the socket failed.
+/// Fails if the daemon refuses the login or the socket fails.
 pub(crate) fn log_in(address: SocketAddr, entry: &str) -> anyhow::Result<TcpStream> {
     let mut socket = TcpStream::connect(address)?;
     let mut buf = BytesMut::new();
@@ -36,14 +37,19 @@
         match tag {
             b'R' => respond(&mut socket, &body, &mut scram)?,
             b'Z' => return Ok(socket),
-            b'E' => bail!("refused: {}", String::from_utf8_lossy(&body)),
+            b'E' => bail!(
+                "the daemon refused the login: {}",
+                String::from_utf8_lossy(&body)
+            ),
             _ => {}
         }
     }
 }
 
 fn respond(socket: &mut TcpStream, body: &[u8], scram: &mut ScramSha256) -> anyhow::Result<()> {
-    let (method, rest) = body.split_first_chunk::<4>().context("a short message")?;
+    let (method, rest) = body
+        .split_first_chunk::<4>()
+        .context("an authentication message is too short")?;
     let mut buf = BytesMut::new();
     match i32::from_be_bytes(*method) {
         0 => {}
@@ -53,7 +59,7 @@
             frontend::sasl_response(scram.message(), &mut buf)?;
         }
         12 => scram.finish(rest)?,
-        other => bail!("the login method {other} is not known"),
+        other => bail!("unsupported authentication method {other}"),
     }
     socket.write_all(&buf)?;
     Ok(())
@@ -65,9 +71,9 @@
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     let length = length
         .checked_sub(4)
-        .context("a message without a length")?;
+        .context("a message has an invalid length")?;
     if length > MAX_MESSAGE {
-        bail!("a message of {length} bytes during the login");
+        bail!("a message of {length} bytes exceeds the limit of {MAX_MESSAGE}");
     }
     let mut body = vec![0; length];
     socket.read_exact(&mut body)?;
--- a/crates/daemon/examples/loopback/machine.rs
+++ b/crates/daemon/examples/loopback/machine.rs
@@ -1,23 +1,23 @@
-//! The size of the machine, and the memory of this process.
+//! Properties of the machine and memory use of this process.
 
 use std::{fs, thread};
 
 use serde::Serialize;
 
-/// The machine.
+/// Properties of the machine.
 #[derive(Debug, Serialize)]
 pub(crate) struct Machine {
-    /// Processors that this process may use.
+    /// Number of processors available to this process.
     pub(crate) cores: usize,
     /// Memory, in GiB.
     pub(crate) memory_gib: f64,
-    /// Processes that wanted a processor, as an average over the last minute.
+    /// Load average over the last minute.
     pub(crate) load: f64,
-    /// File descriptors that this process may have.
+    /// Limit on this process's file descriptors.
     pub(crate) files: u64,
 }
 
-/// Reads the size of this machine; what the system does not tell is 0.
+/// Reads the machine's properties; a property that can't be read is 0.
 pub(crate) fn read() -> Machine {
     let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let load = load.split(' ').next().and_then(|it| it.parse().ok());
@@ -34,7 +34,7 @@
     kib("/proc/self/status", "VmRSS:") << 10
 }
 
-/// How many file descriptors this process may have.
+/// Limit on this process's file descriptors.
 pub(crate) fn files() -> u64 {
     let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits
--- a/crates/daemon/examples/loopback/main.rs
+++ b/crates/daemon/examples/loopback/main.rs
@@ -1,8 +1,10 @@
-//! What the daemon adds on loopback: `cargo run --release --example loopback`.
+//! Overhead of the daemon on loopback: `cargo run --release --example
+//! loopback`.
 //!
-//! Latency and throughput of callers that ask a stand-in directly and of
-//! callers that ask it through a daemon, in turns within one run; and the
-//! memory of an idle caller. The load is bounded and stays on loopback.
+//! Measures latency and throughput of callers that connect to simulated
+//! upstreams directly and through a daemon, in alternating rounds of one run,
+//! and the memory use of an idle caller. The load is bounded and stays on
+//! loopback.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,34 +23,34 @@
 use latency::Case;
 use report::Report;
 
-/// Connections of an upstream: enough for the callers on both ways at once.
+/// Connection limit of an upstream, sufficient for the callers of both paths.
 const CONNECTIONS: usize = 64;
 
-/// Callers that the daemon takes.
+/// Limit on the daemon's callers.
 const CALLERS: usize = 20_000;
 
-/// The callers of each latency case.
+/// Numbers of callers for each latency case.
 const WIDTHS: [usize; 2] = [1, 8];
 
-/// Idle callers that are connected, one measurement after the other.
+/// Numbers of idle callers, measured one after another.
 const IDLE: [usize; 2] = [1_000, 10_000];
 
-/// Measures what the daemon adds on loopback.
+/// Measures the overhead of the daemon on loopback.
 #[derive(Debug, FromArgs)]
 struct Args {
-    /// print the figures as JSON
+    /// print the results as JSON
     #[argh(switch)]
     json: bool,
 
-    /// where random choices begin (1)
+    /// seed of the random number generators (1)
     #[argh(option, default = "1")]
     seed: u64,
 
-    /// turns of each latency case; more take longer and vary less (40)
+    /// rounds of each latency case; more rounds take longer and vary less (40)
     #[argh(option, default = "40")]
     turns: usize,
 
-    /// leave out the memory of idle callers
+    /// skip the memory use of idle callers
     #[argh(switch)]
     no_idle: bool,
 }
@@ -83,7 +85,8 @@
     Ok(())
 }
 
-/// Measured first: freed memory of the busy callers would hide the idle ones'.
+/// Runs before the latency cases, since memory freed after those would hide the
+/// growth by idle callers.
 fn measure_idle(address: SocketAddr) -> anyhow::Result<Vec<idle::Measurement>> {
     let mut callers = idle::IdleCallers::open(address)?;
     IDLE.iter().map(|&count| callers.grow(count)).collect()
--- a/crates/daemon/examples/loopback/report.rs
+++ b/crates/daemon/examples/loopback/report.rs
@@ -1,4 +1,4 @@
-//! All figures of a run, as a table or as JSON.
+//! Results of a run, as a table or as JSON.
 
 use std::fmt;
 
@@ -6,16 +6,16 @@
 
 use crate::{idle, latency, machine::Machine};
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
-    /// Where it ran.
+    /// The machine of the run.
     pub(crate) machine: Machine,
-    /// Where random choices began.
+    /// Seed of the random number generators.
     pub(crate) seed: u64,
     /// Latency and throughput.
     pub(crate) latency: Vec<latency::Measurement>,
-    /// Memory of idle callers.
+    /// Memory use of idle callers.
     pub(crate) idle: Vec<idle::Measurement>,
 }
 
--- a/crates/daemon/examples/quickstart/main.rs
+++ b/crates/daemon/examples/quickstart/main.rs
@@ -1,9 +1,9 @@
 //! Dandelionlink in one process: `cargo run --release --example quickstart`.
 //!
-//! A stand-in for the platform's store, three upstreams and two daemons start
-//! on loopback. A session writes through one instance and reads its write
-//! through the other; then the primary crashes and the next write lands. Exits
-//! with 1 if a step fails.
+//! Starts a simulated store, three simulated upstreams and two daemons on
+//! loopback. A session writes through one instance and reads its write through
+//! the other; then the primary crashes, and the next write succeeds on its
+//! replacement. Exits with 1 if a step fails.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,13 +18,13 @@
     cluster::{Cluster, Conf, zone},
 };
 
-/// The daemons.
+/// Number of daemons.
 const DAEMONS: usize = 2;
 
-/// Callers that a daemon takes.
+/// Limit on a daemon's callers.
 const CALLERS: usize = 100;
 
-/// Connections of an upstream, as in the brief's larger deployment.
+/// Connection limit of an upstream, as in the larger target deployment.
 const CONNECTIONS: usize = 16;
 
 /// Shows a session that moves between two instances, and a change of primary.
@@ -34,7 +34,7 @@
     #[argh(switch)]
     stay: bool,
 
-    /// where random choices begin (1)
+    /// seed of the random number generators (1)
     #[argh(option, default = "1")]
     seed: u64,
 }
@@ -53,7 +53,7 @@
         .build()?;
     LocalSet::new().block_on(&runtime, steps::run(&cluster))?;
     if args.stay {
-        println!("\nBoth instances keep listening; Ctrl-C ends them.");
+        println!("\nBoth instances keep listening; press Ctrl-C to stop them.");
         print_addresses(&cluster);
         signals.forever().next();
     }
--- a/crates/daemon/examples/quickstart/steps.rs
+++ b/crates/daemon/examples/quickstart/steps.rs
@@ -1,4 +1,4 @@
-//! The steps, each told as it happens.
+//! The steps of the example, each printed as it runs.
 
 use std::time::{Duration, Instant};
 
@@ -9,41 +9,41 @@
 
 use super::common::{caller::Caller, cluster::Cluster};
 
-/// The entry of the catalogue that the session connects to.
+/// The catalogue entry that the session connects to.
 const ENTRY: &str = "slots";
 
-/// The upstream that leads at first.
+/// Index of the initial primary.
 const FIRST_PRIMARY: usize = 0;
 
 /// The SQLSTATE of a request that did not run.
 const NOT_RUN: &str = "DL001";
 
-/// The SQLSTATE of a request of which it is not known whether it ran.
+/// The SQLSTATE of a request whose outcome is unknown.
 const UNKNOWN: &str = "DL002";
 
-/// How much a replica lags, so that reading one's own write takes care.
+/// Replication lag, which makes a replica stale for the session's own write.
 const LAG: Duration = Duration::from_millis(40);
 
-/// How long a booking may take to land.
-const LANDING_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest time until a booking is acknowledged.
+const BOOKING_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long the old primary may take to follow the new one.
-const RETURN_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest time until the old primary follows the new one.
+const REJOIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The pause between two looks or tries.
+/// Pause between two checks or attempts.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Books a key once, however often it is sent.
+/// Inserts a booking; a repeat has no effect.
 const BOOK: &str = "INSERT INTO kv (key, value) VALUES ($1, $2) ON CONFLICT (key) DO NOTHING";
 
 /// Reads a booking.
 const READ: &str = "SELECT value FROM kv WHERE key = $1";
 
-/// Tells the whole story.
+/// Runs all steps.
 ///
 /// # Errors
 ///
-/// The step that did not come out as it has to.
+/// Fails if a step does not give the expected result.
 pub(crate) async fn run(cluster: &Cluster) -> anyhow::Result<()> {
     print_start(cluster);
     let first = Caller::open(cluster.daemons[0].callers(), ENTRY).await?;
@@ -57,7 +57,7 @@
 fn print_start(cluster: &Cluster) {
     println!(
         "1. Started on loopback: a store, three upstreams of one database, and two\n   \
-         instances. The catalogue is in force as revision {} of the store.",
+         instances. The catalogue is applied at revision {} of the store.",
         cluster.revision
     );
 }
@@ -66,17 +66,17 @@
 async fn move_session(cluster: &Cluster, first: &Caller, second: &Caller) -> anyhow::Result<()> {
     (0..cluster.daemons.len() + 1).for_each(|index| cluster.group.set_lag(index, LAG));
     let began = Instant::now();
-    let tries = book(first, "arena-9", "mila", began).await?;
+    let attempts = book(first, "arena-9", "mila", began).await?;
     println!(
         "3. Instance 1 acknowledged the booking of arena-9 for mila after {}, in\n   \
-         {tries}:\n   \
-         the primary ran it and a majority of the upstreams holds it.",
+         {attempts}:\n   \
+         the primary executed it and a majority of the upstreams holds it.",
         millis(began.elapsed())
     );
     let token = first
         .token()
-        .context("the write brought no session token")?;
-    println!("4. With the answer came the session's token: {token}");
+        .context("the write returned no session token")?;
+    println!("4. The answer came with the session token: {token}");
     let set = format!("SET dandelionlink.session = '{token}'");
     second.client.batch_execute(&set).await?;
     let began = Instant::now();
@@ -86,76 +86,79 @@
         "instance 2 read {value:?}, not the session's own write"
     );
     println!(
-        "5. The session moved to instance 2, gave the token there, and read its own\n   \
-         write after {}, although replicas show what they receive {} late.",
+        "5. The session moved to instance 2, presented its token, and read its own\n   \
+         write after {}, although the replicas lag by {}.",
         millis(began.elapsed()),
         millis(LAG)
     );
     Ok(())
 }
 
-/// The primary crashes, and the next write lands on the one that replaces it.
+/// The primary crashes, and the next write succeeds on its replacement.
 async fn crash(cluster: &Cluster, caller: &Caller) -> anyhow::Result<()> {
     cluster.group.set_fault(FIRST_PRIMARY, Fault::Crashed);
     let crashed = Instant::now();
-    println!("6. The primary has crashed. The session books arena-10 at once.");
-    let tries = book(caller, "arena-10", "mila", crashed).await?;
+    println!("6. The primary has crashed. The session books arena-10 immediately.");
+    let attempts = book(caller, "arena-10", "mila", crashed).await?;
     println!(
-        "7. The booking landed {} after the crash, in\n   {tries}.\n   \
-         That is the failover gap: detect, fence by a majority, promote, and spread.",
+        "7. The booking was acknowledged {} after the crash, in\n   {attempts}.\n   \
+         This is the failover time: detection, fencing by a majority, promotion, and\n   propagation.",
         millis(crashed.elapsed())
     );
     let primary = (0..cluster.group.addresses().len())
         .filter(|&index| index != FIRST_PRIMARY)
         .find(|&index| cluster.group.report(index).role == Role::Primary)
-        .context("no upstream leads")?;
+        .context("no upstream is primary")?;
     println!(
-        "   Upstream {} leads now, in term {}.",
+        "   Upstream {} is the primary now, in term {}.",
         primary + 1,
         cluster.group.report(primary).received.term
     );
     for key in ["arena-9", "arena-10"] {
         let value = read(caller, key).await?;
-        ensure!(value == "mila", "{key} reads {value:?} after the change");
+        ensure!(
+            value == "mila",
+            "{key} has the value {value:?} after the change of primary"
+        );
     }
-    println!("8. Both bookings read back: nothing that was acknowledged is lost.");
+    println!("8. Both bookings are readable: no acknowledged write is lost.");
     Ok(())
 }
 
-/// Sends a booking until it is acknowledged, and tells in how many tries.
+/// Sends a booking until it is acknowledged, and describes the attempts.
 async fn book(caller: &Caller, key: &str, value: &str, began: Instant) -> anyhow::Result<String> {
     let mut not_run = 0;
     let mut unknown = 0;
     loop {
         let error = match caller.client.execute(BOOK, &[&key, &value]).await {
-            Ok(_) => return Ok(tries(not_run, unknown)),
+            Ok(_) => return Ok(attempts(not_run, unknown)),
             Err(error) => error,
         };
         match error.code().map(SqlState::code) {
             Some(NOT_RUN) => not_run += 1,
-            // Sending it again is right only as the statement books once.
+            // Repeating is safe only because the statement inserts a key once.
             Some(UNKNOWN) => unknown += 1,
             _ => return Err(error).context("the booking was refused"),
         }
         ensure!(
-            began.elapsed() < LANDING_TIMEOUT,
-            "the booking did not land: {error}"
+            began.elapsed() < BOOKING_TIMEOUT,
+            "the booking was not acknowledged in time: {error}"
         );
         tokio::time::sleep(PAUSE).await;
     }
 }
 
-fn tries(not_run: u32, unknown: u32) -> String {
+fn attempts(not_run: u32, unknown: u32) -> String {
     if not_run + unknown == 0 {
-        return "one try (the instance held it back until it could run)".to_owned();
+        return "one attempt (the instance held it until it could run)".to_owned();
     }
     format!(
-        "{} tries (before the last: {not_run} not run, {unknown} unknown)",
+        "{} attempts (before the last one: {not_run} not run, {unknown} unknown)",
         not_run + unknown + 1
     )
 }
 
-/// The old primary comes back and must follow.
+/// The old primary returns and has to follow the new one.
 async fn rejoin(cluster: &Cluster) -> anyhow::Result<()> {
     cluster.group.set_fault(FIRST_PRIMARY, Fault::None);
     let began = Instant::now();
@@ -163,13 +166,13 @@
         || cluster.group.value(FIRST_PRIMARY, "arena-10").is_none()
     {
         ensure!(
-            began.elapsed() < RETURN_TIMEOUT,
+            began.elapsed() < REJOIN_TIMEOUT,
             "the old primary does not follow the new one"
         );
         tokio::time::sleep(PAUSE).await;
     }
     println!(
-        "9. The old primary came back, was fenced, and follows as a replica; it held\n   \
+        "9. The old primary returned, was fenced, and follows as a replica; it held\n   \
          the booking of arena-10 after {}.",
         millis(began.elapsed())
     );
