--- a/crates/daemon/tests/callers.rs
+++ b/crates/daemon/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' edge, with an unmodified driver.
+//! Client connections, tested with an unmodified driver.
 
 mod rig;
 
@@ -10,7 +10,7 @@
 const INSERT: &str = "INSERT INTO kv (key, value) VALUES ($1, $2)";
 const SELECT: &str = "SELECT value FROM kv WHERE key = $1";
 
-/// The first cell of a simple query's answer.
+/// Returns the first column of the first row of a simple query.
 async fn first_cell(client: &Client, sql: &str) -> String {
     let answer = client.simple_query(sql).await.unwrap();
     let row = answer.iter().find_map(|it| match it {
@@ -52,10 +52,9 @@
     });
 }
 
-/// Symptom: a groom's unfinished booking appeared in another groom's
-/// confirmed one. Events: two callers write in turns, each in a transaction;
-/// one commits, one rolls back. Cause, where it fails: both transactions'
-/// statements went to one connection.
+/// Guards against two callers' transactions on one connection: one caller's
+/// uncommitted write would be committed with the other's. The callers write
+/// alternately; one commits and one rolls back.
 #[test]
 fn statements_of_two_transactions_never_mix() {
     let rig = Rig::open(1);
@@ -112,10 +111,10 @@
     });
 }
 
-/// Symptom: after a refused COPY the transaction's other statements were
-/// committed, or the refusal came with a state that no COPY has. Events: BEGIN,
-/// a write, COPY, COMMIT. Cause: the proxy refused the COPY itself, and failed
-/// the server's transaction with a statement whose own error it passed on.
+/// Guards against a transaction that stays usable after a refused COPY, and
+/// against a wrong SQLSTATE. The proxy refuses COPY itself and has to fail the
+/// server's transaction as well, with a statement whose own error must not
+/// reach the caller.
 #[test]
 fn copy_is_refused_and_fails_its_transaction() {
     let rig = Rig::open(1);
@@ -145,10 +144,9 @@
     });
 }
 
-/// Symptom: a confirmed booking was gone after a change of primary. Events: a
-/// caller sends COMMIT and the next BEGIN as one text while no replica can be
-/// reached. Cause: behind the text a transaction was open, and such an answer
-/// was passed on without waiting for a majority.
+/// Guards against losing a confirmed commit at a change of primary. COMMIT and
+/// the next BEGIN arrive as one text while no replica is reachable; the answer
+/// must wait for a majority although a transaction is open after the text.
 #[test]
 fn a_commit_followed_by_a_begin_waits_for_a_majority() {
     let mut rig = Rig::open(1);
@@ -191,7 +189,8 @@
     });
 }
 
-/// The answer is a hundred times the window, and the reader takes its time.
+/// The answer is a hundred times the flow-control window, and the reader is
+/// slow.
 #[test]
 fn a_slow_reader_receives_a_large_answer_completely() {
     use futures_util::TryStreamExt;
@@ -247,9 +246,9 @@
     });
 }
 
-/// Symptom: one office's time zone showed in another's answers. Events: one
-/// caller sets a setting, another asks for it on the same connection. Cause:
-/// the connection went back to the pool as if it had not been changed.
+/// Guards against a session's settings that are visible to another session,
+/// which happens if a connection returns to the pool without a record of the
+/// change.
 #[test]
 fn settings_are_not_visible_to_other_sessions() {
     let rig = Rig::open(2);
@@ -270,8 +269,8 @@
         assert_eq!(first_cell(&first, "SHOW search_path").await, "\"a\", \"b\"");
         assert_eq!(first_cell(&first, "SHOW app.desk").await, "it's 4");
         for _ in 0..24 {
-            // A session without other settings, so that nothing else makes the
-            // others reset the connection that they find as SET left it.
+            // The session has no other settings, so that nothing else makes the
+            // other sessions reset the connection.
             first.batch_execute("DISCARD ALL").await.unwrap();
             first
                 .batch_execute("SET app.desk TO 'it''s 4'")
@@ -298,9 +297,8 @@
     });
 }
 
-/// Symptom: a setting made in a transaction was gone behind it, or one that
-/// was rolled back stayed, or came to another caller. Events: SET between
-/// BEGIN and its end. Cause: only settings outside transactions were kept.
+/// Guards against settings made in a transaction that are lost after its
+/// commit, survive its rollback, or reach another caller.
 #[test]
 fn settings_follow_the_end_of_their_transaction() {
     let rig = Rig::open(1);
@@ -332,10 +330,9 @@
     });
 }
 
-/// Symptom: a driver that always prepares set the token and read stale data
-/// all the same. Events: SET and SHOW of dandelionlink.session by the extended
-/// protocol. Cause: only simple queries were looked at, and the upstream took
-/// the name for a setting of somebody's extension.
+/// Guards against stale reads by drivers that always prepare. SET and SHOW of
+/// `dandelionlink.session` must be intercepted in the extended protocol as
+/// well; the upstream would accept the name as a custom setting.
 #[test]
 fn the_session_token_is_accepted_in_all_forms() {
     let rig = Rig::open(2);
@@ -400,10 +397,9 @@
     });
 }
 
-/// Symptom: a cancel did nothing. Events: a statement waits for a row that
-/// another caller holds; its caller cancels it; later, with nothing running,
-/// the caller cancels again. Cause: the key in a cancel request was read in
-/// the form of a newer protocol and never compared.
+/// Guards against a cancel request without effect, which happens if its key is
+/// decoded in the format of a newer protocol version. A cancel with nothing
+/// running must not affect later statements.
 #[test]
 fn a_cancel_request_cancels_only_its_statement() {
     let rig = Rig::open(2);
@@ -429,7 +425,7 @@
         };
         let result = tokio::select! {
             result = waiting => result,
-            () = cancel => panic!("the statement still waits"),
+            () = cancel => panic!("the statement was not cancelled"),
         };
         assert_eq!(state(result), Some(SqlState::QUERY_CANCELED));
         token.cancel_query(tokio_postgres::NoTls).await.unwrap();
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -1,4 +1,4 @@
-//! A change of primary, seen by callers of a running daemon.
+//! Change of primary under a running daemon, as callers see it.
 
 mod rig;
 
@@ -8,10 +8,9 @@
 use model::Role;
 use rig::{Rig, run};
 
-/// Symptom: a groom's booking was lost, or hung, when the database's machine
-/// died. Events: one write is acknowledged, the primary crashes, the next
-/// write comes. Cause, where it fails: nobody orders a promotion, or the new
-/// primary does not hold the acknowledged write.
+/// Guards against an acknowledged write that is lost, or a next write that
+/// hangs, after a crash of the primary: a replica must be promoted, and it must
+/// hold the write.
 #[test]
 fn a_write_succeeds_after_a_crash_of_the_primary() {
     let rig = Rig::open(1);
@@ -22,14 +21,14 @@
             .await
             .unwrap();
         rig.group.set_fault(0, Fault::Crashed);
-        let mut tries = 0;
+        let mut attempts = 0;
         while client
             .execute("INSERT INTO kv (key, value) VALUES ('b', '2')", &[])
             .await
             .is_err()
         {
-            tries += 1;
-            assert!(tries < 100, "no write landed");
+            attempts += 1;
+            assert!(attempts < 100, "no write succeeded");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let row = client
@@ -40,11 +39,10 @@
     });
 }
 
-/// Symptom: a driver that prepares and describes a statement, and executes it in
-/// a later batch, gets "read-only transaction" (25006) around a change of primary.
-/// Events: it prepares a write and a read; the primary crashes and comes back as
-/// a replica; it executes both, again and again. Cause, where it fails: what was
-/// prepared is run where it was prepared.
+/// Guards against "read-only transaction" (25006) for prepared statements
+/// around a change of primary. A statement that is prepared in one batch and
+/// executed in a later one must run on the current primary and not where it was
+/// prepared.
 #[test]
 fn prepared_statements_run_on_the_new_primary() {
     let rig = Rig::open(1);
@@ -56,7 +54,7 @@
         let read = client.prepare(select).await.unwrap();
         client.execute(&write, &[&"a", &"1"]).await.unwrap();
         for round in 0..2 {
-            // One that was replaced goes on to call itself primary for a while.
+            // A replaced primary reports itself as primary for a while.
             let is_primary = |index: &usize| rig.group.report(*index).role == Role::Primary;
             let term = |index: &usize| rig.group.report(*index).received.term;
             let primary = (0..3).filter(is_primary).max_by_key(term).unwrap();
@@ -67,15 +65,16 @@
             let rows = client.query(&read, &[&key]).await.unwrap();
             assert_eq!(rows[0].get::<_, &str>(0), "2");
         }
-        // What was prepared before is known on whatever connection is used now.
+        // Statements prepared earlier are known on every connection.
         execute_until_done(&client, &write, "c").await;
         let rows = client.query(&read, &[&"a"]).await.unwrap();
         assert_eq!(rows[0].get::<_, &str>(0), "1");
     });
 }
 
-/// Executes a prepared write until it is done. Until then it may only end as not
-/// run or as unknown; one that was unknown may turn out to have been done.
+/// Executes a prepared write until it succeeds. Until then it may only end as
+/// not run or with an unknown outcome; a write with an unknown outcome may have
+/// succeeded.
 async fn execute_until_done(
     client: &tokio_postgres::Client,
     write: &tokio_postgres::Statement,
@@ -92,5 +91,5 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{key} never lands");
+    panic!("{key} never succeeded");
 }
--- a/crates/daemon/tests/fault.rs
+++ b/crates/daemon/tests/fault.rs
@@ -1,15 +1,15 @@
-//! A duty that ends by a fault of the program's own.
+//! A duty that ends with a panic.
 
 use std::sync::Mutex;
 
 use daemon::duty::{Duty, on_panic};
 
-/// The duties that were told to have ended.
+/// Names of the duties reported as failed.
 static REPORTED: Mutex<Vec<&str>> = Mutex::new(Vec::new());
 
-/// Symptom: an instance that others find dead goes on for hours, and its callers
-/// wait to their deadlines. Events: one of its threads ends by a fault; the
-/// others run on. Cause: nobody was told, and the process stayed.
+/// Guards against an instance that stays up without one of its duties: its
+/// callers would wait until their deadlines. A duty's thread panics while the
+/// others go on, so the panic must be reported.
 #[test]
 fn a_panicked_duty_is_reported_and_a_finished_one_is_not() {
     on_panic(|name| REPORTED.lock().unwrap().push(name));
--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What the brief says can fail, before running daemons.
+//! Failures of the store, upstreams and instances under running daemons.
 
 mod rig;
 
@@ -28,7 +28,7 @@
         .len()
 }
 
-/// Sends a write again and again until it lands under one of its keys.
+/// Repeats a write, each time with another key, until it succeeds.
 async fn write_until_done(client: &Client, name: &str) {
     for attempt in 0..300 {
         if write(client, &format!("{name}-{attempt}")).await.is_ok() {
@@ -36,12 +36,11 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{name} never landed");
+    panic!("{name} never succeeded");
 }
 
-/// Symptom: all bookings stop with the platform's store. Events: the store
-/// goes down while instances run. Cause, where it fails: requests wait for a
-/// store that they don't need under a known term.
+/// Guards against an outage of the store that stops all requests: a request
+/// under a known term must not wait for the store.
 #[test]
 fn requests_succeed_while_the_store_is_down() {
     let rig = Rig::open(2);
@@ -57,9 +56,8 @@
     });
 }
 
-/// Symptom: two riders in one arena. Events: the primary is cut off while it
-/// still believes that it leads. Cause, where it fails: a write that only the
-/// old primary holds is acknowledged.
+/// Guards against an isolated primary that still considers itself primary: a
+/// write held by the old primary only must not be acknowledged.
 #[test]
 fn an_isolated_primary_is_replaced_and_acknowledges_nothing() {
     let rig = Rig::open(3);
@@ -73,15 +71,14 @@
         rig.group.set_fault(0, Fault::None);
         assert!(rig.group.value(1, "before").is_some());
         let landed = count(&rig.connect(0, "status").await).await;
-        // The write that landed, the one before, and any whose answer was
-        // unknown though it landed too.
+        // At least the first write and the acknowledged one, and any write with
+        // an unknown outcome that succeeded.
         assert!(landed >= 2);
     });
 }
 
-/// Symptom: as above. Events: the primary serves callers, but its replicas
-/// can't reach it, so nothing that it writes is held by a majority. Cause,
-/// where it fails: the primary's own word is taken for an acknowledgement.
+/// Guards against acknowledging a write on the primary's word alone: callers
+/// reach the primary but its replicas do not, so no majority holds the write.
 #[test]
 fn a_primary_separated_from_its_replicas_acknowledges_nothing() {
     let rig = Rig::open(3);
@@ -90,7 +87,7 @@
         write(&client, "before").await.unwrap();
         rig.group.set_fault(0, Fault::ReplicationCut);
         write_until_done(&client, "after").await;
-        // What was acknowledged is in the log of the one that leads now.
+        // Acknowledged writes are in the log of the current primary.
         let leader = (1..3)
             .max_by_key(|&index| rig.group.received(index))
             .expect("a replica");
@@ -100,9 +97,9 @@
     });
 }
 
-/// Symptom: a reader gets another reader's rows. Events: an upstream's answers
-/// come late, after requests were given up. Cause, where it fails: a
-/// connection with an unread answer is used again.
+/// Guards against a caller that receives another caller's rows. An upstream
+/// answers after its request was given up; a connection with an unread answer
+/// must not be reused.
 #[test]
 fn late_answers_reach_no_other_request() {
     let rig = Rig::open(2);
@@ -140,15 +137,14 @@
             }));
         }
         for task in tasks {
-            // The three that were not cancelled are answered in any case.
+            // The three queries that were not cancelled always succeed.
             assert!(task.await.unwrap() >= 3);
         }
     });
 }
 
-/// Symptom: an upstream that is taken out still gets statements. Events: the
-/// catalogue marks it as leaving. Cause, where it fails: the change does not
-/// reach the routing of every instance.
+/// Guards against requests to an upstream that the catalogue marks as leaving:
+/// the change must reach the routing of every instance.
 #[test]
 fn a_leaving_upstream_gets_no_new_requests() {
     let mut rig = Rig::open(2);
@@ -160,8 +156,8 @@
     run(async {
         let client = rig.connect(0, "calendar").await;
         write_until_done(&client, "row").await;
-        // Reads go on until a whole round of them leaves the upstream alone;
-        // its status probes are not counted as statements of callers.
+        // Reads continue until a whole series of them avoids the upstream. Its
+        // status probes are not counted as selects.
         let mut quiet = false;
         for _ in 0..100 {
             let before = rig.group.selects(2);
@@ -174,7 +170,7 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert!(quiet, "the leaving upstream still gets reads");
+        assert!(quiet, "the leaving upstream still receives reads");
         let before = rig.group.selects(2);
         for _ in 0..100 {
             client.query("SELECT key FROM kv", &[]).await.unwrap();
@@ -183,19 +179,18 @@
     });
 }
 
-/// Symptom: a planned restart cuts bookings. Events: all instances are stopped
-/// and started again one by one, while callers write. Cause, where it fails: a
-/// stop closes a connection whose request still runs, or a write lands twice.
+/// Guards against a planned restart that interrupts requests: while callers
+/// write, the instances are restarted one by one. A stop must not close a
+/// connection with a running request, and no write may succeed twice.
 #[test]
 fn a_rolling_restart_cuts_no_request() {
     restart_all(3);
 }
 
-/// Symptom: as above, at the size of today; requests end as unknown, and a
-/// healthy primary may be replaced. Events: as above. Cause: while the views of
-/// membership differ, more instances than an upstream has seats open their
-/// shares, the upstream refuses connections, and the status probes of the right
-/// holder are among those refused.
+/// Guards against interrupted requests and the replacement of a healthy primary
+/// at a larger size. While views of the membership differ, more instances than
+/// an upstream has seats open connections; the upstream refuses some of them,
+/// and status probes of the rightful holder may be among those.
 #[test]
 fn a_rolling_restart_of_nine_cuts_no_request() {
     restart_all(9);
@@ -218,7 +213,7 @@
     stop.store(true, Ordering::Relaxed);
     let written = callers
         .into_iter()
-        .map(|it| it.join().expect("no request was cut"));
+        .map(|it| it.join().expect("no request was interrupted"));
     let written: usize = written.sum();
     run(async {
         let client = rig.connect(0, "status").await;
--- a/crates/daemon/tests/log.rs
+++ b/crates/daemon/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log of a daemon that runs as a process of its own.
+//! Log lines of a daemon that runs as a separate process.
 
 use std::{
     io::{BufRead, BufReader},
@@ -7,10 +7,10 @@
 
 use serde_json::Value;
 
-/// How many lines are read in search of one.
+/// Number of lines to read before the test fails.
 const MAX_LINES: usize = 100;
 
-/// A daemon that ends with the test.
+/// A daemon process that is killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -42,7 +42,7 @@
         .spawn()
         .unwrap();
     let mut process = Process(child);
-    // The store breaks, so that another duty has something to say as well.
+    // A fault of the store makes another duty log as well.
     store.set_fault(fake::store::Fault::Down);
     let out = process.0.stdout.take().unwrap();
     let mut duties = Vec::new();
@@ -52,7 +52,7 @@
         assert_eq!(line["diags"]["zone"], "nl-west-2", "{line}");
         assert!(line["level"].is_string(), "{line}");
         let target = line["target"].as_str().unwrap();
-        // Libraries know of no duties.
+        // Log lines of libraries have no duty.
         if !target.starts_with("daemon") && !target.starts_with("dandelionlinkd") {
             continue;
         }
@@ -62,5 +62,5 @@
             return;
         }
     }
-    panic!("only these duties spoke: {duties:?}");
+    panic!("only these duties logged: {duties:?}");
 }
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -1,6 +1,7 @@
-//! The figures on the operators' port, counted against what a caller did.
+//! Metrics on the operations port, compared with the requests of a caller.
 //!
-//! The recorder is the process's own, so this test has a process to itself.
+//! The metrics recorder is global to the process, so this test needs a process
+//! of its own.
 
 mod rig;
 
@@ -12,7 +13,7 @@
     net::TcpStream,
 };
 
-/// Asks the operators' port for a page, and returns its status and its text.
+/// Requests a page from the operations port, and returns its status and text.
 async fn page(ops: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(ops).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n");
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests with an id land once, however often they are sent.
+//! Requests with an id take effect once, however often they are sent.
 
 mod rig;
 
@@ -8,7 +8,8 @@
 use rig::{Rig, run};
 use tokio_postgres::{Client, Error};
 
-/// A request id made now: a UUID of version 7 that ends in `number`.
+/// Creates a request id with the current time: a UUID of version 7 that ends in
+/// `number`.
 fn id(number: u64) -> String {
     let now = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -31,9 +32,9 @@
         .map_or_else(String::new, |state| state.code().to_owned())
 }
 
-/// Symptom: an owner is billed twice. Events: the booking is sent, its answer
-/// is lost, the application sends it again to another instance. Cause, where
-/// it fails: nothing in the database tells that it ran.
+/// Guards against a booking that is charged twice: its answer is lost, and the
+/// application repeats it at another instance. The first execution must be
+/// found in the database.
 #[test]
 fn a_repeat_at_another_instance_finds_the_first_outcome() {
     let rig = Rig::open(2);
@@ -41,7 +42,7 @@
         let first = rig.connect(0, "slots").await;
         let second = rig.connect(1, "slots").await;
         assert_eq!(book(&first, &id(1), "arena-9").await.unwrap(), 1);
-        // Run again, the same insert would break the unique key.
+        // With a new id, the same insert violates the unique key.
         let again = id(1);
         let repeat = book(&first, &again, "arena-9").await.unwrap_err();
         assert_eq!(state(&repeat), "23505");
@@ -75,10 +76,9 @@
     });
 }
 
-/// Symptom: during a change of primary a booking is lost or doubled. Events:
-/// the primary crashes while bookings with ids are sent, and each is repeated
-/// until it is answered. Cause, where it fails: a repeat runs although the
-/// first run's commit survived, or an answer came for one that did not.
+/// Guards against lost or duplicated bookings at a crash of the primary: each
+/// booking is repeated until it is answered. A repeat must not run again if the
+/// first commit survived, and no answer may be given for a commit that did not.
 #[test]
 fn bookings_with_ids_take_effect_once_across_a_change_of_primary() {
     let rig = Rig::open(3);
@@ -95,7 +95,7 @@
                         let code = state(&error);
                         assert!(code.starts_with("DL00"), "{key}: {error:?}");
                         attempts += 1;
-                        assert!(attempts < 200, "{key} never landed");
+                        assert!(attempts < 200, "{key} never succeeded");
                         tokio::time::sleep(Duration::from_millis(20)).await;
                     }
                 }
@@ -112,9 +112,8 @@
     });
 }
 
-/// Symptom: the ledger of request ids grows until the disk is full. Events:
-/// ids are older than the days for which they are kept. Cause, where it fails:
-/// no instance deletes them.
+/// Guards against a ledger of request ids that grows without bound: ids older
+/// than their retention must be deleted.
 #[test]
 fn expired_ids_are_deleted_and_others_kept() {
     let rig = Rig::open(2);
@@ -135,6 +134,6 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("the old id is still there");
+        panic!("the expired id was not deleted");
     });
 }
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path: an ordinary driver, the daemon, upstreams and the store.
+//! End-to-end test with an unmodified driver, the daemon, upstreams and the
+//! store.
 
 mod rig;
 
--- a/crates/daemon/tests/readme.rs
+++ b/crates/daemon/tests/readme.rs
@@ -1,4 +1,4 @@
-//! The README's reference of settings is the code's own help.
+//! The settings reference in the README equals the program's help text.
 
 use argh::FromArgs;
 use daemon::settings::Args;
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -1,4 +1,4 @@
-//! What the platform's balancer is told.
+//! The readiness endpoint and the discovery of instances.
 
 mod rig;
 
@@ -23,17 +23,16 @@
     answer.split(' ').nth(1)?.parse().ok()
 }
 
-/// Which other instances one knows to be alive.
+/// Number of other instances that an instance lists as alive.
 async fn alive_members(ops: std::net::SocketAddr) -> usize {
     let answer = get(ops, "/status").await.unwrap_or_default();
     answer.matches("\"health\":\"alive\"").count()
 }
 
-/// Symptom: instances that started at once know but three of each other for
-/// ever, so each gives the upstreams' seats to others. Events: none. Cause: a
-/// socket that was just bound takes no datagram until the runtime has polled
-/// it, so all greetings of a start were dropped, and a record is told only a
-/// few times.
+/// Guards against instances that permanently know only some of the others when
+/// all start together, and so assign an upstream's seats differently. A newly
+/// bound socket receives no datagrams until the runtime has polled it, so all
+/// initial greetings were dropped, and a record is sent only a few times.
 #[test]
 fn instances_that_start_together_discover_each_other() {
     let rig = Rig::open(9);
@@ -49,14 +48,13 @@
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        panic!("known others: {counts:?}");
+        panic!("other instances known to each: {counts:?}");
     });
 }
 
-/// Symptom: after each restart some logins were refused, though other
-/// instances could have served them. Events: an instance starts while the
-/// store is down; the balancer finds it ready and sends it callers. Cause: it
-/// was ready without a catalogue, with which it refuses every login.
+/// Guards against refused logins after a restart. An instance that starts
+/// during an outage of the store has no catalogue and refuses every login, so
+/// it must not report ready to the load balancer.
 #[test]
 fn an_instance_without_a_catalogue_is_not_ready() {
     let mut rig = Rig::open(0);
@@ -72,7 +70,7 @@
     });
 }
 
-/// A stop lets an open transaction finish, and takes no new caller meanwhile.
+/// A stop lets an open transaction finish and accepts no new caller meanwhile.
 #[test]
 fn a_draining_instance_is_not_ready() {
     let mut rig = Rig::open(1);
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -1,4 +1,5 @@
-//! A store, a group of upstreams and daemons in one process, on loopback.
+//! Test rig: a store, a group of upstreams and daemons in one process, on
+//! loopback.
 #![allow(dead_code)]
 
 use std::{
@@ -19,10 +20,10 @@
 use daemon::{Daemon, Settings, settings::Args};
 use tokio_postgres::{Client, NoTls};
 
-/// The one password of the rig.
+/// The password of the rig's user.
 const PASSWORD: &str = "wachtwoord";
 
-/// The rig; dropping it stops all of it.
+/// A running store, group and daemons, all stopped on drop.
 pub(crate) struct Rig {
     pub(crate) store: fake::Store,
     pub(crate) group: fake::Group,
@@ -30,7 +31,7 @@
     applied: Snapshot,
 }
 
-/// The catalogue's text for a group at these addresses.
+/// The text of a catalogue for upstreams at these addresses.
 pub(crate) fn catalog_text(addresses: &[SocketAddr]) -> String {
     let verifier = postgres_protocol::password::scram_sha_256(PASSWORD.as_bytes());
     let mut text = format!(
@@ -62,12 +63,12 @@
 }
 
 impl Rig {
-    /// Starts `count` daemons before a group of three.
+    /// Starts `count` daemons for a group of three upstreams.
     pub(crate) fn open(count: usize) -> Self {
         Self::open_with(count, &Args::default())
     }
 
-    /// Starts `count` daemons with these flags before a group of three.
+    /// Starts `count` daemons with these flags for a group of three upstreams.
     pub(crate) fn open_with(count: usize, args: &Args) -> Self {
         let store = fake::Store::spawn().expect("a store");
         let group = fake::Group::spawn(3, &fake::group::Conf::default()).expect("a group");
@@ -85,7 +86,7 @@
         rig
     }
 
-    /// The settings of a daemon of the rig.
+    /// The settings of the daemon with this index.
     pub(crate) fn settings(&self, index: usize, args: &Args) -> Settings {
         let env = BTreeMap::from([
             ("DANDELIONLINK_LISTEN", "127.0.0.1:0".to_owned()),
@@ -104,10 +105,10 @@
             ("DANDELIONLINK_DRAIN_MS", "10000".to_owned()),
         ]);
         let env = |name: &str| env.get(name).cloned();
-        Settings::read(args, &env).expect("the rig's settings are right")
+        Settings::read(args, &env).expect("the rig's settings are valid")
     }
 
-    /// Stops a daemon as SIGTERM would, and starts it again where it was.
+    /// Stops a daemon as SIGTERM would, and restarts it at the same address.
     pub(crate) fn restart(&mut self, index: usize) {
         let address = self.address(index);
         if let Some(daemon) = self.daemons[index].take() {
@@ -116,12 +117,12 @@
         let mut settings = self.settings(index, &Args::default());
         settings.listen = address;
         self.daemons[index] = Some(Daemon::spawn(&settings).expect("a daemon"));
-        // As an operator does, the next one waits until this one is ready: it
-        // takes callers once it has the catalogue.
+        // Waits until the daemon is ready, as an operator does before the next
+        // restart: it accepts callers once it has the catalogue.
         run(async { drop(connect_at(address).await) });
     }
 
-    /// Where the daemons that run reach each other.
+    /// The peer addresses of the running daemons.
     fn seeds(&self) -> String {
         let running = self.daemons.iter().flatten();
         running
@@ -130,9 +131,9 @@
             .join(",")
     }
 
-    /// Puts a catalogue into the store, as the operators' tool would.
+    /// Writes a catalogue to the store, as the command-line tool does.
     pub(crate) fn apply(&mut self, text: &str) {
-        let catalog = Catalog::parse(text).expect("the rig's catalogue is right");
+        let catalog = Catalog::parse(text).expect("the rig's catalogue is valid");
         let proposal = Proposal {
             change: catalog::head::Id(u128::from(self.applied.revision) + 1),
             author: "rig".to_owned(),
@@ -143,7 +144,8 @@
         for key in &plan.txn.deletes {
             self.store.remove(key);
         }
-        // The head goes last: a daemon reads the catalogue when it changes.
+        // The head is written last: daemons read the catalogue when the head
+        // changes.
         let (heads, others): (Vec<_>, Vec<_>) = plan
             .txn
             .puts
@@ -160,20 +162,21 @@
         };
     }
 
-    /// The revision of the catalogue that was applied last.
+    /// The revision of the last applied catalogue.
     pub(crate) fn revision(&self) -> u64 {
         self.applied.revision
     }
 
-    /// Where callers of a daemon connect.
+    /// The address for callers of a daemon.
     pub(crate) fn address(&self, index: usize) -> SocketAddr {
         self.daemons[index]
             .as_ref()
-            .expect("the daemon runs")
+            .expect("a running daemon")
             .callers()
     }
 
-    /// Connects to a daemon once, with what `change` makes of the settings.
+    /// Connects to a daemon in a single attempt, with the client configuration
+    /// changed by `change`.
     pub(crate) async fn connect_with(
         &self,
         index: usize,
@@ -187,7 +190,7 @@
         Ok(client)
     }
 
-    /// The settings of a caller of `entry`.
+    /// The client configuration for `entry`.
     pub(crate) fn config(&self, index: usize, entry: &str) -> tokio_postgres::Config {
         let address = self.address(index);
         let mut config = tokio_postgres::Config::new();
@@ -200,7 +203,8 @@
         config
     }
 
-    /// Connects to a daemon as a caller of `entry`, once it has the catalogue.
+    /// Connects to a daemon as a caller of `entry`, retrying until it has the
+    /// catalogue.
     pub(crate) async fn connect(&self, index: usize, entry: &str) -> Client {
         let config = self.config(index, entry);
         for _ in 0..200 {
@@ -222,7 +226,7 @@
     }
 }
 
-/// Runs a test's future on a runtime of its own.
+/// Runs a test's future on a new runtime.
 pub(crate) fn run<F: Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -230,7 +234,7 @@
     runtime.expect("a runtime").block_on(future)
 }
 
-/// Connects to a daemon's address until it takes the caller.
+/// Connects to a daemon's address, retrying until it accepts the caller.
 async fn connect_at(address: SocketAddr) -> Client {
     let mut config = tokio_postgres::Config::new();
     config
@@ -249,13 +253,13 @@
     panic!("no connection to {address}");
 }
 
-/// Writes key after key by way of one daemon until told to stop, connecting
-/// anew when the daemon says that it stops; returns how many keys it wrote.
+/// Writes keys through one daemon until `stop` is set, reconnecting when the
+/// daemon stops. Returns the number of keys written.
 ///
 /// # Panics
 ///
-/// When a request is cut: when its outcome is unknown, or when it ran although
-/// its session was ended as idle.
+/// Panics if a request is interrupted: its outcome is unknown, or it was
+/// written although it failed.
 pub(crate) async fn write_until(address: SocketAddr, stop: Arc<AtomicBool>) -> usize {
     let mut client = connect_at(address).await;
     let mut written = 0;
@@ -268,7 +272,7 @@
                 None => client = connect_at(address).await,
                 Some(state) if state == "57P01" => client = connect_at(address).await,
                 Some(state) if state == "DL001" => {}
-                Some(state) => panic!("{key} was cut: {state} {error:?}"),
+                Some(state) => panic!("{key} was interrupted: {state} {error:?}"),
             },
         }
     }
--- a/crates/daemon/tests/roam.rs
+++ b/crates/daemon/tests/roam.rs
@@ -1,10 +1,10 @@
-//! Sessions and statements over several instances.
+//! Sessions and statements across several instances.
 
 mod rig;
 
 use rig::{Rig, run};
 
-/// The token that a caller's session has now.
+/// Returns the current token of a caller's session.
 async fn token(client: &tokio_postgres::Client) -> String {
     let rows = client
         .simple_query("SHOW dandelionlink.session")
@@ -17,10 +17,9 @@
     row.expect("a row").to_owned()
 }
 
-/// Symptom: a rider books at one instance, is sent to another, and does not
-/// see the booking. Events: a write at one instance, a read at the next, both
-/// replicas a second behind. Cause, where it fails: the second instance trusts
-/// a replica without the session's token.
+/// Guards against a session that misses its own write after a move to another
+/// instance. Both replicas lag by a second, so the second instance must apply
+/// the session's token.
 #[test]
 fn a_session_reads_its_write_through_another_instance() {
     let rig = Rig::open(3);
@@ -44,9 +43,9 @@
     });
 }
 
-/// Symptom: an upstream refuses connections with "too many clients". Events:
-/// many callers at every instance at once. Cause, where it fails: each
-/// instance opens connections of its own instead of asking a holder.
+/// Guards against "too many clients" at an upstream while many callers use
+/// every instance: an instance without connections must ask a holder instead of
+/// opening its own.
 #[test]
 fn upstreams_never_exceed_their_connection_limit() {
     let rig = Rig::open(3);
@@ -74,10 +73,9 @@
     }
 }
 
-/// Symptom: a transaction at an instance that holds no connection commits
-/// half, or leaves its connection occupied. Events: the instance is killed in
-/// the middle of the transaction. Cause, where it fails: the holder does not
-/// end what a gone instance left.
+/// Guards against a transaction that is partly committed or keeps its
+/// connection and locks after its instance was killed: the holder must end the
+/// transactions of an instance that is gone.
 #[test]
 fn transactions_of_a_killed_instance_are_rolled_back() {
     let mut rig = Rig::open(3);
@@ -92,7 +90,7 @@
         }
     });
     for daemon in &mut rig.daemons[1..] {
-        daemon.take().expect("it runs").kill();
+        daemon.take().expect("a running daemon").kill();
     }
     run(async {
         let client = rig.connect(0, "slots").await;
--- a/crates/daemon/tests/runtime.rs
+++ b/crates/daemon/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! What the daemon's runtime asks of the system.
+//! System interfaces used by the daemon's runtime.
 
 mod rig;
 
@@ -6,15 +6,15 @@
 
 use rig::{Rig, run};
 
-/// The users' machines forbid io_uring. The runtime library can use it, and
-/// tries it first when it is built without its `tokio` feature.
+/// Guards against the use of io_uring, which the target machines forbid. The
+/// runtime library tries it first if it is built without its `tokio` feature.
 #[test]
 fn the_runtime_opens_no_io_uring() {
     let rig = Rig::open(1);
     run(async {
         let client = rig.connect(0, "slots").await;
         client.batch_execute("SELECT 1").await.unwrap();
-        let open = fs::read_dir("/proc/self/fd").expect("the system tells");
+        let open = fs::read_dir("/proc/self/fd").expect("/proc/self/fd can be read");
         let names: Vec<String> = open
             .filter_map(|it| fs::read_link(it.ok()?.path()).ok())
             .map(|it| it.to_string_lossy().into_owned())
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: flags before variables, every fault at once, and `--check`.
+//! Settings: flags override variables, all faults are reported together, and
+//! `--check`.
 
 use std::{collections::BTreeMap, process::Command};
 
@@ -37,7 +38,7 @@
         listen: Some("127.0.0.1:2".to_owned()),
         ..Args::default()
     };
-    let settings = read(&args, &env).expect("they are right");
+    let settings = read(&args, &env).expect("the settings are valid");
     assert_eq!(settings.listen.port(), 2);
     assert_eq!(settings.callers, 7);
     assert_eq!(settings.ops.port(), 6433);
@@ -62,7 +63,7 @@
     for (name, value) in wrong {
         env.insert(name, value.to_owned());
     }
-    let faults = read(&Args::default(), &env).expect_err("they are wrong");
+    let faults = read(&Args::default(), &env).expect_err("the settings are invalid");
     let names: Vec<_> = faults.iter().map(|fault| fault.name).collect();
     let expected = [
         "listen",
@@ -92,7 +93,10 @@
     );
     for (fault, secret) in [(&faults[3], "3c"), (&faults[7], "5a")] {
         let text = fault.to_string();
-        assert!(!text.contains(secret), "a secret is told: {text}");
+        assert!(
+            !text.contains(secret),
+            "the message contains a secret: {text}"
+        );
     }
 }
 
@@ -101,7 +105,7 @@
     let check = |env: &BTreeMap<&'static str, String>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dandelionlinkd"));
         let output = command.env_clear().envs(env).arg("--check").output();
-        output.expect("the program runs")
+        output.expect("the program starts")
     };
     let output = check(&valid_env());
     assert_eq!(output.status.code(), Some(0));
@@ -111,7 +115,7 @@
     wrong.insert("DANDELIONLINK_STORE", "x".to_owned());
     let output = check(&wrong);
     assert_eq!(output.status.code(), Some(2));
-    let text = String::from_utf8(output.stderr).expect("text");
+    let text = String::from_utf8(output.stderr).expect("valid UTF-8");
     assert_eq!(text.lines().count(), 2, "{text}");
     assert!(
         text.contains("--zone") && text.contains("DANDELIONLINK_STORE"),
--- a/crates/daemon/tests/tls.rs
+++ b/crates/daemon/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers, with a certificate made for the test.
+//! TLS for callers, with a certificate generated for the test.
 
 mod rig;
 
@@ -19,7 +19,7 @@
 use tokio_postgres::config::SslMode;
 use tokio_postgres_rustls::MakeRustlsConnect;
 
-/// A certificate and a key in files that go with the test's own directory.
+/// A certificate and a key, also as files in the test's temporary directory.
 struct Files {
     certificate: PathBuf,
     key: PathBuf,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// What trusts the certificate and nothing else.
+    /// Returns a TLS connector that trusts this certificate only.
     fn connector(&self) -> MakeRustlsConnect {
         let mut roots = RootCertStore::empty();
         roots.add(self.pair.cert.der().clone()).expect("a root");
         let conf = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_safe_default_protocol_versions()
-            .expect("versions")
+            .expect("supported versions")
             .with_root_certificates(roots)
             .with_no_client_auth();
         MakeRustlsConnect::new(conf)
@@ -71,7 +71,7 @@
     let files = Files::make("driver");
     let rig = Rig::open_with(1, &files.args());
     run(async {
-        // Plain callers are served beside it.
+        // Callers without TLS are served as well.
         rig.connect(0, "slots").await;
         let mut conf = rig.config(0, "slots");
         conf.ssl_mode(SslMode::Require);
@@ -101,9 +101,8 @@
     });
 }
 
-/// Symptom: a statement ran that its caller never sent. Events: somebody on
-/// the way puts bytes behind the request for TLS. Cause, where it fails: they
-/// are kept and taken for the first of the encrypted session.
+/// Guards against injected statements: bytes that a man in the middle appends
+/// to the TLS request must not be taken for the start of the encrypted session.
 #[test]
 fn bytes_before_the_handshake_are_refused() {
     let files = Files::make("ahead");
@@ -114,7 +113,7 @@
             .expect("a connection");
         raw.write_all(&[0, 0, 0, 8, 4, 210, 22, 47, b'Q', 0])
             .await
-            .expect("sent");
+            .expect("a write");
         let mut answer = Vec::new();
         let _ = raw.read_to_end(&mut answer).await;
         assert_eq!(answer.first(), Some(&b'E'));
@@ -125,9 +124,11 @@
             .expect("a connection");
         raw.write_all(&[0, 0, 0, 8, 4, 210, 22, 47])
             .await
-            .expect("sent");
+            .expect("a write");
         assert_eq!(raw.read_u8().await.expect("an answer"), b'S');
-        raw.write_all(b"this is no handshake").await.expect("sent");
+        raw.write_all(b"this is no handshake")
+            .await
+            .expect("a write");
         let mut answer = Vec::new();
         let _ = raw.read_to_end(&mut answer).await;
         rig.connect(0, "slots").await;
--- a/crates/daemon/tests/wire.rs
+++ b/crates/daemon/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The callers' edge byte by byte: what other drivers send, and what no
-//! driver should.
+//! The client protocol at the byte level: messages of other drivers, and
+//! invalid ones.
 
 mod rig;
 
@@ -16,7 +16,7 @@
 /// A message from the daemon: its type and body.
 type Frame = (u8, Vec<u8>);
 
-/// A caller without a driver.
+/// A client connection without a driver.
 struct Raw(TcpStream);
 
 impl Raw {
@@ -32,7 +32,8 @@
         self.0.read_u8().await.unwrap()
     }
 
-    /// The next message; `None` when the daemon has closed the connection.
+    /// Receives the next message; `None` if the daemon has closed the
+    /// connection.
     async fn recv(&mut self) -> Option<Frame> {
         let tag = self.0.read_u8().await.ok()?;
         let length = self.0.read_u32().await.ok()?;
@@ -41,7 +42,7 @@
         Some((tag, body))
     }
 
-    /// The messages up to and with the first of type `last`.
+    /// Receives messages up to and including the first of type `last`.
     async fn recv_until(&mut self, last: u8) -> Vec<Frame> {
         let mut found = Vec::new();
         while let Some(frame) = self.recv().await {
@@ -68,7 +69,7 @@
             .await;
     }
 
-    /// Logs in after the startup message and returns what came on the way.
+    /// Logs in after the startup message and returns the messages received.
     async fn log_in(&mut self) -> Vec<Frame> {
         let mut found = self.recv_until(b'R').await;
         let binding = ChannelBinding::unsupported();
@@ -111,7 +112,8 @@
     message(b'Q', format!("{sql}\0").as_bytes())
 }
 
-/// Parse, bind, describe and execute an unnamed statement without parameters.
+/// Parse, Bind, Describe and Execute of an unnamed statement without
+/// parameters.
 fn extended(sql: &str) -> Vec<u8> {
     [
         message(b'P', format!("\0{sql}\0\0\0").as_bytes()),
@@ -130,7 +132,7 @@
     message(b'S', &[])
 }
 
-/// The rig once its daemon has the catalogue.
+/// Waits until the daemon has the catalogue.
 async fn wait_ready(rig: &Rig) {
     let client = rig.connect(0, "slots").await;
     client.batch_execute("SELECT 1").await.unwrap();
@@ -167,10 +169,9 @@
     });
 }
 
-/// Symptom: a write that its caller saw confirmed was gone. Events: a driver
-/// executes with Flush, reads the answer, and sends Sync. Cause: the proxy
-/// took a batch of nothing but a Sync for an empty one and answered it itself,
-/// so the server never committed.
+/// Guards against a confirmed write that is never committed. A driver executes
+/// with Flush, reads the answer and sends Sync; a batch of only a Sync must
+/// reach the server, since the Sync commits.
 #[test]
 fn a_sync_after_a_flush_commits() {
     let rig = Rig::open(1);
@@ -186,7 +187,8 @@
         assert!(tags(&end).ends_with('Z') && state(&end).is_none());
         assert_eq!(rig.group.value(0, "a").as_deref(), Some("1"));
 
-        // The second time the key is there: what is behind the error is skipped.
+        // The key exists now, so the insert fails and the messages after it are
+        // skipped.
         raw.send(&[insert, flush()].concat()).await;
         assert_eq!(state(&raw.recv_until(b'E').await), Some("23505"));
         raw.send(&[extended("SELECT 1"), sync(), query("SELECT 1")].concat())
@@ -214,7 +216,7 @@
     });
 }
 
-/// A caller that is gone leaves no transaction and no lock behind.
+/// A disconnected caller leaves no open transaction and no lock.
 #[test]
 fn transactions_of_disconnected_callers_are_rolled_back() {
     let rig = Rig::open(1);
@@ -243,7 +245,7 @@
     });
 }
 
-/// Each ends with 08P01, and a neighbour does not notice.
+/// Each message ends its connection with 08P01 and does not affect another one.
 #[test]
 fn malformed_messages_end_only_their_connection() {
     let rig = Rig::open(1);
@@ -272,9 +274,9 @@
     });
 }
 
-/// Symptom: a daemon without callers had gigabytes. Events: peers that never
-/// log in announce messages of 16 MB and send them byte by byte. Cause: the
-/// bound on messages was that of a session.
+/// Guards against gigabytes of memory for clients that never log in: they
+/// announced messages of 16 MB and sent them byte by byte. Before the login a
+/// lower size limit applies than in a session.
 #[test]
 fn messages_before_the_login_are_limited_in_size() {
     let rig = Rig::open(1);
@@ -299,7 +301,7 @@
     });
 }
 
-/// The number of connections that log in at once is bounded.
+/// The number of concurrent logins is limited.
 #[test]
 fn concurrent_logins_above_the_limit_are_refused() {
     let rig = Rig::open(1);
@@ -319,9 +321,8 @@
     });
 }
 
-/// Symptom: a list of user names could be tried for those that exist. Events:
-/// logins as somebody and as nobody. Cause: the unknown user was refused
-/// before the exchange began.
+/// Guards against probing for valid user names: the login of an unknown user
+/// must run the whole exchange and fail like a wrong password.
 #[test]
 fn an_unknown_user_looks_like_a_wrong_password() {
     let rig = Rig::open(1);
@@ -351,9 +352,9 @@
     });
 }
 
-/// Symptom: now and then a cancel did nothing. Events: a driver sends the
-/// request and closes its end at once. Cause: the end of the stream was
-/// looked at before what had come ahead of it.
+/// Guards against lost cancel requests: a driver sends the request and closes
+/// the connection at once. Data received before the end of the stream must be
+/// read first.
 #[test]
 fn a_cancel_request_works_after_its_sender_has_disconnected() {
     let rig = Rig::open(1);
@@ -384,11 +385,10 @@
     });
 }
 
-/// Symptom: a driver that prepares, describes and flushes, and runs the statement in
-/// a later batch (asyncpg with its defaults), is told that its insert is read only.
-/// Events: the statement is parsed and described ahead of a Flush, then bound and
-/// executed. Cause: the first part runs nothing, so it went to a replica, and what
-/// follows a Flush has to go where the first part went.
+/// Guards against "read-only transaction" errors of drivers that prepare,
+/// describe and flush, and execute the statement in a later batch, as asyncpg
+/// does by default. The first batch runs nothing and went to a replica; batches
+/// after a Flush run on the same upstream.
 #[test]
 fn a_write_prepared_before_a_flush_runs_on_the_primary() {
     let rig = Rig::open(1);
@@ -406,7 +406,8 @@
             raw.send(&[bind, execute, sync()].concat()).await;
             let frames = raw.recv_until(b'Z').await;
             assert_eq!(state(&frames), None, "round {round}");
-            // Bound, run, the session's token, ready.
+            // `BindComplete`, `CommandComplete`, the session token,
+            // `ReadyForQuery`.
             assert_eq!(tags(&frames), "2CSZ");
         }
     });
