--- a/crates/daemon/src/upstreams/connection.rs
+++ b/crates/daemon/src/upstreams/connection.rs
@@ -16,7 +16,7 @@
 
 /// What happens to a connection when its request has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum Disposition {
     /// The connection returns to the pool.
     Reuse,
     /// The connection is closed: it has state that can't be reset, or a cancel
@@ -39,11 +39,11 @@
     /// Session state left by requests since the settings were last applied.
     pub(super) leaves: Leaves,
     /// What happens to the connection after the request.
-    pub(super) fate: Fate,
+    pub(super) disposition: Disposition,
     /// The last status report and the time at which its query was sent.
     pub(super) seen: Option<(Instant, Report)>,
     /// The pool that the connection returns to.
-    pub(super) home: Rc<Connections>,
+    pub(super) owner: Rc<Connections>,
     /// The request that has checked out the connection.
     pub(super) ticket: Ticket,
     /// The pool's handle for the current statement.
--- a/crates/daemon/src/upstreams/connections.rs
+++ b/crates/daemon/src/upstreams/connections.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, oneshot};
 use upstream::{Conn, Login};
 
-use super::connection::{Connection, Fate};
+use super::connection::{Connection, Disposition};
 use crate::job::{Leaves, Settings};
 
 /// Longest time for connecting and logging in to an upstream.
@@ -126,9 +126,9 @@
             skipping: false,
             applied: idle.applied,
             leaves: idle.leaves,
-            fate: Fate::Reuse,
+            disposition: Disposition::Reuse,
             seen: idle.seen,
-            home: Rc::clone(self),
+            owner: Rc::clone(self),
             ticket,
             handle,
         })
@@ -155,7 +155,7 @@
     /// Returns a connection to the pool after its request's answer was read
     /// completely.
     pub(super) fn release(self: &Rc<Self>, connection: Connection) {
-        if connection.fate == Fate::Close {
+        if connection.disposition == Disposition::Close {
             return self.discard(connection);
         }
         let idle = Idle {
@@ -202,11 +202,11 @@
         let (waiter, waiting) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, waiter);
         self.step(event);
-        let gone = Refused {
+        let dropped = Refused {
             cause: Cause::NoUpstream,
             retry_after: None,
         };
-        waiting.await.unwrap_or(Err(gone))
+        waiting.await.unwrap_or(Err(dropped))
     }
 
     fn step(self: &Rc<Self>, event: Event) {
--- a/crates/daemon/src/upstreams/dispatch.rs
+++ b/crates/daemon/src/upstreams/dispatch.rs
@@ -55,8 +55,8 @@
         }
         // A holder releases its connection itself.
         if let Self::Connection(connection) = self {
-            let home = Rc::clone(&connection.home);
-            home.release(*connection);
+            let owner = Rc::clone(&connection.owner);
+            owner.release(*connection);
         }
     }
 
@@ -72,7 +72,7 @@
         let group = Rc::clone(group);
         let pin = match self {
             Self::Connection(connection) => {
-                connection.home.hold(&connection);
+                connection.owner.hold(&connection);
                 Pin::Open { connection, group }
             }
             Self::Remote { to, pin } => Pin::Remote { to, pin, group },
@@ -83,9 +83,9 @@
 
 /// Closes a connection that must not be reused.
 pub(super) fn discard(connection: Connection) {
-    let home = Rc::clone(&connection.home);
-    home.forget(connection.ticket);
-    home.discard(connection);
+    let owner = Rc::clone(&connection.owner);
+    owner.forget(connection.ticket);
+    owner.discard(connection);
 }
 
 /// Builds the pool request for a connection.
@@ -131,7 +131,7 @@
     }
 
     /// Returns true if the batch only reads.
-    pub(super) fn reads(&self) -> bool {
+    pub(super) fn is_read(&self) -> bool {
         matches!(self.job.batch.need, Need::Read | Need::Setting)
     }
 
@@ -200,7 +200,7 @@
             .as_ref()
             .is_some_and(|(_, report)| self.proves(report));
         let probes = Probes {
-            before: self.reads() && !proved,
+            before: self.is_read() && !proved,
             behind: job.batch.need != Need::Begin,
         };
         let plan = Plan::standalone(&mut connection, &job.batch, &job.settings, probes);
--- a/crates/daemon/src/upstreams/host.rs
+++ b/crates/daemon/src/upstreams/host.rs
@@ -62,8 +62,8 @@
     }
     let peer_batches: Vec<_> = {
         let peer_batches = core.peer_batches.borrow();
-        let of = peer_batches.iter().filter(|((it, _), _)| *it == conn);
-        of.map(|(_, running)| Rc::clone(running)).collect()
+        let matching = peer_batches.iter().filter(|((it, _), _)| *it == conn);
+        matching.map(|(_, running)| Rc::clone(running)).collect()
     };
     for running in peer_batches {
         running.abandon();
@@ -176,15 +176,15 @@
 }
 
 async fn acquire(core: &Core, run: &Run, deadline: Instant) -> Result<Connection, Refused> {
-    let none = Refused {
+    let unavailable = Refused {
         cause: Cause::NoUpstream,
         retry_after: None,
     };
-    let group = core.group(&run.scope.database).ok_or(none)?;
+    let group = core.group(&run.scope.database).ok_or(unavailable)?;
     let member = group
         .member(&run.upstream)
         .filter(|it| it.is_holder())
-        .ok_or(none)?;
+        .ok_or(unavailable)?;
     let request = request(core, &member, &run.scope, deadline);
     let asked = core.now();
     let connection = member.connections.acquire(request).await?;
@@ -192,7 +192,7 @@
     meter.note_queued(core.now().since(asked));
     if connection.conn.is_closed() {
         discard(connection);
-        return Err(none);
+        return Err(unavailable);
     }
     Ok(connection)
 }
@@ -294,14 +294,14 @@
     if answer.spoiled {
         return discard(connection);
     }
-    let home = Rc::clone(&connection.home);
+    let owner = Rc::clone(&connection.owner);
     if answer.status != Some(b'I') {
-        home.hold(&connection);
+        owner.hold(&connection);
         core.peer_connections
             .borrow_mut()
             .insert(key, Box::new(connection));
     } else {
-        home.release(connection);
+        owner.release(connection);
     }
 }
 
@@ -342,8 +342,8 @@
     mut connection: Connection,
     deadline: Instant,
 ) -> Response {
-    let home = Rc::clone(&connection.home);
-    if home.next(&mut connection, deadline).await.is_err() {
+    let owner = Rc::clone(&connection.owner);
+    if owner.next(&mut connection, deadline).await.is_err() {
         discard(connection);
         return Response::Broken;
     }
--- a/crates/daemon/src/upstreams/plan.rs
+++ b/crates/daemon/src/upstreams/plan.rs
@@ -17,7 +17,7 @@
     },
 };
 
-use super::connection::{Connection, Fate, MAX_PREPARED};
+use super::connection::{Connection, Disposition, MAX_PREPARED};
 use crate::job::{Batch, Leaves, Need, Settings, Statement, Step};
 
 /// `ParseComplete`, sent for a statement that is already prepared.
@@ -167,7 +167,7 @@
         // superfluous reset is cheaper than a leaked session setting.
         connection.leaves = connection.leaves.max(batch.leaves);
         if batch.need == Need::Alone {
-            connection.fate = Fate::Close;
+            connection.disposition = Disposition::Close;
         }
         for step in &batch.steps {
             if connection.skipping && !matches!(step, Step::Sync) {
--- a/crates/daemon/src/upstreams/remote.rs
+++ b/crates/daemon/src/upstreams/remote.rs
@@ -67,10 +67,10 @@
 fn end_pending(core: &Rc<Core>, to: &name::Instance, upto: Seq, delivery: impl Fn() -> Delivery) {
     let lost: Vec<_> = {
         let pending = core.pending.borrow();
-        let of = pending
+        let matching = pending
             .iter()
             .filter(|(seq, it)| it.to == *to && **seq <= upto);
-        of.map(|(seq, _)| *seq).collect()
+        matching.map(|(seq, _)| *seq).collect()
     };
     for seq in lost {
         deliver(core, seq, delivery());
@@ -197,7 +197,7 @@
     }
 
     fn proof(&self) -> Proof {
-        if !self.reads() {
+        if !self.is_read() {
             return Proof::None;
         }
         if let Destination::Confirmed(_, round) = self.destination {
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -421,8 +421,8 @@
     let repeatable = job.scope.class.repeat == Repeat::Idempotent || replica_read;
     // A request that may have begun a transaction or changed the session is not
     // repeated: the caller could not tell what the first run left behind.
-    let plain = matches!(job.batch.need, Need::Read | Need::Write);
-    if repeatable && plain && !sink.has_streamed() {
+    let is_plain = matches!(job.batch.need, Need::Read | Need::Write);
+    if repeatable && is_plain && !sink.has_streamed() {
         return Attempt::Retry;
     }
     Attempt::Ended(unknown(Cause::ConnectionLost))
--- a/crates/daemon/src/upstreams/running.rs
+++ b/crates/daemon/src/upstreams/running.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use upstream::Key;
 
-use super::connection::{Connection, Fate};
+use super::connection::{Connection, Disposition};
 use crate::forward::Seq;
 
 /// A running request.
@@ -68,7 +68,7 @@
     /// the next request.
     pub(super) fn close_if_cancelled(&self, connection: &mut Connection) {
         if self.cancel_sent.get() {
-            connection.fate = Fate::Close;
+            connection.disposition = Disposition::Close;
         }
     }
 
--- a/crates/daemon/src/upstreams/transaction.rs
+++ b/crates/daemon/src/upstreams/transaction.rs
@@ -30,8 +30,8 @@
     mut connection: Connection,
     group: &Rc<Group>,
 ) -> End {
-    let home = Rc::clone(&connection.home);
-    if home.next(&mut connection, job.deadline).await.is_err() {
+    let owner = Rc::clone(&connection.owner);
+    if owner.next(&mut connection, job.deadline).await.is_err() {
         discard(connection);
         return fail_transaction(core, job);
     }
--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -70,10 +70,10 @@
         assert_eq!(rig.group.received(0), held);
         rig.group.set_fault(0, Fault::None);
         assert!(rig.group.value(1, "before").is_some());
-        let landed = count(&rig.connect(0, "status").await).await;
+        let written = count(&rig.connect(0, "status").await).await;
         // At least the first write and the acknowledged one, and any write with
         // an unknown outcome that succeeded.
-        assert!(landed >= 2);
+        assert!(written >= 2);
     });
 }
 
