--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -31,21 +31,21 @@
         deadline: Instant,
     ) -> Result<(), Cause> {
         let id = self.next_id();
-        let last_id = match self.quorum.borrow_mut().as_mut() {
+        let acknowledged = match self.quorum.borrow_mut().as_mut() {
             Some(quorum) => quorum
                 .add_write(id, position)
                 .map_err(|_| Cause::Replaced)?,
             None => return Err(Cause::NoUpstream),
         };
-        if last_id.is_some() {
+        if acknowledged.is_some() {
             return Ok(());
         }
-        let (waiter, result) = oneshot::channel();
-        self.waiters.borrow_mut().insert(id, waiter);
+        let (sender, receiver) = oneshot::channel();
+        self.waiters.borrow_mut().insert(id, sender);
         self.poll_replicas(core);
         tokio::select! {
             biased;
-            result = result => result.unwrap_or(Err(Cause::Replaced)),
+            result = receiver => result.unwrap_or(Err(Cause::Replaced)),
             () = sleep(deadline.since(core.now())) => {
                 self.waiters.borrow_mut().remove(&id);
                 if let Some(quorum) = self.quorum.borrow_mut().as_mut() {
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -86,16 +86,16 @@
 
     /// Requests a status whose query is sent after this call.
     pub(super) async fn probe(&self) -> Status {
-        let (asker, answer) = oneshot::channel();
-        self.waiting.borrow_mut().probes.push(asker);
+        let (sender, answer) = oneshot::channel();
+        self.waiting.borrow_mut().probes.push(sender);
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
     /// Executes an order and returns the status after it.
     pub(super) async fn order(&self, order: upstream::Order) -> Status {
-        let (asker, answer) = oneshot::channel();
-        self.waiting.borrow_mut().orders.push((order, asker));
+        let (sender, answer) = oneshot::channel();
+        self.waiting.borrow_mut().orders.push((order, sender));
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
@@ -103,11 +103,11 @@
     /// Runs one of the proxy's own statements and returns the number of
     /// affected rows.
     pub(super) async fn execute(&self, statement: String) -> Result<u64, Fault> {
-        let (asker, answer) = oneshot::channel();
+        let (sender, answer) = oneshot::channel();
         self.waiting
             .borrow_mut()
             .statements
-            .push((statement, asker));
+            .push((statement, sender));
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
@@ -115,15 +115,15 @@
     fn next_work(&self) -> Option<Work> {
         let mut waiting = self.waiting.borrow_mut();
         if !waiting.orders.is_empty() {
-            let (order, asker) = waiting.orders.remove(0);
-            return Some(Work::Order(order, asker));
+            let (order, sender) = waiting.orders.remove(0);
+            return Some(Work::Order(order, sender));
         }
         let probes = std::mem::take(&mut waiting.probes);
         if !probes.is_empty() {
             return Some(Work::Probe(probes));
         }
-        let (statement, asker) = waiting.statements.pop()?;
-        Some(Work::Statement(statement, asker))
+        let (statement, sender) = waiting.statements.pop()?;
+        Some(Work::Statement(statement, sender))
     }
 }
 
@@ -148,20 +148,20 @@
             continue;
         };
         match work {
-            Work::Probe(askers) => {
+            Work::Probe(senders) => {
                 let statements = [PROBE.to_owned()];
                 let status = strong.run_statements(&mut conn, &statements).await;
-                for asker in askers {
-                    let _ = asker.send(status);
+                for sender in senders {
+                    let _ = sender.send(status);
                 }
             }
-            Work::Order(order, asker) => {
+            Work::Order(order, sender) => {
                 let status = strong.run_statements(&mut conn, &order.statements()).await;
-                let _ = asker.send(status);
+                let _ = sender.send(status);
             }
-            Work::Statement(statement, asker) => {
-                let execute_on = strong.execute_on(&mut conn, &statement).await;
-                let _ = asker.send(execute_on);
+            Work::Statement(statement, sender) => {
+                let result = strong.execute_on(&mut conn, &statement).await;
+                let _ = sender.send(result);
             }
         }
     }
@@ -195,14 +195,14 @@
         action: impl AsyncFnOnce(&Conn) -> Result<T, Error>,
     ) -> Result<T, Fault> {
         let limit = ntex::time::Millis::from(TIMEOUT);
-        let action = async {
+        let attempt = async {
             if conn.as_ref().is_none_or(Conn::is_closed) {
                 *conn = Some(Conn::open(self.address, &self.login, &self.dbname).await?);
             }
             let open = conn.as_ref().ok_or(Error::Closed)?;
             action(open).await
         };
-        let result = ntex::time::timeout(limit, action).await;
+        let result = ntex::time::timeout(limit, attempt).await;
         result.unwrap_or(Err(Error::Timeout)).map_err(|error| {
             // After a failure the connection may still deliver the answer to
             // the abandoned query, so it is never reused.
--- a/crates/daemon/src/upstreams/dispatch.rs
+++ b/crates/daemon/src/upstreams/dispatch.rs
@@ -246,12 +246,12 @@
             return Completion::Refused(unreachable);
         };
         sink.set_mode(self.mode());
-        let ran = match member.next_holder(self.core) {
+        let completion = match member.next_holder(self.core) {
             Holder::Local => self.run_local(&member, sink).await,
             Holder::Remote(to) => self.run_remote(&to, sink).await,
             Holder::Unknown => Completion::Refused(unreachable),
         };
-        if let Completion::Answer(answer, _) = &ran
+        if let Completion::Answer(answer, _) = &completion
             && let Some(report) = answer.behind
         {
             self.group.note_report(
@@ -261,7 +261,7 @@
                 report,
             );
         }
-        ran
+        completion
     }
 }
 
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -322,12 +322,12 @@
         upstream: &name::Upstream,
     ) -> Option<Result<Report, Fault>> {
         let member = self.member(upstream)?;
-        let here = async || Ok(member.control.probe().await);
+        let local = async || Ok(member.control.probe().await);
         let command = || Command::Probe {
             database: self.name.clone(),
             upstream: upstream.clone(),
         };
-        let status = self.via_any_holder(core, &member, here, command).await?;
+        let status = self.via_any_holder(core, &member, local, command).await?;
         Some(self.note_probe(core, upstream, status))
     }
 
@@ -340,7 +340,7 @@
         order: failover::Order,
     ) -> Option<Result<Report, Fault>> {
         let member = self.member(upstream)?;
-        let here = async || match self.resolve(order.clone()) {
+        let local = async || match self.resolve(order.clone()) {
             Ok(order) => Ok(member.control.order(order).await),
             Err(fault) => Ok(Err(fault)),
         };
@@ -349,7 +349,7 @@
             upstream: upstream.clone(),
             order: order.clone(),
         };
-        let status = self.via_any_holder(core, &member, here, command).await?;
+        let status = self.via_any_holder(core, &member, local, command).await?;
         Some(self.note_probe(core, upstream, status))
     }
 
@@ -363,13 +363,13 @@
         &self,
         core: &Rc<Core>,
         member: &Member,
-        here: impl AsyncFn() -> Result<Status, Unreachable>,
+        local: impl AsyncFn() -> Result<Status, Unreachable>,
         command: impl Fn() -> Command,
     ) -> Option<Status> {
         let mut full = None;
         for _ in 0..HOLDER_ATTEMPTS {
             let status = match member.next_holder(core) {
-                Holder::Local => here().await,
+                Holder::Local => local().await,
                 Holder::Remote(to) => remote::status(core, &to, command()).await,
                 Holder::Unknown => Err(Unreachable),
             };
--- a/crates/daemon/src/upstreams/remote.rs
+++ b/crates/daemon/src/upstreams/remote.rs
@@ -25,7 +25,7 @@
 
 /// Capacity of a command's answer channel: the window of parts, plus the
 /// messages before and after them.
-const ANSWERS: usize = WINDOW + 4;
+const ANSWER_CAPACITY: usize = WINDOW + 4;
 
 /// A message or event that concerns a pending command.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
 impl Call {
     async fn open(core: &Rc<Core>, to: &name::Instance, command: Command) -> Self {
         let seq = core.next_seq();
-        let (sender, answers) = mpsc::channel(ANSWERS);
+        let (sender, answers) = mpsc::channel(ANSWER_CAPACITY);
         let pending = Pending {
             to: to.clone(),
             answers: sender,
@@ -180,9 +180,9 @@
         self.running.sent.set(true);
         *self.running.remote.borrow_mut() = Some((to.clone(), pin));
         let mut choose_mode = |report: &Report| self.choose_mode(sent, report);
-        let ran = receive(job, sink, call, to, sent, &mut choose_mode).await;
+        let completion = receive(job, sink, call, to, sent, &mut choose_mode).await;
         *self.running.remote.borrow_mut() = None;
-        match ran {
+        match completion {
             RemoteCompletion::Answer(answer) => Completion::Answer(
                 answer,
                 Checkout::Remote {
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -235,17 +235,17 @@
         running,
         verdict,
     };
-    let ran = dispatch.run(&mut sink).await;
+    let completion = dispatch.run(&mut sink).await;
     let verdict = dispatch.verdict;
-    match ran {
-        Completion::Answer(answer, held) if verdict != Verdict::Fresh => {
-            held.settle(&answer);
+    match completion {
+        Completion::Answer(answer, checkout) if verdict != Verdict::Fresh => {
+            checkout.settle(&answer);
             job.meter.note_discarded();
             *read = read.discarded(destination.target());
             Attempt::Retry
         }
-        Completion::Answer(answer, held) => {
-            conclude(core, job, group, destination, held, answer, sink).await
+        Completion::Answer(answer, checkout) => {
+            conclude(core, job, group, destination, checkout, answer, sink).await
         }
         Completion::Refused(refusal) if refusal.cause == Cause::NoUpstream => {
             // A read can go to another upstream than the unreachable replica.
@@ -267,24 +267,24 @@
     job: &mut Job,
     group: &Rc<Group>,
     destination: &Destination,
-    held: Checkout,
+    checkout: Checkout,
     answer: Answer,
     sink: Sink<'_>,
 ) -> Attempt {
     if answer.spoiled {
-        held.discard();
+        checkout.discard();
         return Attempt::Ended(refused(Cause::ConnectionLost, None));
     }
     if answer.error.as_deref() == Some(route::READ_ONLY) && !sink.has_streamed() {
-        held.settle(&answer);
+        checkout.settle(&answer);
         return read_only(core, job, group, destination).await;
     }
     let failed = answer.error.is_some();
     let commits = job.batch.closes == Closes::Transaction;
     if answer.status != Some(b'I') {
-        return Attempt::Ended(keep_open(core, job, group, held, &answer, sink).await);
+        return Attempt::Ended(keep_open(core, job, group, checkout, &answer, sink).await);
     }
-    held.settle(&answer);
+    checkout.settle(&answer);
     let wrote = matches!(job.batch.need, Need::Write | Need::Alone | Need::Begin);
     if wrote && (!failed || commits) {
         let mut end = acknowledge(core, job, group, answer.behind, sink).await;
@@ -311,11 +311,11 @@
     core: &Rc<Core>,
     job: &mut Job,
     group: &Rc<Group>,
-    held: Checkout,
+    checkout: Checkout,
     answer: &Answer,
     sink: Sink<'_>,
 ) -> End {
-    held.keep(core, job.caller, group);
+    checkout.keep(core, job.caller, group);
     let commits = job.batch.closes == Closes::Transaction && answer.status.is_some();
     let mut end = if commits && answer.behind.is_some() {
         let end = acknowledge(core, job, group, answer.behind, sink).await;
--- a/crates/daemon/src/upstreams/transaction.rs
+++ b/crates/daemon/src/upstreams/transaction.rs
@@ -64,8 +64,8 @@
     if answer.status == Some(b'I') && answer.behind.is_none() {
         answer.behind = probe(&connection).await.ok().flatten();
     }
-    let held = Checkout::Connection(Box::new(connection));
-    conclude(core, job, group, held, answer, sink).await
+    let checkout = Checkout::Connection(Box::new(connection));
+    conclude(core, job, group, checkout, answer, sink).await
 }
 
 /// Runs a statement of a transaction on a connection of another instance.
@@ -88,11 +88,11 @@
     *running.remote.borrow_mut() = None;
     match completion {
         RemoteCompletion::Answer(answer) => {
-            let held = Checkout::Remote {
+            let checkout = Checkout::Remote {
                 to: to.clone(),
                 pin,
             };
-            conclude(core, job, group, held, answer, sink).await
+            conclude(core, job, group, checkout, answer, sink).await
         }
         RemoteCompletion::Refused(_) => fail_transaction(core, job),
         RemoteCompletion::Broken | RemoteCompletion::TimedOut => {
@@ -126,14 +126,14 @@
     core: &Rc<Core>,
     job: &mut Job,
     group: &Rc<Group>,
-    held: Checkout,
+    checkout: Checkout,
     answer: Answer,
     sink: Sink<'_>,
 ) -> End {
     if answer.status != Some(b'I') {
-        return keep_open(core, job, group, held, &answer, sink).await;
+        return keep_open(core, job, group, checkout, &answer, sink).await;
     }
-    held.settle(&answer);
+    checkout.settle(&answer);
     let closes = job.batch.closes == Closes::Transaction;
     if answer.error.is_some() && !closes {
         return end(Outcome::Done, sink.finish(), Some(b'I'));
