--- a/crates/daemon/examples/loopback/idle.rs
+++ b/crates/daemon/examples/loopback/idle.rs
@@ -18,8 +18,8 @@
 /// one-time allocations are not counted.
 const WARM_UP_CALLERS: usize = 100;
 
-/// Number of threads that log callers in. The client derives the keys, which
-/// takes most of the time.
+/// Number of threads that log callers in. The client
+/// derives the keys.
 const LOGIN_THREADS: usize = 4;
 
 /// Number of file descriptors reserved for other uses than callers.
--- a/crates/daemon/examples/loopback/main.rs
+++ b/crates/daemon/examples/loopback/main.rs
@@ -1,5 +1,6 @@
-//! Overhead of the daemon on loopback: `cargo run --release --example
-//! loopback`.
+//! Overhead of the daemon on loopback.
+//!
+//! Run with `cargo run --release --example loopback`.
 //!
 //! Measures latency and throughput of callers that connect to simulated
 //! upstreams directly and through a daemon, in alternating rounds of one run,
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -29,8 +29,8 @@
     answer.matches("\"health\":\"alive\"").count()
 }
 
-/// Guards against instances that permanently know only some of the others when
-/// all start together, and so assign an upstream's seats differently. A newly
+/// Guards against instances that permanently know only three others when all
+/// start together, and so assign an upstream's seats differently. A newly
 /// bound socket receives no datagrams until the runtime has polled it, so all
 /// initial greetings were dropped, and a record is sent only a few times.
 #[test]
@@ -43,7 +43,7 @@
             for daemon in rig.daemons.iter().flatten() {
                 counts.push(alive_members(daemon.ops()).await);
             }
-            if counts.iter().all(|alive_members| *alive_members == 8) {
+            if counts.iter().all(|count| *count == 8) {
                 return;
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
