--- a/crates/daemon/examples/quickstart/steps.rs
+++ b/crates/daemon/examples/quickstart/steps.rs
@@ -102,7 +102,7 @@
     let attempts = book(caller, "arena-10", "mila", crashed).await?;
     println!(
         "7. The booking was acknowledged {} after the crash, in\n   {attempts}.\n   \
-         This is the failover time: detection, fencing by a majority, promotion, and\n   propagation.",
+         This is the failover gap: detection, fencing by a majority, promotion, and\n   propagation.",
         millis(crashed.elapsed())
     );
     let primary = (0..cluster.group.addresses().len())
