--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -76,7 +76,7 @@
     pub(crate) outs: ring::Sender<Out>,
     /// Messages from the peers duty.
     pub(crate) ins: ring::Receiver<In>,
-    /// Requests from the callers duty.
+    /// Commands from the callers duty.
     pub(crate) commands: ring::Receiver<Command>,
     /// Replies to the callers duty.
     pub(crate) replies: ring::Sender<Reply>,
