--- a/crates/daemon/examples/loopback/idle.rs
+++ b/crates/daemon/examples/loopback/idle.rs
@@ -1,4 +1,4 @@
-//! The memory of idle callers.
+//! Memory use of idle callers.
 
 use std::{
     net::{SocketAddr, TcpStream},
@@ -14,81 +14,83 @@
 /// The entry that idle callers connect to.
 const ENTRY: &str = "slots";
 
-/// Callers that are connected before the first measurement, so that what the
-/// daemon makes once is not counted to the first callers.
-const FIRST: usize = 100;
+/// Callers that connect before the first measurement, so that the daemon's
+/// one-time allocations are not counted.
+const WARM_UP_CALLERS: usize = 100;
 
-/// Threads that log callers in; the key derivation is the callers' work.
-const THREADS: usize = 4;
+/// Number of threads that log callers in. The client
+/// derives the keys.
+const LOGIN_THREADS: usize = 4;
 
-/// File descriptors for all but the callers.
+/// Number of file descriptors reserved for other uses than callers.
 const OTHER_FILES: u64 = 300;
 
-/// A caller has two ends in this process.
+/// File descriptors of one caller: both ends of its connection are in this
+/// process.
 const FILES_PER_CALLER: u64 = 2;
 
-/// How long the daemon may take to read its catalogue.
+/// Longest time that the daemon may take to read its catalogue.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause between two tries to connect.
+/// Pause between two attempts to connect.
 const READY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a number of idle callers takes.
+/// Memory use of a number of idle callers.
 #[derive(Debug, Serialize)]
-pub(crate) struct Figure {
-    /// The callers that were asked for.
+pub(crate) struct Measurement {
+    /// Requested number of callers.
     pub(crate) wanted: usize,
-    /// The callers that were connected: as many as the limit on file
-    /// descriptors lets in.
+    /// Number of connected callers, which the limit on file descriptors may
+    /// reduce.
     pub(crate) callers: usize,
-    /// Bytes of resident memory for each of them.
+    /// Resident memory for each caller, in bytes.
     pub(crate) bytes_per_caller: u64,
 }
 
-/// Idle callers.
-pub(crate) struct Crowd {
+/// Connected idle callers.
+pub(crate) struct IdleCallers {
     address: SocketAddr,
     sockets: Vec<TcpStream>,
     before: u64,
 }
 
-impl Crowd {
-    /// Connects the first callers, which are not counted.
+impl IdleCallers {
+    /// Connects the first [`WARM_UP_CALLERS`] callers, which are not measured.
     ///
     /// # Errors
     ///
-    /// Why a caller could not connect.
+    /// Fails if a caller can't connect.
     pub(crate) fn open(address: SocketAddr) -> anyhow::Result<Self> {
         let began = Instant::now();
         while let Err(error) = log_in(address, ENTRY) {
             if began.elapsed() > READY_TIMEOUT {
-                return Err(error).context("the daemon takes no callers");
+                return Err(error).context("the daemon accepts no callers");
             }
             thread::sleep(READY_PAUSE);
         }
-        let mut crowd = Self {
+        let mut callers = Self {
             address,
             sockets: Vec::new(),
             before: 0,
         };
-        crowd.connect(FIRST)?;
-        crowd.before = machine::resident();
-        Ok(crowd)
+        callers.connect(WARM_UP_CALLERS)?;
+        callers.before = machine::resident();
+        Ok(callers)
     }
 
-    /// Connects callers until there are `wanted` beside the first ones.
+    /// Connects callers until there are `wanted` in addition to the first ones.
     ///
     /// # Errors
     ///
-    /// Why a caller could not connect.
-    pub(crate) fn grow(&mut self, wanted: usize) -> anyhow::Result<Figure> {
-        let room = machine::files().saturating_sub(OTHER_FILES) / FILES_PER_CALLER;
-        let room = usize::try_from(room).unwrap_or(usize::MAX);
-        let callers = wanted.min(room.saturating_sub(FIRST));
-        let more = (FIRST + callers).saturating_sub(self.sockets.len());
+    /// Fails if a caller can't connect.
+    pub(crate) fn grow(&mut self, wanted: usize) -> anyhow::Result<Measurement> {
+        let limit = machine::files().saturating_sub(OTHER_FILES) / FILES_PER_CALLER;
+        let limit = usize::try_from(limit).unwrap_or(usize::MAX);
+        let callers = wanted.min(limit.saturating_sub(WARM_UP_CALLERS));
+        let more = (WARM_UP_CALLERS + callers).saturating_sub(self.sockets.len());
         self.connect(more)?;
         let grown = machine::resident().saturating_sub(self.before);
-        Ok(Figure {
+        Ok(Measurement {
             wanted,
             callers,
             bytes_per_caller: grown / callers.max(1) as u64,
@@ -97,7 +99,8 @@
 
     fn connect(&mut self, count: usize) -> anyhow::Result<()> {
         let address = self.address;
-        let shares = (0..THREADS).map(|it| count / THREADS + usize::from(it < count % THREADS));
+        let shares = (0..LOGIN_THREADS)
+            .map(|it| count / LOGIN_THREADS + usize::from(it < count % LOGIN_THREADS));
         let threads: Vec<_> = shares
             .map(|share| thread::spawn(move || connect_share(address, share)))
             .collect();
--- a/crates/daemon/examples/loopback/main.rs
+++ b/crates/daemon/examples/loopback/main.rs
@@ -1,8 +1,11 @@
-//! What the daemon adds on loopback: `cargo run --release --example loopback`.
+//! Overhead of the daemon on loopback.
 //!
-//! Latency and throughput of callers that ask a stand-in directly and of
-//! callers that ask it through a daemon, in turns within one run; and the
-//! memory of an idle caller. The load is bounded and stays on loopback.
+//! Run with `cargo run --release --example loopback`.
+//!
+//! Measures latency and throughput of callers that connect to simulated
+//! upstreams directly and through a daemon, in alternating rounds of one run,
+//! and the memory use of an idle caller. The load is bounded and stays on
+//! loopback.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,58 +20,58 @@
 use argh::FromArgs;
 use tokio::task::LocalSet;
 
-use common::stage::{Conf, Stage};
+use common::cluster::{Cluster, Conf};
 use latency::Case;
 use report::Report;
 
-/// Connections of an upstream: enough for the callers on both ways at once.
+/// Connection limit of an upstream, sufficient for the callers of both paths.
 const CONNECTIONS: usize = 64;
 
-/// Callers that the daemon takes.
+/// Limit on the daemon's callers.
 const CALLERS: usize = 20_000;
 
-/// The callers of each latency case.
+/// Numbers of callers for each latency case.
 const WIDTHS: [usize; 2] = [1, 8];
 
-/// Idle callers that are connected, one measurement after the other.
+/// Numbers of idle callers, measured one after another.
 const IDLE: [usize; 2] = [1_000, 10_000];
 
-/// Measures what the daemon adds on loopback.
+/// Measures the overhead of the daemon on loopback.
 #[derive(Debug, FromArgs)]
 struct Args {
-    /// print the figures as JSON
+    /// print the results as JSON
     #[argh(switch)]
     json: bool,
 
-    /// where random choices begin (1)
+    /// seed of the random number generators (1)
     #[argh(option, default = "1")]
     seed: u64,
 
-    /// turns of each latency case; more take longer and vary less (40)
+    /// rounds of each latency case; more rounds take longer and vary less (40)
     #[argh(option, default = "40")]
     turns: usize,
 
-    /// leave out the memory of idle callers
+    /// skip the memory use of idle callers
     #[argh(switch)]
     no_idle: bool,
 }
 
 fn main() -> anyhow::Result<()> {
     let args: Args = argh::from_env();
-    let stage = Stage::open(Conf {
+    let cluster = Cluster::open(Conf {
         daemons: 1,
         callers: CALLERS,
         connections: CONNECTIONS,
         seed: args.seed,
     })?;
-    let address = stage.daemons[0].callers();
+    let address = cluster.daemons[0].callers();
     let idle = if args.no_idle {
         Vec::new()
     } else {
         measure_idle(address)?
     };
-    let latency = measure_latency(&stage, address, args.turns)?;
-    stage.stop();
+    let latency = measure_latency(&cluster, address, args.turns)?;
+    cluster.stop();
     let report = Report {
         machine: machine::read(),
         seed: args.seed,
@@ -83,27 +86,28 @@
     Ok(())
 }
 
-/// Measured first: freed memory of the busy callers would hide the idle ones'.
-fn measure_idle(address: SocketAddr) -> anyhow::Result<Vec<idle::Figure>> {
-    let mut crowd = idle::Crowd::open(address)?;
-    IDLE.iter().map(|&count| crowd.grow(count)).collect()
+/// Runs before the latency cases, since memory freed after those would hide the
+/// growth by idle callers.
+fn measure_idle(address: SocketAddr) -> anyhow::Result<Vec<idle::Measurement>> {
+    let mut callers = idle::IdleCallers::open(address)?;
+    IDLE.iter().map(|&count| callers.grow(count)).collect()
 }
 
 fn measure_latency(
-    stage: &Stage,
+    cluster: &Cluster,
     address: SocketAddr,
     turns: usize,
-) -> anyhow::Result<Vec<latency::Figure>> {
+) -> anyhow::Result<Vec<latency::Measurement>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let upstreams = stage.group.addresses();
-    let mut figures = Vec::new();
+    let upstreams = cluster.group.addresses();
+    let mut measurements = Vec::new();
     for case in Case::ALL {
         for width in WIDTHS {
-            let figure = latency::measure(case, width, turns, &upstreams, address);
-            figures.push(LocalSet::new().block_on(&runtime, figure)?);
+            let measurement = latency::measure(case, width, turns, &upstreams, address);
+            measurements.push(LocalSet::new().block_on(&runtime, measurement)?);
         }
     }
-    Ok(figures)
+    Ok(measurements)
 }
--- a/crates/daemon/examples/quickstart/main.rs
+++ b/crates/daemon/examples/quickstart/main.rs
@@ -1,13 +1,13 @@
 //! Dandelionlink in one process: `cargo run --release --example quickstart`.
 //!
-//! A stand-in for the platform's store, three upstreams and two daemons start
-//! on loopback. A session writes through one instance and reads its write
-//! through the other; then the primary crashes and the next write lands. Exits
-//! with 1 if a step fails.
+//! Starts a simulated store, three simulated upstreams and two daemons on
+//! loopback. A session writes through one instance and reads its write through
+//! the other; then the primary crashes, and the next write succeeds on its
+//! replacement. Exits with 1 if a step fails.
 
 #[path = "../common/mod.rs"]
 mod common;
-mod story;
+mod steps;
 
 use argh::FromArgs;
 use signal_hook::{consts::SIGINT, iterator::Signals};
@@ -15,16 +15,16 @@
 
 use common::{
     caller::{PASSWORD, USER},
-    stage::{Conf, Stage, zone},
+    cluster::{Cluster, Conf, zone},
 };
 
-/// The daemons.
+/// Number of daemons.
 const DAEMONS: usize = 2;
 
-/// Callers that a daemon takes.
+/// Limit on a daemon's callers.
 const CALLERS: usize = 100;
 
-/// Connections of an upstream, as in the brief's larger deployment.
+/// Connection limit of an upstream, as in the larger target deployment.
 const CONNECTIONS: usize = 16;
 
 /// Shows a session that moves between two instances, and a change of primary.
@@ -34,7 +34,7 @@
     #[argh(switch)]
     stay: bool,
 
-    /// where random choices begin (1)
+    /// seed of the random number generators (1)
     #[argh(option, default = "1")]
     seed: u64,
 }
@@ -42,7 +42,7 @@
 fn main() -> anyhow::Result<()> {
     let args: Args = argh::from_env();
     let mut signals = Signals::new([SIGINT])?;
-    let stage = Stage::open(Conf {
+    let cluster = Cluster::open(Conf {
         daemons: DAEMONS,
         callers: CALLERS,
         connections: CONNECTIONS,
@@ -51,18 +51,18 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, story::tell(&stage))?;
+    LocalSet::new().block_on(&runtime, steps::run(&cluster))?;
     if args.stay {
-        println!("\nBoth instances keep listening; Ctrl-C ends them.");
-        print_addresses(&stage);
+        println!("\nBoth instances keep listening; press Ctrl-C to stop them.");
+        print_addresses(&cluster);
         signals.forever().next();
     }
-    stage.stop();
+    cluster.stop();
     Ok(())
 }
 
-fn print_addresses(stage: &Stage) {
-    for (index, daemon) in stage.daemons.iter().enumerate() {
+fn print_addresses(cluster: &Cluster) {
+    for (index, daemon) in cluster.daemons.iter().enumerate() {
         let address = daemon.callers();
         println!(
             "  {}: postgres://{USER}:{PASSWORD}@{address}/slots",
--- a/crates/daemon/src/upstreams/ack.rs
+++ b/crates/daemon/src/upstreams/ack.rs
@@ -1,4 +1,5 @@
-//! Waiting for a majority: acknowledgement of writes, and confirmed rounds.
+//! Waiting for a majority: acknowledgement of writes and confirmation of the
+//! primary.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,39 +12,40 @@
 
 use super::{
     Core,
+    backoff::{Backoff, MAX_PAUSE},
     group::{Group, Member},
-    pace::{MOST_PAUSE, Pace},
 };
 
 impl Group {
-    /// Waits until a majority holds the log up to `position` of the term that
-    /// still counts.
+    /// Waits until a majority holds the log up to `position`, provided that its
+    /// term is still current.
     ///
     /// # Errors
     ///
-    /// Why that can't be said of the write: its outcome is unknown.
-    pub(super) async fn acknowledged(
+    /// Returns the reason why the write can't be acknowledged; its outcome is
+    /// unknown.
+    pub(super) async fn wait_acknowledged(
         self: &Rc<Self>,
         core: &Rc<Core>,
         position: Position,
         deadline: Instant,
     ) -> Result<(), Cause> {
         let id = self.next_id();
-        let waits = match self.quorum.borrow_mut().as_mut() {
+        let acknowledged = match self.quorum.borrow_mut().as_mut() {
             Some(quorum) => quorum
                 .add_write(id, position)
                 .map_err(|_| Cause::Replaced)?,
             None => return Err(Cause::NoUpstream),
         };
-        if waits.is_some() {
+        if acknowledged.is_some() {
             return Ok(());
         }
-        let (waiter, landed) = oneshot::channel();
-        self.waiters.borrow_mut().insert(id, waiter);
-        self.press(core);
+        let (sender, receiver) = oneshot::channel();
+        self.waiters.borrow_mut().insert(id, sender);
+        self.poll_replicas(core);
         tokio::select! {
             biased;
-            result = landed => result.unwrap_or(Err(Cause::Replaced)),
+            result = receiver => result.unwrap_or(Err(Cause::Replaced)),
             () = sleep(deadline.since(core.now())) => {
                 self.waiters.borrow_mut().remove(&id);
                 if let Some(quorum) = self.quorum.borrow_mut().as_mut() {
@@ -55,40 +57,41 @@
     }
 
     fn next_id(&self) -> Id {
-        self.waits.set(self.waits.get() + 1);
-        Id(self.waits.get())
+        self.last_id.set(self.last_id.get() + 1);
+        Id(self.last_id.get())
     }
 
-    /// Asks the replicas for their positions until no write waits.
-    fn press(self: &Rc<Self>, core: &Rc<Core>) {
+    /// Polls the replicas for their positions until no write is waiting.
+    fn poll_replicas(self: &Rc<Self>, core: &Rc<Core>) {
         let primary = self.router.borrow().primary().cloned();
         for (name, member) in self.members.borrow().iter() {
-            let busy = member.pressed.get() || primary.as_ref() == Some(name);
+            let busy = member.polled.get() || primary.as_ref() == Some(name);
             if !busy {
-                member.pressed.set(true);
+                member.polled.set(true);
                 let (group, core) = (Rc::clone(self), Rc::clone(core));
-                ntex::rt::spawn(press_one(group, core, name.clone(), Rc::clone(member)));
+                ntex::rt::spawn(poll_replica(group, core, name.clone(), Rc::clone(member)));
             }
         }
     }
 
-    /// Asks all upstreams for their status, unless a round is under way.
+    /// Starts a round of status probes to all upstreams, unless one is under
+    /// way.
     ///
-    /// An instance that is no candidate has no other way to learn who leads
-    /// before the record of a change reaches it.
-    pub(super) fn want_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
+    /// An instance that is not a candidate learns of a new primary in no other
+    /// way before the record of the change reaches it.
+    pub(super) fn request_round(self: &Rc<Self>, core: &Rc<Core>, since: Instant) {
         let now = core.now();
         if self.round.borrow_mut().request(now, since) == Start::Now {
-            ntex::rt::spawn(ask_all(Rc::clone(self), Rc::clone(core)));
+            ntex::rt::spawn(probe_all(Rc::clone(self), Rc::clone(core)));
         }
     }
 
-    /// Waits for a round that began at `since` or later.
+    /// Waits for a confirmed round that began at `since` or later.
     ///
     /// # Errors
     ///
-    /// [`Cause::Deadline`] when no majority confirmed a primary in time.
-    pub(super) async fn confirmed(
+    /// [`Cause::Deadline`] if no majority confirmed a primary in time.
+    pub(super) async fn wait_confirmed(
         self: &Rc<Self>,
         core: &Rc<Core>,
         since: Instant,
@@ -103,18 +106,18 @@
             if now >= deadline {
                 return Err(Cause::Deadline);
             }
-            self.want_round(core, since);
+            self.request_round(core, since);
             tokio::select! {
                 () = changed => {}
-                () = sleep(deadline.since(now).min(MOST_PAUSE)) => {}
+                () = sleep(deadline.since(now).min(MAX_PAUSE)) => {}
             }
         }
     }
 }
 
-/// Asks one upstream for its position until no write waits.
-async fn press_one(group: Rc<Group>, core: Rc<Core>, name: name::Upstream, member: Rc<Member>) {
-    let mut pace = Pace::open();
+/// Polls one upstream for its position until no write is waiting.
+async fn poll_replica(group: Rc<Group>, core: Rc<Core>, name: name::Upstream, member: Rc<Member>) {
+    let mut backoff = Backoff::open();
     loop {
         let report = group.probe(&core, &name).await.and_then(Result::ok);
         let waiting = group
@@ -125,16 +128,17 @@
         if !waiting {
             break;
         }
-        let pause = pace.next(report.map(|report| report.received));
+        let pause = backoff.next(report.map(|report| report.received));
         if pause > Duration::ZERO {
             sleep(pause).await;
         }
     }
-    member.pressed.set(false);
+    member.polled.set(false);
 }
 
-/// Asks all upstreams of the group for their status at once.
-async fn ask_all(group: Rc<Group>, core: Rc<Core>) {
+/// Probes all upstreams of the group in parallel, again while further rounds
+/// are requested.
+async fn probe_all(group: Rc<Group>, core: Rc<Core>) {
     loop {
         let began = core.now();
         let names: Vec<_> = group.members.borrow().keys().cloned().collect();
--- a/crates/daemon/src/upstreams/lines.rs
+++ b/crates/daemon/src/upstreams/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to one upstream: [`pool::Pool`] decides, this carries out.
+//! The connections to one upstream: [`pool::Pool`] decides, and this module
+//! carries out its actions.
 
 use std::{
     cell::RefCell,
@@ -19,25 +20,25 @@
 use tokio::sync::{Notify, oneshot};
 use upstream::{Conn, Login};
 
-use super::line::{Fate, Line};
+use super::connection::{Connection, Disposition};
 use crate::job::{Leaves, Settings};
 
-/// How long a login at an upstream may take.
+/// Longest time for connecting and logging in to an upstream.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an upstream takes to see that a connection was closed.
-const CLOSING: Duration = Duration::from_millis(5);
+/// Time that an upstream needs to notice a closed connection.
+const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
 /// A refusal by the pool: the request did not run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Refused {
-    /// Why.
+    /// The cause of the refusal.
     pub(super) cause: Cause,
-    /// When asking again has a chance.
+    /// Time after which a retry may succeed.
     pub(super) retry_after: Option<Duration>,
 }
 
-/// A connection that no request has.
+/// A connection that is not checked out.
 struct Idle {
     conn: Conn,
     prepared: HashSet<u128>,
@@ -48,8 +49,8 @@
 
 type Waiter = oneshot::Sender<Result<Handle, Refused>>;
 
-/// The connections to one upstream that this instance holds.
-pub(super) struct Lines {
+/// This instance's connections to one upstream.
+pub(super) struct Connections {
     clock: Clock,
     address: SocketAddr,
     login: Login,
@@ -57,13 +58,13 @@
     pub(super) pool: RefCell<Pool>,
     idle: RefCell<HashMap<Generation, Idle>>,
     waiters: RefCell<HashMap<Ticket, Waiter>>,
-    /// Transactions whose connection the pool has taken away.
+    /// Transactions whose connection was closed by the pool.
     broken: RefCell<HashSet<Ticket>>,
     stepped: Notify,
 }
 
-impl Lines {
-    /// Opens the warm connections and keeps to the pool's limits.
+impl Connections {
+    /// Creates the pool and starts opening its warm connections.
     pub(super) fn open(
         clock: Clock,
         address: SocketAddr,
@@ -71,7 +72,7 @@
         dbname: &str,
         conf: pool::Conf,
     ) -> Rc<Self> {
-        let lines = Rc::new(Self {
+        let connections = Rc::new(Self {
             clock,
             address,
             login: login.clone(),
@@ -82,22 +83,22 @@
             broken: RefCell::default(),
             stepped: Notify::new(),
         });
-        lines.step(Event::Tick);
-        ntex::rt::spawn(tick(Rc::downgrade(&lines), clock));
-        lines
+        connections.step(Event::Tick);
+        ntex::rt::spawn(tick(Rc::downgrade(&connections), clock));
+        connections
     }
 
-    /// Changes the limits.
+    /// Changes the pool's limits.
     pub(super) fn set_conf(self: &Rc<Self>, conf: pool::Conf) {
         self.step(Event::Conf(conf));
     }
 
-    /// Tells whether the upstream gets new work.
+    /// Sets whether the upstream gets new requests.
     pub(super) fn set_service(self: &Rc<Self>, service: Status) {
         self.step(Event::Status(service));
     }
 
-    /// What the upstream has to do for this instance.
+    /// The upstream's load from this instance.
     pub(super) fn load(&self) -> route::Load {
         let pool = self.pool.borrow();
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Waits for a connection.
-    pub(super) async fn acquire(self: &Rc<Self>, request: Request) -> Result<Line, Refused> {
+    /// Checks out a connection, waiting in the pool's queue.
+    pub(super) async fn acquire(self: &Rc<Self>, request: Request) -> Result<Connection, Refused> {
         let ticket = request.ticket;
         let handle = self.wait(ticket, Event::Submit(request)).await?;
         let Some(idle) = self.idle.borrow_mut().remove(&handle.generation) else {
@@ -118,78 +119,82 @@
                 retry_after: None,
             });
         };
-        Ok(Line {
+        Ok(Connection {
             conn: idle.conn,
             address: self.address,
             prepared: idle.prepared,
             skipping: false,
             applied: idle.applied,
             leaves: idle.leaves,
-            fate: Fate::Reuse,
+            disposition: Disposition::Reuse,
             seen: idle.seen,
-            home: Rc::clone(self),
+            owner: Rc::clone(self),
             ticket,
             handle,
         })
     }
 
-    /// Lets a transaction send its next statement on the connection it has.
+    /// Admits the next statement of a transaction on its connection.
     pub(super) async fn next(
         self: &Rc<Self>,
-        line: &mut Line,
+        connection: &mut Connection,
         deadline: Instant,
     ) -> Result<(), Refused> {
-        if self.broken.borrow_mut().remove(&line.ticket) {
+        if self.broken.borrow_mut().remove(&connection.ticket) {
             return Err(Refused {
                 cause: Cause::ConnectionLost,
                 retry_after: None,
             });
         }
-        line.handle = self
-            .wait(line.ticket, Event::Next(line.ticket, deadline))
+        connection.handle = self
+            .wait(connection.ticket, Event::Next(connection.ticket, deadline))
             .await?;
         Ok(())
     }
 
-    /// Takes a connection back from a request whose answer was read whole.
-    pub(super) fn release(self: &Rc<Self>, line: Line) {
-        if line.fate == Fate::Close {
-            return self.discard(line);
+    /// Returns a connection to the pool after its request's answer was read
+    /// completely.
+    pub(super) fn release(self: &Rc<Self>, connection: Connection) {
+        if connection.disposition == Disposition::Close {
+            return self.discard(connection);
         }
         let idle = Idle {
-            conn: line.conn,
-            prepared: line.prepared,
-            applied: line.applied,
-            leaves: line.leaves,
-            seen: line.seen,
+            conn: connection.conn,
+            prepared: connection.prepared,
+            applied: connection.applied,
+            leaves: connection.leaves,
+            seen: connection.seen,
         };
-        self.idle.borrow_mut().insert(line.handle.generation, idle);
-        self.step(Event::Answered(line.handle, Condition::Idle));
+        self.idle
+            .borrow_mut()
+            .insert(connection.handle.generation, idle);
+        self.step(Event::Answered(connection.handle, Condition::Idle));
     }
 
-    /// Notes that the transaction on a connection goes on.
-    pub(super) fn hold(self: &Rc<Self>, line: &Line) {
-        self.step(Event::Answered(line.handle, Condition::Transaction));
+    /// Notes that the transaction on a connection stays open.
+    pub(super) fn hold(self: &Rc<Self>, connection: &Connection) {
+        self.step(Event::Answered(connection.handle, Condition::Transaction));
     }
 
-    /// Closes a connection that is not fit for another request.
+    /// Closes a connection that must not be reused.
     ///
-    /// One with an unread answer would give it to the next request; one with
-    /// an open transaction would mix the two callers' statements.
-    pub(super) fn discard(self: &Rc<Self>, line: Line) {
-        let handle = line.handle;
-        drop(line);
+    /// An unread answer would be delivered to the next request, and an open
+    /// transaction would mix the statements of two callers.
+    pub(super) fn discard(self: &Rc<Self>, connection: Connection) {
+        let handle = connection.handle;
+        drop(connection);
         self.step(Event::Answered(handle, Condition::Unusable));
-        self.tell_closed(handle.generation);
+        self.notify_closed(handle.generation);
     }
 
-    /// Tells the pool that a connection is closed, once the upstream has had
-    /// the time to see it: opened at once, the next one would come on top.
-    fn tell_closed(self: &Rc<Self>, generation: Generation) {
-        let lines = Rc::clone(self);
+    /// Reports a closed connection to the pool after [`CLOSE_DELAY`]. Until
+    /// then the upstream may still count it, and a new connection would exceed
+    /// the limit.
+    fn notify_closed(self: &Rc<Self>, generation: Generation) {
+        let connections = Rc::clone(self);
         ntex::rt::spawn(async move {
-            sleep(CLOSING).await;
-            lines.step(Event::Closed(generation));
+            sleep(CLOSE_DELAY).await;
+            connections.step(Event::Closed(generation));
         });
     }
 
@@ -197,23 +202,23 @@
         let (waiter, waiting) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, waiter);
         self.step(event);
-        let gone = Refused {
+        let dropped = Refused {
             cause: Cause::NoUpstream,
             retry_after: None,
         };
-        waiting.await.unwrap_or(Err(gone))
+        waiting.await.unwrap_or(Err(dropped))
     }
 
     fn step(self: &Rc<Self>, event: Event) {
         let now = self.clock.now();
         let actions = self.pool.borrow_mut().step(now, event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
         self.stepped.notify_one();
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Open(generation) => {
                 ntex::rt::spawn(connect(Rc::clone(self), generation));
@@ -222,16 +227,16 @@
                 let idle = self.idle.borrow_mut().remove(&generation);
                 if idle.is_some() {
                     drop(idle);
-                    self.tell_closed(generation);
+                    self.notify_closed(generation);
                 }
             }
-            Action::Run(ticket, handle) => self.answer(ticket, Ok(handle)),
+            Action::Run(ticket, handle) => self.resolve(ticket, Ok(handle)),
             Action::Refuse {
                 ticket,
                 cause,
                 retry_after,
             } => {
-                self.answer(
+                self.resolve(
                     ticket,
                     Err(Refused {
                         cause,
@@ -239,12 +244,13 @@
                     }),
                 );
             }
-            // The request that owns the connection has the same deadline and
-            // cancels and discards it itself; the pool has closed its books.
+            // The request that owns the connection has the same deadline; it
+            // cancels the statement and discards the connection itself. The
+            // pool has already removed the request.
             Action::Cancel(_) => {}
             Action::Abort(ticket, cause) => {
                 self.broken.borrow_mut().insert(ticket);
-                self.answer(
+                self.resolve(
                     ticket,
                     Err(Refused {
                         cause,
@@ -255,21 +261,21 @@
         }
     }
 
-    fn answer(&self, ticket: Ticket, result: Result<Handle, Refused>) {
+    fn resolve(&self, ticket: Ticket, result: Result<Handle, Refused>) {
         let waiter = self.waiters.borrow_mut().remove(&ticket);
         if let Some(waiter) = waiter {
             let _ = waiter.send(result);
         }
     }
 
-    /// Forgets what the pool told of a request that has ended.
+    /// Forgets the pool's abort of a request that has ended.
     pub(super) fn forget(&self, ticket: Ticket) {
         self.broken.borrow_mut().remove(&ticket);
     }
 }
 
-async fn connect(lines: Rc<Lines>, generation: Generation) {
-    let opening = Conn::open(lines.address, &lines.login, &lines.dbname);
+async fn connect(connections: Rc<Connections>, generation: Generation) {
+    let opening = Conn::open(connections.address, &connections.login, &connections.dbname);
     let limit = ntex::time::Millis::from(OPEN_TIMEOUT);
     let event = match ntex::time::timeout(limit, opening).await {
         Ok(Ok(conn)) => {
@@ -280,20 +286,20 @@
                 leaves: Leaves::Nothing,
                 seen: None,
             };
-            lines.idle.borrow_mut().insert(generation, idle);
+            connections.idle.borrow_mut().insert(generation, idle);
             Event::Opened(generation)
         }
         Ok(Err(_)) | Err(()) => Event::Lost(generation),
     };
-    lines.step(event);
+    connections.step(event);
 }
 
-/// Steps the pool whenever the moment comes that it waits for.
-async fn tick(lines: std::rc::Weak<Lines>, clock: Clock) {
-    /// How long to sleep when the pool waits for nothing.
+/// Steps the pool when its next timer is due.
+async fn tick(connections: std::rc::Weak<Connections>, clock: Clock) {
+    /// Longest sleep while the pool has no timer.
     const QUIET: Duration = Duration::from_secs(1);
     loop {
-        let Some(strong) = lines.upgrade() else {
+        let Some(strong) = connections.upgrade() else {
             return;
         };
         let now = clock.now();
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -1,8 +1,8 @@
-//! The control connection of an upstream: status probes and orders.
+//! The control connection of an upstream, for status probes and orders.
 //!
-//! One connection for each upstream carries them one after another. Those who
-//! ask while a probe is under way wait for the next one, because an answer
-//! only counts from the moment at which its question was sent.
+//! One connection for each upstream runs them one after another. A probe that
+//! is requested while another one is under way waits for the next one, since a
+//! status is only valid from the time at which its query was sent.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,22 +20,22 @@
 use super::Core;
 use crate::control::{Answer, Order};
 
-/// How long a probe or an order may take on its connection.
+/// Longest time for a probe or an order on an open connection or a new one.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The SQLSTATE of a server that has all the connections that it takes.
-const TOO_MANY: &str = "53300";
+/// SQLSTATE `too_many_connections`: the server's connection limit is reached.
+const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// A status and the moment at which it was asked for.
+/// A status report and the time at which its query was sent.
 pub(super) type Status = Result<(Instant, Report), Fault>;
 
-type Asker = oneshot::Sender<Status>;
+type StatusSender = oneshot::Sender<Status>;
 
-/// What waits for the control connection.
+/// Work that is queued for the control connection.
 #[derive(Default)]
 struct Waiting {
-    probes: Vec<Asker>,
-    orders: Vec<(upstream::Order, Asker)>,
+    probes: Vec<StatusSender>,
+    orders: Vec<(upstream::Order, StatusSender)>,
     statements: Vec<(String, oneshot::Sender<Result<u64, Fault>>)>,
 }
 
@@ -47,22 +47,23 @@
     dbname: String,
     waiting: RefCell<Waiting>,
     work: Notify,
-    standing: Cell<Use>,
+    holding: Cell<Holding>,
 }
 
-/// Whether this instance holds connections to the upstream.
+/// Whether this instance holds pooled connections to the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Use {
-    /// It does: the control connection stays open.
+pub(super) enum Holding {
+    /// This instance is a holder: the control connection stays open.
     Held,
-    /// It does not: the connection is closed once it has nothing to do. Kept
-    /// open, those of all former holders would leave no room for the present
-    /// ones, whose probes would then fail as if the upstream were gone.
+    /// This instance is not a holder: the control connection is closed when
+    /// idle. If former holders kept theirs open, the upstream's connection
+    /// limit would leave no room for the current holders, whose probes would
+    /// then fail as if the upstream were down.
     Released,
 }
 
 impl Control {
-    /// Prepares the connection; it is opened at the first use.
+    /// Creates the control connection, which is opened on first use.
     pub(super) fn open(clock: Clock, address: SocketAddr, login: &Login, dbname: &str) -> Rc<Self> {
         let control = Rc::new(Self {
             clock,
@@ -71,63 +72,64 @@
             dbname: dbname.to_owned(),
             waiting: RefCell::default(),
             work: Notify::new(),
-            standing: Cell::new(Use::Released),
+            holding: Cell::new(Holding::Released),
         });
         ntex::rt::spawn(serve(Rc::downgrade(&control)));
         control
     }
 
-    /// Tells whether this instance holds connections to the upstream.
-    pub(super) fn set_use(&self, standing: Use) {
-        self.standing.set(standing);
+    /// Sets whether this instance holds pooled connections to the upstream.
+    pub(super) fn set_holding(&self, holding: Holding) {
+        self.holding.set(holding);
         self.work.notify_one();
     }
 
-    /// Asks for the status, by a question sent after this call.
+    /// Requests a status whose query is sent after this call.
     pub(super) async fn probe(&self) -> Status {
-        let (asker, answer) = oneshot::channel();
-        self.waiting.borrow_mut().probes.push(asker);
+        let (sender, answer) = oneshot::channel();
+        self.waiting.borrow_mut().probes.push(sender);
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    /// Has an order carried out, and asks for the status behind it.
+    /// Executes an order and returns the status after it.
     pub(super) async fn order(&self, order: upstream::Order) -> Status {
-        let (asker, answer) = oneshot::channel();
-        self.waiting.borrow_mut().orders.push((order, asker));
+        let (sender, answer) = oneshot::channel();
+        self.waiting.borrow_mut().orders.push((order, sender));
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    /// Runs a statement of the proxy's own; returns how many rows it touched.
+    /// Runs one of the proxy's own statements and returns the number of
+    /// affected rows.
     pub(super) async fn execute(&self, statement: String) -> Result<u64, Fault> {
-        let (asker, answer) = oneshot::channel();
+        let (sender, answer) = oneshot::channel();
         self.waiting
             .borrow_mut()
             .statements
-            .push((statement, asker));
+            .push((statement, sender));
         self.work.notify_one();
         answer.await.unwrap_or(Err(Fault::Broken))
     }
 
-    fn take(&self) -> Option<Work> {
+    fn next_work(&self) -> Option<Work> {
         let mut waiting = self.waiting.borrow_mut();
         if !waiting.orders.is_empty() {
-            let (order, asker) = waiting.orders.remove(0);
-            return Some(Work::Order(order, asker));
+            let (order, sender) = waiting.orders.remove(0);
+            return Some(Work::Order(order, sender));
         }
         let probes = std::mem::take(&mut waiting.probes);
         if !probes.is_empty() {
             return Some(Work::Probe(probes));
         }
-        let (statement, asker) = waiting.statements.pop()?;
-        Some(Work::Statement(statement, asker))
+        let (statement, sender) = waiting.statements.pop()?;
+        Some(Work::Statement(statement, sender))
     }
 }
 
 enum Work {
-    Probe(Vec<Asker>),
-    Order(upstream::Order, Asker),
+    Probe(Vec<StatusSender>),
+    Order(upstream::Order, StatusSender),
     Statement(String, oneshot::Sender<Result<u64, Fault>>),
 }
 
@@ -137,8 +139,8 @@
         let Some(strong) = control.upgrade() else {
             return;
         };
-        let Some(work) = strong.take() else {
-            if strong.standing.get() == Use::Released {
+        let Some(work) = strong.next_work() else {
+            if strong.holding.get() == Holding::Released {
                 conn = None;
             }
             let idle = ntex::time::Millis(1_000);
@@ -146,28 +148,28 @@
             continue;
         };
         match work {
-            Work::Probe(askers) => {
+            Work::Probe(senders) => {
                 let statements = [PROBE.to_owned()];
-                let status = strong.ask(&mut conn, &statements).await;
-                for asker in askers {
-                    let _ = asker.send(status);
+                let status = strong.run_statements(&mut conn, &statements).await;
+                for sender in senders {
+                    let _ = sender.send(status);
                 }
             }
-            Work::Order(order, asker) => {
-                let status = strong.ask(&mut conn, &order.statements()).await;
-                let _ = asker.send(status);
+            Work::Order(order, sender) => {
+                let status = strong.run_statements(&mut conn, &order.statements()).await;
+                let _ = sender.send(status);
             }
-            Work::Statement(statement, asker) => {
-                let count = strong.count(&mut conn, &statement).await;
-                let _ = asker.send(count);
+            Work::Statement(statement, sender) => {
+                let result = strong.execute_on(&mut conn, &statement).await;
+                let _ = sender.send(result);
             }
         }
     }
 }
 
 impl Control {
-    async fn ask(&self, conn: &mut Option<Conn>, statements: &[String]) -> Status {
-        let asking = async |open: &Conn| {
+    async fn run_statements(&self, conn: &mut Option<Conn>, statements: &[String]) -> Status {
+        let statements_then_status = async |open: &Conn| {
             let (last, first) = statements
                 .split_last()
                 .ok_or(Error::Status("no statement"))?;
@@ -177,32 +179,33 @@
             let row = rows.first().ok_or(Error::Status("no row"))?;
             Ok((sent, upstream::parse_report(row)?))
         };
-        self.on_conn(conn, asking).await
+        self.with_conn(conn, statements_then_status).await
     }
 
-    async fn count(&self, conn: &mut Option<Conn>, statement: &str) -> Result<u64, Fault> {
-        self.on_conn(conn, async |open: &Conn| open.execute(statement).await)
+    async fn execute_on(&self, conn: &mut Option<Conn>, statement: &str) -> Result<u64, Fault> {
+        self.with_conn(conn, async |open: &Conn| open.execute(statement).await)
             .await
     }
 
-    /// Does something on the connection, within the time that it may take.
-    async fn on_conn<T>(
+    /// Runs `action` on the connection within [`TIMEOUT`], opening the
+    /// connection if it is closed.
+    async fn with_conn<T>(
         &self,
         conn: &mut Option<Conn>,
-        act: impl AsyncFnOnce(&Conn) -> Result<T, Error>,
+        action: impl AsyncFnOnce(&Conn) -> Result<T, Error>,
     ) -> Result<T, Fault> {
         let limit = ntex::time::Millis::from(TIMEOUT);
-        let acting = async {
+        let attempt = async {
             if conn.as_ref().is_none_or(Conn::is_closed) {
                 *conn = Some(Conn::open(self.address, &self.login, &self.dbname).await?);
             }
             let open = conn.as_ref().ok_or(Error::Closed)?;
-            act(open).await
+            action(open).await
         };
-        let result = ntex::time::timeout(limit, acting).await;
+        let result = ntex::time::timeout(limit, attempt).await;
         result.unwrap_or(Err(Error::Timeout)).map_err(|error| {
-            // A connection that failed once may still bring the answer to the
-            // question that was given up: it is never used again.
+            // After a failure the connection may still deliver the answer to
+            // the abandoned query, so it is never reused.
             if !matches!(error, Error::Refused { .. }) {
                 *conn = None;
             }
@@ -211,14 +214,14 @@
     }
 }
 
-/// What the control duty is told of an error.
+/// Maps an error to the fault reported to the control duty.
 fn fault(error: &Error) -> Fault {
     match error {
         Error::Connect(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
             Fault::Refused
         }
         Error::Timeout => Fault::Timeout,
-        Error::Refused { state, .. } if state == TOO_MANY => Fault::Full,
+        Error::Refused { state, .. } if state == TOO_MANY_CONNECTIONS => Fault::Full,
         Error::Refused { state, message } if state == upstream::TERM_REFUSED => {
             let term = message.rsplit(' ').nth(1).and_then(|it| it.parse().ok());
             term.map_or(Fault::Broken, |term| Fault::Fenced(model::Term(term)))
@@ -227,12 +230,12 @@
     }
 }
 
-/// Carries out what the control duty asks, and answers it.
+/// Executes an order of the control duty and sends the answer.
 pub(super) async fn carry_out(core: Rc<Core>, order: Order) {
     match order {
         Order::SetPrimary { database, record } => {
             if let Some(group) = core.group(&database) {
-                group.lead(core.now(), &record);
+                group.set_primary(core.now(), &record);
             }
         }
         Order::Probe {
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -1,4 +1,4 @@
-//! What is known of one database, and the ways to its upstreams.
+//! The state of one database and the access to its upstreams.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,114 +25,120 @@
 
 use super::{
     Core,
-    control::{Control, Status, Use},
-    lines::Lines,
-    remote::{self, Lost},
-    site::Holder,
-    view::Sight,
+    connections::Connections,
+    control::{Control, Holding, Status},
+    dispatch::Holder,
+    remote::{self, Unreachable},
+    view::ProbeHistory,
 };
 use crate::forward::Command;
 
-/// How long a round of status probes may take before the next may begin.
+/// Time after which an unfinished round of status probes no longer blocks the
+/// next one.
 pub(super) const ROUND_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How often another holder is tried for a probe or an order, and how long
-/// after the one before.
-const WAYS: usize = 6;
-const WAY_PAUSE: Duration = Duration::from_millis(15);
+/// Number of attempts to reach a holder for a probe or an order, and the pause
+/// after each.
+const HOLDER_ATTEMPTS: usize = 6;
+const HOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(15);
 
-/// After how long without work a connection beyond the warm ones is closed.
-const IDLE: Duration = Duration::from_secs(60);
+/// Idle time after which a connection beyond the warm ones is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long an open transaction may have nothing in flight.
-const TRANSACTION_IDLE: Duration = Duration::from_secs(60);
+/// Longest time that an open transaction may have no statement in flight.
+const TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One upstream of a group.
 pub(super) struct Member {
     pub(super) conf: catalog::Upstream,
-    pub(super) lines: Rc<Lines>,
+    pub(super) connections: Rc<Connections>,
     pub(super) control: Rc<Control>,
-    /// Whether a task asks it for its status until no write waits.
-    pub(super) pressed: Cell<bool>,
-    /// Who should have each of its seats, as seen from here.
-    seats: RefCell<Vec<name::Instance>>,
-    /// The seats that this instance has, out of those of the whole database.
-    part: RefCell<Part>,
-    /// Counts up, to divide requests among the holders.
-    turns: Cell<usize>,
+    /// Whether a task is polling the upstream's position for waiting writes.
+    pub(super) polled: Cell<bool>,
+    /// The instance assigned to each seat of the upstream, in this instance's
+    /// view.
+    holders: RefCell<Vec<name::Instance>>,
+    /// The seats assigned to this instance.
+    own_seats: RefCell<Seats>,
+    /// Round-robin counter for choosing a holder.
+    rotation: Cell<usize>,
 }
 
-/// This instance's seats at an upstream.
+/// This instance's seats at an upstream. A seat is a share of the upstream's
+/// connections.
 #[derive(Debug, Clone, Default)]
-struct Part {
-    /// The numbers of its seats among those of the database.
-    seats: Vec<u16>,
+struct Seats {
+    /// The seats' numbers, counted over all upstreams of the database.
+    numbers: Vec<u16>,
     /// Whether the upstream's first seat is among them.
-    first: bool,
-    /// How many seats the database has.
-    of: u16,
+    has_first: bool,
+    /// The number of seats of the whole database.
+    total: u16,
 }
 
 impl Member {
-    /// Whether this instance holds connections to the upstream.
-    pub(super) fn holds(&self) -> bool {
-        !self.part.borrow().seats.is_empty()
+    /// Returns true if this instance holds connections to the upstream.
+    pub(super) fn is_holder(&self) -> bool {
+        !self.own_seats.borrow().numbers.is_empty()
     }
 
-    /// Whether this instance has the first of the upstream's seats.
-    pub(super) fn holds_first(&self) -> bool {
-        self.part.borrow().first
+    /// Returns true if this instance has the first seat of the upstream.
+    pub(super) fn has_first_seat(&self) -> bool {
+        self.own_seats.borrow().has_first
     }
 
-    /// Where the next request for the upstream goes.
-    pub(super) fn holder(&self, core: &Core) -> Holder {
-        if self.holds() {
-            return Holder::Here;
+    /// Chooses a holder for the next request to the upstream: this instance if
+    /// it is one, else another holder in turn, preferring those that are not
+    /// stopping.
+    pub(super) fn next_holder(&self, core: &Core) -> Holder {
+        if self.is_holder() {
+            return Holder::Local;
         }
-        let seats = self.seats.borrow();
+        let holders = self.holders.borrow();
         let leaving = core.leaving.borrow();
-        let others = || seats.iter().filter(|it| **it != core.instance);
+        let others = || holders.iter().filter(|it| **it != core.instance);
         let mut staying: Vec<_> = others().filter(|it| !leaving.contains(*it)).collect();
         if staying.is_empty() {
             staying = others().collect();
         }
         if staying.is_empty() {
-            return Holder::Nowhere;
+            return Holder::Unknown;
         }
-        self.turns.set(self.turns.get().wrapping_add(1));
-        Holder::There(staying[self.turns.get() % staying.len()].clone())
+        self.rotation.set(self.rotation.get().wrapping_add(1));
+        Holder::Remote(staying[self.rotation.get() % staying.len()].clone())
     }
 
-    /// This instance's part of an entry's limit of connections.
-    pub(super) fn entry_part(&self, limit: u16) -> u16 {
-        let part = self.part.borrow();
-        let Some(of) = NonZeroU16::new(part.of) else {
+    /// This instance's share of an entry's connection limit.
+    pub(super) fn entry_limit(&self, limit: u16) -> u16 {
+        let own_seats = self.own_seats.borrow();
+        let Some(total) = NonZeroU16::new(own_seats.total) else {
             return 0;
         };
-        part.seats
+        own_seats
+            .numbers
             .iter()
-            .map(|seat| holder::entry_limit(limit, of, *seat))
+            .map(|seat| holder::entry_limit(limit, total, *seat))
             .sum()
     }
 }
 
-/// One database.
+/// A database and its upstreams.
 pub(super) struct Group {
     pub(super) name: name::Database,
     pub(super) members: RefCell<BTreeMap<name::Upstream, Rc<Member>>>,
     pub(super) router: RefCell<Router>,
     pub(super) quorum: RefCell<Option<Quorum>>,
     pub(super) waiters: RefCell<HashMap<Id, oneshot::Sender<Result<(), Cause>>>>,
-    pub(super) waits: Cell<u64>,
-    /// Told whenever something became known.
+    pub(super) last_id: Cell<u64>,
+    /// Notified whenever the state of the group changes.
     pub(super) changed: Notify,
     pub(super) round: RefCell<session::Round>,
-    /// When the upstreams were asked for their status, and answered.
-    pub(super) sights: RefCell<BTreeMap<name::Upstream, Sight>>,
+    /// The times of each upstream's probes and answers.
+    pub(super) probe_histories: RefCell<BTreeMap<name::Upstream, ProbeHistory>>,
 }
 
 impl Group {
-    /// Opens a database of which nothing is known yet.
+    /// Creates a group without upstreams and without a known primary.
     pub(super) fn open(core: &Core, name: &name::Database) -> Self {
         Self {
             name: name.clone(),
@@ -140,40 +146,40 @@
             router: RefCell::new(Router::new(&core.zone, route::Conf::default())),
             quorum: RefCell::default(),
             waiters: RefCell::default(),
-            waits: Cell::new(0),
+            last_id: Cell::new(0),
             changed: Notify::new(),
             round: RefCell::new(session::Round::new(ROUND_TIMEOUT)),
-            sights: RefCell::default(),
+            probe_histories: RefCell::default(),
         }
     }
 
-    /// Brings the group in line with the catalogue.
-    pub(super) fn follow(&self, core: &Core, database: &catalog::Database) {
+    /// Updates the upstreams to match the catalogue.
+    pub(super) fn apply_catalog(&self, core: &Core, database: &catalog::Database) {
         let mut members = self.members.borrow_mut();
         members.retain(|name, _| database.upstreams.contains_key(name));
-        let mut sights = self.sights.borrow_mut();
-        sights.retain(|name, _| database.upstreams.contains_key(name));
-        drop(sights);
+        let mut probe_histories = self.probe_histories.borrow_mut();
+        probe_histories.retain(|name, _| database.upstreams.contains_key(name));
+        drop(probe_histories);
         for (name, conf) in &database.upstreams {
             let same = |it: &Rc<Member>| it.conf.address == conf.address;
             let known = members.get(name).filter(|it| same(it));
-            let (lines, control) = match known {
-                Some(known) => (Rc::clone(&known.lines), Rc::clone(&known.control)),
-                None => ways(core, conf, &database.dbname),
+            let (connections, control) = match known {
+                Some(known) => (Rc::clone(&known.connections), Rc::clone(&known.control)),
+                None => open_connections(core, conf, &database.dbname),
             };
-            lines.set_service(if conf.leaving {
+            connections.set_service(if conf.leaving {
                 PoolStatus::Leaving
             } else {
                 PoolStatus::Active
             });
             let member = Member {
                 conf: conf.clone(),
-                lines,
+                connections,
                 control,
-                pressed: Cell::new(false),
-                seats: RefCell::default(),
-                part: RefCell::default(),
-                turns: Cell::new(0),
+                polled: Cell::new(false),
+                holders: RefCell::default(),
+                own_seats: RefCell::default(),
+                rotation: Cell::new(0),
             };
             members.insert(name.clone(), Rc::new(member));
         }
@@ -190,8 +196,8 @@
         self.assign(core);
     }
 
-    /// Ranks who should hold the connections to each upstream, and opens or
-    /// closes this instance's.
+    /// Assigns the seats of each upstream to the live instances, and adjusts
+    /// this instance's connections.
     pub(super) fn assign(&self, core: &Core) {
         let live = core.members.borrow();
         let live: Vec<_> = live
@@ -199,7 +205,7 @@
             .map(|(instance, zone)| Candidate { instance, zone })
             .collect();
         let members = self.members.borrow();
-        let of = members
+        let total = members
             .values()
             .map(|it| holder::seats(it.conf.slots).get())
             .sum();
@@ -218,31 +224,31 @@
             let shares = own.iter().map(|seat| {
                 holder::share(member.conf.connections, member.conf.slots, seats, *seat)
             });
-            let standing = if own.is_empty() {
-                Use::Released
+            let holding = if own.is_empty() {
+                Holding::Released
             } else {
-                Use::Held
+                Holding::Held
             };
-            member.control.set_use(standing);
-            member.lines.set_conf(limits(shares));
-            *member.part.borrow_mut() = Part {
-                first: own.contains(&0),
-                seats: own.iter().map(|seat| first + seat).collect(),
-                of,
+            member.control.set_holding(holding);
+            member.connections.set_conf(limits(shares));
+            *member.own_seats.borrow_mut() = Seats {
+                has_first: own.contains(&0),
+                numbers: own.iter().map(|seat| first + seat).collect(),
+                total,
             };
-            *member.seats.borrow_mut() = holders;
+            *member.holders.borrow_mut() = holders;
             first += seats.get();
         }
         self.changed.notify_waiters();
     }
 
-    /// An upstream of the group.
+    /// Looks up an upstream of the group.
     pub(super) fn member(&self, upstream: &name::Upstream) -> Option<Rc<Member>> {
         self.members.borrow().get(upstream).cloned()
     }
 
-    /// Takes in the status that an upstream gave to a question sent at `sent`.
-    pub(super) fn report(
+    /// Records an upstream's status report, whose query was sent at `sent`.
+    pub(super) fn note_report(
         &self,
         now: Instant,
         upstream: &name::Upstream,
@@ -257,32 +263,33 @@
                 report,
             },
         );
-        // Only one upstream is ever promoted in a term, so a primary's own word
-        // is enough to wait for a majority that holds its log.
+        // At most one upstream is promoted in a term, so the primary's own
+        // report suffices to start counting replicas that hold its log.
         if report.role == Role::Primary && report.fenced <= report.received.term {
-            self.adopt(report.received.term, upstream);
+            self.adopt_primary(report.received.term, upstream);
         }
         let done = match self.quorum.borrow_mut().as_mut() {
             Some(quorum) => quorum.report(upstream, sent, &report),
             None => Vec::new(),
         };
         for id in done {
-            self.land(id, Ok(()));
+            self.complete_write(id, Ok(()));
         }
         self.changed.notify_waiters();
     }
 
-    /// Takes in who leads, as the store or an announcement has it.
-    pub(super) fn lead(&self, now: Instant, record: &Record) {
+    /// Records the primary given by the store or an announcement.
+    pub(super) fn set_primary(&self, now: Instant, record: &Record) {
         self.router.borrow_mut().step(now, Event::Record(record));
         if let Some(upstream) = record.leader() {
-            self.adopt(record.term, upstream);
+            self.adopt_primary(record.term, upstream);
         }
         self.changed.notify_waiters();
     }
 
-    /// Counts the writes of `term` from now on, if it is a later one.
-    fn adopt(&self, term: Term, upstream: &name::Upstream) {
+    /// Makes `upstream` the primary for acknowledging writes, if `term` is
+    /// later.
+    fn adopt_primary(&self, term: Term, upstream: &name::Upstream) {
         let size = self.members.borrow().len();
         let replaced = {
             let mut quorum = self.quorum.borrow_mut();
@@ -295,35 +302,37 @@
             }
         };
         for id in replaced {
-            self.land(id, Err(Cause::Replaced));
+            self.complete_write(id, Err(Cause::Replaced));
         }
     }
 
-    /// Tells a write that waits what became of it.
-    fn land(&self, id: quorum::Id, result: Result<(), Cause>) {
+    /// Completes a waiting write with `result`.
+    fn complete_write(&self, id: quorum::Id, result: Result<(), Cause>) {
         let waiter = self.waiters.borrow_mut().remove(&id);
         if let Some(waiter) = waiter {
             let _ = waiter.send(result);
         }
     }
 
-    /// Asks an upstream for its status now; `None` when no way leads to it.
+    /// Probes an upstream's status. Returns `None` if no holder could be
+    /// reached.
     pub(super) async fn probe(
         &self,
         core: &Rc<Core>,
         upstream: &name::Upstream,
     ) -> Option<Result<Report, Fault>> {
         let member = self.member(upstream)?;
-        let here = async || Ok(member.control.probe().await);
+        let local = async || Ok(member.control.probe().await);
         let command = || Command::Probe {
             database: self.name.clone(),
             upstream: upstream.clone(),
         };
-        let status = self.by_any_way(core, &member, here, command).await?;
-        Some(self.note(core, upstream, status))
+        let status = self.via_any_holder(core, &member, local, command).await?;
+        Some(self.note_probe(core, upstream, status))
     }
 
-    /// Has an upstream carry out an order; `None` when no way leads to it.
+    /// Executes an order at an upstream. Returns `None` if no holder could be
+    /// reached.
     pub(super) async fn order(
         &self,
         core: &Rc<Core>,
@@ -331,7 +340,7 @@
         order: failover::Order,
     ) -> Option<Result<Report, Fault>> {
         let member = self.member(upstream)?;
-        let here = async || match self.resolve(order.clone()) {
+        let local = async || match self.resolve(order.clone()) {
             Ok(order) => Ok(member.control.order(order).await),
             Err(fault) => Ok(Err(fault)),
         };
@@ -340,55 +349,58 @@
             upstream: upstream.clone(),
             order: order.clone(),
         };
-        let status = self.by_any_way(core, &member, here, command).await?;
-        Some(self.note(core, upstream, status))
+        let status = self.via_any_holder(core, &member, local, command).await?;
+        Some(self.note_probe(core, upstream, status))
     }
 
-    /// Tries the upstream's holders in turn.
+    /// Runs a command through the upstream's holders, retrying with the next
+    /// one.
     ///
-    /// That a holder can't be reached is no evidence about the upstream. Taken
-    /// for some, a restart of its holders would replace a healthy primary.
-    async fn by_any_way(
+    /// An unreachable holder is no evidence about the upstream. If it were
+    /// treated as such, a restart of the holders would replace a healthy
+    /// primary.
+    async fn via_any_holder(
         &self,
         core: &Rc<Core>,
         member: &Member,
-        here: impl AsyncFn() -> Result<Status, Lost>,
+        local: impl AsyncFn() -> Result<Status, Unreachable>,
         command: impl Fn() -> Command,
     ) -> Option<Status> {
         let mut full = None;
-        for _ in 0..WAYS {
-            let status = match member.holder(core) {
-                Holder::Here => here().await,
-                Holder::There(to) => remote::status(core, &to, command()).await,
-                Holder::Nowhere => Err(Lost),
+        for _ in 0..HOLDER_ATTEMPTS {
+            let status = match member.next_holder(core) {
+                Holder::Local => local().await,
+                Holder::Remote(to) => remote::status(core, &to, command()).await,
+                Holder::Unknown => Err(Unreachable),
             };
             match status {
-                // Another holder may have its connection already.
+                // Another holder may have an open connection already.
                 Ok(Err(Fault::Full)) => full = Some(Err(Fault::Full)),
                 Ok(status) => return Some(status),
-                Err(Lost) => {}
+                Err(Unreachable) => {}
             }
-            sleep(WAY_PAUSE).await;
+            sleep(HOLDER_RETRY_INTERVAL).await;
         }
         full
     }
 
-    fn note(
+    fn note_probe(
         &self,
         core: &Core,
         upstream: &name::Upstream,
         status: Status,
     ) -> Result<Report, Fault> {
-        let mut sights = self.sights.borrow_mut();
-        let sight = sights.entry(upstream.clone()).or_default();
-        sight.note(core.now(), &status);
-        drop(sights);
+        let mut probe_histories = self.probe_histories.borrow_mut();
+        let probe_history = probe_histories.entry(upstream.clone()).or_default();
+        probe_history.note(core.now(), &status);
+        drop(probe_histories);
         let (sent, report) = status?;
-        self.report(core.now(), upstream, sent, report);
+        self.note_report(core.now(), upstream, sent, report);
         Ok(report)
     }
 
-    /// An order in the terms that the upstream takes.
+    /// Converts an order to the form for the upstream, with the primary's
+    /// address.
     fn resolve(&self, order: failover::Order) -> Result<upstream::Order, Fault> {
         Ok(match order {
             failover::Order::Fence { term } => upstream::Order::Fence { term },
@@ -400,22 +412,26 @@
         })
     }
 
-    /// The newest round that was confirmed, if it began at `since` or later.
+    /// Returns the first confirmed round that began at `since` or later.
     pub(super) fn round_since(&self, since: Instant) -> Option<Confirmed> {
         self.router.borrow().first_round_since(since)
     }
 }
 
-/// The connections to an upstream that this instance did not know yet.
-fn ways(core: &Core, conf: &catalog::Upstream, dbname: &str) -> (Rc<Lines>, Rc<Control>) {
+/// Creates the connection pool and the control connection of a new upstream.
+fn open_connections(
+    core: &Core,
+    conf: &catalog::Upstream,
+    dbname: &str,
+) -> (Rc<Connections>, Rc<Control>) {
     let none = limits(std::iter::empty());
-    let lines = Lines::open(core.clock, conf.address, &core.login, dbname, none);
+    let connections = Connections::open(core.clock, conf.address, &core.login, dbname, none);
     let control = Control::open(core.clock, conf.address, &core.login, dbname);
-    (lines, control)
+    (connections, control)
 }
 
-/// The limits of all the shares that this instance has of an upstream; one
-/// connection of them is the control connection.
+/// Pool limits for all of this instance's shares of an upstream. One of the
+/// connections is reserved for control.
 fn limits(shares: impl Iterator<Item = Share>) -> pool::Conf {
     let (connections, slots) =
         shares.fold((0, 0), |sum, it| (sum.0 + it.connections, sum.1 + it.slots));
@@ -424,8 +440,8 @@
         connections: connections.saturating_sub(1),
         slots,
         warm: slots,
-        idle_timeout: IDLE,
-        transaction_idle_timeout: TRANSACTION_IDLE,
+        idle_timeout: IDLE_TIMEOUT,
+        transaction_idle_timeout: TRANSACTION_IDLE_TIMEOUT,
     }
 }
 
--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -1,24 +1,25 @@
-//! The upstreams' duty: where requests run, and what is known of each group.
+//! The upstreams duty: runs requests on upstreams and tracks the state of each
+//! database.
 
 mod ack;
+mod backoff;
 mod choose;
 mod clean;
+mod connection;
+mod connections;
 mod control;
+mod dispatch;
 mod exchange;
 mod group;
 mod host;
-mod line;
-mod lines;
 mod once;
-mod pace;
 mod plan;
 mod remote;
 mod run;
 mod running;
 mod sink;
-mod site;
+mod transaction;
 mod view;
-mod within;
 
 use std::{
     cell::{Cell, RefCell},
@@ -46,76 +47,77 @@
     ring,
 };
 
+use connection::Connection;
 use group::Group;
-use line::Line;
 use remote::Pending;
 use running::Running;
 
-/// How often the duty looks whether all requests have ended during a stop.
-const DRAIN_STEP: Duration = Duration::from_millis(5);
+/// Interval at which a draining duty checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long nothing must have run before a stop goes on.
-const DRAIN_QUIET: Duration = Duration::from_millis(300);
+/// Time without a running request after which a drain is complete.
+const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long the last words to other instances have until the streams close.
-const BYE: Duration = Duration::from_millis(50);
+/// Time for the final messages to other instances before the streams close.
+const BYE_GRACE: Duration = Duration::from_millis(50);
 
-/// What the upstreams' duty is given.
+/// Configuration and channels of the upstreams duty.
 #[derive(Debug)]
 pub(crate) struct Conf {
-    /// The machine's clock.
+    /// The system clock.
     pub(crate) clock: Clock,
     /// This instance's availability zone.
     pub(crate) zone: name::Zone,
-    /// How the proxy logs in to upstreams.
+    /// Credentials for logging in to upstreams.
     pub(crate) login: Login,
-    /// This instance.
+    /// The name of this instance.
     pub(crate) instance: name::Instance,
-    /// To the peers' duty.
+    /// Messages to the peers duty.
     pub(crate) outs: ring::Sender<Out>,
-    /// From the peers' duty.
+    /// Messages from the peers duty.
     pub(crate) ins: ring::Receiver<In>,
-    /// From the callers' duty.
+    /// Commands from the callers duty.
     pub(crate) commands: ring::Receiver<Command>,
-    /// To the callers' duty.
+    /// Replies to the callers duty.
     pub(crate) replies: ring::Sender<Reply>,
-    /// From the control duty.
+    /// Orders from the control duty.
     pub(crate) orders: ring::Receiver<Order>,
-    /// To the control duty.
+    /// Answers to the control duty.
     pub(crate) answers: ring::Sender<Answer>,
-    /// Where requests are counted.
+    /// Request counters.
     pub(crate) meters: Meters,
-    /// What operators ask.
+    /// Operators' requests for the state of the databases.
     pub(crate) inquiries: Requests<introspect::Groups>,
-    /// The daemon's phase.
+    /// The daemon's lifecycle phase.
     pub(crate) watch: Watch,
-    /// Where the random numbers begin.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
 }
 
-/// What a caller's transaction or open batch holds.
+/// The connection held for a caller's open transaction or unfinished batch.
 enum Pin {
-    /// A connection.
+    /// A connection of this instance.
     Open {
         /// The connection.
-        line: Box<Line>,
-        /// The database.
+        connection: Box<Connection>,
+        /// The database group that the connection belongs to.
         group: Rc<Group>,
     },
-    /// A connection of another instance.
+    /// A connection held by another instance.
     Remote {
-        /// The instance.
+        /// The instance that holds the connection.
         to: name::Instance,
-        /// The command that began the transaction.
+        /// Sequence number of the command that began the transaction.
         pin: Seq,
-        /// The database.
+        /// The database group that the connection belongs to.
         group: Rc<Group>,
     },
-    /// Nothing: its connection is gone, and the caller has not ended it yet.
+    /// The connection was lost, and the caller has not ended the transaction
+    /// yet.
     Failed,
 }
 
-/// What the tasks of the duty share.
+/// State shared by the tasks of the duty.
 struct Core {
     meters: Meters,
     clock: Clock,
@@ -129,22 +131,22 @@
     running: RefCell<HashMap<Caller, Rc<Running>>>,
     pins: RefCell<HashMap<Caller, Pin>>,
     rng: RefCell<ChaCha8Rng>,
-    tickets: Cell<u64>,
-    /// How many commands of other instances are being carried out.
-    taken: Cell<usize>,
-    /// Whether no command of another instance is taken any more.
+    last_ticket: Cell<u64>,
+    /// Number of commands from other instances that are being executed.
+    peer_commands: Cell<usize>,
+    /// Whether commands from other instances are no longer accepted.
     closed: Cell<bool>,
-    seqs: Cell<Seq>,
-    /// The instances that may be given work, with their zones.
+    last_seq: Cell<Seq>,
+    /// The instances that can be given work, with their availability zones.
     members: RefCell<BTreeMap<name::Instance, name::Zone>>,
-    /// Those of them that have said that they are stopping.
+    /// The members that have announced that they are stopping.
     leaving: RefCell<BTreeSet<name::Instance>>,
-    /// Commands to other instances that wait for answers.
+    /// Commands sent to other instances that wait for answers.
     pending: RefCell<HashMap<Seq, Pending>>,
-    /// Batches that run here for other instances.
-    hosted: RefCell<HashMap<(Conn, Seq), Rc<Running>>>,
-    /// Connections that transactions of other instances hold.
-    guests: RefCell<HashMap<(Conn, Seq), Box<Line>>>,
+    /// Batches that run here on behalf of other instances.
+    peer_batches: RefCell<HashMap<(Conn, Seq), Rc<Running>>>,
+    /// Connections held by open transactions of other instances.
+    peer_connections: RefCell<HashMap<(Conn, Seq), Box<Connection>>>,
 }
 
 impl Core {
@@ -153,13 +155,13 @@
     }
 
     fn ticket(&self) -> pool::Ticket {
-        self.tickets.set(self.tickets.get() + 1);
-        pool::Ticket(self.tickets.get())
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        pool::Ticket(self.last_ticket.get())
     }
 
     fn next_seq(&self) -> Seq {
-        self.seqs.set(self.seqs.get() + 1);
-        self.seqs.get()
+        self.last_seq.set(self.last_seq.get() + 1);
+        self.last_seq.get()
     }
 
     fn group(&self, database: &name::Database) -> Option<Rc<Group>> {
@@ -181,66 +183,68 @@
         running: RefCell::default(),
         pins: RefCell::default(),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(conf.seed)),
-        tickets: Cell::new(0),
-        taken: Cell::new(0),
+        last_ticket: Cell::new(0),
+        peer_commands: Cell::new(0),
         closed: Cell::new(false),
-        seqs: Cell::new(0),
+        last_seq: Cell::new(0),
         meters: conf.meters,
         members: RefCell::default(),
         leaving: RefCell::default(),
         pending: RefCell::default(),
-        hosted: RefCell::default(),
-        guests: RefCell::default(),
+        peer_batches: RefCell::default(),
+        peer_connections: RefCell::default(),
     });
-    ntex::rt::spawn(take_ins(Rc::clone(&core), conf.ins));
-    ntex::rt::spawn(take_commands(Rc::clone(&core), conf.commands));
+    ntex::rt::spawn(receive_peer_inputs(Rc::clone(&core), conf.ins));
+    ntex::rt::spawn(receive_commands(Rc::clone(&core), conf.commands));
     ntex::rt::spawn(view::serve(Rc::clone(&core), conf.inquiries));
-    ntex::rt::spawn(take_orders(Rc::clone(&core), conf.orders));
+    ntex::rt::spawn(receive_orders(Rc::clone(&core), conf.orders));
     let mut watch = conf.watch;
     duty::wait_for(&mut watch, Phase::Drain).await;
     core.outs.send(Out::Leaving).await;
-    // The callers' duty ends first and may ask on behalf of a caller until then.
+    // The callers duty ends first and may send requests for a caller until
+    // then.
     duty::wait_for(&mut watch, Phase::Settle).await;
     tokio::select! {
         () = drained(&core) => {}
-        // What still runs is cut, and its end must not be told as "not run".
+        // Requests that still run are cut off. They may have run, so they must
+        // not be reported as "not run".
         () = duty::wait_for(&mut watch, Phase::Stop) => return,
     }
     core.closed.set(true);
     core.outs.send(Out::Bye).await;
-    sleep(BYE).await;
+    sleep(BYE_GRACE).await;
 }
 
-/// Waits until nothing has run here for a while.
+/// Waits until no request has run for [`DRAIN_QUIET_PERIOD`].
 ///
-/// Other instances learn that this one leaves a little later, and go on to send
-/// their batches until then: a stop in between would cut them.
+/// Other instances learn of the drain with a delay and keep sending batches
+/// until then; stopping in between would cut those off.
 async fn drained(core: &Core) {
     let mut quiet = core.now();
-    while core.now().since(quiet) < DRAIN_QUIET {
-        sleep(DRAIN_STEP).await;
+    while core.now().since(quiet) < DRAIN_QUIET_PERIOD {
+        sleep(DRAIN_POLL_INTERVAL).await;
         let own = core.running.borrow().is_empty() && core.pins.borrow().is_empty();
-        let others = core.taken.get() == 0 && core.guests.borrow().is_empty();
+        let others = core.peer_commands.get() == 0 && core.peer_connections.borrow().is_empty();
         if !own || !others {
             quiet = core.now();
         }
     }
 }
 
-async fn take_commands(core: Rc<Core>, mut commands: ring::Receiver<Command>) {
-    while let Some(ask) = commands.recv().await {
-        match ask {
+async fn receive_commands(core: Rc<Core>, mut commands: ring::Receiver<Command>) {
+    while let Some(command) = commands.recv().await {
+        match command {
             Command::Run(job) => drop(ntex::rt::spawn(run::serve(Rc::clone(&core), *job))),
-            Command::Leave(caller) => run::leave(&core, caller),
-            Command::Taken { caller, seq } => run::taken(&core, caller, seq),
+            Command::Leave(caller) => run::release_caller(&core, caller),
+            Command::Taken { caller, seq } => run::note_taken(&core, caller, seq),
             Command::Cancel { caller, seq } => run::cancel(&core, caller, seq),
-            Command::Catalog(snapshot) => follow(&core, &snapshot),
+            Command::Catalog(snapshot) => apply_catalog(&core, &snapshot),
         }
     }
 }
 
-/// Brings the groups in line with the catalogue.
-fn follow(core: &Rc<Core>, snapshot: &Arc<Snapshot>) {
+/// Updates the groups to match the catalogue.
+fn apply_catalog(core: &Rc<Core>, snapshot: &Arc<Snapshot>) {
     let databases = &snapshot.catalog.databases;
     core.groups
         .borrow_mut()
@@ -256,21 +260,21 @@
             ntex::rt::spawn(cleaning);
             group
         });
-        group.follow(core, database);
+        group.apply_catalog(core, database);
     }
 }
 
-async fn take_orders(core: Rc<Core>, mut orders: ring::Receiver<Order>) {
+async fn receive_orders(core: Rc<Core>, mut orders: ring::Receiver<Order>) {
     while let Some(order) = orders.recv().await {
         ntex::rt::spawn(control::carry_out(Rc::clone(&core), order));
     }
 }
 
-async fn take_ins(core: Rc<Core>, mut ins: ring::Receiver<In>) {
+async fn receive_peer_inputs(core: Rc<Core>, mut ins: ring::Receiver<In>) {
     while let Some(input) = ins.recv().await {
         match input {
             In::Members(members) => {
-                // One that membership has let go of may come back.
+                // An instance that membership has removed may come back.
                 core.leaving
                     .borrow_mut()
                     .retain(|it| members.contains_key(it));
@@ -278,13 +282,13 @@
                 let groups: Vec<_> = core.groups.borrow().values().cloned().collect();
                 groups.iter().for_each(|group| group.assign(&core));
             }
-            In::Asked { .. } | In::Gone { .. } => host::take(&core, input),
+            In::Asked { .. } | In::Gone { .. } => host::handle(&core, input),
             In::Answered { .. }
             | In::Unsent { .. }
             | In::Leaving { .. }
             | In::Left { .. }
             | In::Down { .. } => {
-                remote::take(&core, input);
+                remote::handle(&core, input);
             }
         }
     }
--- a/crates/daemon/src/upstreams/once.rs
+++ b/crates/daemon/src/upstreams/once.rs
@@ -1,4 +1,5 @@
-//! A request with an id: [`request::Once`] decides, this carries out.
+//! Execution of a request with an id: [`request::Once`] decides, and this
+//! module carries out its actions.
 
 use std::rc::Rc;
 
@@ -11,18 +12,18 @@
 
 use super::{
     Core, Pin, Running, plan,
-    run::{leave, pass_to},
+    run::{release_caller, run_batch},
 };
 use crate::job::{Batch, Closes, End, Job, Leaves, Need, Step, Tagged};
 
-/// How often a request with an id is tried when its end is not known: the id
-/// makes sure that it lands once however often it is sent.
-const TRIES: u32 = 5;
+/// Highest number of attempts of a request whose outcome is unknown. Repeating
+/// it is safe since the id makes it take effect once.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// The SQLSTATE of a request id that can't promise a single run.
+/// The SQLSTATE for a request id that can't guarantee a single execution.
 const BAD_ID: &str = "DL003";
 
-/// The SQLSTATE of a unique key that is there already.
+/// SQLSTATE `unique_violation`.
 const UNIQUE: &str = "23505";
 
 /// Runs a write that carries a request id.
@@ -32,9 +33,13 @@
     running: &Rc<Running>,
     tagged: Tagged,
 ) -> End {
-    let within = core.pins.borrow().contains_key(&job.caller);
-    let scope = if within { Scope::Within } else { Scope::Alone };
-    let mut tries = 1;
+    let in_transaction = core.pins.borrow().contains_key(&job.caller);
+    let scope = if in_transaction {
+        Scope::Within
+    } else {
+        Scope::Alone
+    };
+    let mut attempts = 1;
     loop {
         let end = attempt(core, job, running, tagged, scope).await;
         let doubtful = match end.outcome {
@@ -42,19 +47,19 @@
             Outcome::Unknown(_) => true,
             Outcome::NotRun(cause) => cause == Cause::ConnectionLost,
         };
-        let again = doubtful && scope == Scope::Alone && tries < TRIES;
-        if !again || core.now() >= job.deadline || running.cancelled.get() {
+        let again = doubtful && scope == Scope::Alone && attempts < MAX_ATTEMPTS;
+        if !again || core.now() >= job.deadline || running.abandoned.get() {
             return end;
         }
-        tries += 1;
+        attempts += 1;
     }
 }
 
-/// What the caller is given in the end.
+/// The answers collected for the caller.
 struct Answer {
-    /// The answer of the caller's own batch.
+    /// The answer to the caller's own batch.
     run: Option<End>,
-    /// The end of the last batch of the proxy's own.
+    /// The answer to the last of the proxy's own batches.
     last: Option<End>,
 }
 
@@ -75,21 +80,21 @@
         event = match action {
             Action::End(ended) => return finish(core, job, scope, ended, answer),
             Action::Run => {
-                let end = pass_to(core, job, running).await;
+                let end = run_batch(core, job, running).await;
                 if end.outcome != Outcome::Done {
                     return give_up(core, job, scope, end);
                 }
-                let event = ran(&end.bytes);
+                let event = run_event(&end.bytes);
                 answer.run = Some(end);
                 event
             }
             action => {
                 let batch = batch(&action);
-                let end = aside(core, job, running, batch).await;
+                let end = run_own(core, job, running, batch).await;
                 if end.outcome != Outcome::Done {
                     return give_up(core, job, scope, end);
                 }
-                let event = answered(&action, &end.bytes);
+                let event = answer_event(&action, &end.bytes);
                 answer.last = Some(end);
                 event
             }
@@ -99,11 +104,11 @@
         core,
         job,
         scope,
-        plain(Outcome::Unknown(Cause::ConnectionLost)),
+        empty_end(Outcome::Unknown(Cause::ConnectionLost)),
     )
 }
 
-fn plain(outcome: Outcome) -> End {
+fn empty_end(outcome: Outcome) -> End {
     End {
         outcome,
         bytes: Bytes::new(),
@@ -114,22 +119,23 @@
     }
 }
 
-/// Runs a batch of the proxy's own in place of the caller's.
-async fn aside(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, batch: Batch) -> End {
+/// Runs one of the proxy's own batches in place of the caller's.
+async fn run_own(core: &Rc<Core>, job: &mut Job, running: &Rc<Running>, batch: Batch) -> End {
     let own = std::mem::replace(&mut job.batch, batch);
-    let end = pass_to(core, job, running).await;
+    let end = run_batch(core, job, running).await;
     job.batch = own;
     end
 }
 
-/// The statements of an action, as one simple query.
+/// The statements of an action as one simple query.
 fn batch(action: &Action) -> Batch {
     let (sql, need, closes) = match action {
         Action::Begin(sql) => (format!("BEGIN; {sql}"), Need::Begin, Closes::Nothing),
         Action::Insert(sql) | Action::Record(sql) => (sql.clone(), Need::Write, Closes::Nothing),
         Action::Commit(sql) => (format!("{sql}; COMMIT"), Need::Write, Closes::Transaction),
         Action::Rollback => ("ROLLBACK".to_owned(), Need::Write, Closes::Transaction),
-        // It is run as a write: what it finds counts once a majority holds it.
+        // Run as a write, so that the row that is found is acknowledged by a
+        // majority.
         Action::Find(sql) => (sql.clone(), Need::Write, Closes::Nothing),
         Action::Run | Action::End(_) => (String::new(), Need::Read, Closes::Nothing),
     };
@@ -143,8 +149,8 @@
     }
 }
 
-/// What the answer to a batch of the proxy's own says.
-fn answered(action: &Action, bytes: &[u8]) -> Event {
+/// Converts the answer to one of the proxy's own batches to an event.
+fn answer_event(action: &Action, bytes: &[u8]) -> Event {
     if let Some(state) = plan::refusal(bytes) {
         return match action {
             Action::Begin(_) if state == *UNIQUE.as_bytes() => Event::Repeated,
@@ -164,29 +170,29 @@
     }
 }
 
-fn ran(bytes: &[u8]) -> Event {
+fn run_event(bytes: &[u8]) -> Event {
     match plan::refusal(bytes) {
         Some(state) => Event::Rejected(state),
         None => Event::Ran(plan::command_tag(bytes).unwrap_or_default()),
     }
 }
 
-/// Ends a request whose transaction did not come through.
+/// Ends a request whose transaction failed.
 fn give_up(core: &Rc<Core>, job: &Job, scope: Scope, end: End) -> End {
     if scope == Scope::Within {
         return end;
     }
-    // The transaction is the proxy's own: the caller must not go on with it.
+    // The proxy began the transaction, so the caller must not continue it.
     let pin = core.pins.borrow_mut().remove(&job.caller);
     if let Some(pin) = pin
         && !matches!(pin, Pin::Failed)
     {
         core.pins.borrow_mut().insert(job.caller, pin);
-        leave(core, job.caller);
+        release_caller(core, job.caller);
     }
     End {
         status: Some(b'I'),
-        ..plain(end.outcome)
+        ..empty_end(end.outcome)
     }
 }
 
@@ -200,7 +206,7 @@
         bytes,
         status,
         events,
-        ..plain(Outcome::Done)
+        ..empty_end(Outcome::Done)
     };
     match (ended, answer.run) {
         (Ended::Ran(_) | Ended::Rejected(_), Some(run)) => {
@@ -227,7 +233,7 @@
             core,
             job,
             scope,
-            plain(Outcome::Unknown(Cause::ConnectionLost)),
+            empty_end(Outcome::Unknown(Cause::ConnectionLost)),
         ),
     }
 }
--- a/crates/daemon/src/upstreams/remote.rs
+++ b/crates/daemon/src/upstreams/remote.rs
@@ -1,4 +1,4 @@
-//! Commands to the holders of connections, and their answers.
+//! Commands sent to holders of connections, and their answers.
 
 use std::rc::Rc;
 
@@ -11,92 +11,94 @@
 
 use super::{
     Core,
-    choose::Way,
+    choose::Destination,
+    connections::Refused,
     control::Status,
-    exchange::Heard,
-    lines::Refused,
+    dispatch::{Checkout, Completion, Dispatch, send_command},
+    exchange::Answer,
     sink::{Mode, Sink},
-    site::{Errand, Held, Ran, tell},
 };
 use crate::{
     forward::{Command, Finish, In, Out, Proof, Response, Run, Seq},
     job::{Job, WINDOW},
 };
 
-/// Answers that may wait for the task of one command: the window, and those
-/// around it.
-const ANSWERS: usize = WINDOW + 4;
+/// Capacity of a command's answer channel: the window of parts, plus the
+/// messages before and after them.
+const ANSWER_CAPACITY: usize = WINDOW + 4;
 
-/// What comes for a command.
+/// A message or event that concerns a pending command.
 #[derive(Debug)]
-pub(super) enum Came {
-    /// An answer.
+pub(super) enum Delivery {
+    /// A response from the holder.
     Response(Response),
-    /// The command never left.
+    /// The command was not sent.
     Unsent,
-    /// The stream ended: the command may have run.
+    /// The stream ended; the command may have run.
     Down,
 }
 
-/// A command on its way.
+/// A command that waits for its answers.
 pub(super) struct Pending {
     to: name::Instance,
-    answers: mpsc::Sender<Came>,
+    answers: mpsc::Sender<Delivery>,
 }
 
-/// Hands what comes for a command to the task that waits for it.
+/// Delivers responses and stream events to the tasks of pending commands.
 ///
-/// A late answer finds no taker.
-pub(super) fn take(core: &Rc<Core>, input: In) {
+/// A response without a pending command is dropped.
+pub(super) fn handle(core: &Rc<Core>, input: In) {
     match input {
-        In::Answered { seq, response } => hand(core, seq, Came::Response(response)),
-        In::Unsent { seq } => hand(core, seq, Came::Unsent),
+        In::Answered { seq, response } => deliver(core, seq, Delivery::Response(response)),
+        In::Unsent { seq } => deliver(core, seq, Delivery::Unsent),
         In::Leaving { to } => {
             core.leaving.borrow_mut().insert(to);
         }
-        In::Left { to, upto } => end_all(core, &to, upto, || Came::Unsent),
-        In::Down { to, upto } => end_all(core, &to, upto, || Came::Down),
+        In::Left { to, upto } => end_pending(core, &to, upto, || Delivery::Unsent),
+        In::Down { to, upto } => end_pending(core, &to, upto, || Delivery::Down),
         In::Members(_) | In::Asked { .. } | In::Gone { .. } => {}
     }
 }
 
-/// Ends the commands to an instance up to the last that its stream carried.
+/// Ends the pending commands to an instance up to `upto`, the last one that its
+/// stream carried.
 ///
-/// Later ones may be on their way on the next stream already.
-fn end_all(core: &Rc<Core>, to: &name::Instance, upto: Seq, came: impl Fn() -> Came) {
+/// Later commands may already have been sent on the next stream.
+fn end_pending(core: &Rc<Core>, to: &name::Instance, upto: Seq, delivery: impl Fn() -> Delivery) {
     let lost: Vec<_> = {
         let pending = core.pending.borrow();
-        let of = pending
+        let matching = pending
             .iter()
             .filter(|(seq, it)| it.to == *to && **seq <= upto);
-        of.map(|(seq, _)| *seq).collect()
+        matching.map(|(seq, _)| *seq).collect()
     };
     for seq in lost {
-        hand(core, seq, came());
+        deliver(core, seq, delivery());
     }
-    super::run::lose_pins(core, to, upto);
+    super::run::fail_pins(core, to, upto);
 }
 
-fn hand(core: &Core, seq: Seq, came: Came) {
+fn deliver(core: &Core, seq: Seq, delivery: Delivery) {
     let answers = core.pending.borrow().get(&seq).map(|it| it.answers.clone());
     if let Some(answers) = answers
-        && answers.try_send(came).is_err()
+        && answers.try_send(delivery).is_err()
     {
         core.pending.borrow_mut().remove(&seq);
     }
 }
 
-/// A command whose answers are waited for; dropping it forgets them.
-struct Asking {
+/// A pending command and the receiver of its answers; dropping it unregisters
+/// the command.
+struct Call {
     core: Rc<Core>,
     seq: Seq,
-    answers: mpsc::Receiver<Came>,
+    answers: mpsc::Receiver<Delivery>,
 }
 
-impl Asking {
+impl Call {
     async fn open(core: &Rc<Core>, to: &name::Instance, command: Command) -> Self {
         let seq = core.next_seq();
-        let (sender, answers) = mpsc::channel(ANSWERS);
+        let (sender, answers) = mpsc::channel(ANSWER_CAPACITY);
         let pending = Pending {
             to: to.clone(),
             answers: sender,
@@ -116,33 +118,32 @@
         }
     }
 
-    async fn next(&mut self) -> Came {
-        self.answers.recv().await.unwrap_or(Came::Down)
+    async fn next(&mut self) -> Delivery {
+        self.answers.recv().await.unwrap_or(Delivery::Down)
     }
 }
 
-impl Drop for Asking {
+impl Drop for Call {
     fn drop(&mut self) {
         self.core.pending.borrow_mut().remove(&self.seq);
     }
 }
 
-/// The way to an upstream failed, which says nothing of the upstream.
+/// The holder could not be reached, which is no evidence about the upstream.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Lost;
+pub(super) struct Unreachable;
 
-/// Asks an upstream for its status, or has it carry out an order, by way of
-/// the holder `to`.
+/// Probes an upstream or has it execute an order, through the holder `to`.
 pub(super) async fn status(
     core: &Rc<Core>,
     to: &name::Instance,
     command: Command,
-) -> Result<Status, Lost> {
+) -> Result<Status, Unreachable> {
     let sent = core.now();
-    let mut asking = Asking::open(core, to, command).await;
-    match asking.next().await {
-        Came::Response(Response::Status(result)) => Ok(result.map(|report| (sent, report))),
-        Came::Response(_) | Came::Unsent | Came::Down => Err(Lost),
+    let mut call = Call::open(core, to, command).await;
+    match call.next().await {
+        Delivery::Response(Response::Status(result)) => Ok(result.map(|report| (sent, report))),
+        Delivery::Response(_) | Delivery::Unsent | Delivery::Down => Err(Unreachable),
     }
 }
 
@@ -150,18 +151,22 @@
     u64::try_from(deadline.since(core.now()).as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Errand<'_> {
+impl Dispatch<'_> {
     /// Runs the batch at the holder `to`.
-    pub(super) async fn run_there(&mut self, to: &name::Instance, sink: &mut Sink<'_>) -> Ran {
+    pub(super) async fn run_remote(
+        &mut self,
+        to: &name::Instance,
+        sink: &mut Sink<'_>,
+    ) -> Completion {
         let (core, job) = (self.core, self.job);
         let proof = self.proof();
         if proof != Proof::None {
-            // Nothing is passed on before its proof has come.
+            // No part of the answer is passed on before its proof.
             self.verdict = Verdict::Unproved;
             sink.set_mode(Mode::Discard);
         }
         let run = Run {
-            upstream: self.way.upstream().clone(),
+            upstream: self.destination.upstream().clone(),
             scope: (*job.scope).clone(),
             batch: job.batch.clone(),
             settings: (*job.settings).clone(),
@@ -170,35 +175,35 @@
         };
         let sent = core.now();
         let command = Command::Run(Box::new(run));
-        let asking = Asking::open(core, to, command).await;
-        let pin = asking.seq;
+        let call = Call::open(core, to, command).await;
+        let pin = call.seq;
         self.running.sent.set(true);
         *self.running.remote.borrow_mut() = Some((to.clone(), pin));
-        let mut judge = |report: &Report| self.judge(sent, report);
-        let ran = converse(job, sink, asking, to, sent, &mut judge).await;
+        let mut choose_mode = |report: &Report| self.choose_mode(sent, report);
+        let completion = receive(job, sink, call, to, sent, &mut choose_mode).await;
         *self.running.remote.borrow_mut() = None;
-        match ran {
-            Talk::Heard(heard) => Ran::Heard(
-                heard,
-                Held::Remote {
+        match completion {
+            RemoteCompletion::Answer(answer) => Completion::Answer(
+                answer,
+                Checkout::Remote {
                     to: to.clone(),
                     pin,
                 },
             ),
-            Talk::Refused(refused) => Ran::Refused(refused),
-            Talk::Broken => Ran::Broken,
-            Talk::Late => Ran::Late,
+            RemoteCompletion::Refused(refused) => Completion::Refused(refused),
+            RemoteCompletion::Broken => Completion::Broken,
+            RemoteCompletion::TimedOut => Completion::TimedOut,
         }
     }
 
     fn proof(&self) -> Proof {
-        if !self.reads() {
+        if !self.is_read() {
             return Proof::None;
         }
-        if let Way::Confirmed(_, round) = self.way {
+        if let Destination::Confirmed(_, round) = self.destination {
             return Proof::Covering(round.position);
         }
-        // An age can't be judged by an old status.
+        // An older status report can't bound the age of the data.
         let aged = matches!(self.read.freshness, model::Freshness::Age(_));
         match self.read.floor {
             Floor::Known(floor) if !aged && self.read.seen.is_none() => Proof::Covering(floor),
@@ -207,22 +212,22 @@
     }
 }
 
-/// How a conversation with a holder ended.
-pub(super) enum Talk {
-    Heard(Heard),
+/// The end of a command at a holder.
+pub(super) enum RemoteCompletion {
+    Answer(Answer),
     Refused(Refused),
     Broken,
-    Late,
+    TimedOut,
 }
 
-/// Goes on with a transaction at its holder.
-pub(super) async fn within(
+/// Runs a statement of an open transaction at its holder.
+pub(super) async fn run_in_transaction(
     core: &Rc<Core>,
     job: &Job,
     sink: &mut Sink<'_>,
     to: &name::Instance,
     pin: Seq,
-) -> Talk {
+) -> RemoteCompletion {
     let left_us = left_us(core, job.deadline);
     let sent = core.now();
     let command = Command::Within {
@@ -230,69 +235,71 @@
         batch: job.batch.clone(),
         left_us,
     };
-    let asking = Asking::open(core, to, command).await;
+    let call = Call::open(core, to, command).await;
     let mode = sink.mode();
-    converse(job, sink, asking, to, sent, &mut |_| mode).await
+    receive(job, sink, call, to, sent, &mut |_| mode).await
 }
 
-async fn converse(
+async fn receive(
     job: &Job,
     sink: &mut Sink<'_>,
-    mut asking: Asking,
+    mut call: Call,
     to: &name::Instance,
     sent: Instant,
-    judge: &mut dyn FnMut(&Report) -> Mode,
-) -> Talk {
-    let core = Rc::clone(&asking.core);
-    let seq = asking.seq;
+    choose_mode: &mut dyn FnMut(&Report) -> Mode,
+) -> RemoteCompletion {
+    let core = Rc::clone(&call.core);
+    let seq = call.seq;
     let mut before = None;
     loop {
-        let came = tokio::select! {
+        let delivery = tokio::select! {
             biased;
-            came = asking.next() => came,
+            delivery = call.next() => delivery,
             () = sleep(job.deadline.since(core.now())) => {
-                tell(&core, to, Command::Cancel { of: seq });
-                return Talk::Late;
+                send_command(&core, to, Command::Cancel { of: seq });
+                return RemoteCompletion::TimedOut;
             }
         };
-        let response = match came {
-            Came::Response(response) => response,
-            Came::Unsent => {
-                return Talk::Refused(Refused {
+        let response = match delivery {
+            Delivery::Response(response) => response,
+            Delivery::Unsent => {
+                return RemoteCompletion::Refused(Refused {
                     cause: Cause::NoUpstream,
                     retry_after: None,
                 });
             }
-            Came::Down => return Talk::Broken,
+            Delivery::Down => return RemoteCompletion::Broken,
         };
         match response {
             Response::Before(report) => {
                 before = report;
-                let mode = report.as_ref().map_or(Mode::Discard, &mut *judge);
+                let mode = report.as_ref().map_or(Mode::Discard, &mut *choose_mode);
                 sink.set_mode(mode);
             }
             Response::Chunk(bytes) => {
-                sink.take(&bytes).await;
-                tell(&core, to, Command::Taken { of: seq });
+                sink.push_rows(&bytes).await;
+                send_command(&core, to, Command::Taken { of: seq });
+            }
+            Response::End(finish) => {
+                return RemoteCompletion::Answer(answer(*finish, before, sent, sink));
             }
-            Response::End(finish) => return Talk::Heard(heard(*finish, before, sent, sink)),
             Response::Refused {
                 cause,
                 retry_after_us,
             } => {
                 let retry_after = retry_after_us.map(std::time::Duration::from_micros);
-                return Talk::Refused(Refused { cause, retry_after });
+                return RemoteCompletion::Refused(Refused { cause, retry_after });
             }
             Response::Broken | Response::Status(_) | Response::Leaving | Response::Bye => {
-                return Talk::Broken;
+                return RemoteCompletion::Broken;
             }
         }
     }
 }
 
-fn heard(finish: Finish, before: Option<Report>, sent: Instant, sink: &mut Sink<'_>) -> Heard {
-    sink.give(&finish.bytes);
-    Heard {
+fn answer(finish: Finish, before: Option<Report>, sent: Instant, sink: &mut Sink<'_>) -> Answer {
+    sink.push_bytes(&finish.bytes);
+    Answer {
         status: finish.status,
         error: finish.error,
         before,
--- a/crates/daemon/src/upstreams/view.rs
+++ b/crates/daemon/src/upstreams/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the databases and their upstreams.
+//! The operators' view of the databases and their upstreams.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,41 +9,42 @@
 
 use super::{
     Core,
+    connections::Connections,
     control::Status,
     group::{Group, Member},
-    lines::Lines,
 };
 use crate::introspect::{self, Requests, millis};
 
-/// An upstream whose data is older serves none of the usual reads: the
-/// catalogues of the users allow two seconds.
-const BEHIND: Duration = Duration::from_secs(2);
+/// Replication lag above which an upstream is reported. Usual catalogues allow
+/// reads a staleness of two seconds, so a replica with more lag serves none of
+/// them.
+const MAX_LAG: Duration = Duration::from_secs(2);
 
-/// A status older than this says nothing of whether the upstream answers now.
-const OLD: Duration = Duration::from_secs(5);
+/// Age above which a status report no longer shows that the upstream answers.
+const MAX_STATUS_AGE: Duration = Duration::from_secs(5);
 
-/// For how long an upstream must fail before operators are told.
-const SILENT: Duration = Duration::from_secs(1);
+/// Duration of an upstream's failures after which they are reported.
+const SILENT_AFTER: Duration = Duration::from_secs(1);
 
-/// For how long no round must confirm a primary before operators are told.
-const UNCONFIRMED: Duration = Duration::from_secs(2);
+/// Time without a confirmed primary after which it is reported.
+const UNCONFIRMED_AFTER: Duration = Duration::from_secs(2);
 
-/// When an upstream was asked for its status, and answered.
+/// The times of an upstream's probes and answers.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Sight {
-    /// The end of the first question.
+pub(super) struct ProbeHistory {
+    /// End of the first probe.
     first: Option<Instant>,
-    /// The end of the last question.
+    /// End of the last probe.
     asked: Option<Instant>,
-    /// The last answer.
+    /// Time of the last answer.
     answered: Option<Instant>,
-    /// The first failure since then.
+    /// Time of the first failure since the last answer.
     failing: Option<Instant>,
 }
 
-impl Sight {
-    /// Notes how a question ended; a refused order is an answer as well, and so
-    /// is the word that there is no room for another connection.
+impl ProbeHistory {
+    /// Records the result of a probe. A refused order and a reached connection
+    /// limit are answers as well.
     pub(super) fn note(&mut self, now: Instant, status: &Status) {
         self.first.get_or_insert(now);
         self.asked = Some(now);
@@ -59,7 +60,7 @@
     }
 }
 
-/// Answers operators until the daemon stops.
+/// Answers operators' requests until the daemon stops.
 pub(super) async fn serve(core: Rc<Core>, mut asked: Requests<introspect::Groups>) {
     while let Some(answer) = asked.recv().await {
         let _ = answer.send(groups(&core));
@@ -105,11 +106,11 @@
             term: report.received.term,
             lsn: report.replayed,
         };
-        let sight = self.sight(name);
-        let answered = answer.map(|it| it.sent).max(sight.answered);
-        let link = match sight.failing {
+        let probe_history = self.probe_history(name);
+        let answered = answer.map(|it| it.sent).max(probe_history.answered);
+        let link = match probe_history.failing {
             Some(_) => Link::Down,
-            None if answered.is_some_and(|at| now.since(at) <= OLD) => Link::Up,
+            None if answered.is_some_and(|at| now.since(at) <= MAX_STATUS_AGE) => Link::Up,
             None => Link::Unsure,
         };
         Upstream {
@@ -123,12 +124,16 @@
             position: report.map(position),
             lag_ms: router.lag(name).map(millis),
             leaving: member.conf.leaving,
-            pool: member.holds().then(|| member.lines.view(now)),
+            pool: member.is_holder().then(|| member.connections.view(now)),
         }
     }
 
-    fn sight(&self, name: &name::Upstream) -> Sight {
-        self.sights.borrow().get(name).copied().unwrap_or_default()
+    fn probe_history(&self, name: &name::Upstream) -> ProbeHistory {
+        self.probe_histories
+            .borrow()
+            .get(name)
+            .copied()
+            .unwrap_or_default()
     }
 
     fn member_doubts(&self, now: Instant, upstream: &Upstream) -> Vec<Doubt> {
@@ -136,17 +141,17 @@
         let database = || self.name.clone();
         let name = || upstream.upstream.clone();
         let failing = self
-            .sight(&upstream.upstream)
+            .probe_history(&upstream.upstream)
             .failing
             .map(|at| now.since(at));
-        if let Some(span) = failing.filter(|span| *span >= SILENT) {
+        if let Some(span) = failing.filter(|span| *span >= SILENT_AFTER) {
             doubts.push(Doubt::UpstreamSilent {
                 database: database(),
                 upstream: name(),
                 since_ms: millis(span),
             });
         }
-        let lag_ms = upstream.lag_ms.filter(|lag| *lag > millis(BEHIND));
+        let lag_ms = upstream.lag_ms.filter(|lag| *lag > millis(MAX_LAG));
         if let Some(lag_ms) = lag_ms {
             doubts.push(Doubt::UpstreamBehind {
                 database: database(),
@@ -164,17 +169,19 @@
         doubts
     }
 
-    /// That no majority confirms a primary, although most upstreams were asked
-    /// of late. An instance that asks nobody can't tell.
+    /// Returns a doubt if no majority confirms a primary although most
+    /// upstreams were probed recently. An instance that probes no upstream
+    /// can't tell.
     fn unconfirmed(&self, now: Instant, confirmed: Option<Instant>) -> Option<Doubt> {
         let members = self.members.borrow();
-        let sights = self.sights.borrow();
-        let recent = |it: &&Sight| it.asked.is_some_and(|at| now.since(at) <= OLD);
-        let asked = sights.values().filter(recent).count();
-        let first = || sights.values().filter_map(|it| it.first).min();
+        let probe_histories = self.probe_histories.borrow();
+        let recent =
+            |it: &&ProbeHistory| it.asked.is_some_and(|at| now.since(at) <= MAX_STATUS_AGE);
+        let asked = probe_histories.values().filter(recent).count();
+        let first = || probe_histories.values().filter_map(|it| it.first).min();
         let since = confirmed.or_else(first)?;
         let span = now.since(since);
-        let doubted = asked > members.len() / 2 && span >= UNCONFIRMED;
+        let doubted = asked > members.len() / 2 && span >= UNCONFIRMED_AFTER;
         doubted.then(|| Doubt::Unconfirmed {
             database: self.name.clone(),
             since_ms: millis(span),
@@ -182,7 +189,7 @@
     }
 }
 
-impl Lines {
+impl Connections {
     fn view(&self, now: Instant) -> Pool {
         let pool = self.pool.borrow();
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: flags before variables, every fault at once, and `--check`.
+//! Settings: flags override variables, all faults are reported together, and
+//! `--check`.
 
 use std::{collections::BTreeMap, process::Command};
 
@@ -7,7 +8,7 @@
     settings::{Args, What},
 };
 
-fn right() -> BTreeMap<&'static str, String> {
+fn valid_env() -> BTreeMap<&'static str, String> {
     BTreeMap::from([
         ("DANDELIONLINK_INSTANCE", "entry-1".to_owned()),
         ("DANDELIONLINK_ZONE", "nl-west-1".to_owned()),
@@ -29,23 +30,23 @@
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
-    let mut env = right();
+fn a_flag_overrides_its_variable() {
+    let mut env = valid_env();
     env.insert("DANDELIONLINK_CALLERS", "7".to_owned());
     env.insert("DANDELIONLINK_LISTEN", "127.0.0.1:1".to_owned());
     let args = Args {
         listen: Some("127.0.0.1:2".to_owned()),
         ..Args::default()
     };
-    let settings = read(&args, &env).expect("they are right");
+    let settings = read(&args, &env).expect("the settings are valid");
     assert_eq!(settings.listen.port(), 2);
     assert_eq!(settings.callers, 7);
     assert_eq!(settings.ops.port(), 6433);
 }
 
 #[test]
-fn every_fault_is_told_at_once_and_named() {
-    let mut env = right();
+fn all_faults_are_reported_at_once_with_their_names() {
+    let mut env = valid_env();
     env.remove("DANDELIONLINK_INSTANCE");
     let wrong = [
         ("DANDELIONLINK_LISTEN", "here"),
@@ -62,7 +63,7 @@
     for (name, value) in wrong {
         env.insert(name, value.to_owned());
     }
-    let faults = read(&Args::default(), &env).expect_err("they are wrong");
+    let faults = read(&Args::default(), &env).expect_err("the settings are invalid");
     let names: Vec<_> = faults.iter().map(|fault| fault.name).collect();
     let expected = [
         "listen",
@@ -92,26 +93,29 @@
     );
     for (fault, secret) in [(&faults[3], "3c"), (&faults[7], "5a")] {
         let text = fault.to_string();
-        assert!(!text.contains(secret), "a secret is told: {text}");
+        assert!(
+            !text.contains(secret),
+            "the message contains a secret: {text}"
+        );
     }
 }
 
 #[test]
-fn the_program_checks_and_tells_by_its_exit_code() {
+fn the_check_flag_reports_faults_by_the_exit_code() {
     let check = |env: &BTreeMap<&'static str, String>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dandelionlinkd"));
         let output = command.env_clear().envs(env).arg("--check").output();
-        output.expect("the program runs")
+        output.expect("the program starts")
     };
-    let output = check(&right());
+    let output = check(&valid_env());
     assert_eq!(output.status.code(), Some(0));
     assert!(output.stderr.is_empty());
-    let mut wrong = right();
+    let mut wrong = valid_env();
     wrong.remove("DANDELIONLINK_ZONE");
     wrong.insert("DANDELIONLINK_STORE", "x".to_owned());
     let output = check(&wrong);
     assert_eq!(output.status.code(), Some(2));
-    let text = String::from_utf8(output.stderr).expect("text");
+    let text = String::from_utf8(output.stderr).expect("valid UTF-8");
     assert_eq!(text.lines().count(), 2, "{text}");
     assert!(
         text.contains("--zone") && text.contains("DANDELIONLINK_STORE"),
