--- a/crates/catalog/examples/size.rs
+++ b/crates/catalog/examples/size.rs
@@ -34,7 +34,7 @@
 
 fn measure(databases: u32) -> Result<(), Box<dyn Error>> {
     let clock = Clock::open();
-    let catalog = made(databases)?;
+    let catalog = build_catalog(databases)?;
     let text = catalog.to_text()?;
 
     let start = clock.now();
@@ -57,7 +57,7 @@
             revision: 1,
         })
         .collect();
-    stored.push(head());
+    stored.push(head_pair());
     let start = clock.now();
     let snapshot = layout::decode(&stored)?;
     let decode = clock.now().since(start);
@@ -105,7 +105,7 @@
 }
 
 /// The head's pair, as the first change of an empty store writes it.
-fn head() -> Pair {
+fn head_pair() -> Pair {
     let plan = plan::renew(&Snapshot::default(), &Catalog::default(), proposal());
     let put = plan.map(|plan| plan.txn.puts[0].clone());
     let put = put.expect("an empty change fits the store");
@@ -116,7 +116,7 @@
     }
 }
 
-fn made(databases: u32) -> Result<Catalog, Box<dyn Error>> {
+fn build_catalog(databases: u32) -> Result<Catalog, Box<dyn Error>> {
     let mut catalog = Catalog::default();
     for n in 0..databases {
         let tenant = name::Tenant::new(&format!("tenant-{}", n / DATABASES_PER_TENANT))?;
@@ -126,7 +126,9 @@
             .insert(tenant.clone(), catalog::Tenant { users });
 
         let database = name::Database::new(&format!("database-{n}"))?;
-        catalog.databases.insert(database.clone(), group(n)?);
+        catalog
+            .databases
+            .insert(database.clone(), build_database(n)?);
         for k in 0..ENTRIES_PER_DATABASE {
             let name = name::Entry::new(&format!("entry-{n}-{k}"))?;
             let entry = Entry {
@@ -146,7 +148,7 @@
     Ok(catalog)
 }
 
-fn group(n: u32) -> Result<catalog::Database, Box<dyn Error>> {
+fn build_database(n: u32) -> Result<catalog::Database, Box<dyn Error>> {
     let mut upstreams = std::collections::BTreeMap::new();
     for k in 0..3u32 {
         let name = name::Upstream::new(&format!("upstream-{k}"))?;
--- a/crates/catalog/src/apply.rs
+++ b/crates/catalog/src/apply.rs
@@ -100,16 +100,16 @@
     plan: Plan,
     sends: u32,
     reads: u32,
-    doubt: Doubt,
+    certainty: Certainty,
 }
 
 /// Whether a transaction that was sent may take effect unseen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Doubt {
+enum Certainty {
     /// None was sent whose end is not known.
-    Settled,
+    Known,
     /// An answer was lost.
-    Open,
+    Unknown,
 }
 
 impl Apply {
@@ -120,7 +120,7 @@
             plan,
             sends: 1,
             reads: 0,
-            doubt: Doubt::Settled,
+            certainty: Certainty::Known,
         };
         (apply, Action::Send(Duration::ZERO, txn))
     }
@@ -140,17 +140,17 @@
         match event {
             Event::Committed(revision) => Action::Done(Outcome::Applied(revision)),
             Event::Refused => self.read(Duration::ZERO),
-            Event::Rejected if self.doubt == Doubt::Settled => Action::Done(Outcome::NotRun),
+            Event::Rejected if self.certainty == Certainty::Known => Action::Done(Outcome::NotRun),
             Event::Rejected => self.read(Duration::ZERO),
             Event::NotSent => self.read(backoff(self.sends)),
             Event::Unknown => {
-                self.doubt = Doubt::Open;
+                self.certainty = Certainty::Unknown;
                 self.read(backoff(self.sends))
             }
             Event::ReadFailed => self.read(backoff(self.reads)),
             Event::Read(evidence) => {
                 self.reads = 0;
-                self.settle(*evidence)
+                self.evaluate(*evidence)
             }
         }
     }
@@ -164,15 +164,19 @@
         Action::Read(wait, self.plan.head.number)
     }
 
-    fn settle(&mut self, evidence: Evidence) -> Action {
-        let mark = self.plan.head.change;
+    fn evaluate(&mut self, evidence: Evidence) -> Action {
+        let change_id = self.plan.head.change;
         let Evidence { now, record } = evidence;
         if let Some((record, revision)) = record
-            && record.head.change == mark
+            && record.head.change == change_id
         {
             return Action::Done(Outcome::Applied(revision));
         }
-        if now.head.as_ref().is_some_and(|head| head.change == mark) {
+        if now
+            .head
+            .as_ref()
+            .is_some_and(|head| head.change == change_id)
+        {
             return Action::Done(Outcome::Applied(now.revision));
         }
         if now.revision == self.plan.from.revision {
@@ -194,9 +198,9 @@
     /// Ends without the store's word. Even a change that was not found may
     /// still take effect, where a request of it was lost on its way.
     fn give_up(&self) -> Action {
-        Action::Done(match self.doubt {
-            Doubt::Settled => Outcome::NotRun,
-            Doubt::Open => Outcome::Unknown,
+        Action::Done(match self.certainty {
+            Certainty::Known => Outcome::NotRun,
+            Certainty::Unknown => Outcome::Unknown,
         })
     }
 
--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -120,7 +120,7 @@
         let edit = match new.get(name) {
             None => Edit::Removed,
             Some(after) if before == after => continue,
-            Some(after) => Edit::Changed(fields(before, after)),
+            Some(after) => Edit::Changed(changed_fields(before, after)),
         };
         changes.insert(name, edit);
     }
@@ -136,27 +136,27 @@
     changes.into_iter().map(change).collect()
 }
 
-fn fields<T: Serialize>(before: &T, after: &T) -> Vec<Field> {
-    let before = flat(before);
-    let after = flat(after);
+fn changed_fields<T: Serialize>(before: &T, after: &T) -> Vec<Field> {
+    let before = flatten(before);
+    let after = flatten(after);
     let keys: std::collections::BTreeSet<_> = before.keys().chain(after.keys()).collect();
     keys.into_iter()
         .filter(|&key| before.get(key) != after.get(key))
         .map(|key| Field {
             key: key.clone(),
-            before: before.get(key).map(|value| shown(key, value)),
-            after: after.get(key).map(|value| shown(key, value)),
+            before: before.get(key).map(|value| masked(key, value)),
+            after: after.get(key).map(|value| masked(key, value)),
         })
         .collect()
 }
 
-fn shown(key: &str, value: &str) -> String {
+fn masked(key: &str, value: &str) -> String {
     let hidden = key.starts_with("users.");
     let text = if hidden { HIDDEN } else { value };
     text.to_owned()
 }
 
-fn flat<T: Serialize>(value: &T) -> BTreeMap<String, String> {
+fn flatten<T: Serialize>(value: &T) -> BTreeMap<String, String> {
     let mut leaves = BTreeMap::new();
     // A catalogue's types always have a JSON form; were one not to, its
     // fields would be left out of the difference, not the change itself.
--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -102,7 +102,7 @@
     #[error("{0}")]
     Syntax(String),
     /// A key that a catalogue does not have there.
-    #[error("unknown key `{key}` in {item}; its keys are {}", listed(known))]
+    #[error("unknown key `{key}` in {item}; its keys are {}", quoted_list(known))]
     UnknownKey {
         /// Where the key stands.
         item: Item,
@@ -142,7 +142,7 @@
         found: String,
     },
     /// A word is none of those allowed.
-    #[error("{place} must be one of {}, not `{found}`", listed(allowed))]
+    #[error("{place} must be one of {}, not `{found}`", quoted_list(allowed))]
     Choice {
         /// The value.
         place: Place,
@@ -186,7 +186,7 @@
     /// A name leads nowhere.
     #[error(
         "{place} names `{name}`, which is not declared; nearest are {}",
-        listed(nearest)
+        quoted_list(nearest)
     )]
     Dangling {
         /// Where the name stands.
@@ -312,7 +312,7 @@
     }
 }
 
-fn listed<T: fmt::Display>(words: &[T]) -> String {
+fn quoted_list<T: fmt::Display>(words: &[T]) -> String {
     if words.is_empty() {
         return "none".to_owned();
     }
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -31,14 +31,14 @@
 
 impl Record {
     pub(crate) fn new(head: Head, from: u64, changes: &[Change]) -> Self {
-        let mut room = MAX_CHANGES_BYTES;
+        let mut remaining = MAX_CHANGES_BYTES;
         let mut kept = Vec::new();
         for change in changes {
             let len = serde_json::to_string(change).map_or(usize::MAX, |json| json.len());
-            if len > room {
+            if len > remaining {
                 break;
             }
-            room -= len;
+            remaining -= len;
             kept.push(change.clone());
         }
         Self {
@@ -57,7 +57,7 @@
     pub fn decode(pair: &Pair) -> Result<Self, layout::Error> {
         let key: Key = pair.key.parse()?;
         match key {
-            Key::History(_) => layout::read(&key, &pair.value),
+            Key::History(_) => layout::decode_value(&key, &pair.value),
             _ => Err(layout::KeyError(pair.key.clone()).into()),
         }
     }
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -80,11 +80,11 @@
     /// assert!("dandelionlink/catalog/entry/".parse::<Key>().is_err());
     /// ```
     fn from_str(text: &str) -> Result<Self, KeyError> {
-        key(text).ok_or_else(|| KeyError(text.to_owned()))
+        parse_key(text).ok_or_else(|| KeyError(text.to_owned()))
     }
 }
 
-fn key(text: &str) -> Option<Key> {
+fn parse_key(text: &str) -> Option<Key> {
     if let Some(number) = text.strip_prefix(HISTORY) {
         let is_number = number.len() == DIGITS && number.bytes().all(|b| b.is_ascii_digit());
         return is_number.then(|| number.parse().ok().map(Key::History))?;
@@ -152,35 +152,35 @@
     #[error("the store holds parts of a catalogue but no head")]
     NoHead,
     /// The values are readable but break the catalogue's rules.
-    #[error("the store's catalogue breaks the rules: {}", messages(.0))]
+    #[error("the store's catalogue breaks the rules: {}", join_messages(.0))]
     Rules(Vec<Problem>),
 }
 
-fn messages(faults: &[Problem]) -> String {
+fn join_messages(faults: &[Problem]) -> String {
     let lines: Vec<_> = faults.iter().map(Problem::to_string).collect();
     lines.join("; ")
 }
 
 /// The value of `key` as bytes for the store.
-pub(crate) fn value<T: Serialize>(key: &Key, content: &T) -> Result<Vec<u8>, Error> {
-    let wrong = |source| Error::Value {
+pub(crate) fn encode_value<T: Serialize>(key: &Key, content: &T) -> Result<Vec<u8>, Error> {
+    let value_error = |source| Error::Value {
         key: key.clone(),
         source,
     };
-    let mut json = serde_json::to_value(content).map_err(wrong)?;
+    let mut json = serde_json::to_value(content).map_err(value_error)?;
     if let Value::Object(object) = &mut json {
         object.insert("format".to_owned(), FORMAT.into());
     }
-    serde_json::to_vec(&json).map_err(wrong)
+    serde_json::to_vec(&json).map_err(value_error)
 }
 
 /// Reads the value of `key` back.
-pub(crate) fn read<T: DeserializeOwned>(key: &Key, bytes: &[u8]) -> Result<T, Error> {
-    let wrong = |source| Error::Value {
+pub(crate) fn decode_value<T: DeserializeOwned>(key: &Key, bytes: &[u8]) -> Result<T, Error> {
+    let value_error = |source| Error::Value {
         key: key.clone(),
         source,
     };
-    let mut json: Value = serde_json::from_slice(bytes).map_err(wrong)?;
+    let mut json: Value = serde_json::from_slice(bytes).map_err(value_error)?;
     let format = json
         .as_object_mut()
         .and_then(|object| object.remove("format"))
@@ -192,7 +192,7 @@
             format,
         });
     }
-    serde_json::from_value(json).map_err(wrong)
+    serde_json::from_value(json).map_err(value_error)
 }
 
 /// The keys and values of `catalog`, without a head.
@@ -204,17 +204,17 @@
     let mut pairs = Vec::new();
     for (name, tenant) in &catalog.tenants {
         let key = Key::Tenant(name.clone());
-        let bytes = value(&key, tenant)?;
+        let bytes = encode_value(&key, tenant)?;
         pairs.push((key, bytes));
     }
     for (name, database) in &catalog.databases {
         let key = Key::Database(name.clone());
-        let bytes = value(&key, database)?;
+        let bytes = encode_value(&key, database)?;
         pairs.push((key, bytes));
     }
     for (name, entry) in &catalog.entries {
         let key = Key::Entry(name.clone());
-        let bytes = value(&key, entry)?;
+        let bytes = encode_value(&key, entry)?;
         pairs.push((key, bytes));
     }
     Ok(pairs)
@@ -241,7 +241,7 @@
     };
     // The head is read first: a newer version may have keys that this one
     // does not know, and `Newer` tells the operator more than `Key`.
-    let head: Head = read(&Key::Head, &head_pair.value)?;
+    let head: Head = decode_value(&Key::Head, &head_pair.value)?;
 
     let mut catalog = Catalog::default();
     for pair in pairs {
@@ -266,15 +266,15 @@
     match &key {
         Key::Head => {}
         Key::Tenant(name) => {
-            let tenant = read(&key, &pair.value)?;
+            let tenant = decode_value(&key, &pair.value)?;
             catalog.tenants.insert(name.clone(), tenant);
         }
         Key::Database(name) => {
-            let database = read(&key, &pair.value)?;
+            let database = decode_value(&key, &pair.value)?;
             catalog.databases.insert(name.clone(), database);
         }
         Key::Entry(name) => {
-            let entry = read(&key, &pair.value)?;
+            let entry = decode_value(&key, &pair.value)?;
             catalog.entries.insert(name.clone(), entry);
         }
         Key::History(_) => return Err(KeyError(pair.key.clone()).into()),
--- a/crates/catalog/src/parts.rs
+++ b/crates/catalog/src/parts.rs
@@ -56,7 +56,7 @@
 /// [`Error::Rules`] where a catalogue between would break the rules.
 pub fn split(from: &Catalog, to: &Catalog) -> Result<Vec<Catalog>, Error> {
     let mut changes = change::diff(from, to);
-    changes.sort_by_key(rank);
+    changes.sort_by_key(apply_order);
 
     let mut parts = Vec::new();
     let mut now = from.clone();
@@ -72,7 +72,7 @@
             ops = OVERHEAD_OPS;
             bytes = OVERHEAD_BYTES;
         }
-        bring(&mut now, to, &change.subject);
+        apply_change(&mut now, to, &change.subject);
         ops += 1;
         bytes += size;
         last = Some(&change.subject);
@@ -84,7 +84,7 @@
 }
 
 /// Where a change comes in the order of the parts.
-fn rank(change: &Change) -> u8 {
+fn apply_order(change: &Change) -> u8 {
     match (&change.subject, &change.edit) {
         (Subject::Tenant(_), Edit::Added | Edit::Changed(_)) => 0,
         (Subject::Database(_), Edit::Added | Edit::Changed(_)) => 1,
@@ -108,20 +108,22 @@
 /// The bytes of the key and value that `subject` has in `to`.
 fn size(to: &Catalog, subject: &Subject) -> Result<usize, Error> {
     match subject {
-        Subject::Tenant(name) => sized(&Key::Tenant(name.clone()), to.tenants.get(name)),
-        Subject::Database(name) => sized(&Key::Database(name.clone()), to.databases.get(name)),
-        Subject::Entry(name) => sized(&Key::Entry(name.clone()), to.entries.get(name)),
+        Subject::Tenant(name) => encoded_size(&Key::Tenant(name.clone()), to.tenants.get(name)),
+        Subject::Database(name) => {
+            encoded_size(&Key::Database(name.clone()), to.databases.get(name))
+        }
+        Subject::Entry(name) => encoded_size(&Key::Entry(name.clone()), to.entries.get(name)),
     }
 }
 
-fn sized<T: Serialize>(key: &Key, content: Option<&T>) -> Result<usize, Error> {
-    let value = content.map(|content| layout::value(key, content));
+fn encoded_size<T: Serialize>(key: &Key, content: Option<&T>) -> Result<usize, Error> {
+    let value = content.map(|content| layout::encode_value(key, content));
     let value = value.transpose()?;
     Ok(key.to_string().len() + value.map_or(0, |value| value.len()))
 }
 
 /// Makes `subject` in `now` what it is in `to`.
-fn bring(now: &mut Catalog, to: &Catalog, subject: &Subject) {
+fn apply_change(now: &mut Catalog, to: &Catalog, subject: &Subject) {
     match subject {
         Subject::Tenant(name) => set(&mut now.tenants, name, to.tenants.get(name)),
         Subject::Database(name) => set(&mut now.databases, name, to.databases.get(name)),
--- a/crates/catalog/src/plan.rs
+++ b/crates/catalog/src/plan.rs
@@ -134,7 +134,7 @@
     if from.catalog == *to {
         return Err(Error::Same);
     }
-    draw(from, to, proposal, epoch(from))
+    build(from, to, proposal, epoch(from))
 }
 
 /// Plans the change from `from` to `to`, if any, in a new epoch.
@@ -147,14 +147,14 @@
 ///
 /// [`Error`] where the change does not fit the store.
 pub fn renew(from: &Snapshot, to: &Catalog, proposal: Proposal) -> Result<Plan, Error> {
-    draw(from, to, proposal, epoch(from) + 1)
+    build(from, to, proposal, epoch(from) + 1)
 }
 
 fn epoch(from: &Snapshot) -> u32 {
     from.head.as_ref().map_or(0, |head| head.epoch)
 }
 
-fn draw(from: &Snapshot, to: &Catalog, proposal: Proposal, epoch: u32) -> Result<Plan, Error> {
+fn build(from: &Snapshot, to: &Catalog, proposal: Proposal, epoch: u32) -> Result<Plan, Error> {
     let changes = change::diff(&from.catalog, to);
     let number = from.head.as_ref().map_or(0, |head| head.number) + 1;
     let head = Head {
@@ -170,23 +170,23 @@
     let mut old: BTreeMap<_, _> = layout::encode(&from.catalog)?.into_iter().collect();
     let mut puts = layout::encode(to)?;
     puts.retain(|(key, value)| old.remove(key).as_ref() != Some(value));
-    puts.push((Key::Head, layout::value(&Key::Head, &head)?));
+    puts.push((Key::Head, layout::encode_value(&Key::Head, &head)?));
     let record_key = Key::History(number);
-    let record_value = layout::value(&record_key, &record)?;
+    let record_value = layout::encode_value(&record_key, &record)?;
     puts.push((record_key, record_value));
 
     let mut deletes: Vec<_> = old.keys().map(Key::to_string).collect();
-    deletes.extend(outdated(number).map(|key| key.to_string()));
+    deletes.extend(expired_record(number).map(|key| key.to_string()));
 
     let txn = Txn {
         compares: vec![Compare {
             key: Key::Head.to_string(),
             revision: from.revision,
         }],
-        puts: sized(puts)?,
+        puts: into_puts(puts)?,
         deletes,
     };
-    fitting(&txn)?;
+    check_size(&txn)?;
     Ok(Plan {
         from: from.clone(),
         to: to.clone(),
@@ -197,12 +197,12 @@
 }
 
 /// The record that makes room for that of change `number`.
-fn outdated(number: u64) -> Option<Key> {
+fn expired_record(number: u64) -> Option<Key> {
     let oldest = number.checked_sub(history::MAX_RECORDS)?;
     (oldest > 0).then_some(Key::History(oldest))
 }
 
-fn fitting(txn: &Txn) -> Result<(), Error> {
+fn check_size(txn: &Txn) -> Result<(), Error> {
     let ops = txn.ops();
     if ops > MAX_OPS {
         return Err(Error::TooMany { ops });
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-fn sized(pairs: Vec<(Key, Vec<u8>)>) -> Result<Vec<Put>, Error> {
+fn into_puts(pairs: Vec<(Key, Vec<u8>)>) -> Result<Vec<Put>, Error> {
     let mut puts = Vec::new();
     for (key, value) in pairs {
         if value.len() > MAX_VALUE {
--- a/crates/catalog/src/rules.rs
+++ b/crates/catalog/src/rules.rs
@@ -44,10 +44,10 @@
 fn user_fault(item: Item, user: &str, verifier: &str) -> Option<(Place, Problem)> {
     let place = Place::whole(item.clone());
     if !is_identifier(user) {
-        let what = Problem::Identifier {
+        let problem = Problem::Identifier {
             place: place.clone(),
         };
-        return Some((place, what));
+        return Some((place, problem));
     }
     let why = scram::Verifier::parse(verifier).err()?;
     Some((place, Problem::Verifier { item, why }))
@@ -62,35 +62,35 @@
     let group = Item::Database(name.clone());
     if !is_identifier(&database.dbname) {
         let place = Place::field(group.clone(), "dbname");
-        let what = Problem::Identifier {
+        let problem = Problem::Identifier {
             place: place.clone(),
         };
-        faults.push((place, what));
+        faults.push((place, problem));
     }
     if database.upstreams.is_empty() {
-        let what = Problem::NoUpstream {
+        let problem = Problem::NoUpstream {
             item: group.clone(),
         };
-        faults.push((Place::whole(group), what));
+        faults.push((Place::whole(group), problem));
     }
     for (upstream_name, upstream) in &database.upstreams {
         let item = Item::Upstream(name.clone(), upstream_name.clone());
         let address = upstream.address;
         let place = Place::field(item.clone(), "address");
         if !is_reachable(address) {
-            let what = Problem::Address {
+            let problem = Problem::Address {
                 place: place.clone(),
                 found: address.to_string(),
             };
-            faults.push((place.clone(), what));
+            faults.push((place.clone(), problem));
         }
         if let Some(other) = seen.get(&address) {
-            let what = Problem::DuplicateAddress {
+            let problem = Problem::DuplicateAddress {
                 place: place.clone(),
                 address,
                 other: other.clone(),
             };
-            faults.push((place, what));
+            faults.push((place, problem));
         }
         seen.entry(address).or_insert_with(|| item.clone());
         let slots = upstream.slots.into();
@@ -100,12 +100,12 @@
         faults.extend(range_fault(&item, "connections", connections, bounds));
         if upstream.slots > upstream.connections {
             let place = Place::field(item, "slots");
-            let what = Problem::Slots {
+            let problem = Problem::Slots {
                 place: place.clone(),
                 slots: upstream.slots,
                 connections: upstream.connections,
             };
-            faults.push((place, what));
+            faults.push((place, problem));
         }
     }
 }
@@ -120,13 +120,13 @@
         return None;
     }
     let place = Place::field(item.clone(), field);
-    let what = Problem::Range {
+    let problem = Problem::Range {
         place: place.clone(),
         min: *bounds.start(),
         max: *bounds.end(),
         found: found.to_string(),
     };
-    Some((place, what))
+    Some((place, problem))
 }
 
 /// Whether a connection can be opened to `address` at all.
@@ -146,28 +146,28 @@
     if !catalog.tenants.contains_key(&entry.tenant) {
         let place = Place::field(item.clone(), "tenant");
         let declared = catalog.tenants.keys();
-        faults.push(dangling(place, entry.tenant.as_str(), declared));
+        faults.push(dangling_name(place, entry.tenant.as_str(), declared));
     }
     match catalog.databases.get(&entry.database) {
         Some(database) => {
             // Leaving upstreams count too: marking one as leaving in an
             // emergency must not make the catalogue impossible to apply.
-            let offered = offered(database);
+            let offered = total_connections(database);
             if u32::from(entry.connections) > offered && offered > 0 {
                 let place = Place::field(item.clone(), "connections");
-                let what = Problem::Connections {
+                let problem = Problem::Connections {
                     place: place.clone(),
                     asked: entry.connections,
                     database: entry.database.clone(),
                     offered,
                 };
-                faults.push((place, what));
+                faults.push((place, problem));
             }
         }
         None => {
             let place = Place::field(item.clone(), "database");
             let declared = catalog.databases.keys();
-            faults.push(dangling(place, entry.database.as_str(), declared));
+            faults.push(dangling_name(place, entry.database.as_str(), declared));
         }
     }
     match (entry.freshness, entry.staleness_ms) {
@@ -177,11 +177,11 @@
         }
         (ReadFreshness::Current | ReadFreshness::ReadYourWrites, Some(_)) => {
             let place = Place::field(item, "staleness_ms");
-            let what = Problem::StalenessUnused {
+            let problem = Problem::StalenessUnused {
                 place: place.clone(),
                 freshness: entry.freshness,
             };
-            faults.push((place, what));
+            faults.push((place, problem));
         }
         (ReadFreshness::Age, Some(_))
         | (ReadFreshness::Current | ReadFreshness::ReadYourWrites, None) => {}
@@ -202,7 +202,7 @@
     faults.extend(range_fault(item, "staleness_ms", staleness, bounds));
 }
 
-fn offered(database: &Database) -> u32 {
+fn total_connections(database: &Database) -> u32 {
     database
         .upstreams
         .values()
@@ -210,7 +210,7 @@
         .sum()
 }
 
-fn dangling(
+fn dangling_name(
     place: Place,
     name: &str,
     declared: impl Iterator<Item = impl ToString>,
@@ -218,42 +218,42 @@
     let mut nearest: Vec<_> = declared.map(|declared| declared.to_string()).collect();
     nearest.sort_by_cached_key(|declared| strsim::damerau_levenshtein(declared, name));
     nearest.truncate(NEAREST);
-    let what = Problem::Dangling {
+    let problem = Problem::Dangling {
         place: place.clone(),
         name: name.to_owned(),
         nearest,
     };
-    (place, what)
+    (place, problem)
 }
 
 /// What an operator should know of a catalogue that keeps the rules.
-pub(crate) fn doubts(catalog: &Catalog) -> Vec<(Place, Lint)> {
-    let mut doubts = Vec::new();
+pub(crate) fn lints(catalog: &Catalog) -> Vec<(Place, Lint)> {
+    let mut lints = Vec::new();
     for (name, database) in &catalog.databases {
         let item = Item::Database(name.clone());
         let count = database.upstreams.len();
         if count == 1 {
-            let doubt = Lint::SingleUpstream { item: item.clone() };
-            doubts.push((Place::whole(item.clone()), doubt));
+            let lint = Lint::SingleUpstream { item: item.clone() };
+            lints.push((Place::whole(item.clone()), lint));
         }
         if count > 0 && count.is_multiple_of(2) {
-            let doubt = Lint::EvenUpstreams {
+            let lint = Lint::EvenUpstreams {
                 item: item.clone(),
                 count,
             };
-            doubts.push((Place::whole(item.clone()), doubt));
+            lints.push((Place::whole(item.clone()), lint));
         }
         if count > 0 && database.upstreams.values().all(|u| u.leaving) {
-            let doubt = Lint::AllLeaving { item: item.clone() };
-            doubts.push((Place::whole(item), doubt));
+            let lint = Lint::AllLeaving { item: item.clone() };
+            lints.push((Place::whole(item), lint));
         }
     }
     let owners: BTreeSet<_> = catalog.entries.values().map(|e| &e.tenant).collect();
     for (name, tenant) in &catalog.tenants {
         if owners.contains(name) && tenant.users.is_empty() {
             let item = Item::Tenant(name.clone());
-            doubts.push((Place::whole(item.clone()), Lint::NoUser { item }));
+            lints.push((Place::whole(item.clone()), Lint::NoUser { item }));
         }
     }
-    doubts
+    lints
 }
--- a/crates/catalog/src/scram.rs
+++ b/crates/catalog/src/scram.rs
@@ -76,13 +76,13 @@
         Ok(Self {
             iterations,
             salt,
-            stored: key(stored)?,
-            server: key(server)?,
+            stored: decode_key(stored)?,
+            server: decode_key(server)?,
         })
     }
 }
 
-fn key(text: &str) -> Result<[u8; KEY_LEN], Error> {
+fn decode_key(text: &str) -> Result<[u8; KEY_LEN], Error> {
     let bytes = STANDARD.decode(text).map_err(|_| Error::Key)?;
     bytes.try_into().map_err(|_| Error::Key)
 }
--- a/crates/catalog/src/text.rs
+++ b/crates/catalog/src/text.rs
@@ -1,6 +1,6 @@
 //! The catalogue's text form: strict, and told with line and column.
 
-mod draft;
+mod parser;
 mod section;
 
 use std::fmt;
@@ -11,7 +11,7 @@
     rules,
 };
 
-use draft::Draft;
+use parser::Parser;
 
 /// Why a text is not a catalogue: every fault in it, in the order of lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -63,28 +63,28 @@
     /// [`Error`] tells all that is wrong, with lines and columns.
     pub fn check(text: &str) -> Result<Checked, Error> {
         let (root, errors) = toml::de::DeTable::parse_recoverable(text);
-        let mut draft = Draft::new(text);
+        let mut parser = Parser::new(text);
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
             let message = error.message().to_owned();
-            draft.fault(offset, Problem::Syntax(message));
+            parser.fault(offset, Problem::Syntax(message));
         }
         // After an error of syntax the recovered tables lack what stood
         // there, so a further check would tell of faults that are none.
-        if draft.is_faulty() {
-            return Err(draft.into_error());
+        if parser.is_faulty() {
+            return Err(parser.into_error());
         }
 
-        let catalog = draft.catalog(root.get_ref());
-        for (place, what) in rules::faults(&catalog) {
-            draft.rule(&place, what);
+        let catalog = parser.catalog(root.get_ref());
+        for (place, problem) in rules::faults(&catalog) {
+            parser.add_violation(&place, problem);
         }
-        if draft.is_faulty() {
-            return Err(draft.into_error());
+        if parser.is_faulty() {
+            return Err(parser.into_error());
         }
 
-        let doubts = rules::doubts(&catalog);
-        let warnings = draft.locate(doubts);
+        let lints = rules::lints(&catalog);
+        let warnings = parser.locate(lints);
         Ok(Checked { catalog, warnings })
     }
 
--- a/crates/catalog/src/text/draft.rs
+++ b/crates/catalog/src/text/parser.rs
@@ -42,7 +42,7 @@
     PriorityLevel::Low,
 ];
 
-pub(super) struct Draft<'t> {
+pub(super) struct Parser<'t> {
     text: &'t str,
     faults: Vec<(usize, Problem)>,
     /// Byte offsets of the values read.
@@ -51,7 +51,7 @@
     declared: BTreeSet<String>,
 }
 
-impl<'t> Draft<'t> {
+impl<'t> Parser<'t> {
     pub(super) fn new(text: &'t str) -> Self {
         Self {
             text,
@@ -61,11 +61,11 @@
         }
     }
 
-    pub(super) fn fault(&mut self, offset: usize, what: Problem) {
-        self.faults.push((offset, what));
+    pub(super) fn fault(&mut self, offset: usize, problem: Problem) {
+        self.faults.push((offset, problem));
     }
 
-    pub(super) fn note(&mut self, place: Place, offset: usize) {
+    pub(super) fn record_offset(&mut self, place: Place, offset: usize) {
         self.places.insert(place, offset);
     }
 
@@ -77,15 +77,15 @@
     ///
     /// A tenant or database whose own table is faulty is missing from the
     /// catalogue that the rules see; names that lead to it do not dangle.
-    pub(super) fn rule(&mut self, place: &Place, what: Problem) {
-        if let Problem::Dangling { place, name, .. } = &what {
+    pub(super) fn add_violation(&mut self, place: &Place, problem: Problem) {
+        if let Problem::Dangling { place, name, .. } = &problem {
             let kind = place.field.unwrap_or_default();
             if self.declared.contains(&declared_key(kind, name)) {
                 return;
             }
         }
         let offset = self.offset(place);
-        self.fault(offset, what);
+        self.fault(offset, problem);
     }
 
     fn offset(&self, place: &Place) -> usize {
@@ -96,13 +96,13 @@
 
     /// Puts lines and columns to remarks, ordered by them.
     pub(super) fn locate<T>(&self, remarks: Vec<(Place, T)>) -> Vec<Located<T>> {
-        let at = |(place, what)| (self.offset(&place), what);
-        located(self.text, remarks.into_iter().map(at).collect())
+        let at = |(place, problem)| (self.offset(&place), problem);
+        sort_and_locate(self.text, remarks.into_iter().map(at).collect())
     }
 
     pub(super) fn into_error(self) -> Error {
         Error {
-            faults: located(self.text, self.faults),
+            faults: sort_and_locate(self.text, self.faults),
         }
     }
 
@@ -112,16 +112,16 @@
             offset: 0,
             table: root,
         };
-        section.expect_keys(self, ROOT_KEYS);
+        section.check_keys(self, ROOT_KEYS);
         Catalog {
-            tenants: self.named(&section, "tenant", name::Tenant::new, Self::tenant),
-            databases: self.named(&section, "database", name::Database::new, Self::database),
-            entries: self.named(&section, "entry", name::Entry::new, Self::entry),
+            tenants: self.named_tables(&section, "tenant", name::Tenant::new, Self::tenant),
+            databases: self.named_tables(&section, "database", name::Database::new, Self::database),
+            entries: self.named_tables(&section, "entry", name::Entry::new, Self::entry),
         }
     }
 
     /// Reads the tables below `key`, leaving out the faulty ones.
-    fn named<N: Ord + Clone, T>(
+    fn named_tables<N: Ord + Clone, T>(
         &mut self,
         parent: &Section<'_, '_>,
         key: &'static str,
@@ -166,13 +166,13 @@
         table: &'a DeTable<'i>,
         known: &'static [&'static str],
     ) -> Section<'a, 'i> {
-        self.note(Place::whole(item.clone()), offset);
+        self.record_offset(Place::whole(item.clone()), offset);
         let section = Section {
             item,
             offset,
             table,
         };
-        section.expect_keys(self, known);
+        section.check_keys(self, known);
         section
     }
 
@@ -186,19 +186,19 @@
         let section = self.section(item, offset, table, TENANT_KEYS);
         let value = section.required(self, "users")?;
         let Some(logins) = value.get_ref().as_table() else {
-            section.mistyped(self, "users", value, Kind::Table);
+            section.type_fault(self, "users", value, Kind::Table);
             return None;
         };
         let mut users = BTreeMap::new();
         for (user, verifier) in logins {
             let user = user.get_ref().to_string();
             let item = Item::User(name.clone(), user.clone());
-            self.note(Place::whole(item), verifier.span().start);
+            self.record_offset(Place::whole(item), verifier.span().start);
             match verifier.get_ref().as_str() {
                 Some(text) => {
                     users.insert(user, text.to_owned());
                 }
-                None => section.mistyped(self, "users", verifier, Kind::String),
+                None => section.type_fault(self, "users", verifier, Kind::String),
             }
         }
         Some(Tenant { users })
@@ -248,11 +248,11 @@
         let leaving = section.flag(self, "leaving");
         let address = address?;
         let Ok(parsed) = address.parse() else {
-            let what = Problem::Address {
+            let problem = Problem::Address {
                 place: section.place("address"),
                 found: address.to_owned(),
             };
-            self.fault(section.offset_of("address"), what);
+            self.fault(section.offset_of("address"), problem);
             return None;
         };
         Some(Upstream {
@@ -300,7 +300,7 @@
     format!("{kind}/{name}")
 }
 
-fn located<T>(text: &str, mut remarks: Vec<(usize, T)>) -> Vec<Located<T>> {
+fn sort_and_locate<T>(text: &str, mut remarks: Vec<(usize, T)>) -> Vec<Located<T>> {
     remarks.sort_by_key(|&(offset, _)| offset);
     let newlines = text.match_indices('\n').map(|(at, _)| at + 1);
     let starts: Vec<_> = std::iter::once(0).chain(newlines).collect();
--- a/crates/catalog/src/text/section.rs
+++ b/crates/catalog/src/text/section.rs
@@ -9,7 +9,7 @@
 
 use crate::fault::{Item, Kind, Place, Problem};
 
-use super::draft::Draft;
+use super::parser::Parser;
 
 /// A table of the text and what it declares.
 pub(super) struct Section<'t, 'i> {
@@ -21,71 +21,71 @@
 
 impl<'t, 'i> Section<'t, 'i> {
     /// Faults the keys that are not among `known`.
-    pub(super) fn expect_keys(&self, draft: &mut Draft<'_>, known: &'static [&'static str]) {
+    pub(super) fn check_keys(&self, parser: &mut Parser<'_>, known: &'static [&'static str]) {
         for key in self.table.keys() {
             if known.contains(&key.get_ref().as_ref()) {
                 continue;
             }
-            let what = Problem::UnknownKey {
+            let problem = Problem::UnknownKey {
                 item: self.item.clone(),
                 key: key.get_ref().to_string(),
                 known,
             };
-            draft.fault(key.span().start, what);
+            parser.fault(key.span().start, problem);
         }
     }
 
     /// The value under `key`, whose place is noted.
     pub(super) fn optional(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
     ) -> Option<&'t Spanned<DeValue<'i>>> {
         let value = self.table.get(key)?;
         let place = self.place(key);
-        draft.note(place, value.span().start);
+        parser.record_offset(place, value.span().start);
         Some(value)
     }
 
     /// The value under `key`, which must be there.
     pub(super) fn required(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
     ) -> Option<&'t Spanned<DeValue<'i>>> {
-        let value = self.optional(draft, key);
+        let value = self.optional(parser, key);
         if value.is_none() {
             let item = self.item.clone();
-            draft.fault(self.offset, Problem::Missing { item, key });
+            parser.fault(self.offset, Problem::Missing { item, key });
         }
         value
     }
 
-    pub(super) fn string(&self, draft: &mut Draft<'_>, key: &'static str) -> Option<&'t str> {
-        let value = self.required(draft, key)?;
+    pub(super) fn string(&self, parser: &mut Parser<'_>, key: &'static str) -> Option<&'t str> {
+        let value = self.required(parser, key)?;
         let text = value.get_ref().as_str();
         if text.is_none() {
-            self.mistyped(draft, key, value, Kind::String);
+            self.type_fault(parser, key, value, Kind::String);
         }
         text
     }
 
     pub(super) fn name<N>(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
         make: fn(&str) -> Result<N, model::name::Error>,
     ) -> Option<N> {
-        let text = self.string(draft, key)?;
+        let text = self.string(parser, key)?;
         match make(text) {
             Ok(name) => Some(name),
             Err(why) => {
-                let what = Problem::Name {
+                let problem = Problem::Name {
                     role: key,
                     found: text.to_owned(),
                     why,
                 };
-                draft.fault(self.offset_of(key), what);
+                parser.fault(self.offset_of(key), problem);
                 None
             }
         }
@@ -94,19 +94,19 @@
     /// One of the words in `allowed`, by its place there.
     pub(super) fn word(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
         allowed: &'static [&'static str],
     ) -> Option<usize> {
-        let text = self.string(draft, key)?;
+        let text = self.string(parser, key)?;
         let found = allowed.iter().position(|&word| word == text);
         if found.is_none() {
-            let what = Problem::Choice {
+            let problem = Problem::Choice {
                 place: self.place(key),
                 allowed,
                 found: text.to_owned(),
             };
-            draft.fault(self.offset_of(key), what);
+            parser.fault(self.offset_of(key), problem);
         }
         found
     }
@@ -116,13 +116,13 @@
     }
 
     /// `true` or `false`, and `false` where the key is left out.
-    pub(super) fn flag(&self, draft: &mut Draft<'_>, key: &'static str) -> bool {
-        let Some(value) = self.optional(draft, key) else {
+    pub(super) fn flag(&self, parser: &mut Parser<'_>, key: &'static str) -> bool {
+        let Some(value) = self.optional(parser, key) else {
             return false;
         };
         let flag = value.get_ref().as_bool();
         if flag.is_none() {
-            self.mistyped(draft, key, value, Kind::Boolean);
+            self.type_fault(parser, key, value, Kind::Boolean);
         }
         flag.unwrap_or(false)
     }
@@ -133,40 +133,40 @@
     /// so that the rest of its table is checked as well.
     pub(super) fn number<T: TryFrom<u32>>(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
         bounds: RangeInclusive<u32>,
     ) -> Option<T> {
-        let value = self.required(draft, key)?;
+        let value = self.required(parser, key)?;
         let Some(integer) = value.get_ref().as_integer() else {
-            self.mistyped(draft, key, value, Kind::Integer);
+            self.type_fault(parser, key, value, Kind::Integer);
             return T::try_from(*bounds.start()).ok();
         };
         let parsed = u32::from_str_radix(integer.as_str(), integer.radix()).ok();
         if let Some(number) = parsed.and_then(|number| T::try_from(number).ok()) {
             return Some(number);
         }
-        let what = Problem::Range {
+        let problem = Problem::Range {
             place: self.place(key),
             min: *bounds.start(),
             max: *bounds.end(),
             found: integer.to_string(),
         };
-        draft.fault(value.span().start, what);
+        parser.fault(value.span().start, problem);
         T::try_from(*bounds.start()).ok()
     }
 
     /// The tables below `key`, each with its name; none where it is left out.
     pub(super) fn tables(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
     ) -> Vec<(&'t str, usize, &'t DeTable<'i>)> {
-        let Some(value) = self.optional(draft, key) else {
+        let Some(value) = self.optional(parser, key) else {
             return Vec::new();
         };
         let Some(table) = value.get_ref().as_table() else {
-            self.mistyped(draft, key, value, Kind::Table);
+            self.type_fault(parser, key, value, Kind::Table);
             return Vec::new();
         };
         let mut tables = Vec::new();
@@ -174,7 +174,7 @@
             let offset = name.span().start;
             match value.get_ref().as_table() {
                 Some(table) => tables.push((name.get_ref().as_ref(), offset, table)),
-                None => self.mistyped(draft, key, value, Kind::Table),
+                None => self.type_fault(parser, key, value, Kind::Table),
             }
         }
         tables
@@ -190,18 +190,18 @@
         value.map_or(self.offset, |value| value.span().start)
     }
 
-    pub(super) fn mistyped(
+    pub(super) fn type_fault(
         &self,
-        draft: &mut Draft<'_>,
+        parser: &mut Parser<'_>,
         key: &'static str,
         value: &Spanned<DeValue<'_>>,
         expected: Kind,
     ) {
-        let what = Problem::Kind {
+        let problem = Problem::Kind {
             place: self.place(key),
             expected,
             found: value.get_ref().type_str(),
         };
-        draft.fault(value.span().start, what);
+        parser.fault(value.span().start, problem);
     }
 }
--- a/crates/catalog/tests/apply.rs
+++ b/crates/catalog/tests/apply.rs
@@ -13,7 +13,7 @@
 
 /// What befalls the sends of a change, in order; then all goes well.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Fate {
+enum Failure {
     /// It takes effect, but the answer is lost.
     AnswerLost,
     /// It never reaches the store.
@@ -24,15 +24,15 @@
 fn run(
     store: &mut Store,
     (mut apply, mut action): (Apply, Action),
-    fates: &[Fate],
-    mut meanwhile: impl FnMut(&mut Store),
+    failures: &[Failure],
+    mut after_send: impl FnMut(&mut Store),
 ) -> Outcome {
-    let mut fates = fates.iter();
+    let mut failures = failures.iter();
     loop {
         let event = match action {
             Action::Send(_, txn) => {
-                let event = send(store, &txn, fates.next());
-                meanwhile(store);
+                let event = send(store, &txn, failures.next());
+                after_send(store);
                 event
             }
             Action::Read(_, number) => Event::Read(evidence(store, number)),
@@ -42,12 +42,12 @@
     }
 }
 
-fn send(store: &mut Store, txn: &plan::Txn, fate: Option<&Fate>) -> Event {
-    if fate == Some(&Fate::RequestLost) {
+fn send(store: &mut Store, txn: &plan::Txn, failure: Option<&Failure>) -> Event {
+    if failure == Some(&Failure::RequestLost) {
         return Event::Unknown;
     }
     let revision = store.run(txn);
-    if fate == Some(&Fate::AnswerLost) {
+    if failure == Some(&Failure::AnswerLost) {
         return Event::Unknown;
     }
     revision.map_or(Event::Refused, Event::Committed)
@@ -106,7 +106,7 @@
 fn an_answer_lost_after_taking_effect_is_recognised() {
     let mut store = store();
     let apply = open(&store, 9, 2);
-    let outcome = run(&mut store, apply, &[Fate::AnswerLost], |_| ());
+    let outcome = run(&mut store, apply, &[Failure::AnswerLost], |_| ());
     assert!(matches!(outcome, Outcome::Applied(2)), "{outcome:?}");
     assert_eq!(store.revision, 2);
 }
@@ -120,7 +120,7 @@
     let mut store = store();
     let apply = open(&store, 9, 2);
     let mut others = 0;
-    let outcome = run(&mut store, apply, &[Fate::AnswerLost], |store| {
+    let outcome = run(&mut store, apply, &[Failure::AnswerLost], |store| {
         let plan = plan::plan(&store.snapshot(), &small(11), proposal(3)).unwrap();
         store.run(&plan.txn).unwrap();
         others += 1;
@@ -134,8 +134,12 @@
 fn a_lost_request_is_sent_again() {
     let mut store = store();
     let apply = open(&store, 9, 2);
-    let fates = [Fate::RequestLost, Fate::RequestLost, Fate::AnswerLost];
-    let outcome = run(&mut store, apply, &fates, |_| ());
+    let failures = [
+        Failure::RequestLost,
+        Failure::RequestLost,
+        Failure::AnswerLost,
+    ];
+    let outcome = run(&mut store, apply, &failures, |_| ());
     assert!(matches!(outcome, Outcome::Applied(2)), "{outcome:?}");
     assert_eq!(store.snapshot().catalog, small(9));
 }
@@ -189,7 +193,7 @@
 fn a_store_that_loses_every_request_ends_as_unknown() {
     let mut store = store();
     let apply = open(&store, 9, 2);
-    let outcome = run(&mut store, apply, &[Fate::RequestLost; 20], |_| ());
+    let outcome = run(&mut store, apply, &[Failure::RequestLost; 20], |_| ());
     assert!(matches!(outcome, Outcome::Unknown), "{outcome:?}");
     assert_eq!(store.revision, 1);
 }
@@ -244,7 +248,7 @@
 fn a_removed_record_proves_nothing() {
     let mut store = store();
     let apply = open(&store, 9, 2);
-    let outcome = run(&mut store, apply, &[Fate::AnswerLost], |store| {
+    let outcome = run(&mut store, apply, &[Failure::AnswerLost], |store| {
         for n in 0..catalog::history::MAX_RECORDS {
             let connections = 10 + (n % 2) as u16;
             let plan = plan::plan(&store.snapshot(), &small(connections), proposal(100));
--- a/crates/catalog/tests/layout.rs
+++ b/crates/catalog/tests/layout.rs
@@ -58,10 +58,10 @@
         let pairs = altered(key, "\"format\":1", "\"format\":2");
         match layout::decode(&pairs) {
             Err(Error::Newer {
-                key: told,
+                key: reported,
                 format: 2,
             }) => {
-                assert!(told.to_string().ends_with(key));
+                assert!(reported.to_string().ends_with(key));
             }
             other => panic!("{key}: {other:?}"),
         }
--- a/crates/catalog/tests/parts.rs
+++ b/crates/catalog/tests/parts.rs
@@ -13,9 +13,9 @@
 use common::{Store, proposal, small};
 
 /// `small(8)` repeated `count` times, each with names and addresses of its own.
-fn wide(count: u32) -> Catalog {
+fn repeated(count: u32) -> Catalog {
     let small = small(8);
-    let mut wide = Catalog::default();
+    let mut repeated = Catalog::default();
     for n in 0..count {
         let tenant = name::Tenant::new(&format!("yard-{n}")).unwrap();
         let database = name::Database::new(&format!("core-{n}")).unwrap();
@@ -27,12 +27,14 @@
         let mut entry = small.entries["calendar"].clone();
         entry.tenant = tenant.clone();
         entry.database = database.clone();
-        wide.tenants.insert(tenant, small.tenants["yard"].clone());
-        wide.databases.insert(database, group);
+        repeated
+            .tenants
+            .insert(tenant, small.tenants["yard"].clone());
+        repeated.databases.insert(database, group);
         let name = name::Entry::new(&format!("calendar-{n}")).unwrap();
-        wide.entries.insert(name, entry);
+        repeated.entries.insert(name, entry);
     }
-    wide
+    repeated
 }
 
 /// Applies the parts one after the other, each read back from the store.
@@ -49,12 +51,15 @@
 #[test]
 fn a_large_catalogue_is_loaded_and_removed_in_parts() {
     let mut store = Store::default();
-    let wide = wide(300);
-    let whole = plan::plan(&Snapshot::default(), &wide, proposal(1));
-    assert!(matches!(whole, Err(plan::Error::TooMany { ops: 902 })));
+    let repeated = repeated(300);
+    let single_plan = plan::plan(&Snapshot::default(), &repeated, proposal(1));
+    assert!(matches!(
+        single_plan,
+        Err(plan::Error::TooMany { ops: 902 })
+    ));
     // 900 keys, of which a part takes 125 beside its head and records.
-    assert_eq!(apply(&mut store, &wide), 8);
-    assert_eq!(store.snapshot().catalog, wide);
+    assert_eq!(apply(&mut store, &repeated), 8);
+    assert_eq!(store.snapshot().catalog, repeated);
     assert_eq!(apply(&mut store, &small(8)), 8);
     assert_eq!(store.snapshot().catalog, small(8));
     assert_eq!(apply(&mut store, &small(8)), 0);
@@ -62,18 +67,18 @@
 
 #[test]
 fn a_part_is_bounded_in_bytes_as_well() {
-    let mut wide = wide(6);
+    let mut repeated = repeated(6);
     let verifier = small(8).tenants["yard"].users["app"].clone();
-    for tenant in wide.tenants.values_mut() {
+    for tenant in repeated.tenants.values_mut() {
         let users = (0..4_000).map(|n| (format!("user-{n}"), verifier.clone()));
         tenant.users.extend(users);
     }
     let empty = Snapshot::default();
-    let whole = plan::plan(&empty, &wide, proposal(1));
-    assert!(matches!(whole, Err(plan::Error::TooMuch { bytes }) if bytes > MAX_BYTES));
+    let single_plan = plan::plan(&empty, &repeated, proposal(1));
+    assert!(matches!(single_plan, Err(plan::Error::TooMuch { bytes }) if bytes > MAX_BYTES));
     let mut store = Store::default();
-    assert_eq!(apply(&mut store, &wide), 3);
-    assert_eq!(store.snapshot().catalog, wide);
+    assert_eq!(apply(&mut store, &repeated), 3);
+    assert_eq!(store.snapshot().catalog, repeated);
 }
 
 /// Symptom: a part of a change is in force and faulty by the rules, so that
@@ -83,7 +88,7 @@
 /// Cause: parts that are whole by count only.
 #[test]
 fn a_change_without_a_faultless_way_is_refused() {
-    let from = wide(MAX_OPS as u32);
+    let from = repeated(MAX_OPS as u32);
     let mut to = from.clone();
     for database in to.databases.values_mut() {
         for upstream in database.upstreams.values_mut() {
--- a/crates/catalog/tests/text.rs
+++ b/crates/catalog/tests/text.rs
@@ -11,7 +11,7 @@
 const VERIFIER: &str = "SCRAM-SHA-256$4096:c2FsdA==$AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=:AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=";
 
 /// A small faultless catalogue; `VERIFIER` stands for a user's verifier.
-const GOOD: &str = r#"[tenant.yard.users]
+const VALID: &str = r#"[tenant.yard.users]
 app = "VERIFIER"
 
 [database.core]
@@ -47,14 +47,14 @@
 deadline_ms = 2000
 "#;
 
-fn good() -> String {
-    GOOD.replace("VERIFIER", VERIFIER)
+fn valid() -> String {
+    VALID.replace("VERIFIER", VERIFIER)
 }
 
 /// The faults of `GOOD` with `old` replaced by `new`, which must change it.
 fn faults(old: &str, new: &str) -> Vec<Fault> {
-    let text = good().replacen(old, new, 1);
-    assert_ne!(text, good(), "nothing to replace for {old:?}");
+    let text = valid().replacen(old, new, 1);
+    assert_ne!(text, valid(), "nothing to replace for {old:?}");
     Catalog::parse(&text).expect_err(new).faults
 }
 
@@ -211,10 +211,10 @@
     ];
     for (old, new, line, message) in cases {
         let faults = faults(old, new);
-        let told = faults
+        let reported = faults
             .iter()
             .any(|fault| fault.line == line && fault.kind.to_string().contains(message));
-        assert!(told, "{old:?} -> {new:?}: {faults:#?}");
+        assert!(reported, "{old:?} -> {new:?}: {faults:#?}");
     }
 }
 
@@ -228,11 +228,11 @@
     ];
     for (old, new, line) in cases {
         let faults = faults(old, new);
-        let told = faults.iter().any(|fault| {
+        let reported = faults.iter().any(|fault| {
             fault.line == line
                 && matches!(&fault.kind, Problem::UnknownKey { known, .. } if !known.is_empty())
         });
-        assert!(told, "{old:?} -> {new:?}: {faults:#?}");
+        assert!(reported, "{old:?} -> {new:?}: {faults:#?}");
     }
 }
 
@@ -254,7 +254,7 @@
 
 #[test]
 fn all_faults_are_told_at_once_in_the_order_of_lines() {
-    let text = good()
+    let text = valid()
         .replacen("connections = 16", "connections = 0", 1)
         .replace("10.0.0.3", "10.0.0.2")
         .replace("tenant = \"yard\"", "tenant = \"yrd\"")
@@ -277,31 +277,37 @@
 
 #[test]
 fn what_is_allowed_but_doubtful_is_warned_of() {
-    let alone = "\n[database.one]\ndbname = \"x\"\nupstream.a = { address = \"10.9.0.1:5432\", zone = \"z\", slots = 1, connections = 2, leaving = true }\n";
+    let single = "\n[database.one]\ndbname = \"x\"\nupstream.a = { address = \"10.9.0.1:5432\", zone = \"z\", slots = 1, connections = 2, leaving = true }\n";
     let even = "[database.two]\ndbname = \"x\"\nupstream.a = { address = \"10.9.0.2:5432\", zone = \"z\", slots = 1, connections = 2 }\nupstream.b = { address = \"10.9.0.3:5432\", zone = \"z\", slots = 1, connections = 2 }\n";
-    let text = good().replace(&format!("app = \"{VERIFIER}\""), "") + alone + even;
+    let text = valid().replace(&format!("app = \"{VERIFIER}\""), "") + single + even;
     let checked = Catalog::check(&text).unwrap();
-    let told: Vec<_> = checked
+    let reported: Vec<_> = checked
         .warnings
         .iter()
         .map(|warning| (warning.line, &warning.kind))
         .collect();
-    assert!(matches!(told[0], (1, Lint::NoUser { .. })), "{told:?}");
     assert!(
-        matches!(told[1], (36, Lint::SingleUpstream { .. })),
-        "{told:?}"
+        matches!(reported[0], (1, Lint::NoUser { .. })),
+        "{reported:?}"
     );
-    assert!(matches!(told[2], (36, Lint::AllLeaving { .. })), "{told:?}");
     assert!(
-        matches!(told[3], (39, Lint::EvenUpstreams { count: 2, .. })),
-        "{told:?}"
+        matches!(reported[1], (36, Lint::SingleUpstream { .. })),
+        "{reported:?}"
     );
-    assert_eq!(told.len(), 4);
+    assert!(
+        matches!(reported[2], (36, Lint::AllLeaving { .. })),
+        "{reported:?}"
+    );
+    assert!(
+        matches!(reported[3], (39, Lint::EvenUpstreams { count: 2, .. })),
+        "{reported:?}"
+    );
+    assert_eq!(reported.len(), 4);
 }
 
 #[test]
 fn defaults_are_filled_in_and_text_round_trips() {
-    let text = good()
+    let text = valid()
         .replace("idempotent = true\n", "")
         .replace("priority = \"low\"\n", "");
     let catalog = Catalog::parse(&text).unwrap();
@@ -405,7 +411,7 @@
         len in 0usize..40,
         insert in proptest::collection::vec(proptest::prelude::any::<char>(), 0..8),
     ) {
-        let text: Vec<char> = good().chars().collect();
+        let text: Vec<char> = valid().chars().collect();
         let from = from.min(text.len());
         let to = (from + len).min(text.len());
         let damaged: String = text[..from].iter().chain(&insert).chain(&text[to..]).collect();
--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Literal<G> {
     guard: G,
-    wanted: bool,
+    expected: bool,
 }
 
 impl<V: Vocabulary> Chart<V> {
@@ -111,7 +111,7 @@
         mut holds: impl FnMut(V::Guard) -> bool,
     ) -> Option<(V::State, &[V::Action])> {
         let transitions = self.transitions.get(&(state, event))?;
-        let fires = |t: &&Transition<V>| t.guards.iter().all(|l| holds(l.guard) == l.wanted);
+        let fires = |t: &&Transition<V>| t.guards.iter().all(|l| holds(l.guard) == l.expected);
         let transition = transitions.iter().find(fires)?;
         Some((transition.target, &transition.actions))
     }
--- a/crates/chart/src/text.rs
+++ b/crates/chart/src/text.rs
@@ -29,11 +29,11 @@
 }
 
 /// Finds lines, and words with the line they stand on.
-struct Place<'a> {
+struct Locator<'a> {
     text: &'a str,
 }
 
-impl Place<'_> {
+impl Locator<'_> {
     fn line(&self, offset: usize) -> usize {
         let before = &self.text.as_bytes()[..offset.min(self.text.len())];
         1 + before.iter().filter(|&&b| b == b'\n').count()
@@ -56,12 +56,12 @@
     }
 
     fn literal<W: Word>(&self, at: &Spanned<String>) -> Result<Literal<W>, Error> {
-        let (name, wanted) = match at.get_ref().strip_prefix('!') {
+        let (name, expected) = match at.get_ref().strip_prefix('!') {
             Some(name) => (name, false),
             None => (at.get_ref().as_str(), true),
         };
         let guard = self.named(at, name, Kind::Guard)?;
-        Ok(Literal { guard, wanted })
+        Ok(Literal { guard, expected })
     }
 
     fn declared<W: Word>(
@@ -78,38 +78,38 @@
 }
 
 pub(crate) fn read<V: Vocabulary>(text: &str) -> Result<Chart<V>, Error> {
-    let place = Place { text };
+    let locator = Locator { text };
     let parsed: Text = toml::from_str(text).map_err(|e| Error {
-        line: place.line(e.span().map_or(0, |s| s.start)),
+        line: locator.line(e.span().map_or(0, |s| s.start)),
         fault: Fault::Toml(e.message().to_owned()),
     })?;
-    let states = states::<V>(&place, &parsed.states)?;
+    let states = states::<V>(&locator, &parsed.states)?;
     let Some(initial) = &parsed.initial else {
         let fault = Fault::NoInitial;
         return Err(Error { line: 1, fault });
     };
-    let initial = place.declared(initial, &states)?;
+    let initial = locator.declared(initial, &states)?;
     let mut chart = Chart {
         initial,
         transitions: HashMap::new(),
     };
     let mut lines = HashMap::new();
     for line in &parsed.transitions {
-        add(&place, &mut chart, &mut lines, &states, line)?;
+        add_transition(&locator, &mut chart, &mut lines, &states, line)?;
     }
-    reach(&place, &chart, &parsed.states)?;
+    check_reachable(&locator, &chart, &parsed.states)?;
     Ok(chart)
 }
 
 fn states<'a, V: Vocabulary>(
-    place: &Place<'_>,
+    locator: &Locator<'_>,
     names: &'a [Spanned<String>],
 ) -> Result<HashMap<V::State, &'a Spanned<String>>, Error> {
     let mut states = HashMap::new();
     for name in names {
-        let state = place.word(name, Kind::State)?;
+        let state = locator.word(name, Kind::State)?;
         if states.insert(state, name).is_some() {
-            return Err(place.error(name, Fault::Duplicate(name.get_ref().clone())));
+            return Err(locator.error(name, Fault::Duplicate(name.get_ref().clone())));
         }
     }
     Ok(states)
@@ -118,32 +118,35 @@
 /// The lines of the transitions that leave a state on an event, in order.
 type Lines<V> = HashMap<(<V as Vocabulary>::State, <V as Vocabulary>::Event), Vec<usize>>;
 
-fn add<V: Vocabulary>(
-    place: &Place<'_>,
+fn add_transition<V: Vocabulary>(
+    locator: &Locator<'_>,
     chart: &mut Chart<V>,
     lines: &mut Lines<V>,
     states: &HashMap<V::State, &Spanned<String>>,
     text: &Spanned<Line>,
 ) -> Result<(), Error> {
     let line = text.get_ref();
-    let event = place.word(&line.on, Kind::Event)?;
-    let target = place.declared(&line.to, states)?;
-    let guards = line.guards.iter().map(|g| place.literal(g));
+    let event = locator.word(&line.on, Kind::Event)?;
+    let target = locator.declared(&line.to, states)?;
+    let guards = line.guards.iter().map(|g| locator.literal(g));
     let guards: Vec<Literal<V::Guard>> = guards.collect::<Result<_, _>>()?;
-    let actions = line.actions.iter().map(|a| place.word(a, Kind::Action));
+    let actions = line.actions.iter().map(|a| locator.word(a, Kind::Action));
     let actions: Vec<V::Action> = actions.collect::<Result<_, _>>()?;
     for from in &line.from {
-        let from = place.declared(from, states)?;
-        let there = chart.transitions.entry((from, event)).or_default();
+        let from = locator.declared(from, states)?;
+        let existing = chart.transitions.entry((from, event)).or_default();
         let earlier = lines.entry((from, event)).or_default();
-        if let Some(at) = there.iter().position(|t| !apart(&t.guards, &guards)) {
+        if let Some(at) = existing
+            .iter()
+            .position(|t| !are_exclusive(&t.guards, &guards))
+        {
             let fault = Fault::Ambiguous {
                 earlier: earlier[at],
             };
-            return Err(place.error(&line.on, fault));
+            return Err(locator.error(&line.on, fault));
         }
-        earlier.push(place.line(line.on.span().start));
-        there.push(Transition {
+        earlier.push(locator.line(line.on.span().start));
+        existing.push(Transition {
             guards: guards.clone(),
             actions: actions.clone(),
             target,
@@ -154,38 +157,38 @@
 
 /// Whether some guard must hold for one list and must not for the other, so
 /// that the two can never both be satisfied.
-fn apart<G: Word>(one: &[Literal<G>], other: &[Literal<G>]) -> bool {
+fn are_exclusive<G: Word>(one: &[Literal<G>], other: &[Literal<G>]) -> bool {
     let opposed = |a: &Literal<G>| {
         let guard = a.guard;
         other
             .iter()
-            .any(|b| b.guard == guard && b.wanted != a.wanted)
+            .any(|b| b.guard == guard && b.expected != a.expected)
     };
     one.iter().any(opposed)
 }
 
-fn reach<V: Vocabulary>(
-    place: &Place<'_>,
+fn check_reachable<V: Vocabulary>(
+    locator: &Locator<'_>,
     chart: &Chart<V>,
     names: &[Spanned<String>],
 ) -> Result<(), Error> {
     let mut reached = HashSet::from([chart.initial]);
-    let mut todo = vec![chart.initial];
-    while let Some(state) = todo.pop() {
+    let mut pending = vec![chart.initial];
+    while let Some(state) = pending.pop() {
         let out = chart
             .transitions
             .iter()
             .filter(|((from, _), _)| *from == state);
         for target in out.flat_map(|(_, ts)| ts).map(|t| t.target) {
             if reached.insert(target) {
-                todo.push(target);
+                pending.push(target);
             }
         }
     }
     for name in names {
-        let state: V::State = place.word(name, Kind::State)?;
+        let state: V::State = locator.word(name, Kind::State)?;
         if !reached.contains(&state) {
-            return Err(place.error(name, Fault::Unreachable(name.get_ref().clone())));
+            return Err(locator.error(name, Fault::Unreachable(name.get_ref().clone())));
         }
     }
     Ok(())
--- a/crates/chart/tests/read.rs
+++ b/crates/chart/tests/read.rs
@@ -29,7 +29,7 @@
     type Action = Action;
 }
 
-const GOOD: &str = r#"initial = "off"
+const VALID: &str = r#"initial = "off"
 states = ["off", "on"]
 [[transition]]
 from = ["off"]
@@ -60,7 +60,7 @@
 
 #[test]
 fn guards_choose_the_transition() {
-    let chart = Chart::<Lamp>::parse(GOOD).unwrap();
+    let chart = Chart::<Lamp>::parse(VALID).unwrap();
     assert_eq!(chart.initial(), State::Off);
     let lit = chart.next(State::Off, Event::Press, |_| true);
     assert_eq!(lit, Some((State::On, &[Action::Shine][..])));
@@ -89,36 +89,36 @@
             unknown(Kind::State, "dim"),
         ),
     ];
-    for (from, to, line, wanted) in cases {
-        assert_eq!(fault(&GOOD.replace(from, to)), (line, wanted));
+    for (from, to, line, expected) in cases {
+        assert_eq!(fault(&VALID.replace(from, to)), (line, expected));
     }
 }
 
 #[test]
 fn two_transitions_that_could_both_fire_clash() {
-    let text = GOOD.replace("\"!powered\"", "\"whole\"");
+    let text = VALID.replace("\"!powered\"", "\"whole\"");
     assert_eq!(fault(&text), (11, Fault::Ambiguous { earlier: 5 }));
 }
 
 #[test]
 fn states_must_be_declared_once_and_reachable() {
-    let text = GOOD.replace("\"off\", \"on\"", "\"off\"");
+    let text = VALID.replace("\"off\", \"on\"", "\"off\"");
     assert_eq!(fault(&text), (8, Fault::Undeclared("on".into())));
-    let text = GOOD.replace("\"off\", \"on\"", "\"off\", \"on\", \"on\"");
+    let text = VALID.replace("\"off\", \"on\"", "\"off\", \"on\", \"on\"");
     assert_eq!(fault(&text), (2, Fault::Duplicate("on".into())));
-    let text = GOOD.replace("to = \"on\"", "to = \"off\"");
+    let text = VALID.replace("to = \"on\"", "to = \"off\"");
     assert_eq!(fault(&text), (2, Fault::Unreachable("on".into())));
 }
 
 #[test]
 fn an_initial_state_is_required() {
-    let text = GOOD.replace("initial = \"off\"", "");
+    let text = VALID.replace("initial = \"off\"", "");
     assert_eq!(fault(&text), (1, Fault::NoInitial));
 }
 
 #[test]
 fn text_that_is_no_chart_is_told_with_its_line() {
-    let (line, fault) = fault(&GOOD.replace("to = \"on\"", "goto = \"on\""));
+    let (line, fault) = fault(&VALID.replace("to = \"on\"", "goto = \"on\""));
     assert!(matches!(fault, Fault::Toml(_)), "{fault:?}");
     assert!(line >= 3);
 }
--- a/crates/check/src/at_most_once.rs
+++ b/crates/check/src/at_most_once.rs
@@ -52,8 +52,9 @@
     fn ran(&mut self, request: Request, at: Position) -> Option<Violation> {
         let (operation, database) = self.asked.get(&request)?;
         let terms = self.terms.get(database).map_or(&[][..], Vec::as_slice);
-        let left_out = |at: Position| terms.iter().any(|&(t, fork)| t > at.term && fork < at.lsn);
-        if left_out(at) {
+        let is_discarded =
+            |at: Position| terms.iter().any(|&(t, fork)| t > at.term && fork < at.lsn);
+        if is_discarded(at) {
             return None;
         }
         let mut ran = match self.ran.entry(*operation) {
@@ -64,7 +65,7 @@
             Entry::Occupied(entry) => entry,
         };
         let first = ran.insert(at);
-        if left_out(first) {
+        if is_discarded(first) {
             return None;
         }
         Some(Violation::Twice {
--- a/crates/check/src/durability.rs
+++ b/crates/check/src/durability.rs
@@ -39,7 +39,7 @@
             Event::Persisted { operation } => {
                 self.acknowledged.remove(operation);
             }
-            Event::LogComplete => return self.settled(),
+            Event::LogComplete => return self.lost_writes(),
             _ => {}
         }
         Vec::new()
@@ -53,7 +53,7 @@
         }
     }
 
-    fn settled(&mut self) -> Vec<Violation> {
+    fn lost_writes(&mut self) -> Vec<Violation> {
         let missing = std::mem::take(&mut self.acknowledged).into_iter();
         let lost = missing.map(|(operation, at)| Violation::Lost { operation, at });
         lost.collect()
--- a/crates/check/src/fencing.rs
+++ b/crates/check/src/fencing.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Write {
     at: Position,
-    led: Term,
+    leading: Term,
 }
 
 impl Fencing {
@@ -40,10 +40,10 @@
             } => {
                 let (database, write) = self.asked.get_mut(request)?;
                 let terms = self.terms.get(database);
-                let led = terms.and_then(|terms| terms.last());
+                let leading = terms.and_then(|terms| terms.last());
                 *write = Some(Write {
                     at: *at,
-                    led: led.map_or(at.term, |&(term, _)| term),
+                    leading: leading.map_or(at.term, |&(term, _)| term),
                 });
                 None
             }
@@ -76,13 +76,13 @@
         write: Write,
     ) -> Option<Violation> {
         let at = write.at;
-        if write.led > at.term {
-            let term = write.led;
+        if write.leading > at.term {
+            let term = write.leading;
             return Some(Violation::AcknowledgedByReplaced { request, at, term });
         }
         let terms = self.terms.get(database)?;
-        let left_out = |&&(term, fork): &&(Term, Lsn)| term > at.term && fork < at.lsn;
-        let &(term, _) = terms.iter().find(left_out)?;
+        let is_discarded = |&&(term, fork): &&(Term, Lsn)| term > at.term && fork < at.lsn;
+        let &(term, _) = terms.iter().find(is_discarded)?;
         Some(Violation::AcknowledgedByReplaced { request, at, term })
     }
 }
--- a/crates/check/src/pinning.rs
+++ b/crates/check/src/pinning.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct Pinning {
     open: HashMap<Connection, Transaction>,
-    places: HashMap<Transaction, Connection>,
+    connections: HashMap<Transaction, Connection>,
 }
 
 impl Pinning {
@@ -22,13 +22,13 @@
                 ..
             } => self.ran(*request, *connection, *transaction),
             Event::Ended { transaction } => {
-                let connection = self.places.remove(transaction)?;
+                let connection = self.connections.remove(transaction)?;
                 self.open.remove(&connection);
                 None
             }
             Event::Closed { connection } => {
                 let transaction = self.open.remove(connection)?;
-                self.places.remove(&transaction);
+                self.connections.remove(&transaction);
                 None
             }
             _ => None,
@@ -50,7 +50,7 @@
             });
         }
         let transaction = transaction?;
-        let first = *self.places.entry(transaction).or_insert(connection);
+        let first = *self.connections.entry(transaction).or_insert(connection);
         if first != connection {
             return Some(Violation::Split {
                 transaction,
--- a/crates/check/src/session.rs
+++ b/crates/check/src/session.rs
@@ -25,7 +25,7 @@
     instance: Option<name::Instance>,
     /// Counts the session's stays at instances: one that comes back to an
     /// instance is not known there, also not by what it has under way there.
-    stay: u64,
+    visit: u64,
 }
 
 #[derive(Debug)]
@@ -41,11 +41,11 @@
         if self.instance.as_ref() != Some(instance) {
             self.seen = Position::default();
             self.instance = Some(instance.clone());
-            self.stay += 1;
+            self.visit += 1;
         }
     }
 
-    fn lacking(&self, reached: Position) -> Option<Position> {
+    fn missing(&self, reached: Position) -> Option<Position> {
         if !reached.covers(self.written) {
             return Some(self.written);
         }
@@ -75,10 +75,10 @@
                 None
             }
             Event::Crashed { instance } => {
-                let here = |t: &&mut Token| t.instance.as_ref() == Some(instance);
-                for token in self.tokens.values_mut().filter(here) {
+                let visiting = |t: &&mut Token| t.instance.as_ref() == Some(instance);
+                for token in self.tokens.values_mut().filter(visiting) {
                     token.seen = Position::default();
-                    token.stay += 1;
+                    token.visit += 1;
                 }
                 None
             }
@@ -111,10 +111,10 @@
                 return None;
             }
         };
-        if token.stay == asked.token.stay {
+        if token.visit == asked.token.visit {
             token.seen = token.seen.max(seen);
         }
-        let token = asked.token.lacking(seen)?;
+        let token = asked.token.missing(seen)?;
         Some(Violation::OwnWriteUnseen {
             session: asked.session,
             request,
--- a/crates/check/src/shutdown.rs
+++ b/crates/check/src/shutdown.rs
@@ -13,7 +13,7 @@
 pub struct Shutdown {
     stopping: HashSet<name::Instance>,
     running: HashMap<name::Instance, BTreeSet<Request>>,
-    places: HashMap<Request, name::Instance>,
+    instances: HashMap<Request, name::Instance>,
 }
 
 impl Shutdown {
@@ -26,7 +26,7 @@
                 if !self.stopping.contains(instance) {
                     let running = self.running.entry(instance.clone()).or_default();
                     running.insert(*request);
-                    self.places.insert(*request, instance.clone());
+                    self.instances.insert(*request, instance.clone());
                 }
                 Vec::new()
             }
@@ -62,13 +62,13 @@
     fn forget(&mut self, instance: &name::Instance) -> BTreeSet<Request> {
         let running = self.running.remove(instance).unwrap_or_default();
         for request in &running {
-            self.places.remove(request);
+            self.instances.remove(request);
         }
         running
     }
 
     fn answered(&mut self, request: Request, outcome: Outcome) -> Option<Violation> {
-        let instance = self.places.remove(&request)?;
+        let instance = self.instances.remove(&request)?;
         self.running.get_mut(&instance)?.remove(&request);
         let cause = match outcome {
             Outcome::NotRun(cause @ Cause::Stopping) => cause,
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -12,11 +12,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
-    Sound,
+    Correct,
     Broken,
 }
 
-use Variant::{Broken, Sound};
+use Variant::{Broken, Correct};
 
 fn instance(text: &str) -> name::Instance {
     name::Instance::new(text).unwrap()
@@ -90,8 +90,8 @@
 
 /// Runs both variants: the sound one is silent, the broken one's first fault
 /// is `expected`.
-fn assert_tells(logic: impl Fn(Variant) -> Vec<Event>, expected: impl Fn(&Violation) -> bool) {
-    assert_eq!(observe(&logic(Sound)), []);
+fn assert_detects(logic: impl Fn(Variant) -> Vec<Event>, expected: impl Fn(&Violation) -> bool) {
+    assert_eq!(observe(&logic(Correct)), []);
     let found = observe(&logic(Broken));
     assert!(found.iter().any(expected), "not told: {found:?}");
 }
@@ -104,7 +104,7 @@
     let replicas = [Position::new(1, 10), Position::new(1, 30)];
     let logic = |variant| {
         let token = match variant {
-            Sound => Position::new(1, 20),
+            Correct => Position::new(1, 20),
             Broken => Position::default(),
         };
         let chosen = replicas.iter().find(|at| at.covers(token)).unwrap();
@@ -118,8 +118,8 @@
             done(2, 7),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
+    assert_detects(logic, detected);
 }
 
 /// Symptom: a calendar loses an entry that was there a moment ago. Events: two
@@ -129,7 +129,7 @@
 fn reads_go_back() {
     let logic = |variant| {
         let second = match variant {
-            Sound => read(1, 30, Duration::ZERO),
+            Correct => read(1, 30, Duration::ZERO),
             Broken => read(1, 10, Duration::ZERO),
         };
         vec![
@@ -141,8 +141,8 @@
             done(2, 7),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
+    assert_detects(logic, detected);
 }
 
 /// What a session reads by a request from an earlier stay at an instance, not
@@ -191,7 +191,7 @@
 fn current_reads() {
     let logic = |variant| {
         let lsn = match variant {
-            Sound => 20,
+            Correct => 20,
             Broken => 10,
         };
         vec![
@@ -203,8 +203,8 @@
             done(2, 8),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::NotCurrent { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::NotCurrent { .. });
+    assert_detects(logic, detected);
 }
 
 /// Symptom: a calendar view is ten seconds old where one was allowed.
@@ -222,7 +222,7 @@
             done(1, 7),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::TooOld { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::TooOld { .. }));
 }
 
 /// Symptom: two riders in one arena. Events: a primary is cut off with a caller
@@ -233,7 +233,7 @@
     let logic = |variant| {
         let confirmed = 1;
         let needed = match variant {
-            Sound => 2,
+            Correct => 2,
             Broken => 1,
         };
         let outcome = if confirmed >= needed {
@@ -252,8 +252,8 @@
             answered(1, 7, outcome),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
+    assert_detects(logic, detected);
 }
 
 /// Symptom: a booking is acknowledged just after a change of primary and is
@@ -263,7 +263,7 @@
 fn replaced_while_running() {
     let logic = |variant| {
         let outcome = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -277,8 +277,8 @@
             answered(1, 7, outcome),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
+    assert_detects(logic, detected);
 }
 
 /// Symptom: one caller's insert is rolled back with another's transaction.
@@ -287,7 +287,7 @@
 fn mixed_transactions() {
     let logic = |variant| {
         let free = match variant {
-            Sound => 2,
+            Correct => 2,
             Broken => 1,
         };
         vec![
@@ -299,7 +299,7 @@
             ran_in(3, 1, None, write(1, 30)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Mixed { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Mixed { .. }));
 }
 
 /// Symptom: half a transaction is committed. Cause: the broken pool picks a
@@ -308,7 +308,7 @@
 fn split_transaction() {
     let logic = |variant| {
         let second = match variant {
-            Sound => 1,
+            Correct => 1,
             Broken => 2,
         };
         vec![
@@ -316,7 +316,7 @@
             ran_in(2, second, Some(1), write(1, 20)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Split { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Split { .. }));
 }
 
 /// Symptom: a caller reads the answer of the request before its own.
@@ -327,8 +327,8 @@
     let logic = |variant| {
         let late = Answer::done(Request(1));
         let own = Answer::done(Request(2));
-        let taken = match variant {
-            Sound => own,
+        let delivered = match variant {
+            Correct => own,
             Broken => late,
         };
         vec![
@@ -339,10 +339,10 @@
                 7,
                 Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
             ),
-            answered(2, 8, taken),
+            answered(2, 8, delivered),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::WrongAnswer { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::WrongAnswer { .. }));
 }
 
 /// Symptom: a caller gets rows that it never asked for. Cause: the broken
@@ -351,12 +351,12 @@
 fn strangers_answer() {
     let logic = |variant| {
         let session = match variant {
-            Sound => 7,
+            Correct => 7,
             Broken => 8,
         };
         vec![asked(1, 1, 7, Freshness::Session), done(1, session)]
     };
-    assert_tells(logic, |v| matches!(v, Violation::WrongCaller { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::WrongCaller { .. }));
 }
 
 /// Symptom: a calendar lacks its last rows. Events: the connection breaks amid
@@ -366,7 +366,7 @@
 fn partial_answer() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer {
                 rows: 3,
                 total: 9,
@@ -375,7 +375,7 @@
         };
         vec![asked(1, 1, 7, Freshness::Session), answered(1, 7, answer)]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Partial { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Partial { .. }));
 }
 
 /// Symptom: a caller gets two answers to one request, and takes the second for
@@ -397,7 +397,7 @@
         }
         history
     };
-    assert_tells(logic, |v| matches!(v, Violation::AnsweredTwice { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::AnsweredTwice { .. }));
 }
 
 /// Symptom: a payment refused as not run is on the account. Events: the bytes
@@ -407,7 +407,7 @@
 fn false_not_run() {
     let logic = |variant| {
         let outcome = match variant {
-            Sound => Outcome::Unknown(Cause::ConnectionLost),
+            Correct => Outcome::Unknown(Cause::ConnectionLost),
             Broken => Outcome::NotRun(Cause::ConnectionLost),
         };
         vec![
@@ -416,7 +416,7 @@
             ran(1, write(1, 10)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::RanAfterAll { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::RanAfterAll { .. }));
 }
 
 /// Symptom: the stacks staff get an order twice. Events: the answer is lost,
@@ -425,7 +425,7 @@
 fn ran_twice() {
     let logic = |variant| {
         let second = match variant {
-            Sound => Effect::AlreadyRun {
+            Correct => Effect::AlreadyRun {
                 at: Position::new(1, 10),
             },
             Broken => write(1, 20),
@@ -443,7 +443,7 @@
             done(2, 7),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Twice { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Twice { .. }));
 }
 
 /// A first run that the next term's log leaves out has no effect, so that the
@@ -483,7 +483,7 @@
         suite.observe(Instant::ZERO, &event);
         for second in 1..=9 {
             let chosen = match variant {
-                Sound if second > 2 => upstream("u2"),
+                Correct if second > 2 => upstream("u2"),
                 _ => leaving.clone(),
             };
             let event = Event::Sent {
@@ -495,7 +495,7 @@
         }
         suite.violations().len()
     };
-    assert_eq!(run(Sound), 0);
+    assert_eq!(run(Correct), 0);
     assert_eq!(run(Broken), 6);
 }
 
@@ -527,12 +527,12 @@
         let stopped = Event::Stopped { instance };
         let begin = vec![asked(1, 1, 7, Freshness::Session), stopping];
         let end = match variant {
-            Sound => vec![done(1, 7), stopped],
+            Correct => vec![done(1, 7), stopped],
             Broken => vec![stopped],
         };
         [begin, end].concat()
     };
-    assert_tells(logic, |v| matches!(v, Violation::Cut { cause: None, .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Cut { cause: None, .. }));
 }
 
 /// Symptom: as above, but the daemon is polite about it.
@@ -544,12 +544,12 @@
         let refusal = Answer::without_rows(Outcome::NotRun(Cause::Stopping));
         let ask = asked(1, 1, 7, Freshness::Session);
         let begin = match variant {
-            Sound => vec![stopping, ask],
+            Correct => vec![stopping, ask],
             Broken => vec![ask, stopping],
         };
         [begin, vec![answered(1, 7, refusal)]].concat()
     };
-    assert_tells(logic, |v| {
+    assert_detects(logic, |v| {
         matches!(v, Violation::Cut { cause: Some(_), .. })
     });
 }
@@ -574,7 +574,7 @@
         }
         history
     };
-    assert_tells(logic, |v| matches!(v, Violation::Reverted { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Reverted { .. }));
 }
 
 /// Symptom: an instance serves a catalogue that lost its race. Cause: the
@@ -588,11 +588,11 @@
             revision: 1,
         };
         match variant {
-            Sound => vec![Event::Accepted { revision: 1 }, applied],
+            Correct => vec![Event::Accepted { revision: 1 }, applied],
             Broken => vec![applied],
         }
     };
-    assert_tells(logic, |v| matches!(v, Violation::NeverAccepted { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::NeverAccepted { .. }));
 }
 
 /// Symptom: a booking that was confirmed is gone in the morning. Events: the
@@ -602,7 +602,7 @@
 fn acknowledged_write_lost() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -617,7 +617,7 @@
             Event::LogComplete,
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Lost { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Lost { .. }));
 }
 
 /// What is kept is not lost, also where the repeat only found it.
@@ -689,10 +689,10 @@
         };
         let begin = vec![limit, open(1), open(2)];
         let takeover = match variant {
-            Sound => vec![close(1), close(2), open(3), open(4)],
+            Correct => vec![close(1), close(2), open(3), open(4)],
             Broken => vec![open(3), close(1), close(2), open(4)],
         };
         [begin, takeover].concat()
     };
-    assert_tells(logic, |v| matches!(v, Violation::LimitExceeded { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::LimitExceeded { .. }));
 }
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -109,11 +109,11 @@
     if let Some(revision) = args.from
         && revision != from.revision
     {
-        let conflict = since(&mut store, from, revision).await?;
-        return lost(args, &conflict, 0);
+        let conflict = changes_since(&mut store, from, revision).await?;
+        return report_conflict(args, &conflict, 0);
     }
     let steps = steps(args, &from, checked.catalog)?;
-    advance(args, &mut store, from, &steps, &author).await
+    apply_steps(args, &mut store, from, &steps, &author).await
 }
 
 /// The catalogues to put in force one after the other.
@@ -128,7 +128,7 @@
 }
 
 /// Puts `steps` in force, each on condition that the one before still is.
-async fn advance(
+async fn apply_steps(
     args: &Args,
     store: &mut Store,
     mut from: Snapshot,
@@ -137,7 +137,7 @@
 ) -> Result<Exit, Error> {
     let mut changes = Vec::new();
     for (at, step) in steps.iter().enumerate() {
-        let proposal = propose(args, author, at + 1, steps.len());
+        let proposal = proposal(args, author, at + 1, steps.len());
         let plan = if args.renew && at == 0 {
             plan::renew(&from, step, proposal)?
         } else {
@@ -148,16 +148,16 @@
                 changes.extend(made);
                 from = *now;
             }
-            Sent::Conflict(conflict) => return lost(args, &conflict, at),
+            Sent::Conflict(conflict) => return report_conflict(args, &conflict, at),
         }
     }
     if steps.is_empty() {
-        return same(args, from.revision);
+        return report_unchanged(args, from.revision);
     }
-    applied(args, &from, &changes)
+    report_applied(args, &from, &changes)
 }
 
-fn propose(args: &Args, author: &str, part: usize, of: usize) -> Proposal {
+fn proposal(args: &Args, author: &str, part: usize, of: usize) -> Proposal {
     let mut message = args.message.clone();
     if of > 1 {
         message += &format!(" (part {part} of {of})");
@@ -171,7 +171,7 @@
 }
 
 /// What changed since `revision`, which is in force no more.
-async fn since(store: &mut Store, now: Snapshot, revision: u64) -> Result<Conflict, Error> {
+async fn changes_since(store: &mut Store, now: Snapshot, revision: u64) -> Result<Conflict, Error> {
     let records = store.records().await?;
     let changes = records
         .into_iter()
@@ -185,7 +185,7 @@
     })
 }
 
-fn applied(args: &Args, now: &Snapshot, changes: &[Change]) -> Result<Exit, Error> {
+fn report_applied(args: &Args, now: &Snapshot, changes: &[Change]) -> Result<Exit, Error> {
     let head = now.head.as_ref();
     let revision = Revision {
         epoch: head.map_or(0, |head| head.epoch),
@@ -198,25 +198,25 @@
             change,
             changes,
         })?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
-    let mut text = util::lines(changes);
+    let mut text = util::format_changes(changes);
     text += &format!("accepted as revision {revision}\n");
     util::print(&text)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
-fn same(args: &Args, revision: u64) -> Result<Exit, Error> {
+fn report_unchanged(args: &Args, revision: u64) -> Result<Exit, Error> {
     if args.json {
         util::print_json(&Report::Same { revision })?;
     } else {
         util::print(&format!("nothing to change from revision {revision}\n"))?;
     }
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
 /// Tells of a conflict after `accepted` parts.
-fn lost(args: &Args, conflict: &Conflict, accepted: usize) -> Result<Exit, Error> {
+fn report_conflict(args: &Args, conflict: &Conflict, accepted: usize) -> Result<Exit, Error> {
     let revision = conflict.revision;
     let changes = &conflict.changes;
     if args.json {
@@ -235,12 +235,12 @@
     }
     eprintln!("in force now: revision {revision}");
     if let Some(head) = &conflict.head {
-        let author = util::clean(&head.author);
-        let message = util::clean(&head.message);
+        let author = util::sanitize(&head.author);
+        let message = util::sanitize(&head.message);
         eprintln!("last change: number {} by {author}: {message}", head.number);
     }
     eprintln!("changed meanwhile:");
-    eprint!("{}", util::lines(changes));
+    eprint!("{}", util::format_changes(changes));
     eprintln!("merge it into the file, look at `diff` again, and apply again");
     Ok(Exit::Conflict)
 }
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -49,21 +49,21 @@
 
 pub(crate) fn run(args: &Args) -> Result<Exit, Error> {
     let checked = match util::read(&args.file) {
-        Err(Error::Catalog(faults)) if args.json => return refuse(&faults),
+        Err(Error::Catalog(faults)) if args.json => return print_faults(&faults),
         other => other?,
     };
     if args.json {
         let warnings = remarks(&checked.warnings);
         let faults = Vec::new();
         util::print_json(&Report { faults, warnings })?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     util::warn(&args.file, &checked);
     util::print(&sizes(&args.file.display().to_string(), &checked.catalog))?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
-fn refuse(faults: &Faults) -> Result<Exit, Error> {
+fn print_faults(faults: &Faults) -> Result<Exit, Error> {
     let faults = remarks(&faults.error.faults);
     let warnings = Vec::new();
     util::print_json(&Report { faults, warnings })?;
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -60,17 +60,17 @@
     };
     if args.json {
         util::print_json(&report)?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     if report.changes.is_empty() {
         util::print(&format!(
             "nothing to change from revision {}\n",
             report.revision
         ))?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     let mut text = format!("from revision {}\n", report.revision);
-    text += &util::lines(&report.changes);
+    text += &util::format_changes(&report.changes);
     util::print(&text)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -46,19 +46,19 @@
         })?;
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
-    let read = explain::parse(texts.iter().map(String::as_str));
-    let story = explain::diagnose(&read, &args.id, args.at);
+    let log = explain::parse(texts.iter().map(String::as_str));
+    let diagnosis = explain::diagnose(&log, &args.id, args.at);
     let mut text = String::new();
-    for line in &story.lines {
+    for line in &diagnosis.lines {
         text += &format!("{line}\n");
     }
-    text += &format!("{}\n", story.cause);
-    if read.unparsed > 0 {
-        text += &format!("{} lines could not be read\n", read.unparsed);
+    text += &format!("{}\n", diagnosis.cause);
+    if log.unparsed > 0 {
+        text += &format!("{} lines could not be read\n", log.unparsed);
     }
     util::print(&text)?;
-    Ok(match story.found {
-        true => Exit::Fine,
+    Ok(match diagnosis.found {
+        true => Exit::Success,
         false => Exit::Failed,
     })
 }
--- a/crates/cli/src/cmd/history.rs
+++ b/crates/cli/src/cmd/history.rs
@@ -55,17 +55,17 @@
     let endpoints = settings::addresses(STORE, args.store.as_deref())?;
     let mut store = Store::open(endpoints).await?;
     match args.number {
-        Some(number) => one(args, &mut store, number).await,
+        Some(number) => show(args, &mut store, number).await,
         None => list(args, &mut store).await,
     }
 }
 
-async fn one(args: &Args, store: &mut Store, number: u64) -> Result<Exit, Error> {
+async fn show(args: &Args, store: &mut Store, number: u64) -> Result<Exit, Error> {
     let found = store.record(number).await?;
     let (record, revision) = found.ok_or(Error::NoRecord(number))?;
     if args.json {
         util::print_json(&Entry { revision, record })?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     let head = &record.head;
     let mut text = format!(
@@ -73,16 +73,16 @@
         head.number,
         record.from,
         head.change,
-        util::clean(&head.author),
-        util::clean(&head.time),
-        util::clean(&head.message),
+        util::sanitize(&head.author),
+        util::sanitize(&head.time),
+        util::sanitize(&head.message),
     );
-    text += &util::lines(&record.changes);
+    text += &util::format_changes(&record.changes);
     if record.omitted > 0 {
         text += &format!("and {} more, not kept\n", record.omitted);
     }
     util::print(&text)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
 async fn list(args: &Args, store: &mut Store) -> Result<Exit, Error> {
@@ -95,7 +95,7 @@
         let entry = |(record, revision)| Entry { revision, record };
         let entries: Vec<_> = records.into_iter().map(entry).collect();
         util::print_json(&entries)?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     let mut table = Table::new(&["NUMBER", "REVISION", "TIME", "AUTHOR", "CHANGES", "MESSAGE"]);
     for (record, revision) in &records {
@@ -112,5 +112,5 @@
         util::print("no change was ever applied\n")?;
     }
     util::print(&table.text())?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
--- a/crates/cli/src/cmd/sessions.rs
+++ b/crates/cli/src/cmd/sessions.rs
@@ -45,7 +45,7 @@
             view.sessions.retain(wanted);
         });
     }
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     if args.json {
         util::print_json(&answers)?;
     } else {
@@ -88,10 +88,10 @@
         session.entry.to_string(),
         session.user.clone(),
         session.client.to_string(),
-        util::or_dash(session.connected_ms.map(util::span)),
+        util::or_dash(session.connected_ms.map(util::format_duration)),
         session.phase.to_string(),
-        util::span(session.phase_ms),
-        util::or_dash(session.transaction_ms.map(util::span)),
+        util::format_duration(session.phase_ms),
+        util::or_dash(session.transaction_ms.map(util::format_duration)),
         util::or_dash(session.token),
     ]
 }
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -36,8 +36,8 @@
     let snapshot = Store::open(endpoints).await?.snapshot().await?;
     if args.json {
         util::print_json(&snapshot.catalog)?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     util::print(&snapshot.catalog.to_text()?)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -44,7 +44,7 @@
 pub(crate) async fn run(args: &Args) -> Result<Exit, Error> {
     let addresses = settings::addresses(INSTANCES, args.instance.as_deref())?;
     let answers = fleet::ask::<Status>(&addresses, view::STATUS).await?;
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     let summary = Summary::of(&found);
     if args.json {
         let answers = &answers;
@@ -97,7 +97,7 @@
             instance.zone.to_string(),
             health,
             util::or_dash(instance.revision),
-            util::or_dash(own.map(|status| util::span(status.applied_ms_ago))),
+            util::or_dash(own.map(|status| util::format_duration(status.applied_ms_ago))),
             util::or_dash(own.map(|status| status.store)),
             util::or_dash(own.map(|status| status.version.as_str())),
         ]);
@@ -108,7 +108,7 @@
 fn primaries(summary: &Summary) -> String {
     let mut table = Table::new(&["DATABASE", "TERM", "PRIMARY", "CONFIRMED", "SEEN BY"]);
     for (name, primary) in &summary.primaries {
-        let confirmed = primary.confirmed_ms_ago.map(util::span);
+        let confirmed = primary.confirmed_ms_ago.map(util::format_duration);
         table.row(vec![
             name.to_string(),
             primary.term.to_string(),
@@ -126,15 +126,15 @@
         match &answer.result {
             Reply::Failed(why) => lines.push(format!("{}: no answer: {why}", answer.address)),
             Reply::Answer(status) => {
-                let told = status.doubts.iter();
-                lines.extend(told.map(|doubt| format!("{}: {doubt}", status.instance)));
+                let reported = status.doubts.iter();
+                lines.extend(reported.map(|doubt| format!("{}: {doubt}", status.instance)));
             }
         }
     }
     if lines.is_empty() {
         return "\nnothing is wrong\n".to_owned();
     }
-    let lines: Vec<_> = lines.iter().map(|line| util::clean(line)).collect();
+    let lines: Vec<_> = lines.iter().map(|line| util::sanitize(line)).collect();
     format!("\nwrong:\n  {}\n", lines.join("\n  "))
 }
 
--- a/crates/cli/src/cmd/upstreams.rs
+++ b/crates/cli/src/cmd/upstreams.rs
@@ -44,7 +44,7 @@
             view.upstreams.retain(wanted);
         });
     }
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     if args.json {
         util::print_json(&answers)?;
     } else {
@@ -82,7 +82,7 @@
         util::or_dash(role),
         util::or_dash(upstream.received),
         util::or_dash(upstream.position),
-        util::or_dash(upstream.lag_ms.map(util::span)),
+        util::or_dash(upstream.lag_ms.map(util::format_duration)),
         leaving.to_owned(),
         count(|pool| pool.open),
         count(|pool| pool.busy),
--- a/crates/cli/src/cmd/verifier.rs
+++ b/crates/cli/src/cmd/verifier.rs
@@ -35,5 +35,5 @@
     let mut verifier = password::scram_sha_256(password);
     verifier.push('\n');
     util::print(&verifier)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
--- a/crates/cli/src/cmd/wait.rs
+++ b/crates/cli/src/cmd/wait.rs
@@ -18,7 +18,7 @@
 };
 
 /// The wait between two rounds of asking.
-const ROUND: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Seconds to wait unless told otherwise.
 const TIMEOUT_S: u64 = 30;
@@ -66,7 +66,7 @@
 
 impl Progress {
     fn of(revision: Revision, answers: &[Answer<Status>]) -> Result<Self, Error> {
-        let (found, failed) = fleet::parted(answers)?;
+        let (found, failed) = fleet::partition(answers)?;
         let mut progress = Self {
             revision,
             unreachable: failed,
@@ -96,20 +96,20 @@
         let is_over = clock.now() >= end;
         match progress {
             Ok(progress) if progress.lacking.is_empty() => {
-                tell(args, &progress)?;
-                return Ok(Exit::Fine);
+                print_progress(args, &progress)?;
+                return Ok(Exit::Success);
             }
             Ok(progress) if is_over => {
-                tell(args, &progress)?;
+                print_progress(args, &progress)?;
                 return Ok(Exit::TimedOut);
             }
             Err(err) if is_over => return Err(err),
-            Ok(_) | Err(_) => sleep(ROUND).await,
+            Ok(_) | Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-fn tell(args: &Args, progress: &Progress) -> Result<(), Error> {
+fn print_progress(args: &Args, progress: &Progress) -> Result<(), Error> {
     if args.json {
         return util::print_json(progress);
     }
@@ -119,10 +119,10 @@
         progress.in_force.len(),
     );
     for name in &progress.lacking {
-        text += &format!("lacking: {}\n", util::clean(name));
+        text += &format!("lacking: {}\n", util::sanitize(name));
     }
     for name in &progress.unreachable {
-        text += &format!("unreachable: {}\n", util::clean(name));
+        text += &format!("unreachable: {}\n", util::sanitize(name));
     }
     util::print(&text)
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -44,7 +44,7 @@
     },
     /// The store's answer was lost, and what it holds now can't be read.
     #[error("whether change {change} took effect is not known: {source}")]
-    Unread {
+    Unreadable {
         /// The change's mark.
         change: Id,
         /// Why it can't be read.
@@ -64,7 +64,7 @@
     Http(#[from] http::Error),
     /// No instance answered.
     #[error("no instance answered: {0}")]
-    Silent(String),
+    NoAnswer(String),
     /// The password on standard input is empty.
     #[error("standard input holds no password")]
     NoPassword,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
     /// It did what it was asked.
-    Fine = 0,
+    Success = 0,
     /// It failed, or the catalogue is faulty.
     Failed = 1,
     /// The command line or a setting is wrong.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::{error, exit::Exit, http};
 
 /// How many instances are asked at once.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT: usize = 16;
 
 /// What one instance answered.
 #[derive(Debug, Serialize)]
@@ -48,7 +48,7 @@
     let client = http::open().await?;
     let asked = stream::iter(addresses)
         .map(|&address| ask_one(&client, address, path))
-        .buffered(AT_ONCE);
+        .buffered(MAX_CONCURRENT);
     Ok(asked.collect().await)
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Parts answers from failures; an error if nobody answered.
-pub(crate) fn parted<T>(answers: &[Answer<T>]) -> Result<(Vec<&T>, Vec<String>), error::Error> {
+pub(crate) fn partition<T>(answers: &[Answer<T>]) -> Result<(Vec<&T>, Vec<String>), error::Error> {
     let mut found = Vec::new();
     let mut failed = Vec::new();
     for answer in answers {
@@ -84,7 +84,7 @@
         }
     }
     if found.is_empty() {
-        return Err(error::Error::Silent(failed.join("; ")));
+        return Err(error::Error::NoAnswer(failed.join("; ")));
     }
     Ok((found, failed))
 }
@@ -101,7 +101,7 @@
 /// The exit code for answers of which some `failed`.
 pub(crate) fn exit(failed: &[String]) -> Exit {
     if failed.is_empty() {
-        Exit::Fine
+        Exit::Success
     } else {
         Exit::Partial
     }
--- a/crates/cli/src/http.rs
+++ b/crates/cli/src/http.rs
@@ -19,7 +19,7 @@
 const MAX_ANSWER: usize = 16 << 20;
 
 /// The most bytes of a failure's text that are shown.
-const MAX_SHOWN: usize = 200;
+const MAX_ERROR_BODY: usize = 200;
 
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
@@ -70,7 +70,7 @@
     let status = answer.status();
     let body = answer.body().limit(MAX_ANSWER).await?;
     if status != StatusCode::OK {
-        let shown = &body[..body.len().min(MAX_SHOWN)];
+        let shown = &body[..body.len().min(MAX_ERROR_BODY)];
         let body = String::from_utf8_lossy(shown).into_owned();
         return Err(Error::Status { status, body });
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -52,7 +52,7 @@
         Ok(args) => args,
         Err(early) if early.status.is_ok() => {
             println!("{}", early.output);
-            return Exit::Fine.into();
+            return Exit::Success.into();
         }
         Err(early) => {
             eprintln!("{}", early.output);
@@ -63,7 +63,7 @@
     match system.block_on(args.cmd.run()) {
         Ok(exit) => exit.into(),
         Err(err) => {
-            eprintln!("{name}: {}", util::clean_lines(&err.to_string()));
+            eprintln!("{name}: {}", util::sanitize_lines(&err.to_string()));
             err.exit().into()
         }
     }
--- a/crates/cli/src/sender.rs
+++ b/crates/cli/src/sender.rs
@@ -68,7 +68,7 @@
         Err(Error::Store(_)) => Ok(Event::ReadFailed),
         Err(err) => {
             let source = Box::new(err);
-            Err(Error::Unread { change, source })
+            Err(Error::Unreadable { change, source })
         }
     }
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -6,45 +6,45 @@
 pub(crate) const STORE: Setting = Setting {
     flag: "--store",
     variable: "DANDELIONLINK_STORE",
-    what: "the store's endpoints",
+    description: "the store's endpoints",
 };
 
 /// The instances' operators' ports.
 pub(crate) const INSTANCES: Setting = Setting {
     flag: "--instance",
     variable: "DANDELIONLINK_INSTANCES",
-    what: "the instances' operators' ports",
+    description: "the instances' operators' ports",
 };
 
 /// Who makes a change.
 pub(crate) const AUTHOR: Setting = Setting {
     flag: "--author",
     variable: "DANDELIONLINK_AUTHOR",
-    what: "who makes the change",
+    description: "who makes the change",
 };
 
 /// The most bytes in an author's name and in a message.
-pub(crate) const MAX_TEXT: usize = 4_096;
+pub(crate) const MAX_TEXT_LEN: usize = 4_096;
 
 /// A setting by its two names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Setting {
     flag: &'static str,
     variable: &'static str,
-    what: &'static str,
+    description: &'static str,
 }
 
 /// Why a setting can't be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Error {
     /// It is given nowhere.
-    #[error("{} ({}) is missing: {}", .0.flag, .0.variable, .0.what)]
+    #[error("{} ({}) is missing: {}", .0.flag, .0.variable, .0.description)]
     Missing(Setting),
     /// Some of its addresses are none; all of those are told.
     #[error("{} ({}) is a list of IP:PORT parted by commas, these are not: {}", .0.flag, .0.variable, .1.join(", "))]
     Addresses(Setting, Vec<String>),
     /// A text is empty or too long.
-    #[error("{0} must have from 1 to {MAX_TEXT} bytes, not {1}")]
+    #[error("{0} must have from 1 to {MAX_TEXT_LEN} bytes, not {1}")]
     Text(&'static str, usize),
 }
 
@@ -76,7 +76,7 @@
 /// Checks the length of a text that goes into the store.
 pub(crate) fn text(flag: &'static str, text: &str) -> Result<(), Error> {
     let len = text.trim().len();
-    if len == 0 || len > MAX_TEXT {
+    if len == 0 || len > MAX_TEXT_LEN {
         return Err(Error::Text(flag, len));
     }
     Ok(())
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -23,11 +23,11 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// No endpoint answered a read.
-    #[error("the store can't be read; tried {}", tried(.0))]
+    #[error("the store can't be read; tried {}", describe(.0))]
     Down(Vec<(SocketAddr, Fault)>),
 }
 
-fn tried(endpoints: &[(SocketAddr, Fault)]) -> String {
+fn describe(endpoints: &[(SocketAddr, Fault)]) -> String {
     let lines: Vec<_> = endpoints
         .iter()
         .map(|(address, fault)| format!("{address}: {fault}"))
@@ -40,7 +40,7 @@
 pub(crate) struct Store {
     gateways: Vec<(SocketAddr, Gateway)>,
     /// The endpoint that answered last.
-    at: usize,
+    current: usize,
 }
 
 impl Store {
@@ -52,7 +52,10 @@
             let gateway = gateway.map_err(|fault| Error::Down(vec![(address, fault)]))?;
             gateways.push((address, gateway));
         }
-        Ok(Self { gateways, at: 0 })
+        Ok(Self {
+            gateways,
+            current: 0,
+        })
     }
 
     /// The catalogue in force.
@@ -89,7 +92,7 @@
         let call = Call::Range { prefix };
         let mut faults = Vec::new();
         for _ in 0..self.gateways.len() {
-            let (address, gateway) = &self.gateways[self.at];
+            let (address, gateway) = &self.gateways[self.current];
             match gateway.call(&call).await {
                 Ok(Answer::Pairs { pairs, .. }) => {
                     return Ok(pairs.into_iter().map(pair).collect());
@@ -97,25 +100,25 @@
                 Ok(_) => faults.push((*address, Fault::Malformed { what: "no pairs" })),
                 Err(fault) => faults.push((*address, fault)),
             }
-            self.at = (self.at + 1) % self.gateways.len();
+            self.current = (self.current + 1) % self.gateways.len();
         }
         Err(Error::Down(faults))
     }
 
     /// Sends `txn` once and tells how that ended, with the fault if any.
     pub(crate) async fn run(&mut self, txn: &Txn) -> (Event, Option<Fault>) {
-        let (_, gateway) = &self.gateways[self.at];
-        match gateway.call(&call(txn)).await {
+        let (_, gateway) = &self.gateways[self.current];
+        match gateway.call(&txn_call(txn)).await {
             Ok(Answer::Swapped { revision }) => (Event::Committed(revision), None),
             Ok(Answer::Conflict { .. }) => (Event::Refused, None),
             Ok(_) => (Event::Unknown, None),
-            Err(fault) => (event(&fault), Some(fault)),
+            Err(fault) => (event_of_fault(&fault), Some(fault)),
         }
     }
 }
 
 /// What a fault says of the transaction it befell.
-fn event(fault: &Fault) -> Event {
+fn event_of_fault(fault: &Fault) -> Event {
     match fault {
         Fault::Unreachable { .. } => Event::NotSent,
         fault if fault.may_have_run() => Event::Unknown,
@@ -131,7 +134,7 @@
     }
 }
 
-fn call(txn: &Txn) -> Call {
+fn txn_call(txn: &Txn) -> Call {
     let compare = |compare: &catalog::plan::Compare| Compare {
         key: compare.key.clone(),
         revision: compare.revision,
--- a/crates/cli/src/summary.rs
+++ b/crates/cli/src/summary.rs
@@ -99,17 +99,17 @@
 fn instances(answers: &[&Status]) -> BTreeMap<name::Instance, Instance> {
     let mut known: BTreeMap<name::Instance, Instance> = BTreeMap::new();
     for member in answers.iter().flat_map(|status| &status.members) {
-        let told = Instance {
+        let reported = Instance {
             zone: member.zone.clone(),
             revision: member.revision,
             health: member.health,
             source: Source::Peer,
             heard_ms_ago: member.heard_ms_ago,
         };
-        let slot = known.entry(member.instance.clone());
-        let kept = slot.or_insert_with(|| told.clone());
-        if told.heard_ms_ago < kept.heard_ms_ago {
-            *kept = told;
+        let entry = known.entry(member.instance.clone());
+        let latest = entry.or_insert_with(|| reported.clone());
+        if reported.heard_ms_ago < latest.heard_ms_ago {
+            *latest = reported;
         }
     }
     for status in answers {
@@ -148,17 +148,17 @@
             confirmed_ms_ago: seen.confirmed_ms_ago,
             seen_by: 1,
         };
-        let Some(kept) = known.get_mut(&seen.database) else {
+        let Some(latest) = known.get_mut(&seen.database) else {
             known.insert(seen.database.clone(), view);
             continue;
         };
         // In one term there is first a claim and then one primary for good.
         let rank = |primary: &Primary| (primary.term, primary.upstream.is_some());
-        if rank(&view) > rank(kept) {
-            *kept = view;
-        } else if rank(&view) == rank(kept) {
-            kept.seen_by += 1;
-            kept.confirmed_ms_ago = earliest(kept.confirmed_ms_ago, view.confirmed_ms_ago);
+        if rank(&view) > rank(latest) {
+            *latest = view;
+        } else if rank(&view) == rank(latest) {
+            latest.seen_by += 1;
+            latest.confirmed_ms_ago = earliest(latest.confirmed_ms_ago, view.confirmed_ms_ago);
         }
     }
     known
--- a/crates/cli/src/util.rs
+++ b/crates/cli/src/util.rs
@@ -51,14 +51,14 @@
 ///
 /// Names and messages come from other operators and other machines; a control
 /// character among them would let one rewrite another's terminal.
-pub(crate) fn clean(text: &str) -> String {
+pub(crate) fn sanitize(text: &str) -> String {
     let shown = |c: char| if c.is_control() { '\u{fffd}' } else { c };
     text.chars().map(shown).collect()
 }
 
 /// `text` without control characters but for the ends of its lines.
-pub(crate) fn clean_lines(text: &str) -> String {
-    let lines: Vec<_> = text.lines().map(clean).collect();
+pub(crate) fn sanitize_lines(text: &str) -> String {
+    let lines: Vec<_> = text.lines().map(sanitize).collect();
     lines.join("\n")
 }
 
@@ -80,7 +80,7 @@
     /// Adds a row.
     pub(crate) fn row(&mut self, cells: Vec<String>) {
         self.rows
-            .push(cells.iter().map(|cell| clean(cell)).collect());
+            .push(cells.iter().map(|cell| sanitize(cell)).collect());
     }
 
     /// The table as lines, or nothing if it has no rows.
@@ -113,7 +113,7 @@
 }
 
 /// A time in milliseconds, in the unit that reads best.
-pub(crate) fn span(ms: u64) -> String {
+pub(crate) fn format_duration(ms: u64) -> String {
     match ms {
         0..10_000 => format!("{ms} ms"),
         10_000..600_000 => format!("{} s", ms / 1_000),
@@ -123,7 +123,7 @@
 }
 
 /// One line for each change, or more where fields differ.
-pub(crate) fn lines(changes: &[Change]) -> String {
-    let line = |change: &Change| clean_lines(&change.to_string()) + "\n";
+pub(crate) fn format_changes(changes: &[Change]) -> String {
+    let line = |change: &Change| sanitize_lines(&change.to_string()) + "\n";
     changes.iter().map(line).collect()
 }
--- a/crates/cli/tests/cmd/apply.rs
+++ b/crates/cli/tests/cmd/apply.rs
@@ -3,14 +3,14 @@
 use fake::{Store, store::Fault};
 
 use super::{
-    instance::nowhere,
-    relay::{Fate, Relay},
-    workdir::{Workdir, catalog, finished},
+    instance::unused_address,
+    relay::{Injection, Relay},
+    workdir::{Workdir, catalog, wait_for_output},
 };
 
 /// A store that holds `catalog(8)` at revision 1, and the files of further
 /// catalogues.
-fn applied() -> (Workdir, Store, String) {
+fn store_with_catalog() -> (Workdir, Store, String) {
     let dir = Workdir::new();
     let store = Store::spawn().unwrap();
     let at = store.address().to_string();
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_change_is_applied_once_and_read_back() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     let run = dir.run(&["apply", "--json", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.json()["applied"]["revision"]["number"], 2);
@@ -59,7 +59,7 @@
 /// Cause: a write that is not conditional on the revision it was planned from.
 #[test]
 fn of_two_operators_racing_one_wins_whole() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     // Slow answers make it likely that both read before either writes; the
     // verdict is the same whichever way they fall.
     store.set_fault(Fault::Slow(Duration::from_millis(100)));
@@ -67,7 +67,7 @@
         let args = ["apply", "--from", "1", "-m", file, "--store", &at, file];
         dir.command(&args).spawn().unwrap()
     };
-    let runs = [start("9.toml"), start("10.toml")].map(finished);
+    let runs = [start("9.toml"), start("10.toml")].map(wait_for_output);
     let mut codes = runs.each_ref().map(|run| run.code);
     codes.sort_unstable();
     assert_eq!(codes, [0, 3], "{runs:?}");
@@ -87,14 +87,17 @@
 /// Cause: as above, between the read and the write of one run.
 #[test]
 fn a_change_overtaken_on_its_way_ends_as_a_conflict() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     let dir = Arc::new(dir);
     let (colleague, straight) = (Arc::clone(&dir), at.clone());
-    let overtake = move || {
+    let change = move || {
         let run = colleague.run(&["apply", "-m", "mine", "--store", &straight, "9.toml"]);
         assert_eq!(run.code, 0, "{run:?}");
     };
-    let relay = Relay::spawn(store.address(), Fate::Overtaken(Box::new(overtake)));
+    let relay = Relay::spawn(
+        store.address(),
+        Injection::ConcurrentChange(Box::new(change)),
+    );
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "--json", "-m", "late", "--store", &at, "10.toml"]);
     assert_eq!(run.code, 3, "{run:?}");
@@ -111,8 +114,8 @@
 /// Cause: a tool that takes a missing answer for a missing effect.
 #[test]
 fn an_answer_lost_after_taking_effect_is_recognised() {
-    let (dir, store, _) = applied();
-    let relay = Relay::spawn(store.address(), Fate::AnswerLost);
+    let (dir, store, _) = store_with_catalog();
+    let relay = Relay::spawn(store.address(), Injection::AnswerLost);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
@@ -126,10 +129,10 @@
 /// Cause: an error's answer taken for proof that nothing ran.
 #[test]
 fn unavailable_is_not_taken_for_not_run() {
-    let (dir, store, _) = applied();
+    let (dir, store, _) = store_with_catalog();
     let text = r#"{"code":14,"message":"etcdserver: request timed out"}"#;
-    let fate = Fate::Answered("503 Service Unavailable", text);
-    let relay = Relay::spawn(store.address(), fate);
+    let injection = Injection::Answered("503 Service Unavailable", text);
+    let relay = Relay::spawn(store.address(), injection);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
@@ -138,10 +141,10 @@
 
 #[test]
 fn what_the_store_rejects_is_told_in_its_words() {
-    let (dir, store, _) = applied();
+    let (dir, store, _) = store_with_catalog();
     let text = r#"{"code":8,"message":"etcdserver: mvcc: database space exceeded"}"#;
-    let fate = Fate::Answered("429 Too Many Requests", text);
-    let relay = Relay::spawn(store.address(), fate);
+    let injection = Injection::Answered("429 Too Many Requests", text);
+    let relay = Relay::spawn(store.address(), injection);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 1, "{run:?}");
@@ -152,7 +155,7 @@
 
 #[test]
 fn a_revision_that_is_past_is_a_conflict_before_anything_is_sent() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     let run = dir.run(&[
         "apply", "--from", "1", "-m", "late", "--store", &at, "10.toml",
@@ -169,8 +172,8 @@
 
 #[test]
 fn a_store_that_is_down_is_told_and_nothing_is_sent() {
-    let (dir, store, _) = applied();
-    let down = nowhere().to_string();
+    let (dir, store, _) = store_with_catalog();
+    let down = unused_address().to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &down, "9.toml"]);
     assert_eq!(run.code, 1);
     assert!(run.err.contains("the store can't be read"), "{run:?}");
@@ -188,7 +191,7 @@
 /// Cause: a tool that writes over what it can't read.
 #[test]
 fn a_newer_catalogue_is_not_written_over() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     let head = store.value("dandelionlink/catalog/head").unwrap();
     let newer = String::from_utf8(head)
         .unwrap()
@@ -206,7 +209,7 @@
 
 #[test]
 fn a_faulty_file_never_reaches_the_store() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     dir.file("bad.toml", &catalog(0));
     let calls = store.calls();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "bad.toml"]);
@@ -228,7 +231,7 @@
 
 #[test]
 fn a_large_change_is_applied_in_parts_when_asked() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     dir.file("large.toml", &large());
     let args = ["apply", "-m", "all", "--store", &at, "large.toml"];
     let run = dir.run(&args);
--- a/crates/cli/tests/cmd/diff.rs
+++ b/crates/cli/tests/cmd/diff.rs
@@ -1,7 +1,7 @@
 use fake::Store;
 
 use super::{
-    instance::nowhere,
+    instance::unused_address,
     workdir::{Workdir, catalog},
 };
 
@@ -36,7 +36,7 @@
 fn a_store_that_is_down_is_told_with_its_endpoints() {
     let dir = Workdir::new();
     dir.file("c.toml", &catalog(8));
-    let down = format!("{},{}", nowhere(), nowhere());
+    let down = format!("{},{}", unused_address(), unused_address());
     let run = dir.run(&["diff", "--store", &down, "c.toml"]);
     assert_eq!(run.code, 1);
     for endpoint in down.split(',') {
@@ -50,7 +50,7 @@
     let dir = Workdir::new();
     let store = Store::spawn().unwrap();
     dir.file("c.toml", &catalog(8));
-    let endpoints = format!("{},{}", nowhere(), store.address());
+    let endpoints = format!("{},{}", unused_address(), store.address());
     let run = dir.run(&["diff", "--store", &endpoints, "c.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
 }
--- a/crates/cli/tests/cmd/instance.rs
+++ b/crates/cli/tests/cmd/instance.rs
@@ -85,7 +85,7 @@
 }
 
 /// A loopback address where nothing listens.
-pub(crate) fn nowhere() -> SocketAddr {
+pub(crate) fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     listener.local_addr().unwrap()
 }
--- a/crates/cli/tests/cmd/relay.rs
+++ b/crates/cli/tests/cmd/relay.rs
@@ -11,11 +11,11 @@
 };
 
 /// What befalls the first transaction.
-pub(crate) enum Fate {
+pub(crate) enum Injection {
     /// It takes effect, and its answer is lost.
     AnswerLost,
     /// Something happens before it reaches the store.
-    Overtaken(Box<dyn FnOnce() + Send>),
+    ConcurrentChange(Box<dyn FnOnce() + Send>),
     /// The store answers it with this status and text instead of running it.
     Answered(&'static str, &'static str),
 }
@@ -28,18 +28,18 @@
 }
 
 impl Relay {
-    pub(crate) fn spawn(store: SocketAddr, fate: Fate) -> Self {
+    pub(crate) fn spawn(store: SocketAddr, injection: Injection) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let address = listener.local_addr().unwrap();
         let stopping = Arc::new(AtomicBool::new(false));
         let stop = Arc::clone(&stopping);
-        let mut fate = Some(fate);
+        let mut injection = Some(injection);
         let thread = thread::spawn(move || {
             for stream in listener.incoming() {
                 if stop.load(Ordering::SeqCst) {
                     return;
                 }
-                let _ = stream.and_then(|stream| pass(&stream, store, &mut fate));
+                let _ = stream.and_then(|stream| forward(&stream, store, &mut injection));
             }
         });
         Self {
@@ -50,21 +50,25 @@
     }
 }
 
-fn pass(mut caller: &TcpStream, store: SocketAddr, fate: &mut Option<Fate>) -> std::io::Result<()> {
+fn forward(
+    mut caller: &TcpStream,
+    store: SocketAddr,
+    injection: &mut Option<Injection>,
+) -> std::io::Result<()> {
     let (path, body) = request(caller)?;
-    let fate = if path.ends_with("/txn") {
-        fate.take()
+    let injection = if path.ends_with("/txn") {
+        injection.take()
     } else {
         None
     };
-    match fate {
+    match injection {
         None => caller.write_all(&exchange(store, &path, &body)?)?,
-        Some(Fate::AnswerLost) => drop(exchange(store, &path, &body)?),
-        Some(Fate::Overtaken(happen)) => {
-            happen();
+        Some(Injection::AnswerLost) => drop(exchange(store, &path, &body)?),
+        Some(Injection::ConcurrentChange(change)) => {
+            change();
             caller.write_all(&exchange(store, &path, &body)?)?;
         }
-        Some(Fate::Answered(status, text)) => {
+        Some(Injection::Answered(status, text)) => {
             let len = text.len();
             write!(
                 caller,
--- a/crates/cli/tests/cmd/settings.rs
+++ b/crates/cli/tests/cmd/settings.rs
@@ -2,7 +2,7 @@
 
 use super::{
     instance::{Instance, status},
-    workdir::{Workdir, catalog, finished},
+    workdir::{Workdir, catalog, wait_for_output},
 };
 
 #[test]
@@ -63,12 +63,12 @@
 
     let mut command = dir.command(&["status"]);
     command.env("DANDELIONLINK_INSTANCES", &one);
-    let run = finished(command.spawn().unwrap());
+    let run = wait_for_output(command.spawn().unwrap());
     assert!(run.out.contains("i-1"), "{run:?}");
 
     let mut command = dir.command(&["status", "--instance", &two]);
     command.env("DANDELIONLINK_INSTANCES", &one);
-    let run = finished(command.spawn().unwrap());
+    let run = wait_for_output(command.spawn().unwrap());
     assert!(
         run.out.contains("i-2") && !run.out.contains("i-1"),
         "{run:?}"
--- a/crates/cli/tests/cmd/status.rs
+++ b/crates/cli/tests/cmd/status.rs
@@ -1,7 +1,7 @@
 use serde_json::json;
 
 use super::{
-    instance::{Instance, member, nowhere, status},
+    instance::{Instance, member, status, unused_address},
     workdir::Workdir,
 };
 
@@ -18,7 +18,7 @@
     second["doubts"] = json!([{ "kind": "no-primary", "database": "core" }]);
     let one = Instance::spawn("/status", vec![first]);
     let two = Instance::spawn("/status", vec![second]);
-    let gone = nowhere();
+    let gone = unused_address();
     let list = format!("{},{},{gone}", one.address, two.address);
 
     let run = dir.run(&["status", "--instance", &list]);
@@ -71,7 +71,7 @@
     let dir = Workdir::new();
     let garbage = Instance::spawn_text("/status", vec!["{".to_owned()]);
     let other = Instance::spawn("/elsewhere", vec![json!({})]);
-    let list = format!("{},{},{}", garbage.address, other.address, nowhere());
+    let list = format!("{},{},{}", garbage.address, other.address, unused_address());
     let run = dir.run(&["status", "--instance", &list]);
     assert_eq!(run.code, 1);
     for part in [
--- a/crates/cli/tests/cmd/upstreams.rs
+++ b/crates/cli/tests/cmd/upstreams.rs
@@ -1,7 +1,7 @@
 use serde_json::json;
 
 use super::{
-    instance::{Instance, nowhere},
+    instance::{Instance, unused_address},
     workdir::Workdir,
 };
 
@@ -49,7 +49,7 @@
     let run = dir.run(&["upstreams", "--database", "more", "--instance", &at]);
     assert_eq!(run.out.lines().count(), 2, "{run:?}");
 
-    let list = format!("{at},{}", nowhere());
+    let list = format!("{at},{}", unused_address());
     let run = dir.run(&["upstreams", "--json", "--instance", &list]);
     assert_eq!(run.code, 5, "{run:?}");
     let json = run.json();
--- a/crates/cli/tests/cmd/wait.rs
+++ b/crates/cli/tests/cmd/wait.rs
@@ -1,7 +1,7 @@
 use serde_json::json;
 
 use super::{
-    instance::{Instance, member, nowhere, status},
+    instance::{Instance, member, status, unused_address},
     workdir::Workdir,
 };
 
@@ -17,7 +17,7 @@
     then["revision"] = json!({ "number": 42 });
     then["members"][0]["revision"] = json!({ "number": 43 });
     let one = Instance::spawn("/status", vec![late, then]);
-    let gone = nowhere();
+    let gone = unused_address();
     let list = format!("{},{gone}", one.address);
     let run = dir.run(&["wait", "--revision", "42", "--instance", &list]);
     assert_eq!(run.code, 0, "{run:?}");
@@ -85,7 +85,7 @@
 
 #[test]
 fn nobody_there_is_a_failure() {
-    let at = nowhere().to_string();
+    let at = unused_address().to_string();
     let args = [
         "wait",
         "--revision",
--- a/crates/cli/tests/cmd/workdir.rs
+++ b/crates/cli/tests/cmd/workdir.rs
@@ -8,7 +8,7 @@
     sync::atomic::{AtomicUsize, Ordering},
 };
 
-static MADE: AtomicUsize = AtomicUsize::new(0);
+static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
 
 /// A directory that is removed when it is dropped.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 
 impl Workdir {
     pub(crate) fn new() -> Self {
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let name = format!("dandelionlink-{}-{number}", process::id());
         let path = env::temp_dir().join(name);
         fs::create_dir_all(&path).unwrap();
@@ -61,7 +61,7 @@
 
     /// Runs the tool to its end.
     pub(crate) fn run(&self, args: &[&str]) -> Run {
-        finished(self.command(args).spawn().unwrap())
+        wait_for_output(self.command(args).spawn().unwrap())
     }
 
     /// Runs the tool with `input` on its standard input.
@@ -70,12 +70,12 @@
         let mut stdin = child.stdin.take().unwrap();
         stdin.write_all(input.as_bytes()).unwrap();
         drop(stdin);
-        finished(child)
+        wait_for_output(child)
     }
 }
 
 /// Waits for a run and collects what it left.
-pub(crate) fn finished(child: process::Child) -> Run {
+pub(crate) fn wait_for_output(child: process::Child) -> Run {
     let output = child.wait_with_output().unwrap();
     Run {
         code: output.status.code().unwrap(),
--- a/crates/cli/tests/running.rs
+++ b/crates/cli/tests/running.rs
@@ -13,7 +13,7 @@
 use workdir::{Run, Workdir};
 
 /// How often the tool is run until it shows what it must.
-const TRIES: usize = 300;
+const MAX_ATTEMPTS: usize = 300;
 
 /// The operators' ports of the rig's daemons, as the tool takes them.
 fn instances(rig: &Rig) -> String {
@@ -23,10 +23,10 @@
 }
 
 /// Runs the tool until its JSON passes `test`.
-async fn until(args: &[&str], test: impl Fn(&Value) -> bool) -> Value {
+async fn poll_until(args: &[&str], test: impl Fn(&Value) -> bool) -> Value {
     let dir = Workdir::new();
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let run = dir.run(args);
         if run.code == 0 && test(&run.json()) {
             return run.json();
@@ -77,7 +77,7 @@
             let mut members = answers.iter().map(|it| &it["answer"]["members"]);
             members.all(|it| it[0]["health"] == "alive")
         };
-        let shown = until(&status, |it| doubts(it).is_empty() && sees_other(it)).await;
+        let shown = poll_until(&status, |it| doubts(it).is_empty() && sees_other(it)).await;
         assert_eq!(shown["summary"]["revision"]["number"].to_string(), revision);
         let primary = &shown["summary"]["primaries"]["booking"];
         assert_eq!(primary["upstream"], "booking-0");
@@ -98,7 +98,7 @@
             let pools = answers.map(|it| &it["answer"]["upstreams"][0]["pool"][what]);
             pools.filter_map(Value::as_u64).sum::<u64>()
         };
-        let busy = until(&view, |it| sum(it, "busy") == 1).await;
+        let busy = poll_until(&view, |it| sum(it, "busy") == 1).await;
         assert!((1..=16).contains(&sum(&busy, "limit")), "{busy}");
 
         let sessions = dir.run(&["sessions", "--instance", &at]);
@@ -124,10 +124,10 @@
     let has = |it: &Value, kind: &str| doubts(it).iter().any(|it| it["kind"] == kind);
     run(async {
         drop(rig.connect(0, "slots").await);
-        until(&status, |it| doubts(it).is_empty()).await;
+        poll_until(&status, |it| doubts(it).is_empty()).await;
         rig.store.set_fault(fake::store::Fault::Down);
         rig.group.set_fault(2, fake::group::Fault::Crashed);
-        let wrong = until(&status, |it| {
+        let wrong = poll_until(&status, |it| {
             has(it, "store-silent") && has(it, "upstream-silent")
         });
         let store = &wrong.await["answers"][0]["answer"]["store"];
@@ -151,14 +151,14 @@
     let in_force = rig.revision();
     run(async {
         let client = rig.connect(0, "slots").await;
-        until(&status, |it| doubts(it).is_empty()).await;
+        poll_until(&status, |it| doubts(it).is_empty()).await;
         let head = catalog::layout::Key::Head.to_string();
         rig.store.put(&head, br#"{"format":99}"#);
         let newer = |it: &Value| {
             let mut found = doubts(it).into_iter();
             found.find(|it| it["kind"] == "newer").cloned()
         };
-        let held = until(&status, |it| newer(it).is_some()).await;
+        let held = poll_until(&status, |it| newer(it).is_some()).await;
         let doubt = newer(&held).unwrap();
         assert_eq!(doubt["format"], 99);
         assert_eq!(doubt["revision"]["number"], rig.store.revision());
@@ -168,7 +168,7 @@
         let daemon = rig.daemons[0].take().unwrap();
         let stopped = tokio::task::spawn_blocking(move || daemon.stop());
         let stops = |it: &Value| doubts(it).iter().any(|it| it["kind"] == "stopping");
-        until(&status, stops).await;
+        poll_until(&status, stops).await;
         client.batch_execute("COMMIT").await.unwrap();
         stopped.await.unwrap();
     });
@@ -190,7 +190,7 @@
             let confirmed = primary["confirmed_ms_ago"].is_u64();
             confirmed && doubts(it).is_empty() && other["revision"].is_object()
         };
-        until(&status, sees_other).await;
+        poll_until(&status, sees_other).await;
         rig.daemons[1].take().unwrap().kill();
         rig.group.set_fault(1, fake::group::Fault::Crashed);
         rig.group.set_fault(2, fake::group::Fault::Crashed);
@@ -205,7 +205,7 @@
                 && kinds.iter().filter(|it| *it == "upstream-silent").count() == 2
                 && it["summary"]["revision"]["number"] == rig.revision()
         };
-        let shown = until(&status, told).await;
+        let shown = poll_until(&status, told).await;
         assert!(
             !kinds(&shown).contains(&"upstream-behind".into()),
             "{shown}"
