--- a/crates/catalog/examples/size.rs
+++ b/crates/catalog/examples/size.rs
@@ -1,7 +1,9 @@
-//! Measures what a catalogue costs at several sizes, one line of JSON each.
+//! Measures the time and space that catalogues of several sizes take, and
+//! prints one line of JSON per size.
 //!
-//! `cargo run --release -p catalog --example size -- 660 6600`: for each number
-//! of databases, with three upstreams, two entries and a tenant to every ten.
+//! `cargo run --release -p catalog --example size -- 660 6600`: the arguments
+//! are numbers of databases. Each database has three upstreams and two entries;
+//! ten databases share one tenant.
 
 use std::{env, error::Error, net::Ipv4Addr, time::Duration};
 
@@ -104,7 +106,7 @@
     }
 }
 
-/// The head's pair, as the first change of an empty store writes it.
+/// Key and value of the head, as the first change of an empty store writes it.
 fn head_pair() -> Pair {
     let plan = plan::renew(&Snapshot::default(), &Catalog::default(), proposal());
     let put = plan.map(|plan| plan.txn.puts[0].clone());
--- a/crates/catalog/src/apply.rs
+++ b/crates/catalog/src/apply.rs
@@ -1,14 +1,17 @@
-//! Brings a planned change into the store exactly once.
+//! Writes a planned change to the store exactly once.
 //!
-//! The answer to a transaction can be lost after it took effect, and another
-//! operator can be faster. [`Apply`] sends, and wherever the answer leaves a
-//! doubt reads back what the store holds before it decides:
+//! The answer to a transaction can be lost after the transaction took effect,
+//! and another operator's change can be committed first. [`Apply`] sends the
+//! transaction and, whenever the outcome is uncertain, reads the store's
+//! contents back:
 //!
-//! - the record under the change's number has the change's mark: it took
-//!   effect, whoever changed the catalogue since;
-//! - the head is still the one planned from: it did not take effect, and can
-//!   be sent again, since its condition lets it through at most once;
-//! - otherwise another change took its place, and it never will.
+//! - If the record under the change's number has the change's id, the change
+//!   took effect, even if further changes followed.
+//! - If the head is still the one that the change was planned from, the change
+//!   did not take effect and can be sent again: the transaction's condition
+//!   lets at most one attempt succeed.
+//! - Otherwise another change was committed instead, and this one can never
+//!   take effect.
 
 use std::time::Duration;
 
@@ -20,81 +23,82 @@
     plan::{Plan, Txn},
 };
 
-/// How often a transaction is sent before its outcome is given up on.
+/// Maximum number of times that a transaction is sent.
 pub const MAX_SENDS: u32 = 4;
 
-/// How often the store is read in vain, in a row, before that.
+/// Maximum number of consecutive failed reads of the store.
 pub const MAX_READS: u32 = 4;
 
-/// The wait before the second attempt; it doubles with each further one.
+/// Delay before the second attempt; the delay doubles with each further one.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What came back from the store.
+/// Result of the last action.
 #[derive(Debug)]
 pub enum Event {
-    /// The transaction took effect, at this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
     /// The transaction's condition did not hold.
     Refused,
-    /// The store refused the transaction itself: it did not take effect.
+    /// The store rejected the request; this attempt did not take effect.
     Rejected,
-    /// The transaction never left.
+    /// The request was not sent.
     NotSent,
-    /// Whether the transaction took effect is not known.
+    /// The request was sent, but its outcome is unknown.
     Unknown,
-    /// What the store holds.
+    /// The store's contents were read.
     Read(Box<Evidence>),
-    /// The store could not be read.
+    /// Reading the store failed.
     ReadFailed,
 }
 
-/// What the store holds after an attempt.
+/// Contents of the store after an attempt.
 #[derive(Debug)]
 pub struct Evidence {
-    /// The catalogue.
+    /// The catalogue in force.
     pub now: Snapshot,
-    /// The record under the plan's number with its revision, *read after the
-    /// catalogue*: were it read before, a change could take effect between
-    /// the two, be followed by another, and be taken for lost.
+    /// The record under the plan's number with its revision. It must be *read
+    /// after the catalogue*: otherwise the change could take effect between the
+    /// two reads, be followed by another change, and be mistaken for a conflict.
     pub record: Option<(Record, u64)>,
 }
 
-/// What to do next.
+/// Next step for the caller of [`Apply::step`].
 #[derive(Debug)]
 pub enum Action {
-    /// Send the transaction after a wait; tell how it ended.
+    /// Send the transaction after this delay.
     Send(Duration, Txn),
-    /// Read the catalogue and then the record of this number, after a wait.
+    /// After this delay, read the catalogue and then the record of this number.
     Read(Duration, u64),
-    /// It is over.
+    /// Stop: the change ended with this outcome.
     Done(Outcome),
 }
 
-/// How a change ended.
+/// Outcome of a change.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It took effect, at this revision.
+    /// The change took effect at this revision.
     Applied(u64),
-    /// Another change was faster; nothing of this one took effect.
+    /// Another change was committed first; nothing of this one took effect.
     Conflict(Box<Conflict>),
-    /// The store refused it or could not be reached; it did not take effect.
+    /// The store rejected the change or was unreachable; the change did not take
+    /// effect.
     NotRun,
-    /// The store gave no answer that tells; the mark is in the plan's head.
+    /// No answer of the store shows whether the change took effect.
     Unknown,
 }
 
-/// What was changed in the place of a change that lost a race.
+/// The changes that were committed instead of a conflicting one.
 #[derive(Debug)]
 pub struct Conflict {
-    /// The last change in force; none if the catalogue was removed.
+    /// The head in force; none if the catalogue was removed.
     pub head: Option<Head>,
-    /// The revision now in force.
+    /// The revision in force.
     pub revision: u64,
-    /// All that changed since the lost change was planned.
+    /// All changes since the conflicting change was planned.
     pub changes: Vec<Change>,
 }
 
-/// A planned change on its way.
+/// State machine that applies one plan.
 #[derive(Debug)]
 pub struct Apply {
     plan: Plan,
@@ -103,17 +107,17 @@
     certainty: Certainty,
 }
 
-/// Whether a transaction that was sent may take effect unseen.
+/// Whether the outcome of every attempt so far is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Certainty {
-    /// None was sent whose end is not known.
+    /// No attempt can take effect unnoticed.
     Known,
-    /// An answer was lost.
+    /// The answer to an attempt was lost, so that it may still take effect.
     Unknown,
 }
 
 impl Apply {
-    /// Starts with the plan; the first action sends it.
+    /// Starts to apply `plan`. The returned action sends the transaction.
     pub fn start(plan: Plan) -> (Self, Action) {
         let txn = plan.txn.clone();
         let apply = Self {
@@ -125,17 +129,17 @@
         (apply, Action::Send(Duration::ZERO, txn))
     }
 
-    /// The plan on its way.
+    /// The plan that is being applied.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The plan, for use after the end.
+    /// Consumes the state machine and returns its plan.
     pub fn into_plan(self) -> Plan {
         self.plan
     }
 
-    /// Takes what came back and tells what to do next.
+    /// Processes the result of the last action and returns the next action.
     pub fn step(&mut self, event: Event) -> Action {
         match event {
             Event::Committed(revision) => Action::Done(Outcome::Applied(revision)),
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Asks for what the store holds, unless that was asked in vain too often.
+    /// Requests a read, or gives up after [`MAX_READS`] consecutive failures.
     fn read(&mut self, wait: Duration) -> Action {
         if self.reads == MAX_READS {
             return self.give_up();
@@ -182,7 +186,8 @@
         if now.revision == self.plan.from.revision {
             return self.send_again();
         }
-        // The record that would tell is among those removed since.
+        // The change's record would have been removed by now, so that its absence
+        // proves nothing.
         let number = now.head.as_ref().map_or(0, |head| head.number);
         if number >= self.plan.head.number + history::MAX_RECORDS {
             return Action::Done(Outcome::Unknown);
@@ -195,8 +200,8 @@
         Action::Done(Outcome::Conflict(Box::new(conflict)))
     }
 
-    /// Ends without the store's word. Even a change that was not found may
-    /// still take effect, where a request of it was lost on its way.
+    /// Ends without proof from the store. If an answer was lost, its request may
+    /// still be in transit and take effect later.
     fn give_up(&self) -> Action {
         Action::Done(match self.certainty {
             Certainty::Known => Outcome::NotRun,
--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -1,4 +1,4 @@
-//! What differs between two catalogues.
+//! Differences between two catalogues.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -8,10 +8,10 @@
 
 use crate::Catalog;
 
-/// Shown in place of a user's verifier, which is a secret of its tenant.
+/// Placeholder for a user's verifier, which is a secret of its tenant.
 const HIDDEN: &str = "(hidden)";
 
-/// What a change is about.
+/// Item that a change concerns.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
@@ -33,16 +33,16 @@
     }
 }
 
-/// One field that differs.
+/// A field with different values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Field {
-    /// Its key, with those of the tables around it, parted by dots.
+    /// Key of the field, prefixed with those of the enclosing tables: `a.b.c`.
     pub key: String,
-    /// Its value before; none where it was not there.
+    /// Old value; none if the field was absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<String>,
-    /// Its value after; none where it is not there.
+    /// New value; none if the field is absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
 }
@@ -55,25 +55,25 @@
     }
 }
 
-/// How a subject differs.
+/// Kind of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Edit {
-    /// It is new.
+    /// The subject was added.
     Added,
-    /// It is gone.
+    /// The subject was removed.
     Removed,
-    /// Some of its fields differ.
+    /// These fields of the subject changed.
     Changed(Vec<Field>),
 }
 
-/// One subject that differs between two catalogues.
+/// The difference of one subject between two catalogues.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// What it is about.
+    /// Item that changed.
     pub subject: Subject,
-    /// How it differs.
+    /// Kind of the change.
     pub edit: Edit,
 }
 
@@ -92,9 +92,10 @@
     }
 }
 
-/// What turns `old` into `new`: tenants first, then databases, then entries.
+/// Changes that turn `old` into `new`: tenants first, then databases, then
+/// entries.
 ///
-/// Verifiers are compared but not shown.
+/// Verifiers are compared, but masked in the result.
 ///
 /// ```
 /// use catalog::{Catalog, change};
@@ -158,8 +159,8 @@
 
 fn flatten<T: Serialize>(value: &T) -> BTreeMap<String, String> {
     let mut leaves = BTreeMap::new();
-    // A catalogue's types always have a JSON form; were one not to, its
-    // fields would be left out of the difference, not the change itself.
+    // All types of a catalogue serialize to JSON. If one failed to, the change
+    // would still be reported, without its fields.
     let json = serde_json::to_value(value).unwrap_or(Value::Null);
     collect(&mut leaves, "", &json);
     leaves
--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a catalogue, and where.
+//! Errors and warnings about a catalogue, with their locations.
 
 use std::{fmt, net::SocketAddr};
 
@@ -6,10 +6,10 @@
 
 use crate::{ReadFreshness, scram};
 
-/// Something that the catalogue declares.
+/// An item declared in the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Item {
-    /// The catalogue itself.
+    /// The catalogue as a whole.
     Catalog,
     /// A tenant.
     Tenant(name::Tenant),
@@ -38,17 +38,17 @@
     }
 }
 
-/// An item, or one field of it.
+/// An item or one of its fields.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// What the catalogue declares.
+    /// The item.
     pub item: Item,
-    /// The field, or none for the item as a whole.
+    /// The field; none for the item as a whole.
     pub field: Option<&'static str>,
 }
 
 impl Place {
-    /// One field of `item`.
+    /// Place of one field of `item`.
     pub fn field(item: Item, field: &'static str) -> Self {
         Self {
             item,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// `item` as a whole.
+    /// Place of `item` as a whole.
     pub fn whole(item: Item) -> Self {
         Self { item, field: None }
     }
@@ -71,12 +71,12 @@
     }
 }
 
-/// A kind of TOML value.
+/// Type of a TOML value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A text in quotes.
+    /// A string.
     String,
-    /// A whole number.
+    /// An integer.
     Integer,
     /// `true` or `false`.
     Boolean,
@@ -95,215 +95,214 @@
     }
 }
 
-/// Why a catalogue is refused.
+/// Reason why a catalogue is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     #[error("{0}")]
     Syntax(String),
-    /// A key that a catalogue does not have there.
+    /// A key is not defined for its table.
     #[error("unknown key `{key}` in {item}; its keys are {}", quoted_list(known))]
     UnknownKey {
-        /// Where the key stands.
+        /// Item whose table has the key.
         item: Item,
         /// The key.
         key: String,
-        /// The keys allowed there.
+        /// Keys allowed in the table.
         known: &'static [&'static str],
     },
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("{item} has no `{key}`; add it")]
     Missing {
-        /// Where the key is missing.
+        /// Item whose table lacks the key.
         item: Item,
         /// The key.
         key: &'static str,
     },
-    /// A value is of another kind.
+    /// A value has the wrong type.
     #[error("{place} must be {expected}, not a TOML {found}")]
     Kind {
         /// The value.
         place: Place,
-        /// What it must be.
+        /// Required type.
         expected: Kind,
-        /// TOML's word for what it is.
+        /// TOML's name for the actual type.
         found: &'static str,
     },
-    /// A number is outside its bounds.
+    /// A number is out of range.
     #[error("{place} must be from {min} to {max}, not {found}")]
     Range {
         /// The value.
         place: Place,
-        /// The least allowed.
+        /// Least value allowed.
         min: u32,
-        /// The greatest allowed.
+        /// Greatest value allowed.
         max: u32,
-        /// What the text says.
+        /// Value in the text.
         found: String,
     },
-    /// A word is none of those allowed.
+    /// A value is not among the words allowed.
     #[error("{place} must be one of {}, not `{found}`", quoted_list(allowed))]
     Choice {
         /// The value.
         place: Place,
-        /// The words allowed.
+        /// Words allowed.
         allowed: &'static [&'static str],
-        /// What the text says.
+        /// Value in the text.
         found: String,
     },
-    /// A text is not a name.
+    /// A string is not a valid name.
     #[error("`{found}`, as {role}: {why}")]
     Name {
-        /// What the name is for.
+        /// Key that the name stands under.
         role: &'static str,
-        /// What the text says.
+        /// Value in the text.
         found: String,
-        /// Why it is not a name.
+        /// Reason why the string is not a name.
         why: name::Error,
     },
-    /// A text that PostgreSQL takes for an identifier is unfit.
+    /// A string is not a valid PostgreSQL identifier.
     #[error("{place} must have from 1 to {max} bytes and no control characters", max = name::MAX_LEN)]
     Identifier {
         /// The value.
         place: Place,
     },
-    /// A text is not an address that a connection can be opened to.
+    /// A string is not an address that a connection can be opened to.
     #[error("{place} must be an IP address with a port, such as 10.1.2.3:5432, not `{found}`")]
     Address {
         /// The value.
         place: Place,
-        /// What the text says.
+        /// Value in the text.
         found: String,
     },
-    /// A user's verifier is unfit.
+    /// A user's verifier is malformed.
     #[error("{item}: {why}; `dandelionlink verifier` makes one")]
     Verifier {
         /// The user.
         item: Item,
-        /// What is wrong with it.
+        /// Reason why the verifier is malformed.
         why: scram::Error,
     },
-    /// A name leads nowhere.
+    /// A name refers to an item that is not declared.
     #[error(
         "{place} names `{name}`, which is not declared; nearest are {}",
         quoted_list(nearest)
     )]
     Dangling {
-        /// Where the name stands.
+        /// Place of the reference.
         place: Place,
         /// The name.
         name: String,
-        /// What could have been meant: the declared names most like it.
+        /// Declared names most similar to `name`.
         nearest: Vec<String>,
     },
-    /// A database without a server.
+    /// A database has no upstream.
     #[error("{item} has no upstream; add a table `upstream.NAME` with its address")]
     NoUpstream {
         /// The database.
         item: Item,
     },
-    /// Two upstreams at one address.
+    /// Two upstreams have the same address.
     #[error("{place} is {address}, which {other} has already; give each its own")]
     DuplicateAddress {
-        /// The second.
+        /// Address field of the second upstream.
         place: Place,
         /// The address.
         address: SocketAddr,
-        /// The first.
+        /// The first upstream.
         other: Item,
     },
-    /// More statements at once than connections to run them on.
+    /// An upstream has more slots than connections.
     #[error(
         "{place} is {slots}, above its {connections} connections; lower the one or raise the other"
     )]
     Slots {
         /// The upstream's slots.
         place: Place,
-        /// Statements at once.
+        /// Number of slots.
         slots: u16,
-        /// Connections to run them on.
+        /// Number of connections.
         connections: u16,
     },
-    /// An entry may hold more connections than there are.
+    /// An entry's limit exceeds the connections of its database.
     #[error(
         "{place} is {asked}, but all upstreams of database `{database}` offer {offered}; ask for {offered} at most"
     )]
     Connections {
-        /// The entry's limit.
+        /// Field of the entry's limit.
         place: Place,
-        /// What it asks for.
+        /// The entry's limit.
         asked: u16,
-        /// Its database.
+        /// The entry's database.
         database: name::Database,
-        /// What the database's upstreams offer together.
+        /// Sum of the connections of the database's upstreams.
         offered: u32,
     },
-    /// An entry reads by age but does not say which.
+    /// An entry with freshness `age` has no `staleness_ms`.
     #[error("{item} has freshness `age` but no `staleness_ms`; add it")]
     StalenessMissing {
         /// The entry.
         item: Item,
     },
-    /// An entry states an age that its reads never use.
+    /// An entry has a `staleness_ms` that its freshness does not use.
     #[error(
         "{place} has no effect with freshness `{freshness}`; remove it, or use freshness `age`"
     )]
     StalenessUnused {
-        /// The entry's staleness.
+        /// Field of the entry's staleness.
         place: Place,
-        /// Its freshness.
+        /// The entry's freshness.
         freshness: ReadFreshness,
     },
 }
 
-/// What a catalogue may do but its operator should know.
+/// A permitted but questionable declaration.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Lint {
-    /// One upstream alone: nothing takes over from it.
-    #[error(
-        "{item} has a single upstream: no replica serves reads and nothing can take over from it"
-    )]
+    /// A database has a single upstream, so that failover is impossible.
+    #[error("{item} has a single upstream: there is no replica for reads or failover")]
     SingleUpstream {
         /// The database.
         item: Item,
     },
-    /// An even group bears no more failures than the odd one below it.
-    #[error("{item} has {count} upstreams: it bears no more failures than with {}", count - 1)]
+    /// A database has an even number of upstreams and tolerates no more failures
+    /// than with one fewer.
+    #[error("{item} has {count} upstreams: the group tolerates no more failures than with {}", count - 1)]
     EvenUpstreams {
         /// The database.
         item: Item,
-        /// Its upstreams.
+        /// Number of upstreams.
         count: usize,
     },
-    /// Every upstream is leaving.
-    #[error("all upstreams of {item} are leaving: it gets no new work at all")]
+    /// All upstreams of a database are leaving.
+    #[error("all upstreams of {item} are leaving, so that the database gets no new work")]
     AllLeaving {
         /// The database.
         item: Item,
     },
-    /// A tenant with entries but without users.
-    #[error("{item} has no users: nobody can log in to its entries")]
+    /// A tenant with entries has no users.
+    #[error("{item} has no users: no caller can log in to its entries")]
     NoUser {
         /// The tenant.
         item: Item,
     },
 }
 
-/// A remark on a text, with where it is.
+/// An error or warning with its location in the text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Located<T> {
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The column in characters, counted from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// The remark.
+    /// The error or warning.
     pub kind: T,
 }
 
-/// Why a text is refused, and where.
+/// An error in a catalogue's text.
 pub type Fault = Located<Problem>;
 
-/// What is doubtful in a text that is accepted, and where.
+/// A warning about a catalogue's text.
 pub type Warning = Located<Lint>;
 
 impl<T: fmt::Display> fmt::Display for Located<T> {
--- a/crates/catalog/src/head.rs
+++ b/crates/catalog/src/head.rs
@@ -1,11 +1,11 @@
-//! What the store keeps about the last change of the catalogue.
+//! The head: metadata of the last change of the catalogue.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Marks one change, so that its author recognises it on reading it back
-/// after the answer was lost. Drawn at random; written as 32 hex digits.
+/// Random id of a change, by which the tool recognises its own change after
+/// the store's answer was lost. Serialized as 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Id(pub u128);
 
@@ -40,25 +40,28 @@
     }
 }
 
-/// Who changed the catalogue last, and why.
+/// Author, reason and number of the last change.
 ///
-/// The catalogue's *revision* is the store's modification revision of this
-/// record: the store counts it, so it orders all changes and never repeats.
+/// The catalogue's *revision* is the store's modification revision of the
+/// head's key. The store assigns revisions, so they order all changes and are
+/// never reused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// How many changes there have been, this one included.
+    /// Number of the change, starting at 1.
     pub number: u64,
-    /// The change's mark.
+    /// Id of the change.
     pub change: Id,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why, in the author's words.
+    /// Reason for the change, as given by the author.
     pub message: String,
-    /// How often operators have declared the store restored from a backup. It
-    /// goes before the revision: a restored store counts from a lower one.
+    /// Number of times that operators have declared the store restored from a
+    /// backup. Epochs are compared before revisions, because a restored store
+    /// continues from a lower revision.
     #[serde(default)]
     pub epoch: u32,
-    /// When, by the author's clock, as RFC 3339 text; nothing depends on it.
+    /// Time of the change by the author's clock, as RFC 3339 text; only for
+    /// display.
     pub time: String,
 }
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -1,4 +1,4 @@
-//! Records of past changes, bounded in number and size.
+//! Records of past changes, limited in number and size.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,24 +8,24 @@
     layout::{self, Key, Pair},
 };
 
-/// How many records the store keeps; the next change removes the oldest.
+/// Number of records in the store; a further change removes the oldest one.
 pub const MAX_RECORDS: u64 = 1_000;
 
-/// The most bytes of a record that tell what changed. With [`MAX_RECORDS`] it bounds
-/// the history to 64 MB, however large the changes are.
+/// Maximum bytes of a record's changes. With [`MAX_RECORDS`], this limits the
+/// history to 64 MB.
 pub const MAX_CHANGES_BYTES: usize = 64_000;
 
 /// A past change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Who made it and why.
+    /// Author, reason and number of the change.
     pub head: Head,
-    /// The catalogue's revision that it was planned from.
+    /// Revision that the change was planned from.
     pub from: u64,
-    /// What it changed, up to [`MAX_CHANGES_BYTES`] bytes of it.
+    /// Changed subjects, truncated to [`MAX_CHANGES_BYTES`] bytes.
     pub changes: Vec<Change>,
-    /// How many changes were left out for want of room.
+    /// Number of changes dropped by the truncation.
     pub omitted: usize,
 }
 
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Reads a record from its key and value.
+    /// Decodes a record from its key and value.
     ///
     /// # Errors
     ///
-    /// [`layout::Error`] where the pair is not a record of the history.
+    /// [`layout::Error`] if the pair is not a record of the history.
     pub fn decode(pair: &Pair) -> Result<Self, layout::Error> {
         let key: Key = pair.key.parse()?;
         match key {
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -1,4 +1,4 @@
-//! The catalogue in the store: one key for each tenant, database and entry.
+//! Layout of the catalogue in the store: one key per tenant, database and entry.
 //!
 //! | key | value |
 //! | --- | --- |
@@ -9,8 +9,8 @@
 //! | `dandelionlink/revision/NUMBER` | [`Record`](crate::history::Record) |
 //!
 //! Every value is a JSON object with a `format` number beside its fields. A
-//! change writes the keys it touches and the head in one transaction, so a
-//! range over [`PREFIX`] at one revision is always a whole catalogue.
+//! change writes the affected keys and the head in one transaction, so a range
+//! read of [`PREFIX`] at one revision always returns a consistent catalogue.
 
 use std::{fmt, str::FromStr};
 
@@ -20,28 +20,30 @@
 
 use crate::{Catalog, fault::Problem, head::Head, rules};
 
-/// Below it are the head and all that is in force.
+/// Prefix of the keys of the catalogue in force, including the head.
 pub const PREFIX: &str = "dandelionlink/catalog/";
 
-/// Below it are the records of past changes.
+/// Prefix of the keys of the history's records.
 ///
-/// It sorts behind `dandelionlink/primary/`, so that the span of keys that
-/// every instance mirrors, from the catalogue to the primaries, leaves it out.
+/// The prefix sorts after `dandelionlink/primary/`, so that the key range that
+/// every instance mirrors, from the catalogue to the primaries, excludes the
+/// history.
 pub const HISTORY: &str = "dandelionlink/revision/";
 
-/// The format of values that this version writes, and the newest it reads.
+/// Format number of the values that this version writes, and the newest one
+/// that it reads.
 pub const FORMAT: u64 = 1;
 
-/// The most bytes in a value; the platform's store holds a megabyte.
+/// Maximum bytes of a value; the platform's store accepts up to a megabyte.
 pub const MAX_VALUE: usize = 1_000_000;
 
-/// Digits of a number in a key, so that keys sort as their numbers do.
+/// Width of a zero-padded number in a key, so that keys sort numerically.
 const DIGITS: usize = 20;
 
 /// A key of the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// The last change.
+    /// The head.
     Head,
     /// A tenant.
     Tenant(name::Tenant),
@@ -49,7 +51,7 @@
     Database(name::Database),
     /// An entry.
     Entry(name::Entry),
-    /// The record of the change with this number.
+    /// Record of the change with this number.
     History(u64),
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-/// A text that is not a key of the catalogue.
+/// A string that is not a key of the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a key of the catalogue")]
 pub struct KeyError(pub String);
@@ -101,32 +103,33 @@
     }
 }
 
-/// A key of the store with its value.
+/// A key and value of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pair {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision at which it was last written.
+    /// Store revision of the last write of the key.
     pub revision: u64,
 }
 
-/// The catalogue as the store held it at one moment.
+/// The catalogue in the store at one revision.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
-    /// What is in force.
+    /// The catalogue.
     pub catalog: Catalog,
-    /// The last change; none where nothing was ever applied.
+    /// Metadata of the last change; none if nothing was ever applied.
     pub head: Option<Head>,
-    /// The catalogue's revision; 0 where nothing was ever applied.
+    /// Revision of the catalogue; 0 if nothing was ever applied.
     pub revision: u64,
 }
 
-/// Why keys and values of the store are not a catalogue.
+/// Reason why keys and values of the store can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A newer version wrote it: hold what is in force and upgrade.
+    /// A newer version wrote the value. The reader must keep the catalogue that
+    /// it has in force until it is upgraded.
     #[error("`{key}` has format {format}, this version reads up to {FORMAT}; upgrade it")]
     Newer {
         /// The key of the value.
@@ -134,25 +137,25 @@
         /// The value's format.
         format: u64,
     },
-    /// A key that no version wrote, or only a newer one.
+    /// The key is unknown to this version.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// A value is not the JSON object that its key asks for.
-    #[error("the value of `{key}`: {source}")]
+    /// The value is not the JSON object that belongs to its key.
+    #[error("the value of `{key}` is invalid: {source}")]
     Value {
         /// The key of the value.
         key: Key,
-        /// What is wrong with it.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// A value has no format number.
+    /// The value has no format number.
     #[error("the value of `{0}` has no `format` number")]
     Format(Key),
-    /// There are values, but no head.
-    #[error("the store holds parts of a catalogue but no head")]
+    /// The store holds catalogue values but no head.
+    #[error("the store holds catalogue values but no head")]
     NoHead,
-    /// The values are readable but break the catalogue's rules.
-    #[error("the store's catalogue breaks the rules: {}", join_messages(.0))]
+    /// The values can be decoded but violate the catalogue's rules.
+    #[error("the catalogue in the store violates the rules: {}", join_messages(.0))]
     Rules(Vec<Problem>),
 }
 
@@ -161,7 +164,7 @@
     lines.join("; ")
 }
 
-/// The value of `key` as bytes for the store.
+/// Encodes the value of `key`.
 pub(crate) fn encode_value<T: Serialize>(key: &Key, content: &T) -> Result<Vec<u8>, Error> {
     let value_error = |source| Error::Value {
         key: key.clone(),
@@ -174,7 +177,7 @@
     serde_json::to_vec(&json).map_err(value_error)
 }
 
-/// Reads the value of `key` back.
+/// Decodes the value of `key`.
 pub(crate) fn decode_value<T: DeserializeOwned>(key: &Key, bytes: &[u8]) -> Result<T, Error> {
     let value_error = |source| Error::Value {
         key: key.clone(),
@@ -195,11 +198,12 @@
     serde_json::from_value(json).map_err(value_error)
 }
 
-/// The keys and values of `catalog`, without a head.
+/// Encodes `catalog` as keys and values, without a head.
 ///
 /// # Errors
 ///
-/// [`Error::Value`] where a value has no JSON form, which no catalogue has.
+/// [`Error::Value`] if serialization fails, which doesn't happen for the types
+/// of a catalogue.
 pub fn encode(catalog: &Catalog) -> Result<Vec<(Key, Vec<u8>)>, Error> {
     let mut pairs = Vec::new();
     for (name, tenant) in &catalog.tenants {
@@ -220,7 +224,7 @@
     Ok(pairs)
 }
 
-/// Reads the catalogue from all pairs under [`PREFIX`], taken at one moment.
+/// Decodes the catalogue from all pairs under [`PREFIX`] at one revision.
 ///
 /// ```
 /// let snapshot = catalog::layout::decode(&[]).unwrap();
@@ -229,8 +233,8 @@
 ///
 /// # Errors
 ///
-/// [`Error`] tells the first key that is wrong; a whole catalogue or none is
-/// read, never a part.
+/// [`Error`] for the first invalid key or value; the catalogue is decoded
+/// completely or not at all.
 pub fn decode(pairs: &[Pair]) -> Result<Snapshot, Error> {
     let head_key = Key::Head.to_string();
     let Some(head_pair) = pairs.iter().find(|pair| pair.key == head_key) else {
@@ -239,8 +243,8 @@
             None => Ok(Snapshot::default()),
         };
     };
-    // The head is read first: a newer version may have keys that this one
-    // does not know, and `Newer` tells the operator more than `Key`.
+    // The head is decoded first: a newer version may have keys that this
+    // version does not know, and `Newer` is a clearer error than `Key`.
     let head: Head = decode_value(&Key::Head, &head_pair.value)?;
 
     let mut catalog = Catalog::default();
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operators' catalogue: tenants, databases with their upstreams, entries.
 //!
-//! [`Catalog::parse`] reads the text that operators keep in version control,
-//! [`layout`] puts a catalogue into the store's keys and back, and [`apply`]
-//! decides how a change gets there exactly once. Nothing here does any input
-//! or output.
+//! [`Catalog::parse`] parses the TOML text that operators keep in version
+//! control, [`layout`] maps a catalogue to keys and values of the store and
+//! back, and [`apply`] is the state machine that writes a change exactly once.
+//! This crate does no input or output.
 
 pub mod apply;
 pub mod change;
@@ -26,27 +26,27 @@
 pub use fault::{Fault, Item, Lint, Located, Place, Problem, Warning};
 pub use text::{Checked, Error};
 
-/// Everything the operators declare.
+/// The operators' configuration.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Catalog {
-    /// Customers and their logins.
+    /// Client accounts with their logins.
     #[serde(default, rename = "tenant")]
     pub tenants: BTreeMap<name::Tenant, Tenant>,
     /// Replicated groups of upstreams.
     #[serde(default, rename = "database")]
     pub databases: BTreeMap<name::Database, Database>,
-    /// What callers may connect to.
+    /// Entries that callers connect to.
     #[serde(default, rename = "entry")]
     pub entries: BTreeMap<name::Entry, Entry>,
 }
 
-/// A customer of the operator.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Login names with their SCRAM-SHA-256 verifiers, in the form that
-    /// PostgreSQL keeps: `SCRAM-SHA-256$iterations:salt$stored:server`.
+    /// SCRAM-SHA-256 verifiers by login name, in the format in which PostgreSQL
+    /// stores them: `SCRAM-SHA-256$iterations:salt$stored:server`.
     pub users: BTreeMap<String, String>,
 }
 
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// The name under which the upstreams know the database.
+    /// Name of the database on the upstreams.
     pub dbname: String,
-    /// The servers of the group; a majority of them confirms each write.
+    /// Servers of the group; a majority of them confirms each write.
     #[serde(rename = "upstream")]
     pub upstreams: BTreeMap<name::Upstream, Upstream>,
 }
@@ -65,55 +65,56 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: name::Zone,
-    /// How many statements it runs at once without queueing them.
+    /// Number of statements that the upstream runs concurrently without queueing.
     pub slots: u16,
-    /// How many connections the whole fleet may hold to it.
+    /// Limit of connections to the upstream, over all instances.
     pub connections: u16,
-    /// Whether it is being taken out of service: it gets no new work.
+    /// Whether the upstream is being taken out of service and gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What callers connect to: a database under an owner, a class and limits.
+/// An entry that callers connect to: a database with its owner, request class
+/// and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The owner.
+    /// Client account that owns the entry.
     pub tenant: name::Tenant,
-    /// The database its statements run on.
+    /// Database on which the entry's statements run.
     pub database: name::Database,
-    /// How fresh its reads are.
+    /// Required freshness of reads.
     pub freshness: ReadFreshness,
-    /// The greatest age of a read in milliseconds, where freshness is `age`.
+    /// Maximum age of a read in milliseconds; required if freshness is `age`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub staleness_ms: Option<u32>,
-    /// Whether its requests may be repeated.
+    /// Whether requests may be executed more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Who goes first under load.
+    /// Priority of requests under load.
     #[serde(default)]
     pub priority: PriorityLevel,
-    /// How many upstream connections it may hold at once, over the fleet.
+    /// Limit of concurrent upstream connections, over all instances.
     pub connections: u16,
-    /// How many of its requests may wait at one instance.
+    /// Limit of requests that wait at one instance.
     pub queue: u32,
-    /// How long a request may take, in milliseconds.
+    /// Deadline of a request in milliseconds.
     pub deadline_ms: u32,
 }
 
-/// The catalogue's word for a read's freshness.
+/// Value of the key `freshness`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReadFreshness {
-    /// Everything acknowledged before the read began.
+    /// A read sees all writes acknowledged before the read began.
     Current,
-    /// Everything the session wrote or saw.
+    /// A read sees everything that its session wrote or read.
     ReadYourWrites,
-    /// No older than `staleness_ms`, and never older than the session's writes.
+    /// A read is at most `staleness_ms` old and sees its session's writes.
     Age,
 }
 
@@ -127,21 +128,21 @@
     }
 }
 
-/// The catalogue's word for a priority.
+/// Value of the key `priority`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PriorityLevel {
-    /// Reservations, payments and urgent retrievals.
+    /// Urgent requests, such as reservations, payments and urgent retrievals.
     High,
-    /// Everything else.
+    /// All other requests.
     #[default]
     Normal,
-    /// What gives way first.
+    /// Requests that are shed first.
     Low,
 }
 
 impl Entry {
-    /// The entry's class, as the decisions read it.
+    /// Request class of the entry.
     pub fn class(&self) -> Class {
         let freshness = match self.freshness {
             ReadFreshness::Current => Freshness::Current,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// How long a request may take.
+    /// Deadline of a request, counted from its arrival.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms.into())
     }
--- a/crates/catalog/src/parts.rs
+++ b/crates/catalog/src/parts.rs
@@ -1,10 +1,10 @@
-//! Splits a change that one transaction can't hold.
+//! Splits a change that is too large for one transaction.
 //!
-//! Each part leads from one whole, faultless catalogue to the next, and the
-//! last one to the catalogue wanted. What others need comes first: tenants and
-//! databases are added before entries, and removed after them. A change that
-//! has no such way, because what stands between would break the rules, is
-//! refused: only its operator can tell which half may wait.
+//! Each part leads from one valid catalogue to the next; the last part results
+//! in the target catalogue. Parts are ordered by dependency: tenants and
+//! databases are added before entries and removed after them. A change with an
+//! invalid intermediate catalogue is rejected, because only the operator can
+//! decide in which order its parts may take effect.
 
 use std::collections::BTreeMap;
 
@@ -19,31 +19,32 @@
     rules,
 };
 
-/// Operations of each transaction besides the part's own keys: the head, the
-/// record, and the record that is removed.
+/// Operations of each transaction beside the part's own keys: the head, the
+/// new record and the removed record.
 const OVERHEAD_OPS: usize = 3;
 
-/// Bytes of the head and the record: what changed, and twice the proposal.
+/// Bytes reserved for the head and the record: the record's changes and two
+/// copies of the proposal.
 const OVERHEAD_BYTES: usize = MAX_CHANGES_BYTES + 32_000;
 
-/// Why a change can't be split.
+/// Reason why a change can't be split.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// What stands between two parts would break the rules.
+    /// An intermediate catalogue would violate the rules.
     #[error("the change can't be split: after `{after}`, {fault}; split it by hand")]
     Rules {
-        /// The last subject of the part.
+        /// Last subject of the part that results in that catalogue.
         after: Subject,
-        /// The first rule broken.
+        /// First violation.
         fault: Box<Problem>,
     },
-    /// A value has no JSON form.
+    /// A value can't be serialized.
     #[error(transparent)]
     Layout(#[from] layout::Error),
 }
 
-/// The catalogues to put in force one after the other to come from `from` to
-/// `to`; none where they are the same.
+/// Catalogues to put in force one after the other to get from `from` to `to`;
+/// none if the two are equal.
 ///
 /// ```
 /// use catalog::{Catalog, parts};
@@ -53,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Rules`] where a catalogue between would break the rules.
+/// [`Error::Rules`] if an intermediate catalogue would violate the rules.
 pub fn split(from: &Catalog, to: &Catalog) -> Result<Vec<Catalog>, Error> {
     let mut changes = change::diff(from, to);
     changes.sort_by_key(apply_order);
@@ -83,7 +84,7 @@
     Ok(parts)
 }
 
-/// Where a change comes in the order of the parts.
+/// Sort key of a change.
 fn apply_order(change: &Change) -> u8 {
     match (&change.subject, &change.edit) {
         (Subject::Tenant(_), Edit::Added | Edit::Changed(_)) => 0,
@@ -105,7 +106,7 @@
     }
 }
 
-/// The bytes of the key and value that `subject` has in `to`.
+/// Bytes of the key and value of `subject` in `to`.
 fn size(to: &Catalog, subject: &Subject) -> Result<usize, Error> {
     match subject {
         Subject::Tenant(name) => encoded_size(&Key::Tenant(name.clone()), to.tenants.get(name)),
@@ -122,7 +123,7 @@
     Ok(key.to_string().len() + value.map_or(0, |value| value.len()))
 }
 
-/// Makes `subject` in `now` what it is in `to`.
+/// Copies `subject` from `to` to `now`, or removes it if `to` lacks it.
 fn apply_change(now: &mut Catalog, to: &Catalog, subject: &Subject) {
     match subject {
         Subject::Tenant(name) => set(&mut now.tenants, name, to.tenants.get(name)),
--- a/crates/catalog/src/plan.rs
+++ b/crates/catalog/src/plan.rs
@@ -1,4 +1,4 @@
-//! A change as one conditional transaction on the store.
+//! Plans a change as one conditional transaction on the store.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
     layout::{self, Key, MAX_VALUE, Snapshot},
 };
 
-/// The most operations in a transaction: etcd's default `--max-txn-ops`.
+/// Maximum operations in a transaction: etcd's default `--max-txn-ops`.
 pub const MAX_OPS: usize = 128;
 
-/// The most bytes of keys and values in a transaction, below etcd's default
-/// `--max-request-bytes` of 1.5 MiB with room for the request's frame.
+/// Maximum bytes of keys and values in a transaction: etcd's default
+/// `--max-request-bytes` of 1.5 MiB less room for the request's framing.
 pub const MAX_BYTES: usize = 1_400_000;
 
-/// A condition on a key.
+/// A condition on the revision of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Compare {
     /// The key.
     pub key: String,
-    /// The revision at which it must have been last written; 0: not there.
+    /// Required modification revision; 0 if the key must not exist.
     pub revision: u64,
 }
 
-/// A value to write.
+/// A key and value to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
     /// The key.
@@ -35,7 +35,7 @@
     pub value: Vec<u8>,
 }
 
-/// Writes and removals that take effect all together, if all compares hold.
+/// Writes and deletions that take effect atomically if all conditions hold.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Txn {
     /// The conditions.
@@ -47,12 +47,12 @@
 }
 
 impl Txn {
-    /// How many operations take effect.
+    /// Number of writes and deletions.
     pub fn ops(&self) -> usize {
         self.puts.len() + self.deletes.len()
     }
 
-    /// How many bytes its keys and values have.
+    /// Total bytes of keys and values.
     pub fn bytes(&self) -> usize {
         let puts: usize = self.puts.iter().map(|p| p.key.len() + p.value.len()).sum();
         let deletes: usize = self.deletes.iter().map(String::len).sum();
@@ -60,57 +60,57 @@
     }
 }
 
-/// Who proposes a change, and why.
+/// Metadata of a proposed change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// The change's mark, drawn at random.
+    /// Random id of the change.
     pub change: Id,
-    /// Who proposes it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub message: String,
-    /// When, as RFC 3339 text.
+    /// Time of the proposal, as RFC 3339 text.
     pub time: String,
 }
 
 /// A change that is ready to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// What it was planned from.
+    /// Snapshot that the change was planned from.
     pub from: Snapshot,
-    /// What is in force by it.
+    /// Catalogue that the change puts in force.
     pub to: Catalog,
-    /// The head that it writes.
+    /// Head that the change writes.
     pub head: Head,
-    /// What it changes.
+    /// Changed subjects.
     pub changes: Vec<Change>,
-    /// How it is written.
+    /// Transaction to send.
     pub txn: Txn,
 }
 
-/// Why a change can't be planned.
+/// Reason why a change can't be planned.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The catalogue in force is the one proposed.
+    /// The proposed catalogue equals the one in force.
     #[error("nothing to change: the catalogue in force is the same")]
     Same,
-    /// A value is larger than the store holds.
+    /// A value exceeds [`MAX_VALUE`].
     #[error("`{key}` takes {bytes} bytes, the store holds up to {MAX_VALUE}; split it")]
     TooLarge {
         /// The key of the value.
         key: Key,
-        /// The value's size.
+        /// Size of the value.
         bytes: usize,
     },
-    /// More keys than one transaction takes.
+    /// The change has more operations than [`MAX_OPS`].
     #[error(
         "the change touches {ops} keys, one transaction takes up to {MAX_OPS}; apply it with `--in-parts`"
     )]
     TooMany {
-        /// Keys written and removed.
+        /// Keys written and deleted.
         ops: usize,
     },
-    /// More bytes than one transaction takes.
+    /// The change has more bytes than [`MAX_BYTES`].
     #[error(
         "the change takes {bytes} bytes, one transaction takes up to {MAX_BYTES}; apply it with `--in-parts`"
     )]
@@ -118,18 +118,19 @@
         /// Bytes of keys and values.
         bytes: usize,
     },
-    /// A value has no JSON form.
+    /// A value can't be serialized.
     #[error(transparent)]
     Layout(#[from] layout::Error),
 }
 
-/// Plans the change from `from` to `to`: only the keys that differ, the head
-/// and the record of the change, on condition that the head is still the one
-/// that was read. Two plans from one revision thus never both take effect.
+/// Plans the change from `from` to `to`. The transaction writes only the keys
+/// that differ, the head and the change's record, on condition that the head
+/// is unchanged since it was read. Of two plans from one revision, at most one
+/// takes effect.
 ///
 /// # Errors
 ///
-/// [`Error`] where there is nothing to change or it does not fit the store.
+/// [`Error`] if there is nothing to change or the change exceeds a limit.
 pub fn plan(from: &Snapshot, to: &Catalog, proposal: Proposal) -> Result<Plan, Error> {
     if from.catalog == *to {
         return Err(Error::Same);
@@ -137,15 +138,15 @@
     build(from, to, proposal, epoch(from))
 }
 
-/// Plans the change from `from` to `to`, if any, in a new epoch.
+/// Plans the change from `from` to `to`, which may be equal, in a new epoch.
 ///
-/// A store that was restored from a backup shows a lower revision than the one
-/// that instances hold, and they rightly refuse to go back. Only an operator
-/// can tell that it is to be believed, and does so by raising the epoch.
+/// A store that was restored from a backup has a lower revision than the one
+/// in force at the instances, which never go back to a lower revision. An
+/// operator declares the restored store valid by raising the epoch.
 ///
 /// # Errors
 ///
-/// [`Error`] where the change does not fit the store.
+/// [`Error`] if the change exceeds a limit.
 pub fn renew(from: &Snapshot, to: &Catalog, proposal: Proposal) -> Result<Plan, Error> {
     build(from, to, proposal, epoch(from) + 1)
 }
@@ -196,7 +197,7 @@
     })
 }
 
-/// The record that makes room for that of change `number`.
+/// The record to remove when the record of change `number` is written.
 fn expired_record(number: u64) -> Option<Key> {
     let oldest = number.checked_sub(history::MAX_RECORDS)?;
     (oldest > 0).then_some(Key::History(oldest))
--- a/crates/catalog/src/rules.rs
+++ b/crates/catalog/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that a whole catalogue keeps, whatever it was read from.
+//! Rules for a complete catalogue, read from text or from the store.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,10 +14,10 @@
     limit, scram,
 };
 
-/// How many names a dangling one is compared with in its message.
+/// Number of similar names suggested for an undeclared name.
 const NEAREST: usize = 3;
 
-/// All breaches of the rules, each with the place to mend.
+/// Violations of the rules with the places to correct.
 pub(crate) fn faults(catalog: &Catalog) -> Vec<(Place, Problem)> {
     let mut faults = Vec::new();
     for (name, tenant) in &catalog.tenants {
@@ -36,7 +36,7 @@
     faults
 }
 
-/// Whether PostgreSQL takes `text` for a database's or user's name.
+/// Returns true if `text` is a valid PostgreSQL database or user name.
 pub(crate) fn is_identifier(text: &str) -> bool {
     !text.is_empty() && text.len() <= name::MAX_LEN && !text.chars().any(char::is_control)
 }
@@ -129,7 +129,7 @@
     Some((place, problem))
 }
 
-/// Whether a connection can be opened to `address` at all.
+/// Returns true if `address` can be a connection's destination.
 fn is_reachable(address: SocketAddr) -> bool {
     let ip = address.ip();
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast()
@@ -150,8 +150,8 @@
     }
     match catalog.databases.get(&entry.database) {
         Some(database) => {
-            // Leaving upstreams count too: marking one as leaving in an
-            // emergency must not make the catalogue impossible to apply.
+            // Leaving upstreams count as well: marking an upstream as leaving
+            // in an emergency must not make the catalogue invalid.
             let offered = total_connections(database);
             if u32::from(entry.connections) > offered && offered > 0 {
                 let place = Place::field(item.clone(), "connections");
@@ -226,7 +226,7 @@
     (place, problem)
 }
 
-/// What an operator should know of a catalogue that keeps the rules.
+/// Warnings about a catalogue that satisfies the rules.
 pub(crate) fn lints(catalog: &Catalog) -> Vec<(Place, Lint)> {
     let mut lints = Vec::new();
     for (name, database) in &catalog.databases {
--- a/crates/catalog/src/scram.rs
+++ b/crates/catalog/src/scram.rs
@@ -1,34 +1,35 @@
-//! SCRAM-SHA-256 verifiers (RFC 5802, RFC 7677) in PostgreSQL's text form.
+//! SCRAM-SHA-256 verifiers (RFC 5802, RFC 7677) in PostgreSQL's text format.
 
 use std::ops::RangeInclusive;
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 
-/// The iteration counts accepted; RFC 7677 asks for 4,096 at least.
+/// Accepted iteration counts; RFC 7677 requires at least 4,096.
 pub const ITERATIONS: RangeInclusive<u32> = 4_096..=1_000_000;
 
-/// Bytes in a SHA-256 digest, and so in each of the two keys.
+/// Bytes of a SHA-256 digest and of each of the two keys.
 pub const KEY_LEN: usize = 32;
 
 const SCHEME: &str = "SCRAM-SHA-256";
 
-/// What a server keeps of a password: enough to check it, not to send it.
+/// Verifier that a server stores instead of a password. The password can be
+/// checked against the verifier but not derived from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verifier {
-    /// Rounds of the password's key derivation.
+    /// Iteration count of the key derivation.
     pub iterations: u32,
-    /// The salt that went into the derivation.
+    /// Salt of the key derivation.
     pub salt: Vec<u8>,
-    /// The digest that a client's proof is checked against.
+    /// `StoredKey`, against which a client's proof is checked.
     pub stored: [u8; KEY_LEN],
-    /// The key with which the server proves that it knows the verifier.
+    /// `ServerKey`, with which the server proves that it has the verifier.
     pub server: [u8; KEY_LEN],
 }
 
-/// Why a text is not a verifier.
+/// Reason why a text is not a verifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The parts are not there, or in another order.
+    /// Parts are missing or out of order.
     #[error("a verifier is written SCRAM-SHA-256$iterations:salt$stored:server")]
     Format,
     /// The iteration count is not a number in [`ITERATIONS`].
@@ -43,7 +44,7 @@
 }
 
 impl Verifier {
-    /// Reads a verifier from the text that PostgreSQL keeps.
+    /// Parses a verifier in PostgreSQL's text format.
     ///
     /// ```
     /// let key = "A".repeat(43) + "=";
@@ -54,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] tells which part is wrong; it never repeats the text.
+    /// [`Error`] names the invalid part and never contains the text itself.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let mut parts = text.split('$');
         let (Some(SCHEME), Some(first), Some(second), None) =
--- a/crates/catalog/src/text.rs
+++ b/crates/catalog/src/text.rs
@@ -1,4 +1,4 @@
-//! The catalogue's text form: strict, and told with line and column.
+//! Strict parser of the catalogue's text, with line and column in all errors.
 
 mod parser;
 mod section;
@@ -13,10 +13,10 @@
 
 use parser::Parser;
 
-/// Why a text is not a catalogue: every fault in it, in the order of lines.
+/// All errors in a catalogue's text, in order of their lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The faults; there is at least one.
+    /// The errors; at least one.
     pub faults: Vec<Fault>,
 }
 
@@ -29,17 +29,17 @@
 
 impl std::error::Error for Error {}
 
-/// A catalogue with what its operator should know of it.
+/// A valid catalogue with warnings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checked {
-    /// The catalogue, which keeps all rules.
+    /// The catalogue, which satisfies all rules.
     pub catalog: Catalog,
-    /// What is allowed but doubtful, in the order of lines.
+    /// Warnings in order of their lines.
     pub warnings: Vec<Warning>,
 }
 
 impl Catalog {
-    /// Reads a catalogue from its text.
+    /// Parses a catalogue from its text.
     ///
     /// ```
     /// let catalog = catalog::Catalog::parse("[tenant.yard]\nusers = {}").unwrap();
@@ -51,16 +51,16 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] tells all that is wrong, with lines and columns.
+    /// [`Error`] lists all errors with their lines and columns.
     pub fn parse(text: &str) -> Result<Self, Error> {
         Self::check(text).map(|checked| checked.catalog)
     }
 
-    /// Reads a catalogue from its text and tells what is doubtful in it.
+    /// Parses a catalogue from its text and collects warnings.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells all that is wrong, with lines and columns.
+    /// [`Error`] lists all errors with their lines and columns.
     pub fn check(text: &str) -> Result<Checked, Error> {
         let (root, errors) = toml::de::DeTable::parse_recoverable(text);
         let mut parser = Parser::new(text);
@@ -69,8 +69,8 @@
             let message = error.message().to_owned();
             parser.fault(offset, Problem::Syntax(message));
         }
-        // After an error of syntax the recovered tables lack what stood
-        // there, so a further check would tell of faults that are none.
+        // The tables recovered after a syntax error may be incomplete, so
+        // further checks would report spurious errors.
         if parser.is_faulty() {
             return Err(parser.into_error());
         }
@@ -88,11 +88,11 @@
         Ok(Checked { catalog, warnings })
     }
 
-    /// The catalogue as text that [`Catalog::parse`] reads back.
+    /// Serializes the catalogue as text that [`Catalog::parse`] accepts.
     ///
     /// # Errors
     ///
-    /// None for a catalogue that keeps the rules; the type is the serializer's.
+    /// The serializer's error type, which doesn't occur for a valid catalogue.
     pub fn to_text(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
--- a/crates/catalog/src/text/parser.rs
+++ b/crates/catalog/src/text/parser.rs
@@ -1,4 +1,4 @@
-//! A catalogue while it is read: its faults so far and where things stand.
+//! Parser state: the errors found so far and the positions of values.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,9 +45,9 @@
 pub(super) struct Parser<'t> {
     text: &'t str,
     faults: Vec<(usize, Problem)>,
-    /// Byte offsets of the values read.
+    /// Byte offsets of the parsed values.
     places: BTreeMap<Place, usize>,
-    /// Tenants and databases named in the text, also those that are faulty.
+    /// Tables declared in the text, including invalid ones.
     declared: BTreeSet<String>,
 }
 
@@ -73,10 +73,11 @@
         !self.faults.is_empty()
     }
 
-    /// Adds the breach of a rule at `place`.
+    /// Adds the violation of a rule at `place`.
     ///
-    /// A tenant or database whose own table is faulty is missing from the
-    /// catalogue that the rules see; names that lead to it do not dangle.
+    /// A tenant or database with an invalid table is missing from the catalogue
+    /// that the rules check. References to it are declared all the same and are
+    /// not reported.
     pub(super) fn add_violation(&mut self, place: &Place, problem: Problem) {
         if let Problem::Dangling { place, name, .. } = &problem {
             let kind = place.field.unwrap_or_default();
@@ -94,7 +95,7 @@
         found.copied().unwrap_or(0)
     }
 
-    /// Puts lines and columns to remarks, ordered by them.
+    /// Converts places to lines and columns, in order.
     pub(super) fn locate<T>(&self, remarks: Vec<(Place, T)>) -> Vec<Located<T>> {
         let at = |(place, problem)| (self.offset(&place), problem);
         sort_and_locate(self.text, remarks.into_iter().map(at).collect())
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Reads the tables below `key`, leaving out the faulty ones.
+    /// Parses the tables below `key`, skipping invalid ones.
     fn named_tables<N: Ord + Clone, T>(
         &mut self,
         parent: &Section<'_, '_>,
@@ -225,8 +226,8 @@
                 upstreams.insert(upstream, value);
             }
         }
-        // Without its faulty upstreams the group would look smaller than it is
-        // declared, and the rules would tell of faults that are none.
+        // Without its invalid upstreams, the group would be smaller than declared,
+        // and the rules would report spurious errors.
         let declared = section.table.get("upstream");
         let declared = declared.and_then(|value| value.get_ref().as_table());
         let declared = declared.map_or(0, |table| table.len());
@@ -307,8 +308,8 @@
     let at = |(offset, kind)| {
         let line = starts.partition_point(|&start| start <= offset);
         let start = starts[line - 1];
-        // An offset past the end or within a character is not expected of the
-        // parser; the column is then that of the line's start.
+        // The TOML parser should never return an offset past the end or within
+        // a character; if it did, the column would be that of the line's start.
         let before = text.get(start..offset).unwrap_or_default();
         let column = before.chars().count() + 1;
         Located { line, column, kind }
--- a/crates/catalog/src/text/section.rs
+++ b/crates/catalog/src/text/section.rs
@@ -1,4 +1,4 @@
-//! One table of the text, read key by key.
+//! Typed access to the keys of one TOML table.
 
 use std::ops::RangeInclusive;
 
@@ -11,16 +11,16 @@
 
 use super::parser::Parser;
 
-/// A table of the text and what it declares.
+/// A TOML table and the item that it declares.
 pub(super) struct Section<'t, 'i> {
     pub(super) item: Item,
-    /// Where its name stands, in bytes from the start of the text.
+    /// Byte offset of the table's name in the text.
     pub(super) offset: usize,
     pub(super) table: &'t DeTable<'i>,
 }
 
 impl<'t, 'i> Section<'t, 'i> {
-    /// Faults the keys that are not among `known`.
+    /// Reports the keys that are not among `known`.
     pub(super) fn check_keys(&self, parser: &mut Parser<'_>, known: &'static [&'static str]) {
         for key in self.table.keys() {
             if known.contains(&key.get_ref().as_ref()) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The value under `key`, whose place is noted.
+    /// The value under `key`, if any. Records its offset.
     pub(super) fn optional(
         &self,
         parser: &mut Parser<'_>,
@@ -47,7 +47,7 @@
         Some(value)
     }
 
-    /// The value under `key`, which must be there.
+    /// The value under `key`. Reports an error if the key is missing.
     pub(super) fn required(
         &self,
         parser: &mut Parser<'_>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// One of the words in `allowed`, by its place there.
+    /// Index in `allowed` of the word under `key`.
     pub(super) fn word(
         &self,
         parser: &mut Parser<'_>,
@@ -115,7 +115,7 @@
         self.table.contains_key(key)
     }
 
-    /// `true` or `false`, and `false` where the key is left out.
+    /// The boolean under `key`; `false` if the key is missing.
     pub(super) fn flag(&self, parser: &mut Parser<'_>, key: &'static str) -> bool {
         let Some(value) = self.optional(parser, key) else {
             return false;
@@ -127,10 +127,10 @@
         flag.unwrap_or(false)
     }
 
-    /// A whole number that fits its type; the rules check its bounds.
+    /// The integer under `key`, if it fits `T`; the rules check its range.
     ///
-    /// One that does not fit is told here and replaced by the least allowed,
-    /// so that the rest of its table is checked as well.
+    /// A value that does not fit is reported here and replaced by the least
+    /// value allowed, so that the rest of the table is checked as well.
     pub(super) fn number<T: TryFrom<u32>>(
         &self,
         parser: &mut Parser<'_>,
@@ -156,7 +156,7 @@
         T::try_from(*bounds.start()).ok()
     }
 
-    /// The tables below `key`, each with its name; none where it is left out.
+    /// The tables below `key` with names and offsets; none if the key is missing.
     pub(super) fn tables(
         &self,
         parser: &mut Parser<'_>,
@@ -184,7 +184,8 @@
         Place::field(self.item.clone(), key)
     }
 
-    /// Where the value under `key` stands, or the table's name without one.
+    /// Offset of the value under `key`, or of the table's name if the key is
+    /// missing.
     pub(super) fn offset_of(&self, key: &str) -> usize {
         let value = self.table.get(key);
         value.map_or(self.offset, |value| value.span().start)
--- a/crates/catalog/tests/apply.rs
+++ b/crates/catalog/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Changes on their way into the store: races and lost answers.
+//! Applying changes to the store: races and lost answers.
 
 mod common;
 
@@ -11,16 +11,17 @@
 
 use common::{Store, proposal, small};
 
-/// What befalls the sends of a change, in order; then all goes well.
+/// Failure of one attempt to send a transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Failure {
-    /// It takes effect, but the answer is lost.
+    /// The transaction takes effect, but the answer is lost.
     AnswerLost,
-    /// It never reaches the store.
+    /// The request never reaches the store.
     RequestLost,
 }
 
-/// Runs `apply` to its end; `meanwhile` happens to the store after each send.
+/// Runs `apply` to its end. The first attempts fail as in `failures`, and
+/// `after_send` is called after each attempt.
 fn run(
     store: &mut Store,
     (mut apply, mut action): (Apply, Action),
@@ -53,7 +54,7 @@
     revision.map_or(Event::Refused, Event::Committed)
 }
 
-/// What a reader of `store` finds, with the record of change `number`.
+/// Contents of `store` with the record of change `number`.
 fn evidence(store: &Store, number: u64) -> Box<Evidence> {
     let key = Key::History(number).to_string();
     let record = store.pairs(&key).pop();
@@ -63,7 +64,7 @@
     })
 }
 
-/// A store that holds `small(8)` at revision 1.
+/// A store with `small(8)` at revision 1.
 fn store() -> Store {
     let mut store = Store::default();
     let plan = plan::plan(&store.snapshot(), &small(8), proposal(1)).unwrap();
@@ -76,11 +77,11 @@
     Apply::start(plan)
 }
 
-/// Symptom: an operator's change is silently undone by a colleague's.
-/// Events: both plan from revision 1; one applies; the other applies.
-/// Cause: a write that is not conditional on what it was planned from.
+/// Guards against an operator's change silently undoing another one: two
+/// operators plan from revision 1 and both apply, with writes that are not
+/// conditional on the revision they were planned from.
 #[test]
-fn of_two_operators_racing_one_wins_whole() {
+fn of_two_concurrent_changes_only_one_is_applied() {
     let mut store = store();
     let first = open(&store, 9, 2);
     let second = open(&store, 10, 3);
@@ -98,12 +99,11 @@
     assert_eq!(store.snapshot().head.unwrap().number, 2);
 }
 
-/// Symptom: a change that is in force is told as lost to a conflict with
-/// itself, or written a second time.
-/// Events: the transaction takes effect; its answer is lost.
-/// Cause: only the change's mark tells one's own write from another's.
+/// Guards against reporting a change in force as a conflict, or writing the
+/// change twice: the transaction takes effect and its answer is lost, so that
+/// only the change's id identifies the operator's own write.
 #[test]
-fn an_answer_lost_after_taking_effect_is_recognised() {
+fn a_change_with_a_lost_answer_is_recognised() {
     let mut store = store();
     let apply = open(&store, 9, 2);
     let outcome = run(&mut store, apply, &[Failure::AnswerLost], |_| ());
@@ -111,12 +111,11 @@
     assert_eq!(store.revision, 2);
 }
 
-/// Symptom: a change that took effect is told as a conflict.
-/// Events: it takes effect, its answer is lost, and before its author reads
-/// back another operator's change follows it.
-/// Cause: the head then bears the other's mark; only the record tells.
+/// Guards against reporting a change that took effect as a conflict: the answer
+/// is lost, and another change follows before the store is read back. The head
+/// then has the other change's id, so only the record identifies the change.
 #[test]
-fn a_lost_answer_is_recognised_behind_a_later_change() {
+fn a_change_with_a_lost_answer_is_recognised_after_a_later_change() {
     let mut store = store();
     let apply = open(&store, 9, 2);
     let mut others = 0;
@@ -144,22 +143,21 @@
     assert_eq!(store.snapshot().catalog, small(9));
 }
 
-/// Symptom: a change is in force twice, or undoes what came between.
-/// Events: the request is delayed, not lost: it takes effect after its author
-/// read that it had not, and has sent it again.
-/// Cause: a second send without the first one's condition.
+/// Guards against a change taking effect twice: the request is only delayed and
+/// takes effect after the store was read back and the transaction sent again.
+/// The second attempt must have the same condition as the first.
 #[test]
 fn a_delayed_request_never_takes_effect_twice() {
     let mut store = store();
     let (mut apply, action) = open(&store, 9, 2);
     let Action::Send(_, delayed) = action else {
-        panic!("a change starts with a send");
+        panic!("a change starts with an attempt to send");
     };
     let Action::Read(_, number) = apply.step(Event::Unknown) else {
         panic!("a lost answer is followed by a read");
     };
     let Action::Send(_, again) = apply.step(Event::Read(evidence(&store, number))) else {
-        panic!("what did not take effect is sent again");
+        panic!("a change that did not take effect is sent again");
     };
     assert_eq!(store.run(&delayed), Some(2));
     assert_eq!(store.run(&again), None);
@@ -173,7 +171,7 @@
 }
 
 #[test]
-fn a_store_that_stays_silent_ends_as_unknown() {
+fn an_unresponsive_store_results_in_unknown() {
     let store = store();
     let (mut apply, _) = open(&store, 9, 2);
     let mut action = apply.step(Event::Unknown);
@@ -190,7 +188,7 @@
 }
 
 #[test]
-fn a_store_that_loses_every_request_ends_as_unknown() {
+fn loss_of_all_requests_results_in_unknown() {
     let mut store = store();
     let apply = open(&store, 9, 2);
     let outcome = run(&mut store, apply, &[Failure::RequestLost; 20], |_| ());
@@ -199,7 +197,7 @@
 }
 
 #[test]
-fn what_never_left_or_was_rejected_is_told_as_not_run() {
+fn an_unsent_or_rejected_change_is_not_run() {
     let store = store();
     let (mut apply, _) = open(&store, 9, 2);
     let action = apply.step(Event::Rejected);
@@ -219,12 +217,11 @@
     );
 }
 
-/// Symptom: a change is told as not run, and is in force a moment later.
-/// Events: the first request is lost on its way; the second is rejected; then
-/// the first arrives.
-/// Cause: a rejection speaks of one request only.
+/// Guards against reporting a change as not run that takes effect later: the
+/// first request is delayed, the second one is rejected, then the first one
+/// arrives. A rejection says nothing about earlier attempts.
 #[test]
-fn a_rejection_does_not_settle_an_earlier_doubt() {
+fn a_rejection_does_not_decide_an_earlier_attempt() {
     let store = store();
     let (mut apply, _) = open(&store, 9, 2);
     apply.step(Event::Unknown);
@@ -240,12 +237,11 @@
     );
 }
 
-/// Symptom: a change in force is told as a conflict.
-/// Events: its answer is lost, and by the time its author reads back so many
-/// changes followed that its record was removed.
-/// Cause: absence of a record proves nothing once it would have been removed.
+/// Guards against reporting a change in force as a conflict: the answer is lost,
+/// and so many changes follow before the store is read back that the change's
+/// record has been removed.
 #[test]
-fn a_removed_record_proves_nothing() {
+fn absence_of_a_removed_record_results_in_unknown() {
     let mut store = store();
     let apply = open(&store, 9, 2);
     let outcome = run(&mut store, apply, &[Failure::AnswerLost], |store| {
--- a/crates/catalog/tests/common/mod.rs
+++ b/crates/catalog/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory with etcd's transaction rules, and small catalogues.
+//! An in-memory store with etcd's transaction semantics, and a small catalogue.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 }
 
 impl Store {
-    /// Runs `txn`; the new revision, or none where a compare does not hold.
+    /// Runs `txn` and returns the new revision, or none if a condition fails.
     pub(crate) fn run(&mut self, txn: &Txn) -> Option<u64> {
         let holds = txn.compares.iter().all(|compare| {
             let found = self.values.get(&compare.key).map_or(0, |value| value.1);
@@ -62,7 +62,7 @@
     }
 }
 
-/// A catalogue with one entry that holds `connections`.
+/// A catalogue with one entry that is limited to `connections`.
 pub(crate) fn small(connections: u16) -> Catalog {
     let text = format!(
         r#"
--- a/crates/catalog/tests/layout.rs
+++ b/crates/catalog/tests/layout.rs
@@ -1,4 +1,5 @@
-//! Keys and values: what is written is read back, and nothing else is read.
+//! Keys and values in the store: encoding, decoding and rejection of invalid
+//! values.
 
 mod common;
 
@@ -12,7 +13,7 @@
 
 use common::{Store, proposal, small};
 
-/// The pairs of a store that holds `small(8)`.
+/// The pairs of a store with `small(8)`.
 fn pairs() -> Vec<Pair> {
     let mut store = Store::default();
     let plan = plan::plan(&store.snapshot(), &small(8), proposal(1)).unwrap();
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn both_deployments_survive_the_store() {
+fn both_deployments_round_trip_through_the_store() {
     for text in [
         include_str!("../../../examples/stalgenoot.toml"),
         include_str!("../../../examples/umurage.toml"),
@@ -48,12 +49,11 @@
     }
 }
 
-/// Symptom: an instance of the previous version would drop fields that a newer
-/// tool wrote, and serve by half of what the operators meant.
-/// Events: the tool is upgraded first and applies a value of a newer format.
-/// Cause: unless formats are compared, unknown parts look like noise.
+/// Guards against an instance of an older version ignoring fields that a newer
+/// tool wrote: the tool is upgraded first and applies a value of a newer format,
+/// and the instance does not compare formats.
 #[test]
-fn a_newer_format_is_told_as_such() {
+fn a_newer_format_is_reported() {
     for key in ["head", "tenant/yard", "database/core", "entry/calendar"] {
         let pairs = altered(key, "\"format\":1", "\"format\":2");
         match layout::decode(&pairs) {
@@ -66,7 +66,7 @@
             other => panic!("{key}: {other:?}"),
         }
     }
-    // A newer head is told before keys that only its version knows.
+    // A newer head is reported before keys that only the newer version knows.
     let mut pairs = altered("head", "\"format\":1", "\"format\":2");
     pairs[0].key = "dandelionlink/catalog/class/gold".to_owned();
     let err = layout::decode(&pairs).unwrap_err();
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn what_no_version_wrote_is_refused() {
-    let stray = |key: &str| {
+fn invalid_keys_and_values_are_rejected() {
+    let with_key = |key: &str| {
         let mut pairs = pairs();
         pairs[0].key = format!("{}{key}", layout::PREFIX);
         pairs
@@ -110,23 +110,23 @@
             altered("head", "\"number\"", "\"nmber\""),
             "unknown field `nmber`",
         ),
-        (stray("class/gold"), "is not a key of the catalogue"),
-        (stray("entry/UPPER"), "is not a key of the catalogue"),
-        (stray("entry"), "is not a key of the catalogue"),
+        (with_key("class/gold"), "is not a key of the catalogue"),
+        (with_key("entry/UPPER"), "is not a key of the catalogue"),
+        (with_key("entry"), "is not a key of the catalogue"),
     ];
     for (pairs, message) in cases {
         let err = layout::decode(&pairs).unwrap_err().to_string();
         assert!(err.contains(message), "{err}");
     }
-    let headless: Vec<_> = pairs()
+    let without_head: Vec<_> = pairs()
         .into_iter()
         .filter(|p| !p.key.ends_with("head"))
         .collect();
-    assert!(matches!(layout::decode(&headless), Err(Error::NoHead)));
+    assert!(matches!(layout::decode(&without_head), Err(Error::NoHead)));
 }
 
 #[test]
-fn keys_are_read_back() {
+fn keys_round_trip() {
     for text in [
         "dandelionlink/catalog/head",
         "dandelionlink/catalog/tenant/yard",
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_difference_names_fields_and_hides_verifiers() {
+fn a_difference_names_fields_and_masks_verifiers() {
     let old = small(8);
     let mut new = small(9);
     let users = &mut new.tenants.values_mut().next().unwrap().users;
@@ -169,12 +169,12 @@
     let json = serde_json::to_string(&changes).unwrap();
     assert!(!json.contains("SCRAM"), "{json}");
 
-    let gone = change::diff(&old, &Catalog::default());
-    assert!(gone.iter().all(|change| change.edit == Edit::Removed));
+    let removed = change::diff(&old, &Catalog::default());
+    assert!(removed.iter().all(|change| change.edit == Edit::Removed));
 }
 
 #[test]
-fn a_plan_touches_only_what_differs() {
+fn a_plan_writes_only_the_keys_that_differ() {
     let mut store = Store::default();
     let first = plan::plan(&store.snapshot(), &small(8), proposal(1)).unwrap();
     store.run(&first.txn).unwrap();
@@ -194,12 +194,11 @@
     assert!(matches!(same, Err(plan::Error::Same)));
 }
 
-/// Symptom: after the store is restored, instances hold a later revision than
-/// it shows for ever, and `apply` finds nothing to change.
-/// Events: the backup holds the wanted catalogue under an older revision.
-/// Cause: a head that is only written when something else is.
+/// Guards against instances never following a restored store: the backup has
+/// the wanted catalogue under an older revision, and `apply` finds nothing to
+/// change and so does not write the head.
 #[test]
-fn a_renewal_raises_the_epoch_even_with_nothing_else_to_change() {
+fn a_renewal_of_an_unchanged_catalogue_raises_the_epoch() {
     let mut store = Store::default();
     let first = plan::plan(&store.snapshot(), &small(8), proposal(1)).unwrap();
     store.run(&first.txn).unwrap();
@@ -215,12 +214,11 @@
     assert_eq!(later.head.epoch, 1);
 }
 
-/// Symptom: no instance puts a change in force, or every record of a change is
-/// sent to the whole fleet.
-/// Events: the tool writes a head that instances read with types of their own.
-/// Cause: one value, written and read by two crates.
+/// Guards against instances not applying changes, or mirroring the history: the
+/// tool and the instances use types of two crates for the same head, and the
+/// instances mirror a range of keys that must exclude the history.
 #[test]
-fn instances_read_the_head_that_is_written() {
+fn instances_can_parse_the_head() {
     let store = Store::default();
     let plan = plan::renew(&store.snapshot(), &small(8), proposal(42)).unwrap();
     let head = Key::Head.to_string();
@@ -234,7 +232,7 @@
 }
 
 #[test]
-fn what_does_not_fit_the_store_is_refused_when_planned() {
+fn changes_over_a_limit_are_rejected_when_planned() {
     let empty = Store::default().snapshot();
     let mut large = small(8);
     let verifier = large.tenants["yard"].users["app"].clone();
@@ -250,12 +248,12 @@
         many.entries.insert(name, entry.clone());
     }
     let err = plan::plan(&empty, &many, proposal(1)).unwrap_err();
-    // The 128 entries, `calendar`, its tenant and database, head and record.
+    // 128 entries, `calendar`, its tenant and database, the head and the record.
     assert!(matches!(err, plan::Error::TooMany { ops: 133 }), "{err}");
 }
 
 #[test]
-fn history_is_bounded_in_number_and_size() {
+fn history_is_limited_in_number_and_size() {
     let mut store = Store::default();
     let changes = history::MAX_RECORDS + 5;
     for number in 1..=changes {
@@ -276,11 +274,11 @@
         "~ entry `calendar`\n    connections: 9 -> 8"
     );
 
-    let mut wide = small(8);
-    let verifier = wide.tenants["yard"].users["app"].clone();
-    let users = &mut wide.tenants.values_mut().next().unwrap().users;
+    let mut large = small(8);
+    let verifier = large.tenants["yard"].users["app"].clone();
+    let users = &mut large.tenants.values_mut().next().unwrap().users;
     users.extend((0..2_000).map(|n| (format!("user-{n}"), verifier.clone())));
-    let plan = plan::plan(&store.snapshot(), &wide, proposal(1)).unwrap();
+    let plan = plan::plan(&store.snapshot(), &large, proposal(1)).unwrap();
     let record = plan.txn.puts.last().unwrap();
     assert!(record.value.len() < history::MAX_CHANGES_BYTES + 1_000);
     let pair = Pair {
@@ -299,9 +297,9 @@
         ..Default::default()
     })]
 
-    /// Arbitrary bytes under any of the keys never panic the decoder.
+    /// The decoder never panics on arbitrary bytes under any key.
     #[test]
-    fn arbitrary_values_are_read_or_refused(
+    fn arbitrary_values_never_panic(
         at in 0usize..4,
         value in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..200),
     ) {
--- a/crates/catalog/tests/parts.rs
+++ b/crates/catalog/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Changes too large for one transaction.
+//! Splitting of changes that are too large for one transaction.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 use common::{Store, proposal, small};
 
-/// `small(8)` repeated `count` times, each with names and addresses of its own.
+/// `small(8)` repeated `count` times with distinct names and addresses.
 fn repeated(count: u32) -> Catalog {
     let small = small(8);
     let mut repeated = Catalog::default();
@@ -37,7 +37,7 @@
     repeated
 }
 
-/// Applies the parts one after the other, each read back from the store.
+/// Applies the parts one after the other and returns their number.
 fn apply(store: &mut Store, to: &Catalog) -> usize {
     let from = store.snapshot().catalog;
     let parts = parts::split(&from, to).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_large_catalogue_is_loaded_and_removed_in_parts() {
+fn a_large_catalogue_is_added_and_removed_in_parts() {
     let mut store = Store::default();
     let repeated = repeated(300);
     let single_plan = plan::plan(&Snapshot::default(), &repeated, proposal(1));
@@ -57,7 +57,7 @@
         single_plan,
         Err(plan::Error::TooMany { ops: 902 })
     ));
-    // 900 keys, of which a part takes 125 beside its head and records.
+    // 900 keys; a part has up to 125 of them beside its head and records.
     assert_eq!(apply(&mut store, &repeated), 8);
     assert_eq!(store.snapshot().catalog, repeated);
     assert_eq!(apply(&mut store, &small(8)), 8);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_part_is_bounded_in_bytes_as_well() {
+fn a_part_is_limited_in_bytes() {
     let mut repeated = repeated(6);
     let verifier = small(8).tenants["yard"].users["app"].clone();
     for tenant in repeated.tenants.values_mut() {
@@ -81,13 +81,11 @@
     assert_eq!(store.snapshot().catalog, repeated);
 }
 
-/// Symptom: a part of a change is in force and faulty by the rules, so that
-/// every instance holds it back.
-/// Events: a large change lowers a group's connections and its entries' alike;
-/// the databases come a part before the entries.
-/// Cause: parts that are whole by count only.
+/// Guards against putting an invalid intermediate catalogue in force, which all
+/// instances would reject: a large change lowers the connections of databases
+/// and entries alike, and the databases are in an earlier part than the entries.
 #[test]
-fn a_change_without_a_faultless_way_is_refused() {
+fn a_change_with_an_invalid_intermediate_catalogue_is_rejected() {
     let from = repeated(MAX_OPS as u32);
     let mut to = from.clone();
     for database in to.databases.values_mut() {
--- a/crates/catalog/tests/text.rs
+++ b/crates/catalog/tests/text.rs
@@ -1,4 +1,4 @@
-//! The text form: what is accepted, and what is refused and where.
+//! Parsing of the catalogue's text: accepted texts, and errors with locations.
 
 use catalog::{
     Catalog, Fault, Lint, Problem, ReadFreshness,
@@ -10,7 +10,7 @@
 
 const VERIFIER: &str = "SCRAM-SHA-256$4096:c2FsdA==$AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=:AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=";
 
-/// A small faultless catalogue; `VERIFIER` stands for a user's verifier.
+/// A small valid catalogue; `VERIFIER` is a placeholder for a user's verifier.
 const VALID: &str = r#"[tenant.yard.users]
 app = "VERIFIER"
 
@@ -51,7 +51,8 @@
     VALID.replace("VERIFIER", VERIFIER)
 }
 
-/// The faults of `GOOD` with `old` replaced by `new`, which must change it.
+/// The errors of `VALID` with `old` replaced by `new`, which must change the
+/// text.
 fn faults(old: &str, new: &str) -> Vec<Fault> {
     let text = valid().replacen(old, new, 1);
     assert_ne!(text, valid(), "nothing to replace for {old:?}");
@@ -59,9 +60,9 @@
 }
 
 #[test]
-fn each_fault_is_told_with_its_line() {
+fn each_error_is_reported_with_its_line() {
     let cases = [
-        // Replaced, by what, the line of the fault, part of its message.
+        // Old text, new text, line of the error, part of its message.
         (
             "zone = \"z1\"",
             "zone = ",
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_told_with_the_known_ones() {
+fn an_unknown_key_is_reported_with_the_known_ones() {
     let cases = [
         ("[tenant.yard.users]", "[tenants.yard.users]", 1),
         ("dbname", "name", 5),
@@ -236,12 +237,11 @@
     }
 }
 
-/// Symptom: a mistyped upstream was told together with an entry that "names
-/// database `core`, which is not declared" and asks for too many connections.
-/// Events: a faulty table is left out of the catalogue that the rules see.
-/// Cause: the rules took "left out" for "never declared".
+/// Guards against spurious follow-up errors: a table with an error is left out
+/// of the catalogue that the rules check, and an entry that refers to the table
+/// was reported as naming an undeclared database or exceeding its connections.
 #[test]
-fn a_fault_brings_no_false_ones_along() {
+fn an_error_causes_no_spurious_errors() {
     for (old, new) in [
         ("10.0.0.1:5432", "nowhere"),
         ("zone = \"z1\"\n", ""),
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_in_the_order_of_lines() {
+fn all_errors_are_reported_in_the_order_of_lines() {
     let text = valid()
         .replacen("connections = 16", "connections = 0", 1)
         .replace("10.0.0.3", "10.0.0.2")
@@ -262,7 +262,7 @@
         .replace("deadline_ms = 2000", "deadline_ms = 0");
     let faults = Catalog::parse(&text).unwrap_err().faults;
     let lines: Vec<_> = faults.iter().map(|fault| fault.line).collect();
-    // The upstream without connections also has more slots than connections.
+    // Line 10: the upstream without connections has more slots than connections.
     assert_eq!(lines, [10, 11, 20, 26, 34, 35], "{faults:#?}");
 }
 
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn what_is_allowed_but_doubtful_is_warned_of() {
+fn questionable_declarations_cause_warnings() {
     let single = "\n[database.one]\ndbname = \"x\"\nupstream.a = { address = \"10.9.0.1:5432\", zone = \"z\", slots = 1, connections = 2, leaving = true }\n";
     let even = "[database.two]\ndbname = \"x\"\nupstream.a = { address = \"10.9.0.2:5432\", zone = \"z\", slots = 1, connections = 2 }\nupstream.b = { address = \"10.9.0.3:5432\", zone = \"z\", slots = 1, connections = 2 }\n";
     let text = valid().replace(&format!("app = \"{VERIFIER}\""), "") + single + even;
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn both_deployments_have_the_sizes_of_today() {
+fn both_deployments_have_the_expected_sizes() {
     let stalgenoot = include_str!("../../../examples/stalgenoot.toml");
     let umurage = include_str!("../../../examples/umurage.toml");
     for (text, zones, connections) in [(stalgenoot, 4, 16), (umurage, 3, 35)] {
@@ -343,9 +343,8 @@
     assert!(!entry("slot-reservation").idempotent);
 }
 
-/// Symptom: the reference for operators lacks a key or states an old bound.
-/// Events: a key is added, or a bound moved, in the code alone.
-/// Cause: the two are written by hand, side by side.
+/// Guards against an outdated reference for operators: a key is added or a
+/// limit changed in the code alone.
 #[test]
 fn the_reference_lists_every_key_and_bound() {
     let reference = include_str!("../../../docs/CATALOG.md");
@@ -403,10 +402,10 @@
         ..Default::default()
     })]
 
-    /// Any damage to a good text is read or refused, never a panic, and a
-    /// refusal says where.
+    /// A damaged text is parsed or rejected with lines inside the text, without a
+    /// panic.
     #[test]
-    fn damaged_text_is_read_or_refused(
+    fn damaged_text_never_panics(
         from in 0usize..1_000,
         len in 0usize..40,
         insert in proptest::collection::vec(proptest::prelude::any::<char>(), 0..8),
