--- a/crates/chart/src/error.rs
+++ b/crates/chart/src/error.rs
@@ -1,52 +1,53 @@
-//! What can be wrong with a chart's text.
+//! Errors in a chart's text.
 
 use std::fmt;
 
-/// Why a text is not a chart, and where.
+/// An error in a chart's text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {fault}")]
 pub struct Error {
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// What is wrong there.
+    /// Kind of the error.
     pub fault: Fault,
 }
 
-/// What is wrong with a chart.
+/// Kind of an error in a chart.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The text is not TOML, or has keys that a chart does not have.
+    /// The text is not valid TOML or has unknown keys.
     #[error("{0}")]
     Toml(String),
-    /// The machine has no such word.
-    #[error("the machine knows no {kind} {name:?}")]
+    /// A name is not in the machine's vocabulary.
+    #[error("unknown {kind} {name:?}")]
     Unknown {
-        /// What the word should have been.
+        /// Expected kind of the name.
         kind: Kind,
-        /// The word.
+        /// The name.
         name: String,
     },
-    /// A state is used that the chart does not declare.
+    /// A state that is used is not declared.
     #[error("state {0:?} is not declared")]
     Undeclared(String),
-    /// A state is declared twice.
+    /// A state is declared more than once.
     #[error("state {0:?} is declared twice")]
     Duplicate(String),
-    /// No initial state is named.
-    #[error("the chart names no initial state")]
+    /// The chart has no initial state.
+    #[error("the chart has no initial state")]
     NoInitial,
-    /// No path of transitions leads from the initial state to this one.
-    #[error("state {0:?} can't be reached")]
+    /// No path of transitions leads from the initial state to this state.
+    #[error("state {0:?} is unreachable")]
     Unreachable(String),
-    /// This transition and an earlier one could fire on the same event.
-    #[error("clashes with the transition at line {earlier}: both could fire")]
+    /// This transition and an earlier one could fire on the same event in the
+    /// same state.
+    #[error("ambiguous with the transition at line {earlier}: both could fire")]
     Ambiguous {
-        /// The line of the earlier transition.
+        /// Line of the earlier transition.
         earlier: usize,
     },
 }
 
-/// The kinds of words in a chart.
+/// Kinds of names in a chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A state.
--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -1,9 +1,9 @@
 //! State charts read from TOML text, checked when read, and interpreted.
 //!
-//! A machine lends the chart its [`Vocabulary`]: the states, events, guards
-//! and actions that its code knows. Reading a chart checks every name against
-//! it, so that a misspelt guard is an error at start and not a transition that
-//! silently never fires at night.
+//! A machine defines the [`Vocabulary`] of its chart: the states, events,
+//! guards and actions that the machine's code implements. Parsing a chart
+//! checks every name against the vocabulary, so that a misspelt guard is an
+//! error at start and not a transition that never fires.
 //!
 //! ```
 //! chart::words! {
@@ -11,15 +11,15 @@
 //!     pub enum State { Open = "open", Shut = "shut" }
 //! }
 //! chart::words! {
-//!     /// What happens to a door.
+//!     /// Events of a door.
 //!     pub enum Event { Push = "push" }
 //! }
 //! chart::words! {
-//!     /// What is asked before the door moves.
+//!     /// Guards of a door's transitions.
 //!     pub enum Guard { Locked = "locked" }
 //! }
 //! chart::words! {
-//!     /// What the door does.
+//!     /// Actions of a door.
 //!     pub enum Action { Creak = "creak" }
 //! }
 //! struct Door;
@@ -56,14 +56,14 @@
 pub use error::{Error, Fault, Kind};
 pub use vocabulary::{Vocabulary, Word};
 
-/// A checked state chart of one machine.
+/// A validated state chart of one machine.
 #[derive(Debug)]
 pub struct Chart<V: Vocabulary> {
     initial: V::State,
     transitions: Transitions<V>,
 }
 
-/// Transitions by the state they leave and the event they answer.
+/// Transitions by source state and event.
 type Transitions<V> =
     HashMap<(<V as Vocabulary>::State, <V as Vocabulary>::Event), Vec<Transition<V>>>;
 
@@ -74,7 +74,8 @@
     target: V::State,
 }
 
-/// A guard, and the answer to it that lets the transition fire.
+/// A guard, possibly negated: the transition fires only if the guard evaluates
+/// to `expected`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Literal<G> {
     guard: G,
@@ -82,28 +83,27 @@
 }
 
 impl<V: Vocabulary> Chart<V> {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells the line, and what is wrong there: text that is not a
-    /// chart, a name outside the vocabulary, an initial state or a target that
-    /// is not declared, a state that can't be reached, or two transitions that
-    /// could both fire.
+    /// [`Error`] with the line of the first error: text that is not a chart, a
+    /// name outside the vocabulary, an initial state or a target that is not
+    /// declared, an unreachable state, or two transitions that could both fire.
     pub fn parse(text: &str) -> Result<Self, Error> {
         text::read(text)
     }
 
-    /// The state in which the machine starts.
+    /// The initial state.
     pub fn initial(&self) -> V::State {
         self.initial
     }
 
-    /// The state that follows and what to do on the way, or `None` if the
-    /// event changes nothing here.
+    /// The next state and the actions of the transition to that state, or
+    /// `None` if no transition fires.
     ///
-    /// At most one transition can fire, whatever `holds` answers: the reader
-    /// refuses charts in which two could.
+    /// At most one transition can fire, whatever `holds` returns:
+    /// [`Chart::parse`] rejects charts in which two could.
     pub fn next(
         &self,
         state: V::State,
--- a/crates/chart/src/text.rs
+++ b/crates/chart/src/text.rs
@@ -1,4 +1,4 @@
-//! Reading a chart's text and checking it.
+//! Parsing and validation of a chart's text.
 
 use std::collections::{HashMap, HashSet};
 
@@ -28,7 +28,7 @@
     to: Spanned<String>,
 }
 
-/// Finds lines, and words with the line they stand on.
+/// Maps byte offsets to lines and parses names with located errors.
 struct Locator<'a> {
     text: &'a str,
 }
@@ -115,7 +115,7 @@
     Ok(states)
 }
 
-/// The lines of the transitions that leave a state on an event, in order.
+/// Lines of the transitions by source state and event, in order.
 type Lines<V> = HashMap<(<V as Vocabulary>::State, <V as Vocabulary>::Event), Vec<usize>>;
 
 fn add_transition<V: Vocabulary>(
@@ -155,7 +155,7 @@
     Ok(())
 }
 
-/// Whether some guard must hold for one list and must not for the other, so
+/// Returns true if one list requires a guard that the other list negates, so
 /// that the two can never both be satisfied.
 fn are_exclusive<G: Word>(one: &[Literal<G>], other: &[Literal<G>]) -> bool {
     let opposed = |a: &Literal<G>| {
--- a/crates/chart/src/vocabulary.rs
+++ b/crates/chart/src/vocabulary.rs
@@ -1,26 +1,26 @@
-//! The words that a machine lends to its chart.
+//! The names that a machine's chart may use.
 
 use std::{fmt::Debug, hash::Hash};
 
 /// A closed set of names, such as the states of one machine.
 pub trait Word: Debug + Copy + Eq + Hash {
-    /// The word with this name, or `None` if there is no such word.
+    /// Parses `name`; `None` if the set has no such name.
     fn parse(name: &str) -> Option<Self>;
 }
 
-/// All that a machine's chart may speak of.
+/// The names that a machine's chart may use.
 pub trait Vocabulary {
-    /// Where the machine can be.
+    /// States of the machine.
     type State: Word;
-    /// What can happen to it.
+    /// Events that the machine processes.
     type Event: Word;
-    /// What can be asked of it before a transition fires.
+    /// Conditions of transitions.
     type Guard: Word;
-    /// What it can do.
+    /// Actions of transitions.
     type Action: Word;
 }
 
-/// Declares an enum whose variants have names in a chart.
+/// Declares an enum and the names of its variants in a chart.
 ///
 /// ```
 /// use chart::Word;
--- a/crates/chart/tests/read.rs
+++ b/crates/chart/tests/read.rs
@@ -1,4 +1,4 @@
-//! What the reader accepts, what it refuses, and where it says the fault is.
+//! Parsing of charts: accepted texts, and errors with their lines.
 
 use chart::{Chart, Fault, Kind};
 
@@ -7,15 +7,15 @@
     pub enum State { Off = "off", On = "on" }
 }
 chart::words! {
-    /// What happens to it.
+    /// Events of a lamp.
     pub enum Event { Press = "press", Cut = "cut" }
 }
 chart::words! {
-    /// What it asks.
+    /// Guards of a lamp's transitions.
     pub enum Guard { Powered = "powered", Whole = "whole" }
 }
 chart::words! {
-    /// What it does.
+    /// Actions of a lamp.
     pub enum Action { Shine = "shine" }
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn unknown_names_are_told_with_their_line() {
+fn unknown_names_are_reported_with_their_line() {
     let cases = [
         ("\"cut\"", "\"cot\"", 16, unknown(Kind::Event, "cot")),
         (
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn two_transitions_that_could_both_fire_clash() {
+fn transitions_that_could_both_fire_are_ambiguous() {
     let text = VALID.replace("\"!powered\"", "\"whole\"");
     assert_eq!(fault(&text), (11, Fault::Ambiguous { earlier: 5 }));
 }
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn text_that_is_no_chart_is_told_with_its_line() {
+fn text_that_is_not_a_chart_is_rejected() {
     let (line, fault) = fault(&VALID.replace("to = \"on\"", "goto = \"on\""));
     assert!(matches!(fault, Fault::Toml(_)), "{fault:?}");
     assert!(line >= 3);
