--- a/crates/check/src/at_most_once.rs
+++ b/crates/check/src/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What is not idempotent takes effect at most once.
+//! Non-idempotent operations take effect at most once.
 
 use std::collections::{HashMap, hash_map::Entry};
 
@@ -6,10 +6,10 @@
 
 use crate::{Effect, Event, Operation, Request, Violation};
 
-/// Checks that no operation marked as [`Repeat::Once`] is twice in the log.
+/// Checks that no operation marked as [`Repeat::Once`] is in the log twice.
 ///
-/// A run whose place a later term's log leaves out has no effect, and does not
-/// count.
+/// An execution whose position is not part of a later term's log has no effect
+/// and does not count.
 #[derive(Debug, Default)]
 pub struct AtMostOnce {
     asked: HashMap<Request, (Operation, name::Database)>,
@@ -18,7 +18,7 @@
 }
 
 impl AtMostOnce {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/delivery.rs
+++ b/crates/check/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Whole answers, to the caller who asked.
+//! Answers reach the right caller, completely and once.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,8 @@
 
 use crate::{Answer, Event, Request, Session, Violation};
 
-/// Checks that each answer is whole, its own request's, and given once.
+/// Checks that each answer is complete, belongs to its request, reaches the
+/// session of the request and is given only once.
 #[derive(Debug, Default)]
 pub struct Delivery {
     asked: HashMap<Request, Asked>,
@@ -19,7 +20,7 @@
 }
 
 impl Delivery {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/durability.rs
+++ b/crates/check/src/durability.rs
@@ -8,8 +8,8 @@
 
 /// Checks that every acknowledged operation is in the log at the end.
 ///
-/// A repeat that found its operation run before, and is answered as done,
-/// acknowledges the first run. A read acknowledges nothing.
+/// A retry that found its operation already executed and is answered as done
+/// acknowledges the first execution. A read acknowledges nothing.
 #[derive(Debug, Default)]
 pub struct Durability {
     asked: HashMap<Request, Operation>,
@@ -18,7 +18,7 @@
 }
 
 impl Durability {
-    /// Takes one event; what is missing is told at [`Event::LogComplete`].
+    /// Processes one event. Lost writes are reported at [`Event::LogComplete`].
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/event.rs
+++ b/crates/check/src/event.rs
@@ -1,4 +1,4 @@
-//! What a history is made of.
+//! Events of a history.
 
 use model::{Freshness, Lsn, Outcome, Position, Repeat, Term, name};
 
@@ -11,56 +11,57 @@
 }
 
 ids! {
-    /// One request, as sent by a caller once.
+    /// One attempt of a caller to run an operation.
     Request;
-    /// What a request is about: a caller's repeats of it share one operation.
+    /// The operation of a request; a caller's retries share one operation.
     Operation;
-    /// A caller's session, which keeps its number when it roams.
+    /// A caller's session; a session that migrates to another instance keeps
+    /// its number.
     Session;
     /// A transaction of several statements.
     Transaction;
-    /// One connection to an upstream; a new one gets a new number.
+    /// One connection to an upstream; each connection has a new number.
     Connection;
 }
 
-/// One thing that happened.
+/// An event of a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// An instance took a request from a caller.
+    /// An instance received a request from a caller.
     Asked {
         /// The request.
         request: Request,
-        /// What it is about.
+        /// Operation of the request.
         operation: Operation,
-        /// Whose it is.
+        /// Session of the caller.
         session: Session,
-        /// Where it arrived.
+        /// Instance that received the request.
         instance: name::Instance,
-        /// The database it is for.
+        /// Database of the request.
         database: name::Database,
-        /// How fresh its reads must be.
+        /// Required freshness of reads.
         freshness: Freshness,
-        /// Whether it may run twice.
+        /// Whether the request may be executed more than once.
         repeat: Repeat,
     },
-    /// Its bytes left for an upstream.
+    /// A request was sent to an upstream.
     Sent {
         /// The request.
         request: Request,
-        /// Where it was sent.
+        /// The upstream.
         upstream: name::Upstream,
-        /// The transaction it is part of.
+        /// Transaction of the request, if any.
         transaction: Option<Transaction>,
     },
-    /// An upstream ran and committed it.
+    /// An upstream executed and committed a request.
     Ran {
         /// The request.
         request: Request,
-        /// The connection it came by.
+        /// Connection on which the request arrived.
         connection: Connection,
-        /// The transaction it is part of.
+        /// Transaction of the request, if any.
         transaction: Option<Transaction>,
-        /// What running it did.
+        /// Effect of the execution.
         effect: Effect,
     },
     /// A transaction ended on its upstream.
@@ -70,35 +71,35 @@
     },
     /// An answer reached a caller.
     Answered {
-        /// The request that the caller takes it as the answer of.
+        /// Request to which the caller attributes the answer.
         request: Request,
-        /// The session that it reached.
+        /// Session that received the answer.
         session: Session,
-        /// What it says.
+        /// Contents of the answer.
         answer: Answer,
     },
-    /// An upstream began to take writes under a new term.
+    /// An upstream began to accept writes in a new term.
     Promoted {
         /// The database.
         database: name::Database,
         /// The new term.
         term: Term,
-        /// The last place of the log before it.
+        /// Last position of the previous terms' log that the new term contains.
         fork: Lsn,
     },
     /// A write is in the primary's log at the end of the history.
     Persisted {
-        /// What it was about.
+        /// Operation of the write.
         operation: Operation,
     },
-    /// Every write that is kept has been told.
+    /// All writes in the primary's log have been reported as `Persisted`.
     LogComplete,
-    /// The platform's list shows an upstream as leaving.
+    /// The platform's list marks an upstream as leaving.
     Leaving {
         /// The upstream.
         upstream: name::Upstream,
     },
-    /// The platform's list shows an upstream as live again.
+    /// The platform's list marks an upstream as active again.
     Returned {
         /// The upstream.
         upstream: name::Upstream,
@@ -108,17 +109,17 @@
         /// The instance.
         instance: name::Instance,
     },
-    /// An instance ended its planned stop.
+    /// An instance completed its planned stop.
     Stopped {
         /// The instance.
         instance: name::Instance,
     },
-    /// An instance died or was started anew: it kept nothing.
+    /// An instance crashed or was restarted and lost its state.
     Crashed {
         /// The instance.
         instance: name::Instance,
     },
-    /// The store accepted a revision of the catalogue.
+    /// The store committed a revision of the catalogue.
     Accepted {
         /// The revision.
         revision: u64,
@@ -130,66 +131,66 @@
         /// The revision.
         revision: u64,
     },
-    /// The catalogue limits connections.
+    /// The catalogue set a connection limit.
     Limited {
-        /// What is limited.
+        /// Subject of the limit.
         holder: Holder,
-        /// How many it may hold.
+        /// Maximum number of connections.
         connections: u32,
     },
     /// A connection to an upstream was opened.
     Opened {
         /// The connection.
         connection: Connection,
-        /// Where it leads.
+        /// The upstream.
         upstream: name::Upstream,
-        /// The entry that it works for, if it works for one.
+        /// Entry that uses the connection, if any.
         entry: Option<name::Entry>,
     },
-    /// A connection was closed, as the upstream sees it.
+    /// A connection was closed at the upstream.
     Closed {
         /// The connection.
         connection: Connection,
     },
 }
 
-/// What running a request did.
+/// Effect of a request's execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It read.
+    /// The request read.
     Read {
-        /// The position that it saw.
+        /// Position of the state that was read.
         seen: Position,
-        /// How long before the read the primary had gone past that position.
+        /// Time between the primary's advance past `seen` and the read.
         age: std::time::Duration,
     },
-    /// It wrote.
+    /// The request wrote.
     Write {
-        /// Where the log stood after it.
+        /// Position of the log after the write.
         at: Position,
     },
-    /// It found that its operation had been run before, and did nothing.
+    /// The operation had been executed before, so the request did nothing.
     AlreadyRun {
-        /// Where the first run had left the log.
+        /// Position of the log after the first execution.
         at: Position,
     },
 }
 
-/// What an answer says.
+/// Contents of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// How the request ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The request whose running made the answer, where it ran.
+    /// Request whose execution produced the answer, if executed.
     pub of: Option<Request>,
-    /// How many rows reached the caller.
+    /// Number of rows that the caller received.
     pub rows: u32,
-    /// How many rows the upstream sent.
+    /// Number of rows that the upstream sent.
     pub total: u32,
 }
 
 impl Answer {
-    /// An answer of one row, made by the request itself.
+    /// An answer with one row, produced by the request itself.
     pub fn done(request: Request) -> Self {
         Self {
             outcome: Outcome::Done,
@@ -199,7 +200,7 @@
         }
     }
 
-    /// An answer that says only how the request ended.
+    /// An answer with an outcome only.
     pub fn without_rows(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -210,11 +211,11 @@
     }
 }
 
-/// What the catalogue limits in its connections.
+/// Subject of a connection limit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Holder {
     /// All connections to one upstream.
     Upstream(name::Upstream),
-    /// All connections that work for one entry.
+    /// All connections used by one entry.
     Entry(name::Entry),
 }
--- a/crates/check/src/fencing.rs
+++ b/crates/check/src/fencing.rs
@@ -1,4 +1,4 @@
-//! No acknowledgement by a replaced primary.
+//! A replaced primary acknowledges no writes.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 
 use crate::{Effect, Event, Request, Violation};
 
-/// Checks that no write is acknowledged that a new primary's log leaves out,
-/// or that ran on a primary after it had been replaced.
+/// Checks that no write is acknowledged that is missing from a new primary's
+/// log or was executed by a primary after its replacement.
 ///
 /// A write that a majority confirmed before the change of primary is part of
-/// the new primary's log, and its answer may still be on its way then.
+/// the new primary's log, and its answer may arrive after the change.
 #[derive(Debug, Default)]
 pub struct Fencing {
     terms: HashMap<name::Database, Vec<(Term, Lsn)>>,
@@ -24,7 +24,7 @@
 }
 
 impl Fencing {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/leaving.rs
+++ b/crates/check/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving upstreams get nothing new.
+//! Leaving upstreams get no new work.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -10,12 +10,12 @@
 
 use crate::{Event, Transaction, Violation};
 
-/// How long an upstream may still get new work after it began to leave.
+/// Time for which an upstream may still get new work after it began to leave.
 pub const GRACE: Duration = Duration::from_secs(3);
 
-/// Checks that a leaving upstream gets no new work once [`GRACE`] is over.
+/// Checks that a leaving upstream gets no new work after [`GRACE`].
 ///
-/// The statements of a transaction that began earlier are not new work.
+/// Statements of a transaction that began earlier are not new work.
 #[derive(Debug, Default)]
 pub struct Leaving {
     since: HashMap<name::Upstream, Instant>,
@@ -23,7 +23,7 @@
 }
 
 impl Leaving {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, at: Instant, event: &Event) -> Option<Violation> {
         match event {
             Event::Leaving { upstream } => {
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,9 +1,10 @@
 //! Invariant checkers over a history of typed events.
 //!
-//! A test or bench feeds each [`Event`] of its run to a [`Suite`], in the order
-//! of time; the suite hands it to one checker for each promise and collects
-//! the [`Violation`]s. Events say what truly happened, as the stand-ins know
-//! it, so a checker never trusts what the logic under test believes.
+//! A test or simulation feeds each [`Event`] of its run to a [`Suite`], in
+//! chronological order. The suite passes the event to one checker per invariant
+//! and collects the [`Violation`]s. Events are recorded by the simulated servers
+//! and callers, so that checkers don't depend on the state of the logic under
+//! test.
 
 mod at_most_once;
 mod delivery;
--- a/crates/check/src/limit.rs
+++ b/crates/check/src/limit.rs
@@ -1,4 +1,4 @@
-//! Connection limits hold over the whole fleet.
+//! Connection limits hold over all instances together.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{Connection, Event, Holder, Violation};
 
-/// Checks that neither an upstream nor an entry has too many connections.
+/// Checks that no upstream and no entry exceeds its connection limit.
 #[derive(Debug, Default)]
 pub struct Limit {
     limits: HashMap<Holder, u32>,
@@ -15,7 +15,7 @@
 }
 
 impl Limit {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
             Event::Limited {
--- a/crates/check/src/not_run.rs
+++ b/crates/check/src/not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is the truth.
+//! A request answered as not run was never executed.
 
 use std::collections::HashSet;
 
@@ -6,10 +6,11 @@
 
 use crate::{Event, Request, Violation};
 
-/// Checks that a request answered as not run did not run, before or after.
+/// Checks that a request answered as not run is never executed, before or after
+/// the answer.
 ///
-/// Running on a primary whose log is thrown away later counts as running: the
-/// caller was told something that nobody could have known.
+/// Execution on a primary whose log is later discarded counts: the instance
+/// that answered could not have known that the log would be discarded.
 #[derive(Debug, Default)]
 pub struct NotRun {
     ran: HashSet<Request>,
@@ -17,7 +18,7 @@
 }
 
 impl NotRun {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Ran { request, .. } => {
--- a/crates/check/src/pinning.rs
+++ b/crates/check/src/pinning.rs
@@ -1,10 +1,10 @@
-//! Transactions are never mixed.
+//! A transaction is pinned to one connection.
 
 use std::collections::HashMap;
 
 use crate::{Connection, Event, Request, Transaction, Violation};
 
-/// Checks that an open transaction has its connection to itself, and keeps it.
+/// Checks that an open transaction has exclusive use of one connection.
 #[derive(Debug, Default)]
 pub struct Pinning {
     open: HashMap<Connection, Transaction>,
@@ -12,7 +12,7 @@
 }
 
 impl Pinning {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Ran {
--- a/crates/check/src/revision.rs
+++ b/crates/check/src/revision.rs
@@ -1,4 +1,4 @@
-//! Configuration only goes forward.
+//! Instances never go back to an older revision of the catalogue.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,10 +6,10 @@
 
 use crate::{Event, Violation};
 
-/// Checks that an instance never goes back to an older revision, and applies
-/// only what the store accepted.
+/// Checks that an instance never goes back to an older revision and applies
+/// only revisions that the store accepted.
 ///
-/// An instance that starts anew may begin with any accepted revision.
+/// A restarted instance may begin with any accepted revision.
 #[derive(Debug, Default)]
 pub struct Revision {
     accepted: HashSet<u64>,
@@ -17,7 +17,7 @@
 }
 
 impl Revision {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Accepted { revision } => {
--- a/crates/check/src/session.rs
+++ b/crates/check/src/session.rs
@@ -1,4 +1,4 @@
-//! Read-your-writes: a session never reads a state older than what it wrote.
+//! Read-your-writes: a session never reads a state older than its own writes.
 
 use std::collections::HashMap;
 
@@ -6,12 +6,13 @@
 
 use crate::{Effect, Event, Request, Session, Violation};
 
-/// Checks that a session sees its own writes, and never goes back in time.
+/// Checks that a session sees its own writes and that its reads are monotonic.
 ///
-/// A read is held against what the session had been *answered* before it asked:
-/// requests that one session has under way together are not ordered. What a
-/// session merely read may be lost with a primary before it was acknowledged to
-/// anybody, so it binds later reads only within one term and at one instance.
+/// A read is checked against the answers that the session had received *before*
+/// sending the request: concurrent requests of one session are not ordered. A
+/// state that a session has read may be lost with a primary if the state was
+/// not acknowledged to any caller, so earlier reads constrain later ones only
+/// within one term and at one instance.
 #[derive(Debug, Default)]
 pub struct ReadYourWrites {
     tokens: HashMap<Session, Token>,
@@ -23,8 +24,8 @@
     written: Position,
     seen: Position,
     instance: Option<name::Instance>,
-    /// Counts the session's stays at instances: one that comes back to an
-    /// instance is not known there, also not by what it has under way there.
+    /// Number of the session's visits to instances. An instance keeps no state
+    /// of an earlier visit, not even of requests that are still in progress.
     visit: u64,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Token {
-    /// The session goes on at an instance, which knows only of reads there.
+    /// Records a request at `instance`, which knows only the reads there.
     fn at(&mut self, instance: &name::Instance) {
         if self.instance.as_ref() != Some(instance) {
             self.seen = Position::default();
@@ -55,7 +56,7 @@
 }
 
 impl ReadYourWrites {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/shutdown.rs
+++ b/crates/check/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing.
+//! Planned stops abort no requests.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -6,9 +6,9 @@
 
 use crate::{Event, Request, Violation};
 
-/// Checks that a planned stop lets every request in progress end.
+/// Checks that a planned stop completes every request in progress.
 ///
-/// What arrives after the stop began may be refused.
+/// Requests that arrive after the stop began may be refused.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     stopping: HashSet<name::Instance>,
@@ -17,7 +17,7 @@
 }
 
 impl Shutdown {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/staleness.rs
+++ b/crates/check/src/staleness.rs
@@ -1,4 +1,4 @@
-//! Freshness: a read is as fresh as its class says.
+//! Reads are as fresh as their class requires.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,8 @@
 
 use crate::{Effect, Event, Request, Violation};
 
-/// Checks current reads against all acknowledged writes, and aged ones by age.
+/// Checks that current reads see all writes acknowledged before, and that other
+/// reads don't exceed their maximum age.
 #[derive(Debug, Default)]
 pub struct Staleness {
     acknowledged: HashMap<name::Database, Position>,
@@ -22,7 +23,7 @@
 }
 
 impl Staleness {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
--- a/crates/check/src/suite.rs
+++ b/crates/check/src/suite.rs
@@ -1,4 +1,4 @@
-//! All checkers together.
+//! A suite of all checkers.
 
 use clock::Instant;
 
@@ -7,7 +7,7 @@
     ReadYourWrites, Revision, Shutdown, Staleness, Violation,
 };
 
-/// Every checker, fed with one history.
+/// All checkers, applied to one history.
 ///
 /// ```
 /// use check::{Event, Suite, Violation};
@@ -44,7 +44,7 @@
 }
 
 impl Suite {
-    /// Hands one event to every checker.
+    /// Passes one event to every checker.
     pub fn observe(&mut self, at: Instant, event: &Event) {
         self.events += 1;
         let found = &mut self.violations;
@@ -62,18 +62,18 @@
         found.extend(self.limit.observe(event));
     }
 
-    /// What was found so far.
+    /// Violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How many acknowledged writes were lost.
+    /// Number of acknowledged writes that were lost.
     pub fn lost(&self) -> usize {
         let lost = |v: &&Violation| matches!(v, Violation::Lost { .. });
         self.violations.iter().filter(lost).count()
     }
 
-    /// How many events were seen.
+    /// Number of events processed.
     pub fn events(&self) -> u64 {
         self.events
     }
--- a/crates/check/src/violation.rs
+++ b/crates/check/src/violation.rs
@@ -1,4 +1,4 @@
-//! What a checker found.
+//! Violations of invariants.
 
 use std::time::Duration;
 
@@ -6,95 +6,95 @@
 
 use crate::{Connection, Holder, Operation, Request, Session, Transaction};
 
-/// A promise that a history breaks.
+/// An invariant that a history violates.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A session read a state older than its own writes or former reads.
+    /// A session read a state older than its own writes or earlier reads.
     #[error("{request:?} of {session:?} saw {seen}, which lacks {token}")]
     OwnWriteUnseen {
         /// The session.
         session: Session,
         /// The read.
         request: Request,
-        /// What it saw.
+        /// Position of the state that was read.
         seen: Position,
-        /// What the session had written or seen before.
+        /// Position that the session had written or read before.
         token: Position,
     },
-    /// A read that had to be current missed an acknowledged write.
+    /// A current read missed an acknowledged write.
     #[error("current read {request:?} saw {seen}, which lacks {acknowledged}")]
     NotCurrent {
         /// The read.
         request: Request,
-        /// What it saw.
+        /// Position of the state that was read.
         seen: Position,
-        /// What had been acknowledged before it began.
+        /// Position acknowledged before the read began.
         acknowledged: Position,
     },
-    /// A read was older than its class allows.
+    /// A read exceeded the maximum age of its class.
     #[error("{request:?} saw a state {age:?} old, over its limit of {limit:?}")]
     TooOld {
         /// The read.
         request: Request,
-        /// How old its state was.
+        /// Age of the state that was read.
         age: Duration,
-        /// How old it might have been.
+        /// Maximum age of the class.
         limit: Duration,
     },
-    /// A write was acknowledged by a primary that had been replaced.
+    /// A replaced primary's write was acknowledged.
     #[error("{request:?} at {at} was acknowledged after term {term} had begun")]
     AcknowledgedByReplaced {
         /// The write.
         request: Request,
-        /// Its place.
+        /// Position of the write.
         at: Position,
-        /// The term that had replaced its primary.
+        /// Term of the primary that replaced the write's primary.
         term: Term,
     },
-    /// A connection ran a statement amid another transaction.
-    #[error("{request:?} ran on {connection:?} amid {open:?}")]
+    /// A connection executed a statement during another transaction.
+    #[error("{request:?} ran on {connection:?} during {open:?}")]
     Mixed {
-        /// The statement that does not belong.
+        /// Request of the statement.
         request: Request,
         /// The connection.
         connection: Connection,
-        /// The transaction that was open on it.
+        /// Transaction that was open on the connection.
         open: Transaction,
     },
-    /// A transaction went on over a second connection.
-    #[error("{transaction:?} began on {first:?} and went on over {second:?}")]
+    /// A transaction continued on a second connection.
+    #[error("{transaction:?} began on {first:?} and continued on {second:?}")]
     Split {
         /// The transaction.
         transaction: Transaction,
-        /// Where it began.
+        /// Connection on which the transaction began.
         first: Connection,
-        /// Where it went on.
+        /// Connection on which the transaction continued.
         second: Connection,
     },
-    /// An answer reached a session that did not ask.
+    /// An answer reached a session that had not sent the request.
     #[error("the answer of {request:?} reached {session:?}")]
     WrongCaller {
         /// The request.
         request: Request,
-        /// Who got the answer.
+        /// Session that received the answer.
         session: Session,
     },
-    /// A caller got the answer of another request.
-    #[error("{request:?} was given the answer of {of:?}")]
+    /// A caller received the answer of another request.
+    #[error("{request:?} received the answer of {of:?}")]
     WrongAnswer {
         /// The request.
         request: Request,
-        /// The request whose answer it was.
+        /// Request that the answer belongs to.
         of: Option<Request>,
     },
-    /// A caller got a part of an answer as if it were the whole.
-    #[error("{request:?} got {rows} rows of {whole}")]
+    /// A caller received a truncated answer as a complete one.
+    #[error("{request:?} received {rows} of {whole} rows")]
     Partial {
         /// The request.
         request: Request,
-        /// How many rows came.
+        /// Number of rows received.
         rows: u32,
-        /// How many there were.
+        /// Number of rows that the upstream sent.
         whole: u32,
     },
     /// A request was answered more than once.
@@ -103,40 +103,40 @@
         /// The request.
         request: Request,
     },
-    /// A request that ran was refused as not run.
+    /// A request that was executed was answered as not run.
     #[error("{request:?} ran but was answered as not run")]
     RanAfterAll {
         /// The request.
         request: Request,
     },
-    /// An operation that is not idempotent took effect twice.
+    /// A non-idempotent operation took effect twice.
     #[error("{operation:?} took effect at {first} and at {second}")]
     Twice {
         /// The operation.
         operation: Operation,
-        /// The first place.
+        /// Position of the first execution.
         first: Position,
-        /// The second place.
+        /// Position of the second execution.
         second: Position,
     },
-    /// An upstream got new work although it was leaving.
-    #[error("{upstream} got {request:?} {after:?} after it began to leave")]
+    /// A leaving upstream got new work.
+    #[error("{upstream} got {request:?} {after:?} after beginning to leave")]
     WorkWhileLeaving {
         /// The upstream.
         upstream: name::Upstream,
         /// The request.
         request: Request,
-        /// How long the upstream had been leaving.
+        /// Time since the upstream began to leave.
         after: Duration,
     },
-    /// A planned stop cut a request in progress.
-    #[error("{instance} stopped amid {request:?}: {cause:?}")]
+    /// A planned stop aborted a request in progress.
+    #[error("{instance} stopped during {request:?}: {cause:?}")]
     Cut {
         /// The instance.
         instance: name::Instance,
         /// The request.
         request: Request,
-        /// What the caller was told, if anything.
+        /// Cause in the caller's answer, if any.
         cause: Option<Cause>,
     },
     /// An instance went back to an older revision of the catalogue.
@@ -144,12 +144,12 @@
     Reverted {
         /// The instance.
         instance: name::Instance,
-        /// The revision it had in force.
+        /// Revision that had been in force.
         from: u64,
-        /// The revision it put in force.
+        /// Revision put in force.
         to: u64,
     },
-    /// An instance put a revision in force that was never accepted.
+    /// An instance put a revision in force that the store never accepted.
     #[error("{instance} put revision {revision} in force, which was never accepted")]
     NeverAccepted {
         /// The instance.
@@ -157,22 +157,22 @@
         /// The revision.
         revision: u64,
     },
-    /// An acknowledged write is not in the log any more.
-    #[error("{operation:?} was acknowledged at {at} and is lost")]
+    /// An acknowledged write is missing from the log.
+    #[error("{operation:?} was acknowledged at {at} but is lost")]
     Lost {
-        /// What was written.
+        /// Operation of the write.
         operation: Operation,
-        /// Its place.
+        /// Position of the write.
         at: Position,
     },
     /// More connections were open than the catalogue allows.
     #[error("{holder:?} holds {open} connections, over its limit of {limit}")]
     LimitExceeded {
-        /// What is limited.
+        /// Subject of the limit.
         holder: Holder,
-        /// How many were open.
+        /// Number of open connections.
         open: u32,
-        /// How many might have been.
+        /// Maximum number of connections.
         limit: u32,
     },
 }
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -1,5 +1,6 @@
-//! Each checker is held against a small logic in two variants: it stays silent
-//! over the sound one and tells the broken one's fault.
+//! Runs each checker on histories of a correct and a broken variant of some
+//! logic: the checker must report nothing for the correct one and a violation
+//! for the broken one.
 
 use std::time::Duration;
 
@@ -88,17 +89,17 @@
     suite.violations().to_vec()
 }
 
-/// Runs both variants: the sound one is silent, the broken one's first fault
-/// is `expected`.
+/// Checks that the correct variant has no violations and that the broken one
+/// has the `expected` violation.
 fn assert_detects(logic: impl Fn(Variant) -> Vec<Event>, expected: impl Fn(&Violation) -> bool) {
     assert_eq!(observe(&logic(Correct)), []);
     let found = observe(&logic(Broken));
-    assert!(found.iter().any(expected), "not told: {found:?}");
+    assert!(found.iter().any(expected), "not detected: {found:?}");
 }
 
-/// Symptom: a rider who has just booked sees the slot as free.
-/// Events: the booking is acknowledged at 20; the next read goes to a replica
-/// at 10. Cause: the broken router forgets the session's token.
+/// Guards against a session not seeing its own write: a write is acknowledged
+/// at position 20, the broken router ignores the session's token and sends the
+/// next read to a replica at position 10.
 #[test]
 fn read_your_writes() {
     let replicas = [Position::new(1, 10), Position::new(1, 30)];
@@ -122,11 +123,11 @@
     assert_detects(logic, detected);
 }
 
-/// Symptom: a calendar loses an entry that was there a moment ago. Events: two
-/// reads of one session go to two replicas. Cause: the broken router keeps no
-/// account of what the session has read.
+/// Guards against reads of one session going back in time: the broken router
+/// does not track the session's reads and sends the second read to a replica
+/// that is further behind.
 #[test]
-fn reads_go_back() {
+fn monotonic_reads() {
     let logic = |variant| {
         let second = match variant {
             Correct => read(1, 30, Duration::ZERO),
@@ -145,12 +146,11 @@
     assert_detects(logic, detected);
 }
 
-/// What a session reads by a request from an earlier stay at an instance, not
-/// yet acknowledged to anybody, does not bind its reads in a later stay. Found
-/// by a hunt: a current read at i6 was answered after the session had been at
-/// i2 and had come back to i6 with its token.
+/// Guards against a false violation: a request from an earlier visit to an
+/// instance does not constrain the reads of a later visit. A current read at i6
+/// was answered after the session had been at i2 and had returned to i6.
 #[test]
-fn read_of_an_earlier_stay() {
+fn read_of_an_earlier_visit() {
     let at = |instance: &str, request| match asked(request, request, 7, Freshness::Session) {
         Event::Asked {
             request,
@@ -184,9 +184,9 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: the shelf status shows a box that another reader has taken.
-/// Events: one session's write at 20 is acknowledged; another's current read
-/// sees 10. Cause: the broken router treats a current read like a session's.
+/// Guards against a current read missing another session's write: the write is
+/// acknowledged at position 20, and the broken router, which treats the read as
+/// a read-your-writes one, returns the state at position 10.
 #[test]
 fn current_reads() {
     let logic = |variant| {
@@ -207,10 +207,10 @@
     assert_detects(logic, detected);
 }
 
-/// Symptom: a calendar view is ten seconds old where one was allowed.
-/// Cause: the broken router does not look at the replica's age.
+/// Guards against reads older than their class allows: the broken router ignores
+/// the replica's age and returns a state of 10 s where 1 s is allowed.
 #[test]
-fn aged_reads() {
+fn reads_of_limited_age() {
     let limit = Duration::from_secs(1);
     let ages = [Duration::from_secs(10), Duration::from_millis(300)];
     let logic = |variant| {
@@ -225,9 +225,9 @@
     assert_detects(logic, |v| matches!(v, Violation::TooOld { .. }));
 }
 
-/// Symptom: two riders in one arena. Events: a primary is cut off with a caller
-/// beside it; another is promoted; the old one runs a booking. Cause: the
-/// broken logic acknowledges when the primary alone holds the write.
+/// Guards against double bookings after a partition: a primary is partitioned
+/// together with a caller, another one is promoted, and the broken logic
+/// acknowledges a write that only the old primary holds.
 #[test]
 fn replaced_primary() {
     let logic = |variant| {
@@ -256,11 +256,11 @@
     assert_detects(logic, detected);
 }
 
-/// Symptom: a booking is acknowledged just after a change of primary and is
-/// gone. Events: the write ran at 20, before; the new log forks at 15.
-/// Cause: the broken logic lets a late acknowledgement through.
+/// Guards against a late acknowledgement of a lost write: the write is executed
+/// at position 20, the new primary's log forks at 15, and the broken logic still
+/// acknowledges the write.
 #[test]
-fn replaced_while_running() {
+fn primary_replaced_during_a_write() {
     let logic = |variant| {
         let outcome = match variant {
             Correct => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
@@ -281,8 +281,8 @@
     assert_detects(logic, detected);
 }
 
-/// Symptom: one caller's insert is rolled back with another's transaction.
-/// Cause: the broken pool hands out a connection whose transaction is open.
+/// Guards against one caller's write being rolled back with another caller's
+/// transaction: the broken pool hands out a connection with an open transaction.
 #[test]
 fn mixed_transactions() {
     let logic = |variant| {
@@ -302,8 +302,8 @@
     assert_detects(logic, |v| matches!(v, Violation::Mixed { .. }));
 }
 
-/// Symptom: half a transaction is committed. Cause: the broken pool picks a
-/// connection for each statement instead of one for the transaction.
+/// Guards against committing half a transaction: the broken pool chooses a
+/// connection per statement instead of per transaction.
 #[test]
 fn split_transaction() {
     let logic = |variant| {
@@ -319,11 +319,11 @@
     assert_detects(logic, |v| matches!(v, Violation::Split { .. }));
 }
 
-/// Symptom: a caller reads the answer of the request before its own.
-/// Events: request 1 times out, its answer comes late, when request 2 waits on
-/// the same connection. Cause: the broken logic matches answers by their order.
+/// Guards against delivering the answer of an earlier request: request 1 times
+/// out, its answer arrives while request 2 waits on the same connection, and the
+/// broken logic matches answers to requests by order.
 #[test]
-fn crossed_answers() {
+fn answer_of_another_request() {
     let logic = |variant| {
         let late = Answer::done(Request(1));
         let own = Answer::done(Request(2));
@@ -345,10 +345,10 @@
     assert_detects(logic, |v| matches!(v, Violation::WrongAnswer { .. }));
 }
 
-/// Symptom: a caller gets rows that it never asked for. Cause: the broken
-/// logic answers whoever holds the caller's former place.
+/// Guards against delivering an answer to another session: the broken logic
+/// answers the session that has reused the caller's former slot.
 #[test]
-fn strangers_answer() {
+fn answer_to_another_session() {
     let logic = |variant| {
         let session = match variant {
             Correct => 7,
@@ -359,9 +359,9 @@
     assert_detects(logic, |v| matches!(v, Violation::WrongCaller { .. }));
 }
 
-/// Symptom: a calendar lacks its last rows. Events: the connection breaks amid
-/// the answer. Cause: the broken logic takes the end of the connection for the
-/// end of the answer.
+/// Guards against truncated answers: the connection breaks during the answer,
+/// and the broken logic treats the end of the connection as the end of the
+/// answer.
 #[test]
 fn partial_answer() {
     let logic = |variant| {
@@ -378,9 +378,9 @@
     assert_detects(logic, |v| matches!(v, Violation::Partial { .. }));
 }
 
-/// Symptom: a caller gets two answers to one request, and takes the second for
-/// the answer to its next one. Cause: the broken logic answers at the deadline
-/// and forgets that it did.
+/// Guards against two answers to one request, of which the caller attributes
+/// the second to its next request: the broken logic answers at the deadline and
+/// again when the upstream's answer arrives.
 #[test]
 fn two_answers() {
     let logic = |variant| {
@@ -400,11 +400,10 @@
     assert_detects(logic, |v| matches!(v, Violation::AnsweredTwice { .. }));
 }
 
-/// Symptom: a payment refused as not run is on the account. Events: the bytes
-/// left, the connection broke. Cause: the broken logic says "not run" although
-/// the bytes had left.
+/// Guards against reporting an executed request as not run: the request had been
+/// sent when the connection broke, and the broken logic answers "not run".
 #[test]
-fn false_not_run() {
+fn executed_request_answered_as_not_run() {
     let logic = |variant| {
         let outcome = match variant {
             Correct => Outcome::Unknown(Cause::ConnectionLost),
@@ -419,10 +418,10 @@
     assert_detects(logic, |v| matches!(v, Violation::RanAfterAll { .. }));
 }
 
-/// Symptom: the stacks staff get an order twice. Events: the answer is lost,
-/// the request is sent again. Cause: the broken logic has no ledger.
+/// Guards against executing an operation twice: the answer is lost, the request
+/// is retried, and the broken logic keeps no record of executed operations.
 #[test]
-fn ran_twice() {
+fn operation_executed_twice() {
     let logic = |variant| {
         let second = match variant {
             Correct => Effect::AlreadyRun {
@@ -446,10 +445,10 @@
     assert_detects(logic, |v| matches!(v, Violation::Twice { .. }));
 }
 
-/// A first run that the next term's log leaves out has no effect, so that the
-/// repeat is no second one.
+/// Guards against a false violation: a first execution that is not part of the
+/// next term's log has no effect, so that the retry is not a second one.
 #[test]
-fn ran_again_after_left_out() {
+fn retry_of_a_discarded_write() {
     let history = [
         asked(1, 5, 7, Freshness::Current),
         ran(1, write(1, 20)),
@@ -470,8 +469,8 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: an upstream can't be switched off because work keeps coming.
-/// Cause: the broken router never reads the platform's list again.
+/// Guards against sending work to a leaving upstream, which then can't be
+/// switched off: the broken router never refreshes the platform's list.
 #[test]
 fn leaving_upstream() {
     let run = |variant| {
@@ -501,7 +500,7 @@
 
 /// A transaction that began before the upstream was leaving may go on there.
 #[test]
-fn leaving_amid_transaction() {
+fn leaving_during_a_transaction() {
     let mut suite = Suite::default();
     let sent = |request| Event::Sent {
         request: Request(request),
@@ -515,8 +514,8 @@
     assert_eq!(suite.violations(), []);
 }
 
-/// Symptom: a deployment at noon breaks bookings. Cause: the broken daemon
-/// closes its callers' connections at once.
+/// Guards against a planned stop aborting requests: the broken daemon closes
+/// its callers' connections immediately.
 #[test]
 fn planned_stop() {
     let logic = |variant| {
@@ -535,9 +534,10 @@
     assert_detects(logic, |v| matches!(v, Violation::Cut { cause: None, .. }));
 }
 
-/// Symptom: as above, but the daemon is polite about it.
+/// Guards against a planned stop refusing a request that arrived before the
+/// stop began.
 #[test]
-fn planned_stop_with_refusal() {
+fn planned_stop_refuses_a_request() {
     let logic = |variant| {
         let instance = instance("a1");
         let stopping = Event::Stopping { instance };
@@ -554,11 +554,11 @@
     });
 }
 
-/// Symptom: a limit that was raised falls back for a while. Events: a store's
-/// answer of revision 1 arrives after one of revision 2. Cause: the broken
-/// instance applies whatever comes.
+/// Guards against an instance going back to an older revision: the store's
+/// answer with revision 1 arrives after the one with revision 2, and the broken
+/// instance applies revisions in the order of arrival.
 #[test]
-fn configuration_reverts() {
+fn revision_goes_back() {
     let logic = |variant| {
         let mut force = 0;
         let mut history = vec![
@@ -577,10 +577,10 @@
     assert_detects(logic, |v| matches!(v, Violation::Reverted { .. }));
 }
 
-/// Symptom: an instance serves a catalogue that lost its race. Cause: the
-/// broken instance applies a proposal before the store accepted it.
+/// Guards against applying a catalogue that was never committed: the broken
+/// instance applies a proposal before the store has accepted it.
 #[test]
-fn configuration_never_accepted() {
+fn revision_never_accepted() {
     let logic = |variant| {
         let instance = instance("a1");
         let applied = Event::Applied {
@@ -595,9 +595,9 @@
     assert_detects(logic, |v| matches!(v, Violation::NeverAccepted { .. }));
 }
 
-/// Symptom: a booking that was confirmed is gone in the morning. Events: the
-/// primary fails before a replica has the write. Cause: the broken logic
-/// acknowledges before a majority holds it.
+/// Guards against losing an acknowledged write: the primary fails before any
+/// replica has the write, and the broken logic acknowledges before a majority
+/// holds the write.
 #[test]
 fn acknowledged_write_lost() {
     let logic = |variant| {
@@ -620,9 +620,10 @@
     assert_detects(logic, |v| matches!(v, Violation::Lost { .. }));
 }
 
-/// What is kept is not lost, also where the repeat only found it.
+/// A persisted write is not lost, also if only a retry, which found the
+/// operation already executed, was acknowledged.
 #[test]
-fn acknowledged_by_repeat() {
+fn write_acknowledged_by_a_retry() {
     let history = |kept: &[Event]| {
         let begin = [
             asked(1, 5, 7, Freshness::Current),
@@ -649,8 +650,8 @@
     assert!(matches!(found[..], [Violation::Lost { .. }]), "{found:?}");
 }
 
-/// A read about an operation acknowledges nothing: a hunt had a caller look for
-/// a write whose outcome was unknown, and be told rightly that it is not there.
+/// Guards against a false violation: a caller whose write has an unknown outcome
+/// reads and rightly does not find the write. The read acknowledges nothing.
 #[test]
 fn read_acknowledges_nothing() {
     let history = [
@@ -669,9 +670,9 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: an upstream refuses a new primary's connections. Events: the holder
-/// of its connections changes. Cause: the broken successor opens its own before
-/// the former holder's are closed.
+/// Guards against exceeding an upstream's connection limit when the holder of
+/// the connections changes: the broken successor opens its connections before
+/// those of the former holder are closed.
 #[test]
 fn connection_limit() {
     let logic = |variant| {
