--- a/crates/catalog/src/apply.rs
+++ b/crates/catalog/src/apply.rs
@@ -56,9 +56,10 @@
 pub struct Evidence {
     /// The catalogue in force.
     pub now: Snapshot,
-    /// The record under the plan's number with its revision. It must be *read
-    /// after the catalogue*: otherwise the change could take effect between the
-    /// two reads, be followed by another change, and be mistaken for a conflict.
+    /// The record under the plan's number with its revision. The record must be
+    /// *read after the catalogue*: otherwise the change could take effect between
+    /// the two reads, be followed by another change, and be mistaken for a
+    /// conflict.
     pub record: Option<(Record, u64)>,
 }
 
@@ -112,7 +113,8 @@
 enum Certainty {
     /// No attempt can take effect unnoticed.
     Known,
-    /// The answer to an attempt was lost, so that it may still take effect.
+    /// The answer to an attempt was lost, so that the attempt may still take
+    /// effect.
     Unknown,
 }
 
--- a/crates/catalog/src/layout.rs
+++ b/crates/catalog/src/layout.rs
@@ -128,8 +128,8 @@
 /// Reason why keys and values of the store can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A newer version wrote the value. The reader must keep the catalogue that
-    /// it has in force until it is upgraded.
+    /// A newer version wrote the value. An instance must keep its current
+    /// catalogue in force until the instance is upgraded.
     #[error("`{key}` has format {format}, this version reads up to {FORMAT}; upgrade it")]
     Newer {
         /// The key of the value.
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Deadline of a request, counted from its arrival.
+    /// Deadline of a request as a duration.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms.into())
     }
--- a/crates/catalog/tests/apply.rs
+++ b/crates/catalog/tests/apply.rs
@@ -129,6 +129,7 @@
     assert_eq!(store.snapshot().catalog, small(11));
 }
 
+/// Guards against giving up on a change whose first requests are lost.
 #[test]
 fn a_lost_request_is_sent_again() {
     let mut store = store();
@@ -170,6 +171,8 @@
     );
 }
 
+/// Guards against reporting a change with a lost answer as not run, or reading
+/// without end, when the store doesn't answer any further.
 #[test]
 fn an_unresponsive_store_results_in_unknown() {
     let store = store();
@@ -187,6 +190,8 @@
     assert_eq!(reads, catalog::apply::MAX_READS);
 }
 
+/// Guards against sending without end when all requests are lost, and against
+/// reporting the change as not run although a request may still arrive.
 #[test]
 fn loss_of_all_requests_results_in_unknown() {
     let mut store = store();
@@ -196,6 +201,8 @@
     assert_eq!(store.revision, 1);
 }
 
+/// Guards against reporting an unknown outcome where the change certainly did
+/// not take effect.
 #[test]
 fn an_unsent_or_rejected_change_is_not_run() {
     let store = store();
--- a/crates/catalog/tests/layout.rs
+++ b/crates/catalog/tests/layout.rs
@@ -73,6 +73,8 @@
     assert!(matches!(err, Error::Newer { .. }), "{err}");
 }
 
+/// Guards against decoding a catalogue from keys and values that no version of
+/// the tool writes, such as misspelt, missing or inconsistent fields.
 #[test]
 fn invalid_keys_and_values_are_rejected() {
     let with_key = |key: &str| {
@@ -231,6 +233,8 @@
     assert!(layout::PREFIX < primary && primary < layout::HISTORY);
 }
 
+/// Guards against sending a transaction that the store would reject as too
+/// large.
 #[test]
 fn changes_over_a_limit_are_rejected_when_planned() {
     let empty = Store::default().snapshot();
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -498,7 +498,8 @@
     assert_eq!(run(Broken), 6);
 }
 
-/// A transaction that began before the upstream was leaving may go on there.
+/// Guards against a false violation: a transaction that began before the upstream
+/// was leaving may continue there.
 #[test]
 fn leaving_during_a_transaction() {
     let mut suite = Suite::default();
--- a/crates/cli/tests/cmd/apply.rs
+++ b/crates/cli/tests/cmd/apply.rs
@@ -134,6 +134,8 @@
     assert_eq!(connections(&store), 9);
 }
 
+/// Guards against an unknown outcome or a message without the reason when the
+/// store rejects the transaction.
 #[test]
 fn a_rejection_is_reported_with_the_stores_message() {
     let (dir, store, _) = store_with_catalog();
@@ -148,6 +150,8 @@
     assert_eq!(store.revision(), 1);
 }
 
+/// Guards against applying a file that was prepared for an earlier revision:
+/// another change was applied between `diff` and `apply --from`.
 #[test]
 fn an_outdated_revision_is_a_conflict_without_a_write() {
     let (dir, store, at) = store_with_catalog();
@@ -165,6 +169,8 @@
     assert_eq!(store.writes(), 2);
 }
 
+/// Guards against an unclear outcome when the store can't be reached before
+/// anything is sent.
 #[test]
 fn an_unreachable_store_is_reported_without_a_write() {
     let (dir, store, _) = store_with_catalog();
@@ -201,6 +207,7 @@
     assert_eq!(connections(&store), 8);
 }
 
+/// Guards against sending an invalid catalogue to the store.
 #[test]
 fn an_invalid_file_is_rejected_before_the_store_is_called() {
     let (dir, store, at) = store_with_catalog();
--- a/crates/cli/tests/cmd/diff.rs
+++ b/crates/cli/tests/cmd/diff.rs
@@ -32,6 +32,7 @@
     assert_eq!(store.writes(), 1);
 }
 
+/// Guards against an error message that does not name the endpoints tried.
 #[test]
 fn an_unreachable_store_is_reported_with_its_endpoints() {
     let dir = Workdir::new();
@@ -45,6 +46,7 @@
     }
 }
 
+/// Guards against a failed command when only one of the endpoints is down.
 #[test]
 fn a_failed_read_is_retried_at_the_next_endpoint() {
     let dir = Workdir::new();
--- a/crates/cli/tests/cmd/status.rs
+++ b/crates/cli/tests/cmd/status.rs
@@ -66,6 +66,9 @@
     assert!(run.out.ends_with("\nnothing is wrong\n"), "{run:?}");
 }
 
+/// Guards against losing the reasons when no instance gives a valid answer:
+/// malformed JSON, an error status and a closed port.
+
 #[test]
 fn invalid_answers_are_reported() {
     let dir = Workdir::new();
--- a/crates/cli/tests/cmd/wait.rs
+++ b/crates/cli/tests/cmd/wait.rs
@@ -34,6 +34,7 @@
     assert!(!run.out.contains("lacking"), "{run:?}");
 }
 
+/// Guards against a timeout that doesn't show which instances lack the revision.
 #[test]
 fn a_timeout_lists_the_instances_that_lack_the_revision() {
     let dir = Workdir::new();
@@ -82,6 +83,7 @@
     assert!(run.out.contains("lacking: i-1 in zone z1"), "{run:?}");
 }
 
+/// Guards against reporting a revision as in force when no instance answers.
 #[test]
 fn no_answer_is_a_failure() {
     let at = unused_address().to_string();
--- a/crates/cli/tests/running.rs
+++ b/crates/cli/tests/running.rs
@@ -116,6 +116,8 @@
     });
 }
 
+/// Guards against missing problems in `status`: the store is down and an upstream
+/// has crashed.
 #[test]
 fn a_silent_store_and_a_crashed_upstream_are_reported() {
     let rig = Rig::open(1);
