--- a/crates/catalog/src/text.rs
+++ b/crates/catalog/src/text.rs
@@ -1,6 +1,6 @@
-//! The catalogue's text form: strict, and told with line and column.
+//! Strict parser of the catalogue's text, with line and column in all errors.
 
-mod draft;
+mod parser;
 mod section;
 
 use std::fmt;
@@ -11,12 +11,12 @@
     rules,
 };
 
-use draft::Draft;
+use parser::Parser;
 
-/// Why a text is not a catalogue: every fault in it, in the order of lines.
+/// All errors in a catalogue's text, in order of their lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The faults; there is at least one.
+    /// The errors; at least one.
     pub faults: Vec<Fault>,
 }
 
@@ -29,17 +29,17 @@
 
 impl std::error::Error for Error {}
 
-/// A catalogue with what its operator should know of it.
+/// A valid catalogue with warnings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checked {
-    /// The catalogue, which keeps all rules.
+    /// The catalogue, which satisfies all rules.
     pub catalog: Catalog,
-    /// What is allowed but doubtful, in the order of lines.
+    /// Warnings in order of their lines.
     pub warnings: Vec<Warning>,
 }
 
 impl Catalog {
-    /// Reads a catalogue from its text.
+    /// Parses a catalogue from its text.
     ///
     /// ```
     /// let catalog = catalog::Catalog::parse("[tenant.yard]\nusers = {}").unwrap();
@@ -51,48 +51,48 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] tells all that is wrong, with lines and columns.
+    /// [`Error`] lists all errors with their lines and columns.
     pub fn parse(text: &str) -> Result<Self, Error> {
         Self::check(text).map(|checked| checked.catalog)
     }
 
-    /// Reads a catalogue from its text and tells what is doubtful in it.
+    /// Parses a catalogue from its text and collects warnings.
     ///
     /// # Errors
     ///
-    /// [`Error`] tells all that is wrong, with lines and columns.
+    /// [`Error`] lists all errors with their lines and columns.
     pub fn check(text: &str) -> Result<Checked, Error> {
         let (root, errors) = toml::de::DeTable::parse_recoverable(text);
-        let mut draft = Draft::new(text);
+        let mut parser = Parser::new(text);
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
             let message = error.message().to_owned();
-            draft.fault(offset, Problem::Syntax(message));
+            parser.fault(offset, Problem::Syntax(message));
         }
-        // After an error of syntax the recovered tables lack what stood
-        // there, so a further check would tell of faults that are none.
-        if draft.is_faulty() {
-            return Err(draft.into_error());
+        // The tables recovered after a syntax error may be incomplete, so
+        // further checks would report spurious errors.
+        if parser.is_faulty() {
+            return Err(parser.into_error());
         }
 
-        let catalog = draft.catalog(root.get_ref());
-        for (place, what) in rules::faults(&catalog) {
-            draft.rule(&place, what);
+        let catalog = parser.catalog(root.get_ref());
+        for (place, problem) in rules::faults(&catalog) {
+            parser.add_violation(&place, problem);
         }
-        if draft.is_faulty() {
-            return Err(draft.into_error());
+        if parser.is_faulty() {
+            return Err(parser.into_error());
         }
 
-        let doubts = rules::doubts(&catalog);
-        let warnings = draft.locate(doubts);
+        let lints = rules::lints(&catalog);
+        let warnings = parser.locate(lints);
         Ok(Checked { catalog, warnings })
     }
 
-    /// The catalogue as text that [`Catalog::parse`] reads back.
+    /// Serializes the catalogue as text that [`Catalog::parse`] accepts.
     ///
     /// # Errors
     ///
-    /// None for a catalogue that keeps the rules; the type is the serializer's.
+    /// The serializer's error type, which doesn't occur for a valid catalogue.
     pub fn to_text(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
--- a/crates/catalog/src/text/draft.rs
+++ b/crates/catalog/src/text/parser.rs
@@ -1,4 +1,4 @@
-//! A catalogue while it is read: its faults so far and where things stand.
+//! Parser state: the errors found so far and the positions of values.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,16 +42,16 @@
     PriorityLevel::Low,
 ];
 
-pub(super) struct Draft<'t> {
+pub(super) struct Parser<'t> {
     text: &'t str,
     faults: Vec<(usize, Problem)>,
-    /// Byte offsets of the values read.
+    /// Byte offsets of the parsed values.
     places: BTreeMap<Place, usize>,
-    /// Tenants and databases named in the text, also those that are faulty.
+    /// Tables declared in the text, including invalid ones.
     declared: BTreeSet<String>,
 }
 
-impl<'t> Draft<'t> {
+impl<'t> Parser<'t> {
     pub(super) fn new(text: &'t str) -> Self {
         Self {
             text,
@@ -61,11 +61,11 @@
         }
     }
 
-    pub(super) fn fault(&mut self, offset: usize, what: Problem) {
-        self.faults.push((offset, what));
+    pub(super) fn fault(&mut self, offset: usize, problem: Problem) {
+        self.faults.push((offset, problem));
     }
 
-    pub(super) fn note(&mut self, place: Place, offset: usize) {
+    pub(super) fn record_offset(&mut self, place: Place, offset: usize) {
         self.places.insert(place, offset);
     }
 
@@ -73,19 +73,20 @@
         !self.faults.is_empty()
     }
 
-    /// Adds the breach of a rule at `place`.
+    /// Adds the violation of a rule at `place`.
     ///
-    /// A tenant or database whose own table is faulty is missing from the
-    /// catalogue that the rules see; names that lead to it do not dangle.
-    pub(super) fn rule(&mut self, place: &Place, what: Problem) {
-        if let Problem::Dangling { place, name, .. } = &what {
+    /// A tenant or database with an invalid table is missing from the catalogue
+    /// that the rules check. References to it are declared all the same and are
+    /// not reported.
+    pub(super) fn add_violation(&mut self, place: &Place, problem: Problem) {
+        if let Problem::Dangling { place, name, .. } = &problem {
             let kind = place.field.unwrap_or_default();
             if self.declared.contains(&declared_key(kind, name)) {
                 return;
             }
         }
         let offset = self.offset(place);
-        self.fault(offset, what);
+        self.fault(offset, problem);
     }
 
     fn offset(&self, place: &Place) -> usize {
@@ -94,15 +95,15 @@
         found.copied().unwrap_or(0)
     }
 
-    /// Puts lines and columns to remarks, ordered by them.
+    /// Converts places to lines and columns, in order.
     pub(super) fn locate<T>(&self, remarks: Vec<(Place, T)>) -> Vec<Located<T>> {
-        let at = |(place, what)| (self.offset(&place), what);
-        located(self.text, remarks.into_iter().map(at).collect())
+        let at = |(place, problem)| (self.offset(&place), problem);
+        sort_and_locate(self.text, remarks.into_iter().map(at).collect())
     }
 
     pub(super) fn into_error(self) -> Error {
         Error {
-            faults: located(self.text, self.faults),
+            faults: sort_and_locate(self.text, self.faults),
         }
     }
 
@@ -112,16 +113,16 @@
             offset: 0,
             table: root,
         };
-        section.expect_keys(self, ROOT_KEYS);
+        section.check_keys(self, ROOT_KEYS);
         Catalog {
-            tenants: self.named(&section, "tenant", name::Tenant::new, Self::tenant),
-            databases: self.named(&section, "database", name::Database::new, Self::database),
-            entries: self.named(&section, "entry", name::Entry::new, Self::entry),
+            tenants: self.named_tables(&section, "tenant", name::Tenant::new, Self::tenant),
+            databases: self.named_tables(&section, "database", name::Database::new, Self::database),
+            entries: self.named_tables(&section, "entry", name::Entry::new, Self::entry),
         }
     }
 
-    /// Reads the tables below `key`, leaving out the faulty ones.
-    fn named<N: Ord + Clone, T>(
+    /// Parses the tables below `key`, skipping invalid ones.
+    fn named_tables<N: Ord + Clone, T>(
         &mut self,
         parent: &Section<'_, '_>,
         key: &'static str,
@@ -166,13 +167,13 @@
         table: &'a DeTable<'i>,
         known: &'static [&'static str],
     ) -> Section<'a, 'i> {
-        self.note(Place::whole(item.clone()), offset);
+        self.record_offset(Place::whole(item.clone()), offset);
         let section = Section {
             item,
             offset,
             table,
         };
-        section.expect_keys(self, known);
+        section.check_keys(self, known);
         section
     }
 
@@ -186,19 +187,19 @@
         let section = self.section(item, offset, table, TENANT_KEYS);
         let value = section.required(self, "users")?;
         let Some(logins) = value.get_ref().as_table() else {
-            section.mistyped(self, "users", value, Kind::Table);
+            section.type_fault(self, "users", value, Kind::Table);
             return None;
         };
         let mut users = BTreeMap::new();
         for (user, verifier) in logins {
             let user = user.get_ref().to_string();
             let item = Item::User(name.clone(), user.clone());
-            self.note(Place::whole(item), verifier.span().start);
+            self.record_offset(Place::whole(item), verifier.span().start);
             match verifier.get_ref().as_str() {
                 Some(text) => {
                     users.insert(user, text.to_owned());
                 }
-                None => section.mistyped(self, "users", verifier, Kind::String),
+                None => section.type_fault(self, "users", verifier, Kind::String),
             }
         }
         Some(Tenant { users })
@@ -225,8 +226,8 @@
                 upstreams.insert(upstream, value);
             }
         }
-        // Without its faulty upstreams the group would look smaller than it is
-        // declared, and the rules would tell of faults that are none.
+        // Without its invalid upstreams, the group would be smaller than declared,
+        // and the rules would report spurious errors.
         let declared = section.table.get("upstream");
         let declared = declared.and_then(|value| value.get_ref().as_table());
         let declared = declared.map_or(0, |table| table.len());
@@ -248,11 +249,11 @@
         let leaving = section.flag(self, "leaving");
         let address = address?;
         let Ok(parsed) = address.parse() else {
-            let what = Problem::Address {
+            let problem = Problem::Address {
                 place: section.place("address"),
                 found: address.to_owned(),
             };
-            self.fault(section.offset_of("address"), what);
+            self.fault(section.offset_of("address"), problem);
             return None;
         };
         Some(Upstream {
@@ -300,15 +301,15 @@
     format!("{kind}/{name}")
 }
 
-fn located<T>(text: &str, mut remarks: Vec<(usize, T)>) -> Vec<Located<T>> {
+fn sort_and_locate<T>(text: &str, mut remarks: Vec<(usize, T)>) -> Vec<Located<T>> {
     remarks.sort_by_key(|&(offset, _)| offset);
     let newlines = text.match_indices('\n').map(|(at, _)| at + 1);
     let starts: Vec<_> = std::iter::once(0).chain(newlines).collect();
     let at = |(offset, kind)| {
         let line = starts.partition_point(|&start| start <= offset);
         let start = starts[line - 1];
-        // An offset past the end or within a character is not expected of the
-        // parser; the column is then that of the line's start.
+        // The TOML parser should never return an offset past the end or within
+        // a character; if it did, the column would be that of the line's start.
         let before = text.get(start..offset).unwrap_or_default();
         let column = before.chars().count() + 1;
         Located { line, column, kind }
--- a/crates/chart/tests/read.rs
+++ b/crates/chart/tests/read.rs
@@ -1,4 +1,4 @@
-//! What the reader accepts, what it refuses, and where it says the fault is.
+//! Parsing of charts: accepted texts, and errors with their lines.
 
 use chart::{Chart, Fault, Kind};
 
@@ -7,15 +7,15 @@
     pub enum State { Off = "off", On = "on" }
 }
 chart::words! {
-    /// What happens to it.
+    /// Events of a lamp.
     pub enum Event { Press = "press", Cut = "cut" }
 }
 chart::words! {
-    /// What it asks.
+    /// Guards of a lamp's transitions.
     pub enum Guard { Powered = "powered", Whole = "whole" }
 }
 chart::words! {
-    /// What it does.
+    /// Actions of a lamp.
     pub enum Action { Shine = "shine" }
 }
 
@@ -29,7 +29,7 @@
     type Action = Action;
 }
 
-const GOOD: &str = r#"initial = "off"
+const VALID: &str = r#"initial = "off"
 states = ["off", "on"]
 [[transition]]
 from = ["off"]
@@ -60,7 +60,7 @@
 
 #[test]
 fn guards_choose_the_transition() {
-    let chart = Chart::<Lamp>::parse(GOOD).unwrap();
+    let chart = Chart::<Lamp>::parse(VALID).unwrap();
     assert_eq!(chart.initial(), State::Off);
     let lit = chart.next(State::Off, Event::Press, |_| true);
     assert_eq!(lit, Some((State::On, &[Action::Shine][..])));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn unknown_names_are_told_with_their_line() {
+fn unknown_names_are_reported_with_their_line() {
     let cases = [
         ("\"cut\"", "\"cot\"", 16, unknown(Kind::Event, "cot")),
         (
@@ -89,36 +89,36 @@
             unknown(Kind::State, "dim"),
         ),
     ];
-    for (from, to, line, wanted) in cases {
-        assert_eq!(fault(&GOOD.replace(from, to)), (line, wanted));
+    for (from, to, line, expected) in cases {
+        assert_eq!(fault(&VALID.replace(from, to)), (line, expected));
     }
 }
 
 #[test]
-fn two_transitions_that_could_both_fire_clash() {
-    let text = GOOD.replace("\"!powered\"", "\"whole\"");
+fn transitions_that_could_both_fire_are_ambiguous() {
+    let text = VALID.replace("\"!powered\"", "\"whole\"");
     assert_eq!(fault(&text), (11, Fault::Ambiguous { earlier: 5 }));
 }
 
 #[test]
 fn states_must_be_declared_once_and_reachable() {
-    let text = GOOD.replace("\"off\", \"on\"", "\"off\"");
+    let text = VALID.replace("\"off\", \"on\"", "\"off\"");
     assert_eq!(fault(&text), (8, Fault::Undeclared("on".into())));
-    let text = GOOD.replace("\"off\", \"on\"", "\"off\", \"on\", \"on\"");
+    let text = VALID.replace("\"off\", \"on\"", "\"off\", \"on\", \"on\"");
     assert_eq!(fault(&text), (2, Fault::Duplicate("on".into())));
-    let text = GOOD.replace("to = \"on\"", "to = \"off\"");
+    let text = VALID.replace("to = \"on\"", "to = \"off\"");
     assert_eq!(fault(&text), (2, Fault::Unreachable("on".into())));
 }
 
 #[test]
 fn an_initial_state_is_required() {
-    let text = GOOD.replace("initial = \"off\"", "");
+    let text = VALID.replace("initial = \"off\"", "");
     assert_eq!(fault(&text), (1, Fault::NoInitial));
 }
 
 #[test]
-fn text_that_is_no_chart_is_told_with_its_line() {
-    let (line, fault) = fault(&GOOD.replace("to = \"on\"", "goto = \"on\""));
+fn text_that_is_not_a_chart_is_rejected() {
+    let (line, fault) = fault(&VALID.replace("to = \"on\"", "goto = \"on\""));
     assert!(matches!(fault, Fault::Toml(_)), "{fault:?}");
     assert!(line >= 3);
 }
--- a/crates/check/src/at_most_once.rs
+++ b/crates/check/src/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What is not idempotent takes effect at most once.
+//! Non-idempotent operations take effect at most once.
 
 use std::collections::{HashMap, hash_map::Entry};
 
@@ -6,10 +6,10 @@
 
 use crate::{Effect, Event, Operation, Request, Violation};
 
-/// Checks that no operation marked as [`Repeat::Once`] is twice in the log.
+/// Checks that no operation marked as [`Repeat::Once`] is in the log twice.
 ///
-/// A run whose place a later term's log leaves out has no effect, and does not
-/// count.
+/// An execution whose position is not part of a later term's log has no effect
+/// and does not count.
 #[derive(Debug, Default)]
 pub struct AtMostOnce {
     asked: HashMap<Request, (Operation, name::Database)>,
@@ -18,7 +18,7 @@
 }
 
 impl AtMostOnce {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
@@ -52,8 +52,9 @@
     fn ran(&mut self, request: Request, at: Position) -> Option<Violation> {
         let (operation, database) = self.asked.get(&request)?;
         let terms = self.terms.get(database).map_or(&[][..], Vec::as_slice);
-        let left_out = |at: Position| terms.iter().any(|&(t, fork)| t > at.term && fork < at.lsn);
-        if left_out(at) {
+        let is_discarded =
+            |at: Position| terms.iter().any(|&(t, fork)| t > at.term && fork < at.lsn);
+        if is_discarded(at) {
             return None;
         }
         let mut ran = match self.ran.entry(*operation) {
@@ -64,7 +65,7 @@
             Entry::Occupied(entry) => entry,
         };
         let first = ran.insert(at);
-        if left_out(first) {
+        if is_discarded(first) {
             return None;
         }
         Some(Violation::Twice {
--- a/crates/check/src/fencing.rs
+++ b/crates/check/src/fencing.rs
@@ -1,4 +1,4 @@
-//! No acknowledgement by a replaced primary.
+//! A replaced primary acknowledges no writes.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 
 use crate::{Effect, Event, Request, Violation};
 
-/// Checks that no write is acknowledged that a new primary's log leaves out,
-/// or that ran on a primary after it had been replaced.
+/// Checks that no write is acknowledged that is missing from a new primary's
+/// log or was executed by a primary after its replacement.
 ///
 /// A write that a majority confirmed before the change of primary is part of
-/// the new primary's log, and its answer may still be on its way then.
+/// the new primary's log, and its answer may arrive after the change.
 #[derive(Debug, Default)]
 pub struct Fencing {
     terms: HashMap<name::Database, Vec<(Term, Lsn)>>,
@@ -20,11 +20,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Write {
     at: Position,
-    led: Term,
+    leading: Term,
 }
 
 impl Fencing {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Asked {
@@ -40,10 +40,10 @@
             } => {
                 let (database, write) = self.asked.get_mut(request)?;
                 let terms = self.terms.get(database);
-                let led = terms.and_then(|terms| terms.last());
+                let leading = terms.and_then(|terms| terms.last());
                 *write = Some(Write {
                     at: *at,
-                    led: led.map_or(at.term, |&(term, _)| term),
+                    leading: leading.map_or(at.term, |&(term, _)| term),
                 });
                 None
             }
@@ -76,13 +76,13 @@
         write: Write,
     ) -> Option<Violation> {
         let at = write.at;
-        if write.led > at.term {
-            let term = write.led;
+        if write.leading > at.term {
+            let term = write.leading;
             return Some(Violation::AcknowledgedByReplaced { request, at, term });
         }
         let terms = self.terms.get(database)?;
-        let left_out = |&&(term, fork): &&(Term, Lsn)| term > at.term && fork < at.lsn;
-        let &(term, _) = terms.iter().find(left_out)?;
+        let is_discarded = |&&(term, fork): &&(Term, Lsn)| term > at.term && fork < at.lsn;
+        let &(term, _) = terms.iter().find(is_discarded)?;
         Some(Violation::AcknowledgedByReplaced { request, at, term })
     }
 }
--- a/crates/check/src/pinning.rs
+++ b/crates/check/src/pinning.rs
@@ -1,18 +1,18 @@
-//! Transactions are never mixed.
+//! A transaction is pinned to one connection.
 
 use std::collections::HashMap;
 
 use crate::{Connection, Event, Request, Transaction, Violation};
 
-/// Checks that an open transaction has its connection to itself, and keeps it.
+/// Checks that an open transaction has exclusive use of one connection.
 #[derive(Debug, Default)]
 pub struct Pinning {
     open: HashMap<Connection, Transaction>,
-    places: HashMap<Transaction, Connection>,
+    connections: HashMap<Transaction, Connection>,
 }
 
 impl Pinning {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Option<Violation> {
         match event {
             Event::Ran {
@@ -22,13 +22,13 @@
                 ..
             } => self.ran(*request, *connection, *transaction),
             Event::Ended { transaction } => {
-                let connection = self.places.remove(transaction)?;
+                let connection = self.connections.remove(transaction)?;
                 self.open.remove(&connection);
                 None
             }
             Event::Closed { connection } => {
                 let transaction = self.open.remove(connection)?;
-                self.places.remove(&transaction);
+                self.connections.remove(&transaction);
                 None
             }
             _ => None,
@@ -50,7 +50,7 @@
             });
         }
         let transaction = transaction?;
-        let first = *self.places.entry(transaction).or_insert(connection);
+        let first = *self.connections.entry(transaction).or_insert(connection);
         if first != connection {
             return Some(Violation::Split {
                 transaction,
--- a/crates/check/src/shutdown.rs
+++ b/crates/check/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing.
+//! Planned stops abort no requests.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -6,18 +6,18 @@
 
 use crate::{Event, Request, Violation};
 
-/// Checks that a planned stop lets every request in progress end.
+/// Checks that a planned stop completes every request in progress.
 ///
-/// What arrives after the stop began may be refused.
+/// Requests that arrive after the stop began may be refused.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     stopping: HashSet<name::Instance>,
     running: HashMap<name::Instance, BTreeSet<Request>>,
-    places: HashMap<Request, name::Instance>,
+    instances: HashMap<Request, name::Instance>,
 }
 
 impl Shutdown {
-    /// Takes one event.
+    /// Processes one event.
     pub fn observe(&mut self, event: &Event) -> Vec<Violation> {
         match event {
             Event::Asked {
@@ -26,7 +26,7 @@
                 if !self.stopping.contains(instance) {
                     let running = self.running.entry(instance.clone()).or_default();
                     running.insert(*request);
-                    self.places.insert(*request, instance.clone());
+                    self.instances.insert(*request, instance.clone());
                 }
                 Vec::new()
             }
@@ -62,13 +62,13 @@
     fn forget(&mut self, instance: &name::Instance) -> BTreeSet<Request> {
         let running = self.running.remove(instance).unwrap_or_default();
         for request in &running {
-            self.places.remove(request);
+            self.instances.remove(request);
         }
         running
     }
 
     fn answered(&mut self, request: Request, outcome: Outcome) -> Option<Violation> {
-        let instance = self.places.remove(&request)?;
+        let instance = self.instances.remove(&request)?;
         self.running.get_mut(&instance)?.remove(&request);
         let cause = match outcome {
             Outcome::NotRun(cause @ Cause::Stopping) => cause,
--- a/crates/check/tests/promises.rs
+++ b/crates/check/tests/promises.rs
@@ -1,5 +1,6 @@
-//! Each checker is held against a small logic in two variants: it stays silent
-//! over the sound one and tells the broken one's fault.
+//! Runs each checker on histories of a correct and a broken variant of some
+//! logic: the checker must report nothing for the correct one and a violation
+//! for the broken one.
 
 use std::time::Duration;
 
@@ -12,11 +13,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
-    Sound,
+    Correct,
     Broken,
 }
 
-use Variant::{Broken, Sound};
+use Variant::{Broken, Correct};
 
 fn instance(text: &str) -> name::Instance {
     name::Instance::new(text).unwrap()
@@ -88,23 +89,23 @@
     suite.violations().to_vec()
 }
 
-/// Runs both variants: the sound one is silent, the broken one's first fault
-/// is `expected`.
-fn assert_tells(logic: impl Fn(Variant) -> Vec<Event>, expected: impl Fn(&Violation) -> bool) {
-    assert_eq!(observe(&logic(Sound)), []);
+/// Checks that the correct variant has no violations and that the broken one
+/// has the `expected` violation.
+fn assert_detects(logic: impl Fn(Variant) -> Vec<Event>, expected: impl Fn(&Violation) -> bool) {
+    assert_eq!(observe(&logic(Correct)), []);
     let found = observe(&logic(Broken));
-    assert!(found.iter().any(expected), "not told: {found:?}");
+    assert!(found.iter().any(expected), "not detected: {found:?}");
 }
 
-/// Symptom: a rider who has just booked sees the slot as free.
-/// Events: the booking is acknowledged at 20; the next read goes to a replica
-/// at 10. Cause: the broken router forgets the session's token.
+/// Guards against a session not seeing its own write: a write is acknowledged
+/// at position 20, the broken router ignores the session's token and sends the
+/// next read to a replica at position 10.
 #[test]
 fn read_your_writes() {
     let replicas = [Position::new(1, 10), Position::new(1, 30)];
     let logic = |variant| {
         let token = match variant {
-            Sound => Position::new(1, 20),
+            Correct => Position::new(1, 20),
             Broken => Position::default(),
         };
         let chosen = replicas.iter().find(|at| at.covers(token)).unwrap();
@@ -118,18 +119,18 @@
             done(2, 7),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
+    assert_detects(logic, detected);
 }
 
-/// Symptom: a calendar loses an entry that was there a moment ago. Events: two
-/// reads of one session go to two replicas. Cause: the broken router keeps no
-/// account of what the session has read.
+/// Guards against reads of one session going back in time: the broken router
+/// does not track the session's reads and sends the second read to a replica
+/// that is further behind.
 #[test]
-fn reads_go_back() {
+fn monotonic_reads() {
     let logic = |variant| {
         let second = match variant {
-            Sound => read(1, 30, Duration::ZERO),
+            Correct => read(1, 30, Duration::ZERO),
             Broken => read(1, 10, Duration::ZERO),
         };
         vec![
@@ -141,16 +142,15 @@
             done(2, 7),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::OwnWriteUnseen { .. });
+    assert_detects(logic, detected);
 }
 
-/// What a session reads by a request from an earlier stay at an instance, not
-/// yet acknowledged to anybody, does not bind its reads in a later stay. Found
-/// by a hunt: a current read at i6 was answered after the session had been at
-/// i2 and had come back to i6 with its token.
+/// Guards against a false violation: a request from an earlier visit to an
+/// instance does not constrain the reads of a later visit. A current read at i6
+/// was answered after the session had been at i2 and had returned to i6.
 #[test]
-fn read_of_an_earlier_stay() {
+fn read_of_an_earlier_visit() {
     let at = |instance: &str, request| match asked(request, request, 7, Freshness::Session) {
         Event::Asked {
             request,
@@ -184,14 +184,14 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: the shelf status shows a box that another reader has taken.
-/// Events: one session's write at 20 is acknowledged; another's current read
-/// sees 10. Cause: the broken router treats a current read like a session's.
+/// Guards against a current read missing another session's write: the write is
+/// acknowledged at position 20, and the broken router, which treats the read as
+/// a read-your-writes one, returns the state at position 10.
 #[test]
 fn current_reads() {
     let logic = |variant| {
         let lsn = match variant {
-            Sound => 20,
+            Correct => 20,
             Broken => 10,
         };
         vec![
@@ -203,14 +203,14 @@
             done(2, 8),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::NotCurrent { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::NotCurrent { .. });
+    assert_detects(logic, detected);
 }
 
-/// Symptom: a calendar view is ten seconds old where one was allowed.
-/// Cause: the broken router does not look at the replica's age.
+/// Guards against reads older than their class allows: the broken router ignores
+/// the replica's age and returns a state of 10 s where 1 s is allowed.
 #[test]
-fn aged_reads() {
+fn reads_of_limited_age() {
     let limit = Duration::from_secs(1);
     let ages = [Duration::from_secs(10), Duration::from_millis(300)];
     let logic = |variant| {
@@ -222,18 +222,18 @@
             done(1, 7),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::TooOld { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::TooOld { .. }));
 }
 
-/// Symptom: two riders in one arena. Events: a primary is cut off with a caller
-/// beside it; another is promoted; the old one runs a booking. Cause: the
-/// broken logic acknowledges when the primary alone holds the write.
+/// Guards against double bookings after a partition: a primary is partitioned
+/// together with a caller, another one is promoted, and the broken logic
+/// acknowledges a write that only the old primary holds.
 #[test]
 fn replaced_primary() {
     let logic = |variant| {
         let confirmed = 1;
         let needed = match variant {
-            Sound => 2,
+            Correct => 2,
             Broken => 1,
         };
         let outcome = if confirmed >= needed {
@@ -252,18 +252,18 @@
             answered(1, 7, outcome),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
+    assert_detects(logic, detected);
 }
 
-/// Symptom: a booking is acknowledged just after a change of primary and is
-/// gone. Events: the write ran at 20, before; the new log forks at 15.
-/// Cause: the broken logic lets a late acknowledgement through.
+/// Guards against a late acknowledgement of a lost write: the write is executed
+/// at position 20, the new primary's log forks at 15, and the broken logic still
+/// acknowledges the write.
 #[test]
-fn replaced_while_running() {
+fn primary_replaced_during_a_write() {
     let logic = |variant| {
         let outcome = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::Replaced)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -277,17 +277,17 @@
             answered(1, 7, outcome),
         ]
     };
-    let told = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
-    assert_tells(logic, told);
+    let detected = |v: &Violation| matches!(v, Violation::AcknowledgedByReplaced { .. });
+    assert_detects(logic, detected);
 }
 
-/// Symptom: one caller's insert is rolled back with another's transaction.
-/// Cause: the broken pool hands out a connection whose transaction is open.
+/// Guards against one caller's write being rolled back with another caller's
+/// transaction: the broken pool hands out a connection with an open transaction.
 #[test]
 fn mixed_transactions() {
     let logic = |variant| {
         let free = match variant {
-            Sound => 2,
+            Correct => 2,
             Broken => 1,
         };
         vec![
@@ -299,16 +299,16 @@
             ran_in(3, 1, None, write(1, 30)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Mixed { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Mixed { .. }));
 }
 
-/// Symptom: half a transaction is committed. Cause: the broken pool picks a
-/// connection for each statement instead of one for the transaction.
+/// Guards against committing half a transaction: the broken pool chooses a
+/// connection per statement instead of per transaction.
 #[test]
 fn split_transaction() {
     let logic = |variant| {
         let second = match variant {
-            Sound => 1,
+            Correct => 1,
             Broken => 2,
         };
         vec![
@@ -316,19 +316,19 @@
             ran_in(2, second, Some(1), write(1, 20)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Split { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Split { .. }));
 }
 
-/// Symptom: a caller reads the answer of the request before its own.
-/// Events: request 1 times out, its answer comes late, when request 2 waits on
-/// the same connection. Cause: the broken logic matches answers by their order.
+/// Guards against delivering the answer of an earlier request: request 1 times
+/// out, its answer arrives while request 2 waits on the same connection, and the
+/// broken logic matches answers to requests by order.
 #[test]
-fn crossed_answers() {
+fn answer_of_another_request() {
     let logic = |variant| {
         let late = Answer::done(Request(1));
         let own = Answer::done(Request(2));
-        let taken = match variant {
-            Sound => own,
+        let delivered = match variant {
+            Correct => own,
             Broken => late,
         };
         vec![
@@ -339,34 +339,34 @@
                 7,
                 Answer::without_rows(Outcome::Unknown(Cause::Deadline)),
             ),
-            answered(2, 8, taken),
+            answered(2, 8, delivered),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::WrongAnswer { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::WrongAnswer { .. }));
 }
 
-/// Symptom: a caller gets rows that it never asked for. Cause: the broken
-/// logic answers whoever holds the caller's former place.
+/// Guards against delivering an answer to another session: the broken logic
+/// answers the session that has reused the caller's former slot.
 #[test]
-fn strangers_answer() {
+fn answer_to_another_session() {
     let logic = |variant| {
         let session = match variant {
-            Sound => 7,
+            Correct => 7,
             Broken => 8,
         };
         vec![asked(1, 1, 7, Freshness::Session), done(1, session)]
     };
-    assert_tells(logic, |v| matches!(v, Violation::WrongCaller { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::WrongCaller { .. }));
 }
 
-/// Symptom: a calendar lacks its last rows. Events: the connection breaks amid
-/// the answer. Cause: the broken logic takes the end of the connection for the
-/// end of the answer.
+/// Guards against truncated answers: the connection breaks during the answer,
+/// and the broken logic treats the end of the connection as the end of the
+/// answer.
 #[test]
 fn partial_answer() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer {
                 rows: 3,
                 total: 9,
@@ -375,12 +375,12 @@
         };
         vec![asked(1, 1, 7, Freshness::Session), answered(1, 7, answer)]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Partial { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Partial { .. }));
 }
 
-/// Symptom: a caller gets two answers to one request, and takes the second for
-/// the answer to its next one. Cause: the broken logic answers at the deadline
-/// and forgets that it did.
+/// Guards against two answers to one request, of which the caller attributes
+/// the second to its next request: the broken logic answers at the deadline and
+/// again when the upstream's answer arrives.
 #[test]
 fn two_answers() {
     let logic = |variant| {
@@ -397,17 +397,16 @@
         }
         history
     };
-    assert_tells(logic, |v| matches!(v, Violation::AnsweredTwice { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::AnsweredTwice { .. }));
 }
 
-/// Symptom: a payment refused as not run is on the account. Events: the bytes
-/// left, the connection broke. Cause: the broken logic says "not run" although
-/// the bytes had left.
+/// Guards against reporting an executed request as not run: the request had been
+/// sent when the connection broke, and the broken logic answers "not run".
 #[test]
-fn false_not_run() {
+fn executed_request_answered_as_not_run() {
     let logic = |variant| {
         let outcome = match variant {
-            Sound => Outcome::Unknown(Cause::ConnectionLost),
+            Correct => Outcome::Unknown(Cause::ConnectionLost),
             Broken => Outcome::NotRun(Cause::ConnectionLost),
         };
         vec![
@@ -416,16 +415,16 @@
             ran(1, write(1, 10)),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::RanAfterAll { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::RanAfterAll { .. }));
 }
 
-/// Symptom: the stacks staff get an order twice. Events: the answer is lost,
-/// the request is sent again. Cause: the broken logic has no ledger.
+/// Guards against executing an operation twice: the answer is lost, the request
+/// is retried, and the broken logic keeps no record of executed operations.
 #[test]
-fn ran_twice() {
+fn operation_executed_twice() {
     let logic = |variant| {
         let second = match variant {
-            Sound => Effect::AlreadyRun {
+            Correct => Effect::AlreadyRun {
                 at: Position::new(1, 10),
             },
             Broken => write(1, 20),
@@ -443,13 +442,13 @@
             done(2, 7),
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Twice { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Twice { .. }));
 }
 
-/// A first run that the next term's log leaves out has no effect, so that the
-/// repeat is no second one.
+/// Guards against a false violation: a first execution that is not part of the
+/// next term's log has no effect, so that the retry is not a second one.
 #[test]
-fn ran_again_after_left_out() {
+fn retry_of_a_discarded_write() {
     let history = [
         asked(1, 5, 7, Freshness::Current),
         ran(1, write(1, 20)),
@@ -470,8 +469,8 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: an upstream can't be switched off because work keeps coming.
-/// Cause: the broken router never reads the platform's list again.
+/// Guards against sending work to a leaving upstream, which then can't be
+/// switched off: the broken router never refreshes the platform's list.
 #[test]
 fn leaving_upstream() {
     let run = |variant| {
@@ -483,7 +482,7 @@
         suite.observe(Instant::ZERO, &event);
         for second in 1..=9 {
             let chosen = match variant {
-                Sound if second > 2 => upstream("u2"),
+                Correct if second > 2 => upstream("u2"),
                 _ => leaving.clone(),
             };
             let event = Event::Sent {
@@ -495,13 +494,14 @@
         }
         suite.violations().len()
     };
-    assert_eq!(run(Sound), 0);
+    assert_eq!(run(Correct), 0);
     assert_eq!(run(Broken), 6);
 }
 
-/// A transaction that began before the upstream was leaving may go on there.
+/// Guards against a false violation: a transaction that began before the upstream
+/// was leaving may continue there.
 #[test]
-fn leaving_amid_transaction() {
+fn leaving_during_a_transaction() {
     let mut suite = Suite::default();
     let sent = |request| Event::Sent {
         request: Request(request),
@@ -515,8 +515,8 @@
     assert_eq!(suite.violations(), []);
 }
 
-/// Symptom: a deployment at noon breaks bookings. Cause: the broken daemon
-/// closes its callers' connections at once.
+/// Guards against a planned stop aborting requests: the broken daemon closes
+/// its callers' connections immediately.
 #[test]
 fn planned_stop() {
     let logic = |variant| {
@@ -527,38 +527,39 @@
         let stopped = Event::Stopped { instance };
         let begin = vec![asked(1, 1, 7, Freshness::Session), stopping];
         let end = match variant {
-            Sound => vec![done(1, 7), stopped],
+            Correct => vec![done(1, 7), stopped],
             Broken => vec![stopped],
         };
         [begin, end].concat()
     };
-    assert_tells(logic, |v| matches!(v, Violation::Cut { cause: None, .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Cut { cause: None, .. }));
 }
 
-/// Symptom: as above, but the daemon is polite about it.
+/// Guards against a planned stop refusing a request that arrived before the
+/// stop began.
 #[test]
-fn planned_stop_with_refusal() {
+fn planned_stop_refuses_a_request() {
     let logic = |variant| {
         let instance = instance("a1");
         let stopping = Event::Stopping { instance };
         let refusal = Answer::without_rows(Outcome::NotRun(Cause::Stopping));
         let ask = asked(1, 1, 7, Freshness::Session);
         let begin = match variant {
-            Sound => vec![stopping, ask],
+            Correct => vec![stopping, ask],
             Broken => vec![ask, stopping],
         };
         [begin, vec![answered(1, 7, refusal)]].concat()
     };
-    assert_tells(logic, |v| {
+    assert_detects(logic, |v| {
         matches!(v, Violation::Cut { cause: Some(_), .. })
     });
 }
 
-/// Symptom: a limit that was raised falls back for a while. Events: a store's
-/// answer of revision 1 arrives after one of revision 2. Cause: the broken
-/// instance applies whatever comes.
+/// Guards against an instance going back to an older revision: the store's
+/// answer with revision 1 arrives after the one with revision 2, and the broken
+/// instance applies revisions in the order of arrival.
 #[test]
-fn configuration_reverts() {
+fn revision_goes_back() {
     let logic = |variant| {
         let mut force = 0;
         let mut history = vec![
@@ -574,13 +575,13 @@
         }
         history
     };
-    assert_tells(logic, |v| matches!(v, Violation::Reverted { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Reverted { .. }));
 }
 
-/// Symptom: an instance serves a catalogue that lost its race. Cause: the
-/// broken instance applies a proposal before the store accepted it.
+/// Guards against applying a catalogue that was never committed: the broken
+/// instance applies a proposal before the store has accepted it.
 #[test]
-fn configuration_never_accepted() {
+fn revision_never_accepted() {
     let logic = |variant| {
         let instance = instance("a1");
         let applied = Event::Applied {
@@ -588,21 +589,21 @@
             revision: 1,
         };
         match variant {
-            Sound => vec![Event::Accepted { revision: 1 }, applied],
+            Correct => vec![Event::Accepted { revision: 1 }, applied],
             Broken => vec![applied],
         }
     };
-    assert_tells(logic, |v| matches!(v, Violation::NeverAccepted { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::NeverAccepted { .. }));
 }
 
-/// Symptom: a booking that was confirmed is gone in the morning. Events: the
-/// primary fails before a replica has the write. Cause: the broken logic
-/// acknowledges before a majority holds it.
+/// Guards against losing an acknowledged write: the primary fails before any
+/// replica has the write, and the broken logic acknowledges before a majority
+/// holds the write.
 #[test]
 fn acknowledged_write_lost() {
     let logic = |variant| {
         let answer = match variant {
-            Sound => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
+            Correct => Answer::without_rows(Outcome::Unknown(Cause::ConnectionLost)),
             Broken => Answer::done(Request(1)),
         };
         vec![
@@ -617,12 +618,13 @@
             Event::LogComplete,
         ]
     };
-    assert_tells(logic, |v| matches!(v, Violation::Lost { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::Lost { .. }));
 }
 
-/// What is kept is not lost, also where the repeat only found it.
+/// A persisted write is not lost, also if only a retry, which found the
+/// operation already executed, was acknowledged.
 #[test]
-fn acknowledged_by_repeat() {
+fn write_acknowledged_by_a_retry() {
     let history = |kept: &[Event]| {
         let begin = [
             asked(1, 5, 7, Freshness::Current),
@@ -649,8 +651,8 @@
     assert!(matches!(found[..], [Violation::Lost { .. }]), "{found:?}");
 }
 
-/// A read about an operation acknowledges nothing: a hunt had a caller look for
-/// a write whose outcome was unknown, and be told rightly that it is not there.
+/// Guards against a false violation: a caller whose write has an unknown outcome
+/// reads and rightly does not find the write. The read acknowledges nothing.
 #[test]
 fn read_acknowledges_nothing() {
     let history = [
@@ -669,9 +671,9 @@
     assert_eq!(observe(&history), []);
 }
 
-/// Symptom: an upstream refuses a new primary's connections. Events: the holder
-/// of its connections changes. Cause: the broken successor opens its own before
-/// the former holder's are closed.
+/// Guards against exceeding an upstream's connection limit when the holder of
+/// the connections changes: the broken successor opens its connections before
+/// those of the former holder are closed.
 #[test]
 fn connection_limit() {
     let logic = |variant| {
@@ -689,10 +691,10 @@
         };
         let begin = vec![limit, open(1), open(2)];
         let takeover = match variant {
-            Sound => vec![close(1), close(2), open(3), open(4)],
+            Correct => vec![close(1), close(2), open(3), open(4)],
             Broken => vec![open(3), close(1), close(2), open(4)],
         };
         [begin, takeover].concat()
     };
-    assert_tells(logic, |v| matches!(v, Violation::LimitExceeded { .. }));
+    assert_detects(logic, |v| matches!(v, Violation::LimitExceeded { .. }));
 }
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -26,26 +26,30 @@
 
 /// Put a catalogue file in force.
 ///
-/// The change is one transaction on condition that nothing was changed since
-/// it was planned: of two operators who apply at once, one wins whole, and the
-/// other sees what changed. Where the store's answer is lost, the change is
-/// recognised by its mark when read back, and never applied twice.
+/// The change is one transaction on condition that the catalogue is unchanged
+/// since the change was planned: of two concurrent changes, one is applied
+/// completely, and the other is rejected with a list of the differences. If the
+/// store's answer is lost, the change is recognised by its id when the store is
+/// read back, and is never applied twice.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "apply",
     example = "{command_name} -m \"more room for calendars\" stalgenoot.toml",
     error_code(0, "The change is accepted, or there is nothing to change."),
-    error_code(1, "It failed; the message tells whether it may have taken effect."),
+    error_code(
+        1,
+        "The command failed; the message says whether the change may have taken effect."
+    ),
     error_code(2, "The command line or a setting is wrong."),
-    error_code(3, "Another change was faster; nothing was changed.")
+    error_code(3, "Another change was committed first; nothing was changed.")
 )]
 pub(crate) struct Args {
-    /// why the change is made
+    /// reason for the change
     #[argh(option, short = 'm')]
     message: String,
 
-    /// who makes it (DANDELIONLINK_AUTHOR, else USER)
+    /// author of the change (DANDELIONLINK_AUTHOR, else USER)
     #[argh(option)]
     author: Option<String>,
 
@@ -53,17 +57,17 @@
     #[argh(option)]
     from: Option<u64>,
 
-    /// where the change is too large for one transaction, apply it in parts,
-    /// each a whole and faultless catalogue
+    /// apply a change that is too large for one transaction in parts, each of
+    /// which results in a valid catalogue
     #[argh(switch)]
     in_parts: bool,
 
-    /// raise the epoch, also if there is nothing to change: instances then
+    /// raise the epoch, even if there is nothing to change, so that instances
     /// follow a store that was restored from a backup
     #[argh(switch)]
     renew: bool,
 
-    /// the store's endpoints, IP:PORT parted by commas (DANDELIONLINK_STORE)
+    /// the store's endpoints, IP:PORT separated by commas (DANDELIONLINK_STORE)
     #[argh(option)]
     store: Option<String>,
 
@@ -76,7 +80,7 @@
     file: PathBuf,
 }
 
-/// What became of the change.
+/// Result of the command.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Report<'a> {
@@ -90,7 +94,7 @@
     },
     Conflict {
         revision: u64,
-        /// Parts that were accepted before the conflict.
+        /// Number of parts accepted before the conflict.
         accepted: usize,
         head: Option<&'a Head>,
         changes: &'a [Change],
@@ -109,14 +113,14 @@
     if let Some(revision) = args.from
         && revision != from.revision
     {
-        let conflict = since(&mut store, from, revision).await?;
-        return lost(args, &conflict, 0);
+        let conflict = changes_since(&mut store, from, revision).await?;
+        return report_conflict(args, &conflict, 0);
     }
     let steps = steps(args, &from, checked.catalog)?;
-    advance(args, &mut store, from, &steps, &author).await
+    apply_steps(args, &mut store, from, &steps, &author).await
 }
 
-/// The catalogues to put in force one after the other.
+/// Catalogues to put in force one after the other.
 fn steps(args: &Args, from: &Snapshot, to: Catalog) -> Result<Vec<Catalog>, Error> {
     if from.catalog == to && !args.renew {
         return Ok(Vec::new());
@@ -127,8 +131,9 @@
     Ok(vec![to])
 }
 
-/// Puts `steps` in force, each on condition that the one before still is.
-async fn advance(
+/// Puts `steps` in force, each on condition that the previous one is still in
+/// force.
+async fn apply_steps(
     args: &Args,
     store: &mut Store,
     mut from: Snapshot,
@@ -137,7 +142,7 @@
 ) -> Result<Exit, Error> {
     let mut changes = Vec::new();
     for (at, step) in steps.iter().enumerate() {
-        let proposal = propose(args, author, at + 1, steps.len());
+        let proposal = proposal(args, author, at + 1, steps.len());
         let plan = if args.renew && at == 0 {
             plan::renew(&from, step, proposal)?
         } else {
@@ -148,16 +153,16 @@
                 changes.extend(made);
                 from = *now;
             }
-            Sent::Conflict(conflict) => return lost(args, &conflict, at),
+            Sent::Conflict(conflict) => return report_conflict(args, &conflict, at),
         }
     }
     if steps.is_empty() {
-        return same(args, from.revision);
+        return report_unchanged(args, from.revision);
     }
-    applied(args, &from, &changes)
+    report_applied(args, &from, &changes)
 }
 
-fn propose(args: &Args, author: &str, part: usize, of: usize) -> Proposal {
+fn proposal(args: &Args, author: &str, part: usize, of: usize) -> Proposal {
     let mut message = args.message.clone();
     if of > 1 {
         message += &format!(" (part {part} of {of})");
@@ -170,8 +175,8 @@
     }
 }
 
-/// What changed since `revision`, which is in force no more.
-async fn since(store: &mut Store, now: Snapshot, revision: u64) -> Result<Conflict, Error> {
+/// Changes since `revision`, which is no longer in force.
+async fn changes_since(store: &mut Store, now: Snapshot, revision: u64) -> Result<Conflict, Error> {
     let records = store.records().await?;
     let changes = records
         .into_iter()
@@ -185,7 +190,7 @@
     })
 }
 
-fn applied(args: &Args, now: &Snapshot, changes: &[Change]) -> Result<Exit, Error> {
+fn report_applied(args: &Args, now: &Snapshot, changes: &[Change]) -> Result<Exit, Error> {
     let head = now.head.as_ref();
     let revision = Revision {
         epoch: head.map_or(0, |head| head.epoch),
@@ -198,25 +203,25 @@
             change,
             changes,
         })?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
-    let mut text = util::lines(changes);
+    let mut text = util::format_changes(changes);
     text += &format!("accepted as revision {revision}\n");
     util::print(&text)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
-fn same(args: &Args, revision: u64) -> Result<Exit, Error> {
+fn report_unchanged(args: &Args, revision: u64) -> Result<Exit, Error> {
     if args.json {
         util::print_json(&Report::Same { revision })?;
     } else {
         util::print(&format!("nothing to change from revision {revision}\n"))?;
     }
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
-/// Tells of a conflict after `accepted` parts.
-fn lost(args: &Args, conflict: &Conflict, accepted: usize) -> Result<Exit, Error> {
+/// Prints a conflict that occurred after `accepted` parts.
+fn report_conflict(args: &Args, conflict: &Conflict, accepted: usize) -> Result<Exit, Error> {
     let revision = conflict.revision;
     let changes = &conflict.changes;
     if args.json {
@@ -229,18 +234,18 @@
         return Ok(Exit::Conflict);
     }
     if accepted > 0 {
-        eprintln!("conflict: parts accepted before it: {accepted}; the others are not in force");
+        eprintln!("conflict after {accepted} accepted parts; the remaining parts are not in force");
     } else {
         eprintln!("conflict: nothing was changed");
     }
     eprintln!("in force now: revision {revision}");
     if let Some(head) = &conflict.head {
-        let author = util::clean(&head.author);
-        let message = util::clean(&head.message);
+        let author = util::sanitize(&head.author);
+        let message = util::sanitize(&head.message);
         eprintln!("last change: number {} by {author}: {message}", head.number);
     }
-    eprintln!("changed meanwhile:");
-    eprint!("{}", util::lines(changes));
-    eprintln!("merge it into the file, look at `diff` again, and apply again");
+    eprintln!("changes since then:");
+    eprint!("{}", util::format_changes(changes));
+    eprintln!("merge these changes into the file, check `diff`, and apply again");
     Ok(Exit::Conflict)
 }
--- a/crates/cli/src/cmd/sessions.rs
+++ b/crates/cli/src/cmd/sessions.rs
@@ -11,9 +11,9 @@
     util::{self, Table},
 };
 
-/// Show instances' callers, those in longest work first.
+/// Show the instances' sessions, those with the longest running work first.
 ///
-/// An instance counts all its sessions but shows a bounded number of them.
+/// An instance counts all its sessions but lists a limited number of them.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -23,11 +23,11 @@
     error_code(5, "Some of the instances asked did not answer.")
 )]
 pub(crate) struct Args {
-    /// show this entry's sessions only
+    /// show only sessions of this entry
     #[argh(option)]
     entry: Option<String>,
 
-    /// instances' operators' ports, IP:PORT parted by commas (DANDELIONLINK_INSTANCES)
+    /// operators' ports of the instances, IP:PORT separated by commas (DANDELIONLINK_INSTANCES)
     #[argh(option)]
     instance: Option<String>,
 
@@ -45,7 +45,7 @@
             view.sessions.retain(wanted);
         });
     }
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     if args.json {
         util::print_json(&answers)?;
     } else {
@@ -88,10 +88,10 @@
         session.entry.to_string(),
         session.user.clone(),
         session.client.to_string(),
-        util::or_dash(session.connected_ms.map(util::span)),
+        util::or_dash(session.connected_ms.map(util::format_duration)),
         session.phase.to_string(),
-        util::span(session.phase_ms),
-        util::or_dash(session.transaction_ms.map(util::span)),
+        util::format_duration(session.phase_ms),
+        util::or_dash(session.transaction_ms.map(util::format_duration)),
         util::or_dash(session.token),
     ]
 }
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -10,19 +10,19 @@
     util,
 };
 
-/// Print the catalogue in force as a file that `apply` takes.
+/// Print the catalogue in force as a file that `apply` accepts.
 ///
-/// Comments are not kept in the store. Users' verifiers are printed: keep the
-/// output as carefully as the catalogue file itself.
+/// Comments are not stored. The output contains the users' verifiers and must be
+/// protected like the catalogue file itself.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "show",
-    error_code(1, "The store does not answer, or its catalogue can't be read."),
+    error_code(1, "The store does not answer, or its catalogue can't be decoded."),
     error_code(2, "The command line or a setting is wrong.")
 )]
 pub(crate) struct Args {
-    /// the store's endpoints, IP:PORT parted by commas (DANDELIONLINK_STORE)
+    /// the store's endpoints, IP:PORT separated by commas (DANDELIONLINK_STORE)
     #[argh(option)]
     store: Option<String>,
 
@@ -36,8 +36,8 @@
     let snapshot = Store::open(endpoints).await?.snapshot().await?;
     if args.json {
         util::print_json(&snapshot.catalog)?;
-        return Ok(Exit::Fine);
+        return Ok(Exit::Success);
     }
     util::print(&snapshot.catalog.to_text()?)?;
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -13,20 +13,20 @@
     util::{self, Table},
 };
 
-/// Show what is in force where, who leads, and what is wrong.
+/// Show the revision in force at each instance, the primaries, and problems.
 ///
-/// Instances that answer also tell of those they know; what an instance says
-/// of itself goes before what others say of it.
+/// Instances that answer also report other instances. An instance's own report
+/// takes precedence over reports of others about that instance.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "status",
     error_code(1, "No instance answered."),
     error_code(2, "The command line or a setting is wrong."),
-    error_code(5, "Some of the instances asked did not answer.")
+    error_code(5, "Some of the instances queried did not answer.")
 )]
 pub(crate) struct Args {
-    /// instances' operators' ports, IP:PORT parted by commas (DANDELIONLINK_INSTANCES)
+    /// operators' ports of the instances, IP:PORT separated by commas (DANDELIONLINK_INSTANCES)
     #[argh(option)]
     instance: Option<String>,
 
@@ -44,7 +44,7 @@
 pub(crate) async fn run(args: &Args) -> Result<Exit, Error> {
     let addresses = settings::addresses(INSTANCES, args.instance.as_deref())?;
     let answers = fleet::ask::<Status>(&addresses, view::STATUS).await?;
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     let summary = Summary::of(&found);
     if args.json {
         let answers = &answers;
@@ -90,14 +90,14 @@
         let own = statuses(answers).find(|status| status.instance == *name);
         let health = match instance.source {
             Source::Itself => instance.health.to_string(),
-            Source::Peer => format!("{} (as told)", instance.health),
+            Source::Peer => format!("{} (reported)", instance.health),
         };
         table.row(vec![
             name.to_string(),
             instance.zone.to_string(),
             health,
             util::or_dash(instance.revision),
-            util::or_dash(own.map(|status| util::span(status.applied_ms_ago))),
+            util::or_dash(own.map(|status| util::format_duration(status.applied_ms_ago))),
             util::or_dash(own.map(|status| status.store)),
             util::or_dash(own.map(|status| status.version.as_str())),
         ]);
@@ -108,7 +108,7 @@
 fn primaries(summary: &Summary) -> String {
     let mut table = Table::new(&["DATABASE", "TERM", "PRIMARY", "CONFIRMED", "SEEN BY"]);
     for (name, primary) in &summary.primaries {
-        let confirmed = primary.confirmed_ms_ago.map(util::span);
+        let confirmed = primary.confirmed_ms_ago.map(util::format_duration);
         table.row(vec![
             name.to_string(),
             primary.term.to_string(),
@@ -126,15 +126,15 @@
         match &answer.result {
             Reply::Failed(why) => lines.push(format!("{}: no answer: {why}", answer.address)),
             Reply::Answer(status) => {
-                let told = status.doubts.iter();
-                lines.extend(told.map(|doubt| format!("{}: {doubt}", status.instance)));
+                let reported = status.doubts.iter();
+                lines.extend(reported.map(|doubt| format!("{}: {doubt}", status.instance)));
             }
         }
     }
     if lines.is_empty() {
         return "\nnothing is wrong\n".to_owned();
     }
-    let lines: Vec<_> = lines.iter().map(|line| util::clean(line)).collect();
+    let lines: Vec<_> = lines.iter().map(|line| util::sanitize(line)).collect();
     format!("\nwrong:\n  {}\n", lines.join("\n  "))
 }
 
--- a/crates/cli/src/cmd/upstreams.rs
+++ b/crates/cli/src/cmd/upstreams.rs
@@ -12,21 +12,21 @@
     util::{self, Table},
 };
 
-/// Show upstreams as instances see them, with their connections.
+/// Show upstreams as seen by the instances, with connection counts.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "upstreams",
     error_code(1, "No instance answered."),
     error_code(2, "The command line or a setting is wrong."),
-    error_code(5, "Some of the instances asked did not answer.")
+    error_code(5, "Some of the instances queried did not answer.")
 )]
 pub(crate) struct Args {
-    /// show this database only
+    /// show only this database
     #[argh(option)]
     database: Option<String>,
 
-    /// instances' operators' ports, IP:PORT parted by commas (DANDELIONLINK_INSTANCES)
+    /// operators' ports of the instances, IP:PORT separated by commas (DANDELIONLINK_INSTANCES)
     #[argh(option)]
     instance: Option<String>,
 
@@ -44,7 +44,7 @@
             view.upstreams.retain(wanted);
         });
     }
-    let (found, failed) = fleet::parted(&answers)?;
+    let (found, failed) = fleet::partition(&answers)?;
     if args.json {
         util::print_json(&answers)?;
     } else {
@@ -82,7 +82,7 @@
         util::or_dash(role),
         util::or_dash(upstream.received),
         util::or_dash(upstream.position),
-        util::or_dash(upstream.lag_ms.map(util::span)),
+        util::or_dash(upstream.lag_ms.map(util::format_duration)),
         leaving.to_owned(),
         count(|pool| pool.open),
         count(|pool| pool.busy),
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,8 +1,8 @@
-//! The platform's store, as far as the tool needs it.
+//! Access to the platform's store.
 //!
-//! Any endpoint will do: a read goes on to the next one on failure. A
-//! transaction goes to one endpoint only, since one that may have taken effect
-//! must not be sent elsewhere before its outcome was read back.
+//! All endpoints are equivalent: a failed read is retried at the next one. A
+//! transaction is sent to one endpoint only, because a transaction that may have
+//! taken effect must not be sent again before the store has been read back.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,18 +16,18 @@
 
 use crate::error;
 
-/// The longest that a call takes.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the store can't be used.
+/// Reason why the store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// No endpoint answered a read.
-    #[error("the store can't be read; tried {}", tried(.0))]
+    #[error("the store can't be read; tried {}", describe(.0))]
     Down(Vec<(SocketAddr, Fault)>),
 }
 
-fn tried(endpoints: &[(SocketAddr, Fault)]) -> String {
+fn describe(endpoints: &[(SocketAddr, Fault)]) -> String {
     let lines: Vec<_> = endpoints
         .iter()
         .map(|(address, fault)| format!("{address}: {fault}"))
@@ -35,16 +35,16 @@
     lines.join("; ")
 }
 
-/// The store at its endpoints.
+/// Client of the store.
 #[derive(Debug)]
 pub(crate) struct Store {
     gateways: Vec<(SocketAddr, Gateway)>,
-    /// The endpoint that answered last.
-    at: usize,
+    /// Index of the endpoint that answered last.
+    current: usize,
 }
 
 impl Store {
-    /// Takes the endpoints; nothing is sent yet.
+    /// Creates clients for all endpoints; nothing is sent yet.
     pub(crate) async fn open(endpoints: Vec<SocketAddr>) -> Result<Self, Error> {
         let mut gateways = Vec::new();
         for address in endpoints {
@@ -52,16 +52,19 @@
             let gateway = gateway.map_err(|fault| Error::Down(vec![(address, fault)]))?;
             gateways.push((address, gateway));
         }
-        Ok(Self { gateways, at: 0 })
+        Ok(Self {
+            gateways,
+            current: 0,
+        })
     }
 
-    /// The catalogue in force.
+    /// Reads the catalogue in force.
     pub(crate) async fn snapshot(&mut self) -> Result<Snapshot, error::Error> {
         let pairs = self.range(PREFIX).await?;
         Ok(layout::decode(&pairs)?)
     }
 
-    /// The record of change `number`, with the revision that it made.
+    /// Reads the record of change `number` with the change's revision.
     pub(crate) async fn record(
         &mut self,
         number: u64,
@@ -71,7 +74,7 @@
         Ok(records.into_iter().next())
     }
 
-    /// All records kept, oldest first, with the revisions that they made.
+    /// Reads all records with their changes' revisions, oldest first.
     pub(crate) async fn records(&mut self) -> Result<Vec<(Record, u64)>, error::Error> {
         self.records_in(HISTORY).await
     }
@@ -89,7 +92,7 @@
         let call = Call::Range { prefix };
         let mut faults = Vec::new();
         for _ in 0..self.gateways.len() {
-            let (address, gateway) = &self.gateways[self.at];
+            let (address, gateway) = &self.gateways[self.current];
             match gateway.call(&call).await {
                 Ok(Answer::Pairs { pairs, .. }) => {
                     return Ok(pairs.into_iter().map(pair).collect());
@@ -97,25 +100,25 @@
                 Ok(_) => faults.push((*address, Fault::Malformed { what: "no pairs" })),
                 Err(fault) => faults.push((*address, fault)),
             }
-            self.at = (self.at + 1) % self.gateways.len();
+            self.current = (self.current + 1) % self.gateways.len();
         }
         Err(Error::Down(faults))
     }
 
-    /// Sends `txn` once and tells how that ended, with the fault if any.
+    /// Sends `txn` once and returns the outcome and the fault, if any.
     pub(crate) async fn run(&mut self, txn: &Txn) -> (Event, Option<Fault>) {
-        let (_, gateway) = &self.gateways[self.at];
-        match gateway.call(&call(txn)).await {
+        let (_, gateway) = &self.gateways[self.current];
+        match gateway.call(&txn_call(txn)).await {
             Ok(Answer::Swapped { revision }) => (Event::Committed(revision), None),
             Ok(Answer::Conflict { .. }) => (Event::Refused, None),
             Ok(_) => (Event::Unknown, None),
-            Err(fault) => (event(&fault), Some(fault)),
+            Err(fault) => (event_of_fault(&fault), Some(fault)),
         }
     }
 }
 
-/// What a fault says of the transaction it befell.
-fn event(fault: &Fault) -> Event {
+/// Outcome of a transaction that failed with `fault`.
+fn event_of_fault(fault: &Fault) -> Event {
     match fault {
         Fault::Unreachable { .. } => Event::NotSent,
         fault if fault.may_have_run() => Event::Unknown,
@@ -131,7 +134,7 @@
     }
 }
 
-fn call(txn: &Txn) -> Call {
+fn txn_call(txn: &Txn) -> Call {
     let compare = |compare: &catalog::plan::Compare| Compare {
         key: compare.key.clone(),
         revision: compare.revision,
--- a/crates/cli/tests/cmd/apply.rs
+++ b/crates/cli/tests/cmd/apply.rs
@@ -3,14 +3,14 @@
 use fake::{Store, store::Fault};
 
 use super::{
-    instance::nowhere,
-    relay::{Fate, Relay},
-    workdir::{Workdir, catalog, finished},
+    instance::unused_address,
+    relay::{Injection, Relay},
+    workdir::{Workdir, catalog, wait_for_output},
 };
 
-/// A store that holds `catalog(8)` at revision 1, and the files of further
-/// catalogues.
-fn applied() -> (Workdir, Store, String) {
+/// A store with `catalog(8)` at revision 1, a directory with files of further
+/// catalogues, and the store's address.
+fn store_with_catalog() -> (Workdir, Store, String) {
     let dir = Workdir::new();
     let store = Store::spawn().unwrap();
     let at = store.address().to_string();
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_change_is_applied_once_and_read_back() {
-    let (dir, store, at) = applied();
+    let (dir, store, at) = store_with_catalog();
     let run = dir.run(&["apply", "--json", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.json()["applied"]["revision"]["number"], 2);
@@ -54,20 +54,19 @@
     assert_eq!(run.out, "nothing to change from revision 3\n");
 }
 
-/// Symptom: two operators are both told that their change is in force.
-/// Events: both look at revision 1 and apply at the same moment.
-/// Cause: a write that is not conditional on the revision it was planned from.
+/// Guards against reporting success to two operators that apply concurrently
+/// from revision 1, with writes that are not conditional on that revision.
 #[test]
-fn of_two_operators_racing_one_wins_whole() {
-    let (dir, store, at) = applied();
+fn of_two_concurrent_changes_only_one_is_applied() {
+    let (dir, store, at) = store_with_catalog();
     // Slow answers make it likely that both read before either writes; the
-    // verdict is the same whichever way they fall.
+    // checks hold in either case.
     store.set_fault(Fault::Slow(Duration::from_millis(100)));
     let start = |file: &str| {
         let args = ["apply", "--from", "1", "-m", file, "--store", &at, file];
         dir.command(&args).spawn().unwrap()
     };
-    let runs = [start("9.toml"), start("10.toml")].map(finished);
+    let runs = [start("9.toml"), start("10.toml")].map(wait_for_output);
     let mut codes = runs.each_ref().map(|run| run.code);
     codes.sort_unstable();
     assert_eq!(codes, [0, 3], "{runs:?}");
@@ -81,20 +80,21 @@
     assert!(loser.err.contains(&author), "{loser:?}");
 }
 
-/// Symptom: an operator's change undoes a colleague's of the same minute.
-/// Events: the tool reads revision 1; the colleague applies; the tool's
-/// transaction arrives.
-/// Cause: as above, between the read and the write of one run.
+/// Guards against undoing another operator's change that is committed between
+/// the tool's read of revision 1 and its write.
 #[test]
-fn a_change_overtaken_on_its_way_ends_as_a_conflict() {
-    let (dir, store, at) = applied();
+fn a_change_after_a_concurrent_one_is_a_conflict() {
+    let (dir, store, at) = store_with_catalog();
     let dir = Arc::new(dir);
-    let (colleague, straight) = (Arc::clone(&dir), at.clone());
-    let overtake = move || {
-        let run = colleague.run(&["apply", "-m", "mine", "--store", &straight, "9.toml"]);
+    let (other, direct) = (Arc::clone(&dir), at.clone());
+    let change = move || {
+        let run = other.run(&["apply", "-m", "mine", "--store", &direct, "9.toml"]);
         assert_eq!(run.code, 0, "{run:?}");
     };
-    let relay = Relay::spawn(store.address(), Fate::Overtaken(Box::new(overtake)));
+    let relay = Relay::spawn(
+        store.address(),
+        Injection::ConcurrentChange(Box::new(change)),
+    );
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "--json", "-m", "late", "--store", &at, "10.toml"]);
     assert_eq!(run.code, 3, "{run:?}");
@@ -105,14 +105,13 @@
     assert_eq!(connections(&store), 9);
 }
 
-/// Symptom: a change that is in force is told as failed, and is applied again
-/// by hand over a colleague's later one.
-/// Events: the transaction takes effect; its answer is lost on the way back.
-/// Cause: a tool that takes a missing answer for a missing effect.
+/// Guards against reporting a change in force as failed, which an operator would
+/// apply again over a later change: the transaction takes effect, its answer is
+/// lost, and the tool treats a missing answer as a failure.
 #[test]
-fn an_answer_lost_after_taking_effect_is_recognised() {
-    let (dir, store, _) = applied();
-    let relay = Relay::spawn(store.address(), Fate::AnswerLost);
+fn a_change_with_a_lost_answer_is_recognised() {
+    let (dir, store, _) = store_with_catalog();
+    let relay = Relay::spawn(store.address(), Injection::AnswerLost);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
@@ -120,28 +119,29 @@
     assert_eq!(store.revision(), 2);
 }
 
-/// Symptom: a change is told as refused, and is in force a moment later.
-/// Events: etcd answers "request timed out" with the code for unavailable, and
-/// carries the proposal out all the same.
-/// Cause: an error's answer taken for proof that nothing ran.
+/// Guards against reporting a change as not run that takes effect later: etcd
+/// answers "request timed out" with the code for unavailable and commits the
+/// transaction all the same, and the tool treats the error as proof of failure.
 #[test]
-fn unavailable_is_not_taken_for_not_run() {
-    let (dir, store, _) = applied();
+fn unavailable_does_not_mean_not_run() {
+    let (dir, store, _) = store_with_catalog();
     let text = r#"{"code":14,"message":"etcdserver: request timed out"}"#;
-    let fate = Fate::Answered("503 Service Unavailable", text);
-    let relay = Relay::spawn(store.address(), fate);
+    let injection = Injection::Answered("503 Service Unavailable", text);
+    let relay = Relay::spawn(store.address(), injection);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(connections(&store), 9);
 }
 
+/// Guards against an unknown outcome or a message without the reason when the
+/// store rejects the transaction.
 #[test]
-fn what_the_store_rejects_is_told_in_its_words() {
-    let (dir, store, _) = applied();
+fn a_rejection_is_reported_with_the_stores_message() {
+    let (dir, store, _) = store_with_catalog();
     let text = r#"{"code":8,"message":"etcdserver: mvcc: database space exceeded"}"#;
-    let fate = Fate::Answered("429 Too Many Requests", text);
-    let relay = Relay::spawn(store.address(), fate);
+    let injection = Injection::Answered("429 Too Many Requests", text);
+    let relay = Relay::spawn(store.address(), injection);
     let at = relay.address.to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     assert_eq!(run.code, 1, "{run:?}");
@@ -150,9 +150,11 @@
     assert_eq!(store.revision(), 1);
 }
 
+/// Guards against applying a file that was prepared for an earlier revision:
+/// another change was applied between `diff` and `apply --from`.
 #[test]
-fn a_revision_that_is_past_is_a_conflict_before_anything_is_sent() {
-    let (dir, store, at) = applied();
+fn an_outdated_revision_is_a_conflict_without_a_write() {
+    let (dir, store, at) = store_with_catalog();
     dir.run(&["apply", "-m", "more", "--store", &at, "9.toml"]);
     let run = dir.run(&[
         "apply", "--from", "1", "-m", "late", "--store", &at, "10.toml",
@@ -167,10 +169,12 @@
     assert_eq!(store.writes(), 2);
 }
 
+/// Guards against an unclear outcome when the store can't be reached before
+/// anything is sent.
 #[test]
-fn a_store_that_is_down_is_told_and_nothing_is_sent() {
-    let (dir, store, _) = applied();
-    let down = nowhere().to_string();
+fn an_unreachable_store_is_reported_without_a_write() {
+    let (dir, store, _) = store_with_catalog();
+    let down = unused_address().to_string();
     let run = dir.run(&["apply", "-m", "more", "--store", &down, "9.toml"]);
     assert_eq!(run.code, 1);
     assert!(run.err.contains("the store can't be read"), "{run:?}");
@@ -183,12 +187,11 @@
     assert_eq!(store.writes(), 1);
 }
 
-/// Symptom: an old tool writes its own format over a newer catalogue.
-/// Events: a colleague's newer tool applied; the old one applies after it.
-/// Cause: a tool that writes over what it can't read.
+/// Guards against an old version of the tool overwriting a catalogue that a
+/// newer version wrote in a format that the old one can't read.
 #[test]
-fn a_newer_catalogue_is_not_written_over() {
-    let (dir, store, at) = applied();
+fn a_newer_catalogue_is_not_overwritten() {
+    let (dir, store, at) = store_with_catalog();
     let head = store.value("dandelionlink/catalog/head").unwrap();
     let newer = String::from_utf8(head)
         .unwrap()
@@ -204,9 +207,10 @@
     assert_eq!(connections(&store), 8);
 }
 
+/// Guards against sending an invalid catalogue to the store.
 #[test]
-fn a_faulty_file_never_reaches_the_store() {
-    let (dir, store, at) = applied();
+fn an_invalid_file_is_rejected_before_the_store_is_called() {
+    let (dir, store, at) = store_with_catalog();
     dir.file("bad.toml", &catalog(0));
     let calls = store.calls();
     let run = dir.run(&["apply", "-m", "more", "--store", &at, "bad.toml"]);
@@ -227,8 +231,8 @@
 }
 
 #[test]
-fn a_large_change_is_applied_in_parts_when_asked() {
-    let (dir, store, at) = applied();
+fn a_large_change_is_applied_in_parts_with_the_flag() {
+    let (dir, store, at) = store_with_catalog();
     dir.file("large.toml", &large());
     let args = ["apply", "-m", "all", "--store", &at, "large.toml"];
     let run = dir.run(&args);
--- a/crates/cli/tests/cmd/workdir.rs
+++ b/crates/cli/tests/cmd/workdir.rs
@@ -1,4 +1,4 @@
-//! A working directory of its own for each test, and the tool run in it.
+//! A temporary working directory per test, in which the tool is run.
 
 use std::{
     env, fs,
@@ -8,15 +8,15 @@
     sync::atomic::{AtomicUsize, Ordering},
 };
 
-static MADE: AtomicUsize = AtomicUsize::new(0);
+static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
 
-/// A directory that is removed when it is dropped.
+/// A directory that is removed on drop.
 #[derive(Debug)]
 pub(crate) struct Workdir {
     path: PathBuf,
 }
 
-/// What a run of the tool left.
+/// Result of a run of the tool.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
@@ -33,7 +33,7 @@
 
 impl Workdir {
     pub(crate) fn new() -> Self {
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let name = format!("dandelionlink-{}-{number}", process::id());
         let path = env::temp_dir().join(name);
         fs::create_dir_all(&path).unwrap();
@@ -45,7 +45,7 @@
         fs::write(self.path.join(name), text).unwrap();
     }
 
-    /// The tool with `args`, ready to run, without settings of the outside.
+    /// Command for the tool with `args` and without inherited environment variables.
     pub(crate) fn command(&self, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dandelionlink"));
         command
@@ -59,9 +59,9 @@
         command
     }
 
-    /// Runs the tool to its end.
+    /// Runs the tool until it exits.
     pub(crate) fn run(&self, args: &[&str]) -> Run {
-        finished(self.command(args).spawn().unwrap())
+        wait_for_output(self.command(args).spawn().unwrap())
     }
 
     /// Runs the tool with `input` on its standard input.
@@ -70,12 +70,12 @@
         let mut stdin = child.stdin.take().unwrap();
         stdin.write_all(input.as_bytes()).unwrap();
         drop(stdin);
-        finished(child)
+        wait_for_output(child)
     }
 }
 
-/// Waits for a run and collects what it left.
-pub(crate) fn finished(child: process::Child) -> Run {
+/// Waits for a run and collects its exit code and output.
+pub(crate) fn wait_for_output(child: process::Child) -> Run {
     let output = child.wait_with_output().unwrap();
     Run {
         code: output.status.code().unwrap(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// A catalogue with one entry that holds `connections`.
+/// A catalogue with one entry that is limited to `connections`.
 pub(crate) fn catalog(connections: u16) -> String {
     format!(
         r#"[tenant.yard.users]
