--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -34,9 +34,10 @@
 /// Sets the function that is called with a duty's name when its thread panics;
 /// only the first call has an effect.
 ///
-/// The other duties keep running after a panic, so the instance would still
-/// accept callers although other instances see it as dead or it serves nobody,
-/// and no supervisor would restart it. The daemon's process therefore exits.
+/// The other duties keep running after a panic. The instance would therefore
+/// still accept callers although other instances consider it dead or it can no
+/// longer serve requests, and no supervisor would restart it. The daemon's
+/// process exits for this reason.
 pub fn on_panic(callback: fn(&'static str)) {
     let _ = ON_PANIC.set(callback);
 }
--- a/crates/daemon/src/upstreams/connection.rs
+++ b/crates/daemon/src/upstreams/connection.rs
@@ -14,7 +14,7 @@
 /// Highest number of prepared statements on one connection.
 pub(super) const MAX_PREPARED: usize = 256;
 
-/// What happens to a connection when its request has ended.
+/// Handling of a connection whose request has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disposition {
     /// The connection returns to the pool.
@@ -32,13 +32,13 @@
     pub(super) address: SocketAddr,
     /// Hashes of the prepared statements.
     pub(super) prepared: HashSet<u128>,
-    /// Whether the upstream skips messages up to the next Sync after an error.
+    /// True if the upstream skips messages up to the next Sync after an error.
     pub(super) skipping: bool,
     /// The session settings in force on the connection.
     pub(super) applied: Settings,
     /// Session state left by requests since the settings were last applied.
     pub(super) leaves: Leaves,
-    /// What happens to the connection after the request.
+    /// Handling of the connection after the request.
     pub(super) disposition: Disposition,
     /// The last status report and the time at which its query was sent.
     pub(super) seen: Option<(Instant, Report)>,
--- a/crates/daemon/src/upstreams/control.rs
+++ b/crates/daemon/src/upstreams/control.rs
@@ -50,7 +50,7 @@
     holding: Cell<Holding>,
 }
 
-/// Whether this instance holds pooled connections to the upstream.
+/// State of this instance as a possible holder of connections to the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Holding {
     /// This instance is a holder: the control connection stays open.
--- a/crates/daemon/src/upstreams/dispatch.rs
+++ b/crates/daemon/src/upstreams/dispatch.rs
@@ -122,7 +122,7 @@
 }
 
 impl Dispatch<'_> {
-    /// What happens to an answer that is valid.
+    /// Returns the handling of a valid answer.
     fn mode(&self) -> Mode {
         match self.job.batch.need {
             Need::Read => Mode::Stream,
--- a/crates/daemon/src/upstreams/exchange.rs
+++ b/crates/daemon/src/upstreams/exchange.rs
@@ -27,7 +27,7 @@
     pub(super) behind: Option<Report>,
     /// The time at which the batch and its probes were sent.
     pub(super) sent: Instant,
-    /// Whether one of the proxy's own statements was refused, which leaves the
+    /// True if one of the proxy's own statements was refused, which leaves the
     /// connection in a state that the proxy does not know.
     pub(super) spoiled: bool,
 }
--- a/crates/daemon/src/upstreams/group.rs
+++ b/crates/daemon/src/upstreams/group.rs
@@ -53,7 +53,7 @@
     pub(super) conf: catalog::Upstream,
     pub(super) connections: Rc<Connections>,
     pub(super) control: Rc<Control>,
-    /// Whether a task is polling the upstream's position for waiting writes.
+    /// True if a task is polling the upstream's position for waiting writes.
     pub(super) polled: Cell<bool>,
     /// The instance assigned to each seat of the upstream, in this instance's
     /// view.
@@ -70,7 +70,7 @@
 struct Seats {
     /// The seats' numbers, counted over all upstreams of the database.
     numbers: Vec<u16>,
-    /// Whether the upstream's first seat is among them.
+    /// True if the upstream's first seat is among them.
     has_first: bool,
     /// The number of seats of the whole database.
     total: u16,
--- a/crates/daemon/src/upstreams/mod.rs
+++ b/crates/daemon/src/upstreams/mod.rs
@@ -134,7 +134,7 @@
     last_ticket: Cell<u64>,
     /// Number of commands from other instances that are being executed.
     peer_commands: Cell<usize>,
-    /// Whether commands from other instances are no longer accepted.
+    /// True if commands from other instances are no longer accepted.
     closed: Cell<bool>,
     last_seq: Cell<Seq>,
     /// The instances that can be given work, with their availability zones.
--- a/crates/daemon/src/upstreams/plan.rs
+++ b/crates/daemon/src/upstreams/plan.rs
@@ -26,7 +26,7 @@
 /// `CloseComplete`, sent for a statement that stays prepared.
 const CLOSE_COMPLETE: &[u8] = &[b'3', 0, 0, 0, 4];
 
-/// Whether an answer is passed on to the caller.
+/// Recipient of an answer: the caller, or the proxy alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Audience {
     /// The answer is passed on.
@@ -63,9 +63,9 @@
 /// Which status probes are sent with a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Probes {
-    /// Whether the status is queried before the batch.
+    /// True if the status is queried before the batch.
     pub(super) before: bool,
-    /// Whether the status is queried after the batch.
+    /// True if the status is queried after the batch.
     pub(super) behind: bool,
 }
 
--- a/crates/daemon/src/upstreams/run.rs
+++ b/crates/daemon/src/upstreams/run.rs
@@ -36,8 +36,8 @@
         .insert(job.caller, Rc::clone(&running));
     let end = run(&core, &mut job, &running).await;
     count(&core, &job, end.outcome);
-    // The caller left while the request ran, so nobody else ends a transaction
-    // that the request began.
+    // If the caller disconnected while the request ran, a transaction that the
+    // request began has to be ended here, since no other code path does so.
     let left = running.abandoned.get() && !core.running.borrow().contains_key(&job.caller);
     core.running.borrow_mut().remove(&job.caller);
     if left {
--- a/crates/daemon/src/upstreams/running.rs
+++ b/crates/daemon/src/upstreams/running.rs
@@ -21,11 +21,11 @@
     pub(super) connection: RefCell<Option<(SocketAddr, Key)>>,
     /// The pending command at another instance.
     pub(super) remote: RefCell<Option<(name::Instance, Seq)>>,
-    /// Whether the request was sent to an upstream or to a holder.
+    /// True if the request was sent to an upstream or to a holder.
     pub(super) sent: Cell<bool>,
-    /// Whether the requester has disconnected.
+    /// True if the requester has disconnected.
     pub(super) abandoned: Cell<bool>,
-    /// Whether a cancel request was sent to the connection's server.
+    /// True if a cancel request was sent to the connection's server.
     pub(super) cancel_sent: Cell<bool>,
     /// Number of answer parts that were sent but not yet consumed.
     pub(super) outstanding: Cell<usize>,
--- a/crates/daemon/src/upstreams/sink.rs
+++ b/crates/daemon/src/upstreams/sink.rs
@@ -15,7 +15,7 @@
 /// on.
 const MAX_HELD: usize = 256 << 10;
 
-/// What happens to an answer.
+/// Handling of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Mode {
     /// The answer is passed on in parts.
@@ -60,12 +60,12 @@
         }
     }
 
-    /// What happens to the answer.
+    /// Returns the current handling of the answer.
     pub(super) fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Changes what happens to the rest of the answer.
+    /// Changes the handling of the rest of the answer.
     pub(super) fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
         if mode == Mode::Discard {
--- a/crates/failover/src/event.rs
+++ b/crates/failover/src/event.rs
@@ -72,7 +72,7 @@
     Unanswered,
 }
 
-/// What one candidate reports to the others about the primary.
+/// Report of one candidate to the others about the primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Database of the group.
--- a/crates/failover/tests/failover/world/net.rs
+++ b/crates/failover/tests/failover/world/net.rs
@@ -22,7 +22,7 @@
 pub(crate) struct Net {
     cuts: BTreeSet<(Host, Host)>,
     pauses: BTreeMap<Host, Instant>,
-    /// Whether some messages are delayed by a retransmission.
+    /// True if some messages are delayed by a retransmission.
     pub(crate) lossy: bool,
 }
 
--- a/crates/failover/tests/failover/world/upstream.rs
+++ b/crates/failover/tests/failover/world/upstream.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) down: Option<Down>,
-    /// Whether status probes and orders find no free connection.
+    /// True if status probes and orders find no free connection.
     pub(crate) full: bool,
     pub(crate) role: Role,
     pub(crate) fenced: Term,
@@ -36,7 +36,7 @@
     ordered: Term,
     /// For each log position its term and the write at this position.
     pub(crate) log: Vec<(Term, u64)>,
-    /// Whether the log is known to be a prefix of the followed primary's log.
+    /// True if the log is known to be a prefix of the followed primary's log.
     synced: bool,
     pub(crate) lag: Duration,
 }
