--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -323,7 +323,7 @@
     pub fn account_holders(&self, service: &Rc<str>, account: &str) -> Vec<SocketAddr> {
         let holders = self.holder_names(service);
         let own = &self.settings.name;
-        self.peers.homes(service, account, &holders, own)
+        self.peers.account_holders(service, account, &holders, own)
     }
 
     /// Returns the names of the instances that hold the connections to `service`, in order of
--- a/crates/proxy/src/peers/membership.rs
+++ b/crates/proxy/src/peers/membership.rs
@@ -244,7 +244,7 @@
 
     /// Addresses of those among `holders`, which hold the connections to `service`, that serve
     /// sessions of `account`, in order. Instances after `own` are left out.
-    pub(crate) fn homes(
+    pub(crate) fn account_holders(
         &self,
         service: &str,
         account: &str,
--- a/crates/proxy/tests/beat.rs
+++ b/crates/proxy/tests/beat.rs
@@ -18,23 +18,23 @@
 }
 
 fn sample_heartbeat() -> (Heartbeat, Extension) {
-    let belief = Observation {
+    let observation = Observation {
         service: "db".to_owned(),
         term: Term(3),
         verdict: Verdict::Failing,
     };
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         name: "one".to_owned(),
         address: address(),
         version: 7,
-        observations: vec![belief],
+        observations: vec![observation],
         locked_out: vec!["i-1".to_owned()],
         zone: "zone-1".to_owned(),
         weight: 25,
         service: ServiceState::Able,
         leaving: false,
     };
-    let more = Extension {
+    let extension = Extension {
         format: FORMAT,
         next: Duration::from_millis(300),
         store: StoreContact::Reachable,
@@ -43,44 +43,47 @@
         unreachable_zones: vec!["zone-2".to_owned()],
         introduced: vec![address()],
     };
-    (beat, more)
+    (heartbeat, extension)
 }
 
 #[test]
 fn heartbeat_round_trips() {
-    let (beat, more) = sample_heartbeat();
-    let bytes = heartbeat::encode(&beat, &more).unwrap();
-    let read = heartbeat::decode(&bytes).unwrap();
-    assert_eq!(read, Datagram::Heartbeat(beat, Some(more)));
+    let (heartbeat, extension) = sample_heartbeat();
+    let bytes = heartbeat::encode(&heartbeat, &extension).unwrap();
+    let decoded = heartbeat::decode(&bytes).unwrap();
+    assert_eq!(decoded, Datagram::Heartbeat(heartbeat, Some(extension)));
 }
 
 /// Guards against a format change that older instances can't read: during a rolling upgrade they
 /// receive heartbeats of this version, and decode only the part that they know.
 #[test]
 fn previous_version_decodes_the_current_heartbeat() {
-    let (beat, more) = sample_heartbeat();
-    let bytes = heartbeat::encode(&beat, &more).unwrap();
-    assert_eq!(postcard::from_bytes::<Heartbeat>(&bytes).unwrap(), beat);
+    let (heartbeat, extension) = sample_heartbeat();
+    let bytes = heartbeat::encode(&heartbeat, &extension).unwrap();
+    assert_eq!(
+        postcard::from_bytes::<Heartbeat>(&bytes).unwrap(),
+        heartbeat
+    );
 }
 
 #[test]
 fn heartbeat_of_the_previous_version_is_decoded() {
-    let (beat, _) = sample_heartbeat();
-    let bytes = postcard::to_stdvec(&beat).unwrap();
+    let (heartbeat, _) = sample_heartbeat();
+    let bytes = postcard::to_stdvec(&heartbeat).unwrap();
     assert_eq!(
         heartbeat::decode(&bytes),
-        Some(Datagram::Heartbeat(beat, None))
+        Some(Datagram::Heartbeat(heartbeat, None))
     );
 }
 
 #[test]
 fn proof_request_is_not_decoded_as_a_heartbeat() {
-    let ask = Message::LeaseRequest {
+    let request = Message::LeaseRequest {
         id: 9,
         reply_to: address(),
     };
-    let bytes = heartbeat::encode_message(&ask).unwrap();
-    assert_eq!(heartbeat::decode(&bytes), Some(Datagram::Message(ask)));
+    let bytes = heartbeat::encode_message(&request).unwrap();
+    assert_eq!(heartbeat::decode(&bytes), Some(Datagram::Message(request)));
 }
 
 proptest! {
@@ -92,12 +95,12 @@
     })]
 
     #[test]
-    fn truncated_heartbeat_decodes_to_no_other_heartbeat(cut in 0_usize..200) {
-        let (beat, more) = sample_heartbeat();
-        let mut bytes = heartbeat::encode(&beat, &more).unwrap();
-        bytes.truncate(cut);
-        if let Some(Datagram::Heartbeat(read, _)) = heartbeat::decode(&bytes) {
-            prop_assert_eq!(read, beat);
+    fn truncated_heartbeat_decodes_to_no_other_heartbeat(length in 0_usize..200) {
+        let (heartbeat, extension) = sample_heartbeat();
+        let mut bytes = heartbeat::encode(&heartbeat, &extension).unwrap();
+        bytes.truncate(length);
+        if let Some(Datagram::Heartbeat(decoded, _)) = heartbeat::decode(&bytes) {
+            prop_assert_eq!(decoded, heartbeat);
         }
     }
 }
